--- a/examples/leases_example.py
+++ b/examples/leases_example.py
@@ -8,7 +8,7 @@
 
 import random
 
-from stagewalk.core.identities import Incarnation, NodeName, RecordId
+from stagewalk.common.identities import Incarnation, NodeName, RecordId
 from stagewalk.core.platform import LogRecord
 from stagewalk.leases.config import LeaseConfig
 from stagewalk.leases.core import Candidate, LeaseCore, LiveMember
--- a/examples/membership_example.py
+++ b/examples/membership_example.py
@@ -9,7 +9,7 @@
 import random
 from collections import deque
 
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.core.instructions import SendPeerMessage
 from stagewalk.core.platform import Machine, MachineKind, MachineState
 from stagewalk.membership.config import MembershipConfig
--- a/src/stagewalk/adapters/engine_frames.py
+++ b/src/stagewalk/adapters/engine_frames.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
+from stagewalk.common.errors import Ran
+from stagewalk.common.identities import WeightVersion
 from stagewalk.core.completions import TokenChunk
-from stagewalk.core.errors import Ran
-from stagewalk.core.identities import WeightVersion
 from stagewalk.core.instructions import StartAttempt
 
 
--- a/src/stagewalk/adapters/engine_stream.py
+++ b/src/stagewalk/adapters/engine_stream.py
@@ -14,19 +14,19 @@
     decode_problem,
     encode_attempt,
 )
-from stagewalk.adapters.http_calls import (
+from stagewalk.common.errors import Ran
+from stagewalk.common.http.calls import (
     NOT_SENT_ERRORS,
     call_timeout,
     describe,
     path_part,
     process_url,
 )
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.core.completions import TokenChunk
-from stagewalk.core.errors import Ran
 from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.core.instructions import StartAttempt
 from stagewalk.ports.engines import AttemptSink, FinalAttemptEvent
-from stagewalk.steady_clock import steady_seconds
 
 ATTEMPT_GRACE_SECONDS = 5.0
 """How long a stream may outlive its request's deadline before it is given up."""
--- a/src/stagewalk/adapters/http_engines.py
+++ b/src/stagewalk/adapters/http_engines.py
@@ -7,10 +7,10 @@
 from expression import Result
 
 from stagewalk.adapters.engine_stream import AttemptStream
-from stagewalk.adapters.http_calls import call_json, describe, process_url, send_json
-from stagewalk.core.errors import StagewalkError, Step
+from stagewalk.common.errors import StagewalkError, Step
+from stagewalk.common.http.calls import call_json, describe, process_url, send_json
+from stagewalk.common.identities import Address
 from stagewalk.core.events import OrderAnswered
-from stagewalk.core.identities import Address
 from stagewalk.core.instructions import CancelAttempt, OrderEngine, StartAttempt
 from stagewalk.core.platform import EngineReport, OrderOutcome
 from stagewalk.ports.engines import AttemptSink
--- a/src/stagewalk/adapters/http_platform.py
+++ b/src/stagewalk/adapters/http_platform.py
@@ -6,9 +6,9 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.adapters.http_calls import call_json, call_json_if_changed, path_part
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.identities import Address, ModelName, Placement, RecordId, WeightVersion
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.http.calls import call_json, call_json_if_changed, path_part
+from stagewalk.common.identities import Address, ModelName, Placement, RecordId, WeightVersion
 from stagewalk.core.instructions import ScoreSample
 from stagewalk.core.platform import (
     LogRecord,
--- a/src/stagewalk/admission/controller.py
+++ b/src/stagewalk/admission/controller.py
@@ -17,10 +17,10 @@
 from stagewalk.admission.limiter import AdaptiveLimiter
 from stagewalk.admission.shares import guaranteed, may_use_one_more
 from stagewalk.admission.waiting import QueueName, WaitingRoom
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import ModelName, NodeName, RequestKey, TenantName
 from stagewalk.configuration.parameters import Tenant
 from stagewalk.core.completions import CompletionRequest, Priority
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.identities import ModelName, NodeName, RequestKey, TenantName
 
 
 class Admission(StrEnum):
--- a/src/stagewalk/admission/shares.py
+++ b/src/stagewalk/admission/shares.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from stagewalk.core.identities import TenantName
+from stagewalk.common.identities import TenantName
 
 
 def guaranteed(shares: Mapping[TenantName, float], tenant: TenantName, capacity: float) -> float:
--- a/src/stagewalk/admission/waiting.py
+++ b/src/stagewalk/admission/waiting.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+from stagewalk.common.identities import RequestKey, TenantName
 from stagewalk.core.completions import Priority
-from stagewalk.core.identities import RequestKey, TenantName
 
 
 @dataclass(frozen=True, slots=True, order=True)
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -9,6 +9,18 @@
 from stagewalk.bench.capacity_data import UnitCost
 from stagewalk.bench.hollow_layout import MODELS, machine_list, node_identities
 from stagewalk.bench.unit_timing import CpuSlope
+from stagewalk.common.identities import (
+    AttemptId,
+    CallId,
+    EngineName,
+    Epoch,
+    Incarnation,
+    ModelName,
+    RecordId,
+    RequestId,
+    TenantName,
+    WeightVersion,
+)
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.parameters import Tenant, TenantParameters
 from stagewalk.configuration.records import ChangeParameters, CreateTenant, encode_change
@@ -27,18 +39,6 @@
     MachinesRead,
     SampleScored,
 )
-from stagewalk.core.identities import (
-    AttemptId,
-    CallId,
-    EngineName,
-    Epoch,
-    Incarnation,
-    ModelName,
-    RecordId,
-    RequestId,
-    TenantName,
-    WeightVersion,
-)
 from stagewalk.core.instructions import DeliverSamples, ScoreSample, StartAttempt
 from stagewalk.core.platform import EngineReport, EngineState, LogRecord, MachineKind
 from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, SamplePull
--- a/src/stagewalk/bench/fault_costs.py
+++ b/src/stagewalk/bench/fault_costs.py
@@ -13,7 +13,7 @@
 from stagewalk.bench.capacity_data import FaultMeasurement
 from stagewalk.bench.hollow_layout import node_identities
 from stagewalk.bench.membership_network import MembershipNetwork
-from stagewalk.core.identities import Placement
+from stagewalk.common.identities import Placement
 from stagewalk.membership.members import MemberState
 
 JOIN_SECONDS = 20.0
--- a/src/stagewalk/bench/hollow_cluster.py
+++ b/src/stagewalk/bench/hollow_cluster.py
@@ -23,7 +23,7 @@
     WorkerSample,
 )
 from stagewalk.bench.hollow_worker import run_worker
-from stagewalk.core.identities import RecordId
+from stagewalk.common.identities import RecordId
 from stagewalk.core.platform import LogRecord
 
 SERVE_STEP_SECONDS = 0.1
--- a/src/stagewalk/bench/hollow_platform.py
+++ b/src/stagewalk/bench/hollow_platform.py
@@ -15,6 +15,14 @@
 
 import anyio
 
+from stagewalk.common.identities import (
+    EngineName,
+    Epoch,
+    Incarnation,
+    ModelName,
+    RecordId,
+    WeightVersion,
+)
 from stagewalk.core.events import (
     AppendConfirmed,
     EngineReported,
@@ -25,14 +33,6 @@
     OrderAnswered,
     VersionsRead,
 )
-from stagewalk.core.identities import (
-    EngineName,
-    Epoch,
-    Incarnation,
-    ModelName,
-    RecordId,
-    WeightVersion,
-)
 from stagewalk.core.instructions import (
     AppendRecord,
     OrderEngine,
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable
 from itertools import count
 
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.core.events import TICK_INTERVAL_SECONDS
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.core.instructions import SendPeerMessage, Transport
 from stagewalk.core.platform import Machine, MachineKind, MachineState
 from stagewalk.membership.config import MembershipConfig
--- a/src/stagewalk/bench/scale.py
+++ b/src/stagewalk/bench/scale.py
@@ -12,6 +12,7 @@
 from stagewalk.bench.hollow_layout import MODELS
 from stagewalk.bench.hollow_messages import Seen, Traffic, WorkerSample
 from stagewalk.bench.hollow_platform import LOG_WAIT_SECONDS
+from stagewalk.common.identities import ModelName, TenantName
 from stagewalk.configuration.parameters import TenantParameters
 from stagewalk.configuration.records import (
     CONFIGURATION_STREAM,
@@ -20,7 +21,6 @@
     CreateTenant,
     encode_change,
 )
-from stagewalk.core.identities import ModelName, TenantName
 
 HEADER_BYTES = 28
 """IPv4 and UDP headers of a message."""
--- a/src/stagewalk/claims/codec.py
+++ b/src/stagewalk/claims/codec.py
@@ -6,7 +6,7 @@
 
 from stagewalk.claims.register import ClaimEntry
 from stagewalk.claims.types import Ballot
-from stagewalk.core.identities import Incarnation, NodeName
+from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.wire import claims_pb2
 
 
--- a/src/stagewalk/claims/core.py
+++ b/src/stagewalk/claims/core.py
@@ -26,7 +26,7 @@
 from stagewalk.claims.replica import ReplicaCore
 from stagewalk.claims.transfers import Outgoing
 from stagewalk.claims.types import Peer, Replica
-from stagewalk.core.identities import Address, Incarnation, NodeName
+from stagewalk.common.identities import Address, Incarnation, NodeName
 from stagewalk.core.instructions import (
     MAXIMUM_DATAGRAM_BYTES,
     SendPeerMessage,
--- a/src/stagewalk/claims/notifications.py
+++ b/src/stagewalk/claims/notifications.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from stagewalk.core.errors import StagewalkError
+from stagewalk.common.errors import StagewalkError
 from stagewalk.core.instructions import LogEvent, SendPeerMessage
 
 
--- a/src/stagewalk/claims/partition.py
+++ b/src/stagewalk/claims/partition.py
@@ -10,7 +10,7 @@
 from stagewalk.claims.messages import Reason
 from stagewalk.claims.placement import Group, PartitionChain
 from stagewalk.claims.register import ClaimEntry, Register, Usage
-from stagewalk.core.identities import Incarnation, NodeName
+from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.wire.claims_pb2 import ClaimAccept, ClaimDecision, ClaimMessage, ClaimPrepare
 
 
--- a/src/stagewalk/claims/placement.py
+++ b/src/stagewalk/claims/placement.py
@@ -14,7 +14,7 @@
 import msgspec
 import xxhash
 
-from stagewalk.core.identities import Incarnation, NodeName
+from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.core.platform import LogRecord
 
 PLACEMENT_STREAM = "placement"
--- a/src/stagewalk/claims/planner.py
+++ b/src/stagewalk/claims/planner.py
@@ -17,7 +17,7 @@
     PartitionChain,
     PlacementChange,
 )
-from stagewalk.core.identities import Incarnation, NodeName, Placement
+from stagewalk.common.identities import Incarnation, NodeName, Placement
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/claims/proposal.py
+++ b/src/stagewalk/claims/proposal.py
@@ -16,7 +16,7 @@
 from stagewalk.claims.placement import Group
 from stagewalk.claims.quorum import Answer, add_answer, consistent_answers
 from stagewalk.claims.types import Ballot
-from stagewalk.core.identities import NodeName
+from stagewalk.common.identities import NodeName
 from stagewalk.wire.claims_pb2 import ClaimMessage
 
 
--- a/src/stagewalk/claims/proposer.py
+++ b/src/stagewalk/claims/proposer.py
@@ -15,8 +15,8 @@
 from stagewalk.claims.relay import write_chain
 from stagewalk.claims.transfers import Outgoing
 from stagewalk.claims.types import Ballot
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.identities import NodeName
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import NodeName
 from stagewalk.wire.claims_pb2 import ClaimMessage, ClaimPlacement
 
 RETRY_AFTER_SECONDS = 5.0
--- a/src/stagewalk/claims/quorum.py
+++ b/src/stagewalk/claims/quorum.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from stagewalk.core.identities import Incarnation, NodeName
+from stagewalk.common.identities import Incarnation, NodeName
 
 Payload = TypeVar("Payload")
 
--- a/src/stagewalk/claims/relay.py
+++ b/src/stagewalk/claims/relay.py
@@ -13,7 +13,7 @@
     GroupPlacement,
     PartitionChain,
 )
-from stagewalk.core.identities import Incarnation, NodeName
+from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.wire.claims_pb2 import ClaimMessage
 
 
--- a/src/stagewalk/claims/replica.py
+++ b/src/stagewalk/claims/replica.py
@@ -16,7 +16,7 @@
 from stagewalk.claims.register import Register, Usage, key_hash
 from stagewalk.claims.relay import write_chain
 from stagewalk.claims.transfers import TransferCore
-from stagewalk.core.identities import Incarnation, NodeName
+from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.wire.claims_pb2 import ClaimMessage, ClaimState, ClaimStateRequest
 
 SWEEP_INTERVAL_SECONDS = 1.0
--- a/src/stagewalk/claims/transfer.py
+++ b/src/stagewalk/claims/transfer.py
@@ -12,7 +12,7 @@
     consistent_answers,
     merge_incarnations,
 )
-from stagewalk.core.identities import Incarnation, NodeName
+from stagewalk.common.identities import Incarnation, NodeName
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/claims/transfers.py
+++ b/src/stagewalk/claims/transfers.py
@@ -13,7 +13,7 @@
 from stagewalk.claims.quorum import Answer
 from stagewalk.claims.relay import write_chain
 from stagewalk.claims.transfer import HeldState, Source, StateTransfer
-from stagewalk.core.identities import NodeName
+from stagewalk.common.identities import NodeName
 from stagewalk.core.instructions import LogEvent, LogFields
 from stagewalk.wire.claims_pb2 import ClaimMessage
 
--- a/src/stagewalk/claims/types.py
+++ b/src/stagewalk/claims/types.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/cli/config.py
+++ b/src/stagewalk/cli/config.py
@@ -19,6 +19,8 @@
 from stagewalk.cli.config_files import DesiredTenant, load_desired_tenant
 from stagewalk.cli.config_log import LogSession, Published
 from stagewalk.cli.config_nodes import NodeProgress, ask_nodes, wait_for_nodes
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import TenantName
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.outcomes import ChangeAccepted, ChangeRejected
 from stagewalk.configuration.parameters import NAME_PATTERN
@@ -29,8 +31,6 @@
     DeleteTenant,
     RollBack,
 )
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import TenantName
 
 EXIT_DONE = 0
 EXIT_REJECTED = 1
--- a/src/stagewalk/cli/config_files.py
+++ b/src/stagewalk/cli/config_files.py
@@ -7,6 +7,7 @@
 
 from expression import Error, Ok, Result
 
+from stagewalk.common.errors import StagewalkError
 from stagewalk.configuration.parameters import TenantParameters
 from stagewalk.configuration.records import invalid
 from stagewalk.configuration.templates import (
@@ -16,7 +17,6 @@
     parse_template,
     resolve_parameters,
 )
-from stagewalk.core.errors import StagewalkError
 
 TEMPLATES_FOLDER = "templates"
 
--- a/src/stagewalk/cli/config_log.py
+++ b/src/stagewalk/cli/config_log.py
@@ -12,6 +12,8 @@
 import msgspec
 from expression import Error, Ok, Result
 
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import RecordId
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.outcomes import ChangeAccepted, ChangeRejected
 from stagewalk.configuration.records import (
@@ -20,9 +22,7 @@
     AnyChange,
     encode_change,
 )
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
-from stagewalk.core.identities import RecordId
 from stagewalk.core.instructions import AppendRecord, ReadLog
 from stagewalk.core.platform import LogRecord
 from stagewalk.log_client.config import LogClientConfig
--- /dev/null
+++ b/src/stagewalk/common/__init__.py
@@ -0,0 +1,1 @@
+"""Parts that the node and the gateway share."""
--- /dev/null
+++ b/src/stagewalk/common/http/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP by both programs: listeners, exchanges with callers, clients."""
--- a/src/stagewalk/adapters/http_calls.py
+++ b/src/stagewalk/common/http/calls.py
@@ -14,8 +14,8 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.identities import Address
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import Address
 
 Answer = TypeVar("Answer")
 
--- a/src/stagewalk/adapters/connection_pools.py
+++ b/src/stagewalk/common/http/connection_pools.py
@@ -14,7 +14,7 @@
 import anyio
 import httpx
 
-from stagewalk.adapters.http_calls import open_transport
+from stagewalk.common.http.calls import open_transport
 
 
 @dataclass(slots=True)
--- a/src/stagewalk/node/edge/exchange.py
+++ b/src/stagewalk/common/http/exchange.py
@@ -10,11 +10,16 @@
 from expression import Error, Ok, Result
 from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope
 
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.node.edge.body_budget import BodyBudget
-from stagewalk.node.edge.peer_names import BUSY_RETRY_SECONDS, CALLER_PEER, EDGE_PEER
-from stagewalk.node.edge.problems import BODY_FIELD, problem_headers, problem_status, render_problem
-from stagewalk.settings.node_settings import Limits
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.http.body_budget import BodyBudget
+from stagewalk.common.http.peer_names import BUSY_RETRY_SECONDS, CALLER_PEER, EDGE_PEER
+from stagewalk.common.http.problems import (
+    BODY_FIELD,
+    problem_headers,
+    problem_status,
+    render_problem,
+)
+from stagewalk.common.settings.fields import Limits
 
 JSON_CONTENT = "application/json"
 PROBLEM_CONTENT = "application/problem+json"
--- a/src/stagewalk/node/edge/problems.py
+++ b/src/stagewalk/common/http/problems.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError
 
 BODY_FIELD = "body"
 PROBLEM_TYPE_PREFIX = "urn:stagewalk:error:"
--- a/src/stagewalk/node/http_server.py
+++ b/src/stagewalk/common/http/server.py
@@ -10,7 +10,7 @@
 from hypercorn.config import Config
 from hypercorn.typing import ASGIFramework
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 
 BACKLOG = 1024
 MAXIMUM_HEAD_BYTES = 64 * 1024
@@ -68,7 +68,7 @@
         async def wait_for_stop() -> None:
             await stop.wait()
             # Imported only now: `ctypes`, which it needs, is a large part of a process's start.
-            from stagewalk.node.listener_filter import drop_new_connections
+            from stagewalk.common.http.listener_filter import drop_new_connections
 
             drop_new_connections(door)
             await anyio.sleep(linger_seconds)
--- a/src/stagewalk/logs/lines.py
+++ b/src/stagewalk/common/logs/lines.py
@@ -16,8 +16,8 @@
 import eliot
 import msgspec
 
-from stagewalk.logs.budget import LogBudget
-from stagewalk.steady_clock import steady_seconds
+from stagewalk.common.logs.budget import LogBudget
+from stagewalk.common.steady_clock import steady_seconds
 
 LogValue = str | int | float | bool | None
 
--- a/src/stagewalk/settings/addresses.py
+++ b/src/stagewalk/common/settings/addresses.py
@@ -7,8 +7,8 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
-from stagewalk.core.identities import Address
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.identities import Address
 
 SETTINGS_PEER = "settings"
 _URL_SCHEME = "http"
--- a/src/stagewalk/settings/decoding.py
+++ b/src/stagewalk/common/settings/decoding.py
@@ -10,8 +10,8 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.core.errors import StagewalkError
-from stagewalk.settings.addresses import settings_error
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.settings.addresses import settings_error
 
 Settings = TypeVar("Settings")
 
--- a/src/stagewalk/configuration/fold.py
+++ b/src/stagewalk/configuration/fold.py
@@ -12,6 +12,7 @@
 
 from expression import Error, Ok, Result
 
+from stagewalk.common.identities import RecordId, TenantName
 from stagewalk.configuration.outcomes import (
     ChangeAccepted,
     ChangeRejected,
@@ -39,7 +40,6 @@
     overcommitted_model,
     state_digest,
 )
-from stagewalk.core.identities import RecordId, TenantName
 from stagewalk.core.platform import LogRecord
 
 HISTORY_LIMIT = 512
--- a/src/stagewalk/configuration/follower.py
+++ b/src/stagewalk/configuration/follower.py
@@ -11,13 +11,13 @@
 import random
 from dataclasses import dataclass
 
+from stagewalk.common.identities import Address, NodeName, ProcessIdentity
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.notifications import ConfigurationChanged
 from stagewalk.configuration.outcomes import ChangeRejected
 from stagewalk.configuration.progress import ProgressTable
 from stagewalk.configuration.relay import RelayCache, relayed_records
 from stagewalk.configuration.state import snapshot_offset
-from stagewalk.core.identities import Address, NodeName, ProcessIdentity
 from stagewalk.core.instructions import LogEvent, LogFields, SendPeerMessage, Transport
 from stagewalk.core.platform import LogRecord
 from stagewalk.wire.configuration_pb2 import ConfigurationMessage
--- a/src/stagewalk/configuration/outcomes.py
+++ b/src/stagewalk/configuration/outcomes.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stagewalk.core.identities import RecordId
+from stagewalk.common.identities import RecordId
 
 
 class RejectionReason(StrEnum):
--- a/src/stagewalk/configuration/parameters.py
+++ b/src/stagewalk/configuration/parameters.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stagewalk.core.identities import ModelName, TenantName, WeightVersion
+from stagewalk.common.identities import ModelName, TenantName, WeightVersion
 
 MAXIMUM_INTEGER = 2**53 - 1
 """Largest integer that every JSON reader represents exactly."""
--- a/src/stagewalk/configuration/progress.py
+++ b/src/stagewalk/configuration/progress.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from stagewalk.core.identities import NodeName
+from stagewalk.common.identities import NodeName
 from stagewalk.wire.configuration_pb2 import ConfigurationMessage
 
 
--- a/src/stagewalk/configuration/records.py
+++ b/src/stagewalk/configuration/records.py
@@ -8,6 +8,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.configuration.parameters import (
     MAXIMUM_INTEGER,
     Name,
@@ -15,7 +16,6 @@
     TenantParameters,
     parameters_fault,
 )
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
 
 CONFIGURATION_STREAM = "configuration"
 """Stream of the log on which operators publish."""
--- a/src/stagewalk/configuration/relay.py
+++ b/src/stagewalk/configuration/relay.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from stagewalk.core.identities import RecordId
+from stagewalk.common.identities import RecordId
 from stagewalk.core.platform import LogRecord
 from stagewalk.wire.configuration_pb2 import ConfigurationMessage, ConfigurationRecord
 
--- a/src/stagewalk/configuration/state.py
+++ b/src/stagewalk/configuration/state.py
@@ -7,9 +7,9 @@
 import msgspec
 import xxhash
 
+from stagewalk.common.identities import ModelName, TenantName
 from stagewalk.configuration.outcomes import HistoryEntry
 from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.identities import ModelName, TenantName
 
 SHARE_UNITS = 1_000_000
 """Capacity shares are added up in millionths, so that the sum is exact on every machine."""
--- a/src/stagewalk/configuration/templates.py
+++ b/src/stagewalk/configuration/templates.py
@@ -5,6 +5,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
+from stagewalk.common.errors import StagewalkError
 from stagewalk.configuration.parameters import (
     Name,
     TenantNameField,
@@ -12,7 +13,6 @@
     parameters_fault,
 )
 from stagewalk.configuration.records import invalid, validation_error
-from stagewalk.core.errors import StagewalkError
 
 ParameterValues = dict[str, object]
 """Some of the fields of `TenantParameters`, as a file gives them; checked when put together."""
--- a/src/stagewalk/core/completions.py
+++ b/src/stagewalk/core/completions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from stagewalk.core.identities import ModelName, RequestId, TenantName, WeightVersion
+from stagewalk.common.identities import ModelName, RequestId, TenantName, WeightVersion
 
 
 class Priority(IntEnum):
--- a/src/stagewalk/core/events.py
+++ b/src/stagewalk/core/events.py
@@ -8,9 +8,8 @@
 
 from dataclasses import dataclass
 
-from stagewalk.core.completions import CompletionRequest, TokenChunk
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import (
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import (
     Address,
     AttemptId,
     CallId,
@@ -20,6 +19,7 @@
     RequestId,
     TenantName,
 )
+from stagewalk.core.completions import CompletionRequest, TokenChunk
 from stagewalk.core.platform import (
     EngineReport,
     LogRecord,
--- a/src/stagewalk/core/instructions.py
+++ b/src/stagewalk/core/instructions.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import Address, AttemptId, CallId, EngineName, ModelName, RecordId
 from stagewalk.core.completions import CompletionRequest, CompletionResult, TokenChunk
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import Address, AttemptId, CallId, EngineName, ModelName, RecordId
 from stagewalk.core.platform import EngineOrder
 from stagewalk.core.rollouts import RolloutLot, SampleBatch
 from stagewalk.wire.envelope_pb2 import Envelope
--- a/src/stagewalk/core/platform.py
+++ b/src/stagewalk/core/platform.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     Address,
     EngineName,
     Epoch,
--- a/src/stagewalk/core/rollouts.py
+++ b/src/stagewalk/core/rollouts.py
@@ -6,8 +6,8 @@
 
 import xxhash
 
+from stagewalk.common.identities import ModelName, SlotKey, TenantName, WeightVersion
 from stagewalk.core.completions import VersionSpan
-from stagewalk.core.identities import ModelName, SlotKey, TenantName, WeightVersion
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/directory/node_table.py
+++ b/src/stagewalk/directory/node_table.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from stagewalk.core.identities import Address, NodeName
+from stagewalk.common.identities import Address, NodeName
 from stagewalk.directory.renewals import LONGEST_RENEWAL_SECONDS, RENEWAL_SECONDS
 
 ALIVE_SECONDS = 3.0
--- a/src/stagewalk/explain/log_line.py
+++ b/src/stagewalk/explain/log_line.py
@@ -1,4 +1,4 @@
-"""Reads the lines that `stagewalk.logs.lines` writes."""
+"""Reads the lines that `stagewalk.common.logs.lines` writes."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/forwarding/attempt_failures.py
+++ b/src/stagewalk/forwarding/attempt_failures.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.forwarding.inbound import InboundRequest
 from stagewalk.forwarding.policy import ForwardedRequest
-from stagewalk.logs.lines import log_event
 from stagewalk.ports.denials import Denial
 from stagewalk.ports.workers import AttemptFailure, AttemptFault
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.workers.worker import Worker
 
 
--- a/src/stagewalk/forwarding/forwarder.py
+++ b/src/stagewalk/forwarding/forwarder.py
@@ -10,12 +10,13 @@
 import anyio.abc
 from expression import Error, Ok, Result
 
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.core.policy import ALL_ON, Policy
 from stagewalk.eligibility.core import Eligibility
 from stagewalk.forwarding.attempt_failures import note_failed_attempt, note_withheld_attempt
 from stagewalk.forwarding.inbound import InboundRequest
 from stagewalk.forwarding.policy import ForwardedRequest, Unanswered, evidence_of, is_success
-from stagewalk.logs.lines import log_event
 from stagewalk.ports.crash_reports import CrashReports, SentRequest
 from stagewalk.ports.workers import (
     AttemptFailure,
@@ -26,7 +27,6 @@
 )
 from stagewalk.routes.route import Route, RouteKind
 from stagewalk.routes.table import RouteTable
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.workers.selection import choose_worker
 from stagewalk.workers.worker import Worker
 
--- a/src/stagewalk/forwarding/stream_forwarder.py
+++ b/src/stagewalk/forwarding/stream_forwarder.py
@@ -8,6 +8,7 @@
 import anyio
 from expression import Error, Ok, Result
 
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.eligibility.core import Eligibility
 from stagewalk.forwarding.attempt_failures import note_failed_attempt, note_withheld_attempt
 from stagewalk.forwarding.forwarder import (
@@ -29,7 +30,6 @@
 )
 from stagewalk.routes.route import Route
 from stagewalk.routes.table import RouteTable
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.workers.selection import choose_worker
 from stagewalk.workers.worker import Worker
 
--- a/src/stagewalk/gateway/app.py
+++ b/src/stagewalk/gateway/app.py
@@ -8,6 +8,11 @@
 import anyio
 from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope, Scope
 
+from stagewalk.common.http.body_budget import BodyBudget
+from stagewalk.common.http.lifespan import serve_lifespan
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.settings.fields import Limits
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.directory.caller_subset import CallerPlace
 from stagewalk.evacuation.zones import Evacuations
 from stagewalk.forwarding.forwarder import Forwarder
@@ -21,15 +26,10 @@
 from stagewalk.gateway.metrics import GatewayMetrics
 from stagewalk.gateway.node_service import NodeService
 from stagewalk.gateway.replies import reply_empty, reply_error, reply_json
-from stagewalk.logs.lines import log_event
-from stagewalk.node.edge.body_budget import BodyBudget
-from stagewalk.node.lifespan import serve_lifespan
 from stagewalk.ports.dialect import Dialect
 from stagewalk.ports.workers import StreamHead, StreamPart
 from stagewalk.routes.route import CallerLimits, Route, RouteKind
 from stagewalk.routes.table import RouteTable
-from stagewalk.settings.node_settings import Limits
-from stagewalk.steady_clock import steady_seconds
 
 Endpoint = Callable[[OpaqueExchange], Awaitable[None]]
 
--- a/src/stagewalk/gateway/autoscale_service.py
+++ b/src/stagewalk/gateway/autoscale_service.py
@@ -11,14 +11,14 @@
 
 from stagewalk.autoscaling.core import Autoscaler, ScalingPolicy
 from stagewalk.batches.ledger import Batch
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.evacuation.zones import Evacuations
 from stagewalk.gateway.duty_lease import DutyLease
 from stagewalk.gateway.identity import ProcessId
-from stagewalk.logs.lines import log_event
 from stagewalk.partitioned_log.freshness import Freshness
 from stagewalk.ports.duties import DutyClient, DutyHolder, DutyOutcome, WorkerOrder
 from stagewalk.routes.table import RouteTable
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.workers.table import WorkerTable
 
 PLAN_PREFIX = "workers"
--- a/src/stagewalk/gateway/batch_calls.py
+++ b/src/stagewalk/gateway/batch_calls.py
@@ -4,6 +4,8 @@
 
 import msgspec
 
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.eligibility.come_back import COME_BACK_AFTER
 from stagewalk.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.batch_store import BatchStore
@@ -14,13 +16,11 @@
 from stagewalk.gateway.ledger_reads import LONGEST_WAIT_SECONDS
 from stagewalk.gateway.replies import RETRY_AFTER_HEADER, reply_empty, reply_error
 from stagewalk.gateway.runner_choice import RunnerChoice
-from stagewalk.logs.lines import log_event
 from stagewalk.partitioned_log.appender import AppendOutcome
 from stagewalk.ports.denials import Denial
 from stagewalk.ports.dialect import Dialect, Submission
 from stagewalk.scoring.core import RouteOf
 from stagewalk.scoring.submission import find_unroutable_score
-from stagewalk.steady_clock import steady_seconds
 
 SUBMIT_SECONDS = 3.0
 """How long a submission may wait for the log."""
--- a/src/stagewalk/gateway/batch_runner.py
+++ b/src/stagewalk/gateway/batch_runner.py
@@ -18,6 +18,8 @@
 )
 from stagewalk.batches.records import BatchItem, BatchReleased, ItemFinished
 from stagewalk.batches.scheduler import BatchScheduler
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.eligibility.core import Eligibility
 from stagewalk.gateway.batch_store import BatchStore
 from stagewalk.gateway.early_start import PartialLedger
@@ -27,13 +29,11 @@
 from stagewalk.gateway.open_batches import OpenBatches
 from stagewalk.gateway.run_views import RunViews
 from stagewalk.gateway.score_sender import ScoreSender
-from stagewalk.logs.lines import log_event
 from stagewalk.ports.crash_reports import CrashReports
 from stagewalk.ports.workers import (
     WorkerClient,
 )
 from stagewalk.scoring.messages import SendScore, StopScore
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.version_rollouts.core import VersionRollouts
 from stagewalk.workers.table import WorkerTable
 
--- a/src/stagewalk/gateway/batch_store.py
+++ b/src/stagewalk/gateway/batch_store.py
@@ -28,15 +28,15 @@
     split_result,
     split_submission,
 )
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.early_start import PartialLedger
 from stagewalk.gateway.open_batches import BatchPlace
-from stagewalk.logs.lines import log_event
 from stagewalk.partitioned_log.appender import AppendOutcome, PartitionAppender
 from stagewalk.partitioned_log.follower import PartitionFollower
 from stagewalk.partitioned_log.freshness import Freshness
 from stagewalk.ports.dialect import Submission
 from stagewalk.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
-from stagewalk.steady_clock import steady_seconds
 
 TOPIC = "batches"
 PARTITIONS = 6
--- a/src/stagewalk/gateway/caller_gate.py
+++ b/src/stagewalk/gateway/caller_gate.py
@@ -5,10 +5,10 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
+from stagewalk.common.logs.lines import log_event
 from stagewalk.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.exchange import OpaqueExchange
 from stagewalk.gateway.replies import reply_error
-from stagewalk.logs.lines import log_event
 from stagewalk.routes.route import Route
 from stagewalk.routes.table import RouteTable
 from stagewalk.tenants.key_table import AUTHORIZATION_HEADER
--- a/src/stagewalk/gateway/crash_watch.py
+++ b/src/stagewalk/gateway/crash_watch.py
@@ -9,7 +9,8 @@
 
 import anyio
 
-from stagewalk.logs.lines import log_event
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.ports.crash_reports import SentRequest
 from stagewalk.ports.denials import Denial
 from stagewalk.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
@@ -19,7 +20,6 @@
 from stagewalk.quarantine.core import CrashSuspects, HeldContent, next_level
 from stagewalk.quarantine.losses import Loss, LossWatch, WorkerStart
 from stagewalk.quarantine.records import KEY_PREFIX, CrashStrike, decode_strike
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.workers.table import WorkerTable
 from stagewalk.workers.worker import Worker
 
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -11,7 +11,11 @@
 import anyio
 import anyio.abc
 
-from stagewalk.core.identities import Address
+from stagewalk.common.http.server import open_listener, serve_http
+from stagewalk.common.identities import Address
+from stagewalk.common.logs.budget import LogBudget
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.forwarding.forwarder import Forwarder
 from stagewalk.forwarding.stream_forwarder import StreamForwarder
 from stagewalk.gateway.app import GatewayApp
@@ -30,9 +34,6 @@
 from stagewalk.gateway.settings_reload import SettingsLoader, reload_settings
 from stagewalk.log_relay.relayed_log import RELAY_PATH, RelayedLog, RelayPeers
 from stagewalk.log_relay.server import LogRelay
-from stagewalk.logs.budget import LogBudget
-from stagewalk.logs.lines import log_event
-from stagewalk.node.http_server import open_listener, serve_http
 from stagewalk.partitioned_log.measured_log import MeasuredLog
 from stagewalk.peer_calls.client import PeerClient
 from stagewalk.peer_calls.server import PeerApp
@@ -41,7 +42,6 @@
 from stagewalk.ports.partitioned_log import Partition, PartitionedLog
 from stagewalk.ports.workers import WorkerClient
 from stagewalk.routes.table import RouteTable
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.version_rollouts.core import VersionRollouts
 from stagewalk.workers.table import WorkerTable
 
--- a/src/stagewalk/gateway/duty_lease.py
+++ b/src/stagewalk/gateway/duty_lease.py
@@ -7,6 +7,8 @@
 import anyio
 import anyio.abc
 
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.leases.log_lease import (
     LEASE_SECONDS,
     Acquire,
@@ -17,11 +19,9 @@
     Renew,
     decode_lease_record,
 )
-from stagewalk.logs.lines import log_event
 from stagewalk.partitioned_log.appender import PartitionAppender
 from stagewalk.partitioned_log.follower import PartitionFollower
 from stagewalk.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
-from stagewalk.steady_clock import steady_seconds
 
 TOPIC = "leases"
 DUTIES_PARTITION = 0
--- a/src/stagewalk/gateway/early_start.py
+++ b/src/stagewalk/gateway/early_start.py
@@ -13,6 +13,7 @@
 
 from stagewalk.batches.ledger import Batch, BatchLedger, ChangeListener
 from stagewalk.batches.records import BatchSubmitted, decode_record
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
 from stagewalk.ports.partitioned_log import (
     LogFault,
@@ -20,7 +21,6 @@
     PartitionedLog,
     PartitionRecord,
 )
-from stagewalk.steady_clock import steady_seconds
 
 MARGIN_RECORDS = 100
 """So many records before the noted place of a batch are read as well: were it handed in twice, the
--- a/src/stagewalk/gateway/exchange.py
+++ b/src/stagewalk/gateway/exchange.py
@@ -6,10 +6,10 @@
 
 from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope
 
-from stagewalk.node.edge.body_budget import BodyBudget
-from stagewalk.node.edge.exchange import Exchange
+from stagewalk.common.http.body_budget import BodyBudget
+from stagewalk.common.http.exchange import Exchange
+from stagewalk.common.settings.fields import Limits
 from stagewalk.ports.workers import HeaderList
-from stagewalk.settings.node_settings import Limits
 
 STREAM_STATUS = 200
 LINE_BYTES = 4
--- a/src/stagewalk/gateway/held_requests.py
+++ b/src/stagewalk/gateway/held_requests.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
+from stagewalk.common.logs.lines import log_event
 from stagewalk.gateway.crash_watch import CrashWatch
 from stagewalk.gateway.exchange import OpaqueExchange
 from stagewalk.gateway.replies import reply_empty, reply_error, reply_json
-from stagewalk.logs.lines import log_event
 
 HELD_PATH = "/held-requests"
 
--- a/src/stagewalk/gateway/ledger_calls.py
+++ b/src/stagewalk/gateway/ledger_calls.py
@@ -5,6 +5,8 @@
 import random
 from collections.abc import Callable
 
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.directory.node_table import NodeAnnouncement
 from stagewalk.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.ledger_messages import (
@@ -16,10 +18,8 @@
     refusal,
 )
 from stagewalk.gateway.ledger_reads import END_SECONDS, LedgerReads
-from stagewalk.logs.lines import log_event
 from stagewalk.peer_calls.client import PeerClient
 from stagewalk.regions.distance import Proximity
-from stagewalk.steady_clock import steady_seconds
 
 LEDGER_PATH = "/ledger"
 ANSWER_SECONDS = 1.0
--- a/src/stagewalk/gateway/ledger_reads.py
+++ b/src/stagewalk/gateway/ledger_reads.py
@@ -9,6 +9,8 @@
 
 from stagewalk.batches.ledger import Batch
 from stagewalk.batches.records import ItemFinished
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.batch_store import BatchStore
 from stagewalk.gateway.early_start import EarlyViews
@@ -23,10 +25,8 @@
     refusal,
 )
 from stagewalk.gateway.open_batches import OpenBatches
-from stagewalk.logs.lines import log_event
 from stagewalk.partitioned_log.appender import AppendOutcome
 from stagewalk.ports.dialect import Dialect
-from stagewalk.steady_clock import steady_seconds
 
 END_SECONDS = 2.0
 PAGE_BYTES = 900_000
--- a/src/stagewalk/gateway/node_service.py
+++ b/src/stagewalk/gateway/node_service.py
@@ -11,7 +11,9 @@
 
 from stagewalk.batches.runner_liveness import RunnerLiveness
 from stagewalk.batches.takeover import RunnerState
-from stagewalk.core.identities import Address, NodeName, Placement
+from stagewalk.common.identities import Address, NodeName, Placement
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.core.policy import Policy
 from stagewalk.directory.call_rate import CallRate
 from stagewalk.directory.caller_subset import CallerPlace, directory_order, wants_callers
@@ -21,12 +23,10 @@
 from stagewalk.directory.renewals import RENEWAL_SECONDS, renewal_seconds
 from stagewalk.gateway.identity import ProcessId, parse_process_id
 from stagewalk.log_relay.relayed_log import RelayPeers
-from stagewalk.logs.lines import log_event
 from stagewalk.partitioned_log.follower import KeyedFollower
 from stagewalk.ports.keyed_records import KeyedRecords, NoKeyedRecords
 from stagewalk.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
 from stagewalk.regions.homes import AllowedRegions, allows
-from stagewalk.steady_clock import steady_seconds
 
 READ_WAIT_SECONDS = 1.0
 """How long a read waits for a first announcement."""
--- a/src/stagewalk/gateway/order_service.py
+++ b/src/stagewalk/gateway/order_service.py
@@ -9,12 +9,12 @@
 import anyio.abc
 
 from stagewalk.batches.ledger import Batch
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.duty_lease import DutyLease
 from stagewalk.gateway.identity import ProcessId
 from stagewalk.leases.log_lease import DutyRecord
-from stagewalk.logs.lines import log_event
 from stagewalk.ports.workers import OrderOutcome, VersionOrder, WorkerClient
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.version_rollouts.core import OrderVersion, VersionRollouts
 from stagewalk.workers.table import WorkerTable
 
--- a/src/stagewalk/gateway/process.py
+++ b/src/stagewalk/gateway/process.py
@@ -10,12 +10,12 @@
 
 import anyio
 
+from stagewalk.common.logs.budget import LogBudget
+from stagewalk.common.logs.lines import configure_logs, log_event
+from stagewalk.common.logs.writer import LineWriter
 from stagewalk.gateway.daemon import Dependencies, Gateway
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.settings_reload import SettingsLoader
-from stagewalk.logs.budget import LogBudget
-from stagewalk.logs.lines import configure_logs, log_event
-from stagewalk.logs.writer import LineWriter
 
 EXIT_CLEAN = 0
 EXIT_FAILED = 1
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -9,6 +9,8 @@
 
 from stagewalk.cold_starts.core import OLDEST_VIEW_SECONDS as OLDEST_WARM_VIEW_SECONDS
 from stagewalk.cold_starts.core import ColdStarts
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.directory.read_pace import (
     LISTED_PACE,
     OLDEST_VIEW_SECONDS,
@@ -17,13 +19,11 @@
     ReadPace,
 )
 from stagewalk.evacuation.zones import Evacuations
-from stagewalk.logs.lines import log_event
 from stagewalk.partitioned_log.follower import KeyedFollower
 from stagewalk.partitioned_log.freshness import Freshness
 from stagewalk.ports.dialect import Dialect, NamedVersion, ZoneEvacuation
 from stagewalk.ports.partitioned_log import KeyedRecord, PartitionedLog
 from stagewalk.routes.table import RouteTable
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.version_rollouts.core import VersionRollouts
 from stagewalk.workers.table import WorkerTable
 from stagewalk.workers.worker import Worker, WorkerAnnouncement
--- a/src/stagewalk/gateway/role_keeper.py
+++ b/src/stagewalk/gateway/role_keeper.py
@@ -4,6 +4,8 @@
 
 import math
 
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.directory.ledger_replicas import ReplicaRole
 from stagewalk.directory.read_pace import LISTED_PACE, ReadPace, read_pace
 from stagewalk.gateway.batch_runner import BatchRunner
@@ -11,8 +13,6 @@
 from stagewalk.gateway.duty_lease import DutyLease
 from stagewalk.gateway.node_service import NodeService
 from stagewalk.gateway.published_records import PublishedRecords
-from stagewalk.logs.lines import log_event
-from stagewalk.steady_clock import steady_seconds
 
 
 class RoleKeeper:
--- a/src/stagewalk/gateway/runner_calls.py
+++ b/src/stagewalk/gateway/runner_calls.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.gateway.runner_messages import (
     AskRunner,
     RunBatch,
--- a/src/stagewalk/gateway/runner_choice.py
+++ b/src/stagewalk/gateway/runner_choice.py
@@ -15,6 +15,8 @@
 from stagewalk.batches.ledger import NOBODY
 from stagewalk.batches.records import BatchEnded, BatchHeader
 from stagewalk.batches.takeover import affinity
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.core.policy import Policy
 from stagewalk.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.batch_runner import BatchRunner
@@ -24,10 +26,8 @@
 from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
 from stagewalk.gateway.runner_calls import RunnerCalls
 from stagewalk.gateway.runner_messages import RunBatch, RunnerAnswer
-from stagewalk.logs.lines import log_event
 from stagewalk.peer_calls.client import PeerClient
 from stagewalk.ports.partitioned_log import LogFailure
-from stagewalk.steady_clock import steady_seconds
 
 NODES_ASKED = 2
 NOTED_SECONDS = 0.2
--- a/src/stagewalk/gateway/runner_probes.py
+++ b/src/stagewalk/gateway/runner_probes.py
@@ -8,10 +8,10 @@
 import anyio.abc
 
 from stagewalk.batches.runner_liveness import RunnerLiveness
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.runner_calls import RunnerCalls
-from stagewalk.logs.lines import log_event
-from stagewalk.steady_clock import steady_seconds
 
 PROBE_SECONDS = 0.4
 
--- a/src/stagewalk/gateway/score_sender.py
+++ b/src/stagewalk/gateway/score_sender.py
@@ -7,9 +7,10 @@
 import anyio
 import anyio.abc
 
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.eligibility.core import Eligibility
 from stagewalk.gateway.run_views import RunViews
-from stagewalk.logs.lines import log_event
 from stagewalk.ports.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
 from stagewalk.ports.workers import (
     AttemptFailure,
@@ -26,7 +27,6 @@
     StopScore,
     score_content,
 )
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.workers.table import WorkerTable
 
 HOST_HEADER = "host"
--- a/src/stagewalk/gateway/settings.py
+++ b/src/stagewalk/gateway/settings.py
@@ -11,12 +11,12 @@
 from expression import Error, Result, effect
 
 from stagewalk.batches.view_lease import SHORTEST_BATCH_END_SECONDS
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import Address, Placement
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import Address, Placement
+from stagewalk.common.settings.addresses import parse_listen_address, settings_error
+from stagewalk.common.settings.decoding import decode_table, read_table
+from stagewalk.common.settings.fields import LogLevel, Name, PositiveInteger
 from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.settings.addresses import parse_listen_address, settings_error
-from stagewalk.settings.decoding import decode_table, read_table
-from stagewalk.settings.node_settings import LogLevel, Name, PositiveInteger
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 BatchEnd = Annotated[float, msgspec.Meta(gt=SHORTEST_BATCH_END_SECONDS)]
--- a/src/stagewalk/gateway/settings_reload.py
+++ b/src/stagewalk/gateway/settings_reload.py
@@ -7,9 +7,9 @@
 
 from expression import Result
 
-from stagewalk.core.errors import StagewalkError
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.logs.lines import log_event
 from stagewalk.gateway.settings import GatewaySettings
-from stagewalk.logs.lines import log_event
 
 SettingsLoader = Callable[[], Result[GatewaySettings, StagewalkError]]
 """Reads the settings again."""
--- a/src/stagewalk/gateway/usage_service.py
+++ b/src/stagewalk/gateway/usage_service.py
@@ -8,14 +8,14 @@
 import anyio
 import anyio.abc
 
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.duty_lease import DutyLease
 from stagewalk.gateway.identity import ProcessId
-from stagewalk.logs.lines import log_event
 from stagewalk.partitioned_log.appender import PartitionAppender
 from stagewalk.partitioned_log.follower import PartitionFollower
 from stagewalk.ports.duties import DutyClient, DutyHolder, DutyOutcome, UsageReport
 from stagewalk.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.usage.account import UsageAccount
 from stagewalk.usage.meter import UsageMeter
 from stagewalk.usage.records import decode_counts, decode_usage, encode_counts
--- a/src/stagewalk/history/answer_text.py
+++ b/src/stagewalk/history/answer_text.py
@@ -17,8 +17,8 @@
 
 import xxhash
 
+from stagewalk.common.identities import WeightVersion
 from stagewalk.core.completions import VersionSpan, append_span
-from stagewalk.core.identities import WeightVersion
 
 _CHUNK = re.compile(r"([0-9a-f]{16})\[(\d+):(\d+)\]v(\d+);")
 
--- a/src/stagewalk/history/checker_oracle.py
+++ b/src/stagewalk/history/checker_oracle.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from stagewalk.common.identities import RecordId
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.outcomes import ChangeAccepted
 from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.core.identities import RecordId
 from stagewalk.core.platform import LogRecord
 from stagewalk.history.observations import RecordAppended
 
--- a/src/stagewalk/history/checker_requests.py
+++ b/src/stagewalk/history/checker_requests.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+from stagewalk.common.errors import Ran
 from stagewalk.core.completions import VersionSpan, append_span
-from stagewalk.core.errors import Ran
 from stagewalk.history.answer_text import parse_answer, true_spans, wholeness_fault
 from stagewalk.history.checker_verdict import Promise, Verdict
 from stagewalk.history.observations import (
--- a/src/stagewalk/history/checker_samples.py
+++ b/src/stagewalk/history/checker_samples.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from collections.abc import Sequence
 
-from stagewalk.core.identities import SlotKey, TenantName
+from stagewalk.common.identities import SlotKey, TenantName
 from stagewalk.history.answer_text import parse_answer, wholeness_fault
 from stagewalk.history.checker_configuration import ConfigurationTimeline
 from stagewalk.history.checker_requests import naming_fault
--- a/src/stagewalk/history/checker_stops.py
+++ b/src/stagewalk/history/checker_stops.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from stagewalk.core.errors import ErrorKind
+from stagewalk.common.errors import ErrorKind
 from stagewalk.history.checker_verdict import Promise, Verdict
 from stagewalk.history.observations import (
     AnyObservation,
--- a/src/stagewalk/history/summary.py
+++ b/src/stagewalk/history/summary.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from stagewalk.core.errors import Ran
+from stagewalk.common.errors import Ran
 from stagewalk.history.answer_text import true_spans
 from stagewalk.history.observations import (
     AnyObservation,
--- a/src/stagewalk/leases/core.py
+++ b/src/stagewalk/leases/core.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from stagewalk.core.identities import Epoch, Incarnation, NodeName
+from stagewalk.common.identities import Epoch, Incarnation, NodeName
 from stagewalk.core.platform import LogRecord
 from stagewalk.leases.config import LeaseConfig
 from stagewalk.leases.fold import (
--- a/src/stagewalk/leases/fold.py
+++ b/src/stagewalk/leases/fold.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from stagewalk.core.identities import Epoch, Incarnation, NodeName
+from stagewalk.common.identities import Epoch, Incarnation, NodeName
 from stagewalk.core.platform import LogRecord
 
 LEASE_STREAM = "leases"
--- a/src/stagewalk/leases/notifications.py
+++ b/src/stagewalk/leases/notifications.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from stagewalk.core.identities import Epoch
+from stagewalk.common.identities import Epoch
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/log_client/core.py
+++ b/src/stagewalk/log_client/core.py
@@ -14,9 +14,9 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.identities import RecordId
 from stagewalk.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
-from stagewalk.core.identities import RecordId
 from stagewalk.core.instructions import AppendRecord, LogEvent, ReadLog
 from stagewalk.log_client.config import LogClientConfig
 from stagewalk.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
--- a/src/stagewalk/log_client/notifications.py
+++ b/src/stagewalk/log_client/notifications.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from stagewalk.core.identities import RecordId
+from stagewalk.common.identities import RecordId
 from stagewalk.core.platform import LogRecord
 
 
--- a/src/stagewalk/log_client/stream.py
+++ b/src/stagewalk/log_client/stream.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
+from stagewalk.common.identities import RecordId
 from stagewalk.core.events import AppendFailed, LogRead
-from stagewalk.core.identities import RecordId
 from stagewalk.core.instructions import AppendRecord, LogEvent, LogFields, ReadLog
 from stagewalk.core.platform import LogRecord
 from stagewalk.log_client.backoff import Backoff
--- a/src/stagewalk/log_relay/relayed_log.py
+++ b/src/stagewalk/log_relay/relayed_log.py
@@ -10,7 +10,9 @@
 import anyio
 from expression import Error, Ok, Result
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.log_relay.messages import (
     AppendAtCall,
     AppendCall,
@@ -25,7 +27,6 @@
 )
 from stagewalk.log_relay.path_choice import PathChoice
 from stagewalk.log_relay.server import CUT_OFF
-from stagewalk.logs.lines import log_event
 from stagewalk.peer_calls.client import PeerClient, PeerFault
 from stagewalk.ports.partitioned_log import (
     KeyedPage,
@@ -36,7 +37,6 @@
     ProducerSequence,
     RecordPage,
 )
-from stagewalk.steady_clock import steady_seconds
 
 Value = TypeVar("Value")
 
--- a/src/stagewalk/membership/codec.py
+++ b/src/stagewalk/membership/codec.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.membership.member_table import MemberFact
 from stagewalk.membership.members import MemberState, MemberStatus
 from stagewalk.wire.membership_pb2 import MemberRecord, MembershipState
--- a/src/stagewalk/membership/contacts.py
+++ b/src/stagewalk/membership/contacts.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Iterable
 
-from stagewalk.core.identities import Address, NodeName
+from stagewalk.common.identities import Address, NodeName
 from stagewalk.core.platform import Machine, MachineKind, MachineState
 from stagewalk.membership.member_table import MemberTable
 from stagewalk.membership.members import MemberState
--- a/src/stagewalk/membership/core.py
+++ b/src/stagewalk/membership/core.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from stagewalk.core.identities import Address, NodeName
+from stagewalk.common.identities import Address, NodeName
 from stagewalk.core.instructions import SendPeerMessage
 from stagewalk.core.platform import Machine
 from stagewalk.membership.codec import record_to_fact
--- a/src/stagewalk/membership/dissemination.py
+++ b/src/stagewalk/membership/dissemination.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from stagewalk.core.identities import NodeName
+from stagewalk.common.identities import NodeName
 from stagewalk.membership.codec import fact_to_record
 from stagewalk.membership.member_table import MemberFact
 from stagewalk.membership.members import MemberState
--- a/src/stagewalk/membership/failure_detector.py
+++ b/src/stagewalk/membership/failure_detector.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass, field
 
-from stagewalk.core.identities import Address, NodeName
+from stagewalk.common.identities import Address, NodeName
 from stagewalk.core.instructions import SendPeerMessage
 from stagewalk.membership.config import MembershipConfig
 from stagewalk.membership.member_table import MemberFact, MemberTable
--- a/src/stagewalk/membership/member_table.py
+++ b/src/stagewalk/membership/member_table.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.membership.members import Member, MemberState, MemberStatus
 
 UNKNOWN_STATUS = MemberStatus()
--- a/src/stagewalk/membership/messages.py
+++ b/src/stagewalk/membership/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stagewalk.core.identities import Address, NodeName
+from stagewalk.common.identities import Address, NodeName
 from stagewalk.core.instructions import MAXIMUM_DATAGRAM_BYTES, SendPeerMessage, Transport
 from stagewalk.membership.codec import fact_to_record
 from stagewalk.membership.dissemination import REPEATED_FIELD_OVERHEAD_BYTES, UpdateQueue
--- a/src/stagewalk/membership/notifications.py
+++ b/src/stagewalk/membership/notifications.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from stagewalk.core.identities import Incarnation, NodeName
+from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.membership.members import MemberState
 
 
--- a/src/stagewalk/membership/probing.py
+++ b/src/stagewalk/membership/probing.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from stagewalk.core.identities import Address, NodeName
+from stagewalk.common.identities import Address, NodeName
 from stagewalk.membership.member_table import MemberFact
 from stagewalk.membership.members import Member
 
--- a/src/stagewalk/membership/suspicion.py
+++ b/src/stagewalk/membership/suspicion.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass, field
 
-from stagewalk.core.identities import NodeName
+from stagewalk.common.identities import NodeName
 
 LAST_CALLS = 3
 LAST_CALL_INTERVAL_SECONDS = 0.2
--- a/src/stagewalk/node/answer_exchange.py
+++ b/src/stagewalk/node/answer_exchange.py
@@ -10,10 +10,8 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from stagewalk.core.completions import CompletionResult, VersionSpan
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.events import PeerMessageReceived
-from stagewalk.core.identities import (
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import (
     Address,
     NodeName,
     RequestId,
@@ -21,6 +19,8 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.core.completions import CompletionResult, VersionSpan
+from stagewalk.core.events import PeerMessageReceived
 from stagewalk.core.instructions import SendPeerMessage, Transport
 from stagewalk.membership.core import MembershipCore
 from stagewalk.node.node_identity import NodeIdentity
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -14,6 +14,7 @@
 from stagewalk.claims.placement import PLACEMENT_STREAM, PlacementFold, encode_record
 from stagewalk.claims.planner import PlacementCandidate, PlacementPlanner
 from stagewalk.claims.types import Peer, Replica
+from stagewalk.common.identities import Epoch, Incarnation, ModelName, NodeName
 from stagewalk.configuration.follower import ConfigurationFollower
 from stagewalk.configuration.notifications import ConfigurationChanged
 from stagewalk.configuration.records import CONFIGURATION_STREAM, SNAPSHOT_STREAM
@@ -24,7 +25,6 @@
     LogReadFailed,
     PeerMessageReceived,
 )
-from stagewalk.core.identities import Epoch, Incarnation, ModelName, NodeName
 from stagewalk.core.instructions import LogEvent, LogFields
 from stagewalk.core.platform import LogRecord, Machine, MachineKind, MachineState
 from stagewalk.leases.core import Candidate, LeaseCore, LiveMember
--- a/src/stagewalk/node/daemon.py
+++ b/src/stagewalk/node/daemon.py
@@ -14,7 +14,6 @@
 import anyio
 import anyio.abc
 
-from stagewalk.adapters.http_calls import open_client, open_transport
 from stagewalk.adapters.http_engines import HttpEngineClient
 from stagewalk.adapters.http_platform import (
     HttpLogService,
@@ -22,10 +21,12 @@
     HttpScorer,
     HttpWeightStore,
 )
+from stagewalk.common.http.calls import open_client, open_transport
+from stagewalk.common.http.server import open_listener, serve_http
+from stagewalk.common.identities import Incarnation, NodeName, Placement
+from stagewalk.common.logs.lines import configure_logs, log_event
 from stagewalk.core.events import StopRequested
-from stagewalk.core.identities import Incarnation, NodeName, Placement
 from stagewalk.core.instructions import Instruction
-from stagewalk.logs.lines import configure_logs, log_event
 from stagewalk.node.core_runner import Core, CoreRunner
 from stagewalk.node.edge.app import EdgeApp
 from stagewalk.node.edge.call_desk import CallDesk
@@ -34,7 +35,6 @@
 from stagewalk.node.edge.rollouts import RolloutEndpoints
 from stagewalk.node.engine_tasks import EngineTasks
 from stagewalk.node.event_queue import EventQueue
-from stagewalk.node.http_server import open_listener, serve_http
 from stagewalk.node.instruction_runner import InstructionRunner
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.node_core import NodeCore, NodeIdentity
--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -10,9 +10,10 @@
 from dataclasses import dataclass, replace
 
 from stagewalk.admission.controller import AdmissionController
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import CallId, RequestId, RequestKey
 from stagewalk.configuration.parameters import Tenant
 from stagewalk.core.completions import CompletionRequest, CompletionResult
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.core.events import (
     AnswerRequested,
     AttemptChunk,
@@ -25,7 +26,6 @@
     LotSubmitted,
     SamplesPulled,
 )
-from stagewalk.core.identities import CallId, RequestId, RequestKey
 from stagewalk.core.instructions import FailCall, FinishCall, LogEvent, SendChunk
 from stagewalk.core.platform import Machine
 from stagewalk.node.node_config import NodeConfig
--- a/src/stagewalk/node/edge/app.py
+++ b/src/stagewalk/node/edge/app.py
@@ -8,18 +8,18 @@
 import anyio
 from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope, Scope
 
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.logs.lines import log_event
-from stagewalk.node.edge.body_budget import BodyBudget
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.http.body_budget import BodyBudget
+from stagewalk.common.http.exchange import PROBLEM_CONTENT, Exchange
+from stagewalk.common.http.lifespan import serve_lifespan
+from stagewalk.common.http.peer_names import EDGE_PEER
+from stagewalk.common.http.problems import render_problem
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.settings.fields import Limits
 from stagewalk.node.edge.completions import CompletionEndpoints
-from stagewalk.node.edge.exchange import PROBLEM_CONTENT, Exchange
 from stagewalk.node.edge.operators import OperatorEndpoints
-from stagewalk.node.edge.peer_names import EDGE_PEER
-from stagewalk.node.edge.problems import render_problem
 from stagewalk.node.edge.rollouts import RolloutEndpoints
 from stagewalk.node.edge.schemas import invalid
-from stagewalk.node.lifespan import serve_lifespan
-from stagewalk.settings.node_settings import Limits
 
 Endpoint = Callable[[Exchange], Awaitable[None]]
 
--- a/src/stagewalk/node/edge/call_desk.py
+++ b/src/stagewalk/node/edge/call_desk.py
@@ -7,16 +7,16 @@
 
 import anyio
 
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.http.exchange import Exchange
+from stagewalk.common.http.peer_names import EDGE_PEER
+from stagewalk.common.identities import CallId
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.core.events import CallAbandoned, Event
-from stagewalk.core.identities import CallId
 from stagewalk.core.instructions import FailCall
-from stagewalk.node.edge.exchange import Exchange
-from stagewalk.node.edge.peer_names import EDGE_PEER
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.open_calls import AnswerPiece, LastAnswer, OpenCall, OpenCalls
-from stagewalk.steady_clock import steady_seconds
 
 ANSWER_GRACE_SECONDS = 5.0
 """How long after its deadline the core's answer to a call is still waited for."""
--- a/src/stagewalk/node/edge/completions.py
+++ b/src/stagewalk/node/edge/completions.py
@@ -12,10 +12,14 @@
 import xxhash
 from expression import Error, Ok, Result
 
+from stagewalk.common.errors import Ran, StagewalkError
+from stagewalk.common.http.exchange import JSON_CONTENT, Exchange
+from stagewalk.common.http.problems import render_stream_error
+from stagewalk.common.identities import ModelName, RequestId, TenantName
+from stagewalk.common.settings.fields import Limits
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.core.completions import CompletionRequest, CompletionResult, Priority
-from stagewalk.core.errors import Ran, StagewalkError
 from stagewalk.core.events import AnswerRequested, CompletionRequested
-from stagewalk.core.identities import ModelName, RequestId, TenantName
 from stagewalk.core.instructions import FailCall, FinishCall
 from stagewalk.node.edge.call_desk import (
     ANSWER_GRACE_SECONDS,
@@ -25,8 +29,6 @@
     late_error,
     whole_answer,
 )
-from stagewalk.node.edge.exchange import JSON_CONTENT, Exchange
-from stagewalk.node.edge.problems import render_stream_error
 from stagewalk.node.edge.schemas import (
     CallerHeaders,
     Choice,
@@ -39,8 +41,6 @@
 )
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.open_calls import AnswerPiece, LastAnswer, OpenCall
-from stagewalk.settings.node_settings import Limits
-from stagewalk.steady_clock import steady_seconds
 
 COMPLETIONS_ENDPOINT = "completions"
 ANSWERS_ENDPOINT = "answers"
--- a/src/stagewalk/node/edge/operators.py
+++ b/src/stagewalk/node/edge/operators.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stagewalk.node.edge.exchange import JSON_CONTENT, Exchange
+from stagewalk.common.http.exchange import JSON_CONTENT, Exchange
 from stagewalk.node.edge.schemas import ModelList, ModelRow
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.node_core import NodeStatus
--- a/src/stagewalk/node/edge/rollouts.py
+++ b/src/stagewalk/node/edge/rollouts.py
@@ -7,14 +7,16 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.core.errors import StagewalkError
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.http.exchange import JSON_CONTENT, Exchange
+from stagewalk.common.identities import ModelName, TenantName, WeightVersion
+from stagewalk.common.settings.fields import Limits
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.core.events import LotSubmitted, SamplesPulled
-from stagewalk.core.identities import ModelName, TenantName, WeightVersion
 from stagewalk.core.instructions import AcceptLot, DeliverSamples, FailCall
 from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, Sample, SampleBatch, SamplePull
 from stagewalk.node.edge.call_desk import OUTCOME_OK, CallDesk, late_error, whole_answer
 from stagewalk.node.edge.completions import estimate_tokens
-from stagewalk.node.edge.exchange import JSON_CONTENT, Exchange
 from stagewalk.node.edge.schemas import (
     LotAnswer,
     LotBody,
@@ -25,8 +27,6 @@
     invalid,
 )
 from stagewalk.node.open_calls import LastAnswer, OpenCall
-from stagewalk.settings.node_settings import Limits
-from stagewalk.steady_clock import steady_seconds
 
 LOTS_ENDPOINT = "rollouts"
 PULLS_ENDPOINT = "rollouts_pull"
--- a/src/stagewalk/node/edge/schemas.py
+++ b/src/stagewalk/node/edge/schemas.py
@@ -8,9 +8,9 @@
 import msgspec
 from expression import Error, Ok, Result
 
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.http.peer_names import CALLER_PEER
 from stagewalk.core.completions import VersionSpan
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
-from stagewalk.node.edge.peer_names import CALLER_PEER
 
 MAXIMUM_TOKENS = 1_000_000
 MAXIMUM_DEADLINE_SECONDS = 86_400.0
--- a/src/stagewalk/node/engine_tasks.py
+++ b/src/stagewalk/node/engine_tasks.py
@@ -5,7 +5,8 @@
 import anyio
 import anyio.abc
 
-from stagewalk.core.errors import StagewalkError
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import AttemptId
 from stagewalk.core.events import (
     AttemptChunk,
     AttemptFailed,
@@ -14,7 +15,6 @@
     EngineReportFailed,
     Event,
 )
-from stagewalk.core.identities import AttemptId
 from stagewalk.core.instructions import CancelAttempt, OrderEngine, PollEngine, StartAttempt
 from stagewalk.core.platform import OrderOutcome
 from stagewalk.node.event_queue import EventQueue
--- a/src/stagewalk/node/instruction_runner.py
+++ b/src/stagewalk/node/instruction_runner.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from stagewalk.common.logs.lines import LEVELS, log_event
 from stagewalk.core.instructions import (
     AcceptLot,
     AppendRecord,
@@ -25,7 +26,6 @@
     SendPeerMessage,
     StartAttempt,
 )
-from stagewalk.logs.lines import LEVELS, log_event
 from stagewalk.node.engine_tasks import EngineTasks
 from stagewalk.node.open_calls import OpenCalls
 from stagewalk.node.peer_transport import PeerTransport
--- a/src/stagewalk/node/open_calls.py
+++ b/src/stagewalk/node/open_calls.py
@@ -9,10 +9,10 @@
 import anyio
 from expression import Error, Ok, Result
 
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
-from stagewalk.core.identities import CallId
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.http.peer_names import BUSY_RETRY_SECONDS, EDGE_PEER
+from stagewalk.common.identities import CallId
 from stagewalk.core.instructions import AcceptLot, DeliverSamples, FailCall, FinishCall, SendChunk
-from stagewalk.node.edge.peer_names import BUSY_RETRY_SECONDS, EDGE_PEER
 
 LastAnswer = FinishCall | FailCall | AcceptLot | DeliverSamples
 
--- a/src/stagewalk/node/peer_streams.py
+++ b/src/stagewalk/node/peer_streams.py
@@ -8,7 +8,7 @@
 import anyio.abc
 from anyio.streams.memory import MemoryObjectReceiveStream
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.node.metrics import NodeMetrics
 
 QUEUED_FRAMES = 256
--- a/src/stagewalk/node/peer_transport.py
+++ b/src/stagewalk/node/peer_transport.py
@@ -6,8 +6,8 @@
 import anyio.abc
 from anyio.streams.buffered import BufferedByteReceiveStream
 
+from stagewalk.common.identities import Address
 from stagewalk.core.events import PeerMessageReceived
-from stagewalk.core.identities import Address
 from stagewalk.core.instructions import MAXIMUM_DATAGRAM_BYTES, SendPeerMessage, Transport
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
--- a/src/stagewalk/node/platform_tasks.py
+++ b/src/stagewalk/node/platform_tasks.py
@@ -6,7 +6,8 @@
 
 import anyio.abc
 
-from stagewalk.core.errors import Ran, StagewalkError
+from stagewalk.common.errors import Ran, StagewalkError
+from stagewalk.common.logs.lines import log_event
 from stagewalk.core.events import (
     AppendConfirmed,
     AppendFailed,
@@ -26,7 +27,6 @@
     ScoreSample,
 )
 from stagewalk.core.platform import MachineKind
-from stagewalk.logs.lines import log_event
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.peer_transport import PeerTransport
--- a/src/stagewalk/partitioned_log/appender.py
+++ b/src/stagewalk/partitioned_log/appender.py
@@ -15,14 +15,14 @@
 import anyio
 from expression import Error, Ok, Result
 
-from stagewalk.logs.lines import log_event
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.ports.partitioned_log import (
     LogFault,
     Partition,
     PartitionedLog,
     ProducerSequence,
 )
-from stagewalk.steady_clock import steady_seconds
 
 RETRY_SECONDS = 0.1
 SLOW_RETRY_SECONDS = 0.3
--- a/src/stagewalk/partitioned_log/follower.py
+++ b/src/stagewalk/partitioned_log/follower.py
@@ -7,7 +7,8 @@
 
 import anyio
 
-from stagewalk.logs.lines import log_event
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.partitioned_log.freshness import Freshness
 from stagewalk.ports.partitioned_log import (
     KeyedPage,
@@ -19,7 +20,6 @@
     PartitionRecord,
     RecordPage,
 )
-from stagewalk.steady_clock import steady_seconds
 
 RETRY_SECONDS = 0.1
 SLOW_RETRY_SECONDS = 0.4
--- a/src/stagewalk/partitioned_log/freshness.py
+++ b/src/stagewalk/partitioned_log/freshness.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Callable
 
-from stagewalk.logs.lines import log_event
-from stagewalk.steady_clock import steady_seconds
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
 
 LOST_AFTER_FAILURES = 3
 OUTAGE_GAP_SECONDS = 3.0
--- a/src/stagewalk/partitioned_log/measured_log.py
+++ b/src/stagewalk/partitioned_log/measured_log.py
@@ -7,6 +7,7 @@
 
 from expression import Result
 
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.ports.partitioned_log import (
     KeyedPage,
     LogFailure,
@@ -15,7 +16,6 @@
     ProducerSequence,
     RecordPage,
 )
-from stagewalk.steady_clock import steady_seconds
 
 Value = TypeVar("Value")
 
--- a/src/stagewalk/peer_calls/client.py
+++ b/src/stagewalk/peer_calls/client.py
@@ -8,10 +8,10 @@
 import httpx
 from expression import Error, Ok, Result
 
-from stagewalk.adapters.connection_pools import ConnectionPools
-from stagewalk.adapters.http_calls import describe, process_url
-from stagewalk.core.identities import Address
-from stagewalk.logs.lines import log_event
+from stagewalk.common.http.calls import describe, process_url
+from stagewalk.common.http.connection_pools import ConnectionPools
+from stagewalk.common.identities import Address
+from stagewalk.common.logs.lines import log_event
 
 CONNECT_SECONDS = 0.3
 """A node that takes no connection within this time is gone or cut off."""
--- a/src/stagewalk/peer_calls/server.py
+++ b/src/stagewalk/peer_calls/server.py
@@ -6,7 +6,7 @@
 
 from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope, Scope
 
-from stagewalk.node.lifespan import serve_lifespan
+from stagewalk.common.http.lifespan import serve_lifespan
 
 MAXIMUM_CALL_BYTES = 8 * 1024 * 1024
 MAXIMUM_CALLS = 256
--- a/src/stagewalk/ports/dialect.py
+++ b/src/stagewalk/ports/dialect.py
@@ -8,7 +8,7 @@
 from expression import Result
 
 from stagewalk.batches.records import BatchHeader, BatchItem, ItemFinished
-from stagewalk.core.errors import StagewalkError
+from stagewalk.common.errors import StagewalkError
 from stagewalk.ports.partitioned_log import KeyedRecord, Partition
 from stagewalk.routes.route import RouteConfiguration
 from stagewalk.workers.worker import WorkerAnnouncement
--- a/src/stagewalk/ports/engines.py
+++ b/src/stagewalk/ports/engines.py
@@ -7,7 +7,8 @@
 
 from expression import Result
 
-from stagewalk.core.errors import StagewalkError
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import Address
 from stagewalk.core.events import (
     AttemptChunk,
     AttemptFailed,
@@ -15,7 +16,6 @@
     AttemptRefused,
     OrderAnswered,
 )
-from stagewalk.core.identities import Address
 from stagewalk.core.instructions import CancelAttempt, OrderEngine, StartAttempt
 from stagewalk.core.platform import EngineReport
 
--- a/src/stagewalk/ports/platform_services.py
+++ b/src/stagewalk/ports/platform_services.py
@@ -7,8 +7,8 @@
 
 from expression import Result
 
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import ModelName, RecordId
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import ModelName, RecordId
 from stagewalk.core.instructions import ScoreSample
 from stagewalk.core.platform import LogRecord, Machine, PublishedVersion
 
--- a/src/stagewalk/ports/send_permits.py
+++ b/src/stagewalk/ports/send_permits.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import final
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.ports.denials import Denial
 
 
--- a/src/stagewalk/regions/distance.py
+++ b/src/stagewalk/regions/distance.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from enum import IntEnum
 
-from stagewalk.core.identities import Placement
+from stagewalk.common.identities import Placement
 
 
 class Distance(IntEnum):
--- a/src/stagewalk/requests/attempts.py
+++ b/src/stagewalk/requests/attempts.py
@@ -10,15 +10,15 @@
 from dataclasses import replace
 
 from stagewalk.admission.controller import AdmissionController
+from stagewalk.common.errors import StagewalkError, Step
+from stagewalk.common.identities import AttemptId, EngineName, ProcessIdentity
 from stagewalk.core.completions import (
     CompletionRequest,
     CompletionResult,
     Priority,
     TokenChunk,
 )
-from stagewalk.core.errors import StagewalkError, Step
 from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.identities import AttemptId, EngineName, ProcessIdentity
 from stagewalk.core.instructions import CancelAttempt, StartAttempt
 from stagewalk.requests import faults
 from stagewalk.requests.answer import AnswerAssembly, HeldAnswer
--- a/src/stagewalk/requests/book.py
+++ b/src/stagewalk/requests/book.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import AttemptId, RequestKey, WeightVersion
 from stagewalk.core.completions import CompletionResult, TokenChunk
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import AttemptId, RequestKey, WeightVersion
 from stagewalk.requests.config import RequestConfig
 from stagewalk.requests.notifications import (
     RequestChunk,
--- a/src/stagewalk/requests/claim_gate.py
+++ b/src/stagewalk/requests/claim_gate.py
@@ -10,9 +10,9 @@
 import random
 from dataclasses import replace
 
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import ProcessIdentity, RequestKey
 from stagewalk.core.completions import CompletionResult
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.identities import ProcessIdentity, RequestKey
 from stagewalk.requests import faults
 from stagewalk.requests.book import RequestBook
 from stagewalk.requests.claim_value import ClaimValue, claim_key, decode_claim, encode_claim
--- a/src/stagewalk/requests/claim_value.py
+++ b/src/stagewalk/requests/claim_value.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from stagewalk.core.identities import Incarnation, NodeName, RequestKey
+from stagewalk.common.identities import Incarnation, NodeName, RequestKey
 
 
 class ClaimValue(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/src/stagewalk/requests/core.py
+++ b/src/stagewalk/requests/core.py
@@ -13,16 +13,16 @@
 from dataclasses import replace
 
 from stagewalk.admission.controller import Admission, AdmissionController, PoolCapacity
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.completions import CompletionRequest, CompletionResult, TokenChunk
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.identities import (
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import (
     ModelName,
     ProcessIdentity,
     RequestKey,
     TenantName,
 )
+from stagewalk.configuration.parameters import Tenant, TenantParameters
+from stagewalk.core.completions import CompletionRequest, CompletionResult, TokenChunk
+from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.requests import faults
 from stagewalk.requests.attempts import AttemptRunner
 from stagewalk.requests.book import RequestBook
--- a/src/stagewalk/requests/faults.py
+++ b/src/stagewalk/requests/faults.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.identities import EngineName, NodeName
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import EngineName, NodeName
 from stagewalk.requests.record import RequestRecord
 
 STOPPING_RETRY_SECONDS = 0.0
--- a/src/stagewalk/requests/notifications.py
+++ b/src/stagewalk/requests/notifications.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import Incarnation, NodeName, RequestKey
 from stagewalk.core.completions import CompletionResult, TokenChunk
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import Incarnation, NodeName, RequestKey
 from stagewalk.core.instructions import CancelAttempt, StartAttempt
 
 
--- a/src/stagewalk/requests/record.py
+++ b/src/stagewalk/requests/record.py
@@ -6,9 +6,9 @@
 
 import xxhash
 
+from stagewalk.common.errors import Ran, StagewalkError
+from stagewalk.common.identities import Address, AttemptId, EngineName, NodeName, RequestKey
 from stagewalk.core.completions import CompletionRequest
-from stagewalk.core.errors import Ran, StagewalkError
-from stagewalk.core.identities import Address, AttemptId, EngineName, NodeName, RequestKey
 from stagewalk.requests.answer import AnswerAssembly, HeldAnswer
 from stagewalk.requests.claim_value import ClaimValue
 from stagewalk.requests.states import RequestState
--- a/src/stagewalk/requests/retained.py
+++ b/src/stagewalk/requests/retained.py
@@ -5,9 +5,9 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import RequestKey
 from stagewalk.core.completions import CompletionResult
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import RequestKey
 from stagewalk.requests.claim_value import ClaimValue
 from stagewalk.requests.config import MemoryConfig
 
--- a/src/stagewalk/requests/retries.py
+++ b/src/stagewalk/requests/retries.py
@@ -4,7 +4,7 @@
 
 import random
 
-from stagewalk.core.identities import TenantName
+from stagewalk.common.identities import TenantName
 from stagewalk.requests.config import RetryConfig
 
 
--- a/src/stagewalk/requests/tenancy.py
+++ b/src/stagewalk/requests/tenancy.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import replace
 
+from stagewalk.common.identities import WeightVersion
 from stagewalk.configuration.parameters import TenantParameters
 from stagewalk.core.completions import CompletionRequest
-from stagewalk.core.identities import WeightVersion
 
 
 def apply_parameters(request: CompletionRequest, parameters: TenantParameters) -> CompletionRequest:
--- a/src/stagewalk/requests/timers.py
+++ b/src/stagewalk/requests/timers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from stagewalk.core.identities import AttemptId, RequestKey
+from stagewalk.common.identities import AttemptId, RequestKey
 
 COMPACT_ABOVE = 1024
 
--- a/src/stagewalk/routing/engine_record.py
+++ b/src/stagewalk/routing/engine_record.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from stagewalk.core.identities import AttemptId, EngineName, WeightVersion
+from stagewalk.common.identities import AttemptId, EngineName, WeightVersion
 from stagewalk.core.platform import EngineReport, EngineState, Machine, MachineState
 
 MAXIMUM_REMEMBERED_ENDS = 256
--- a/src/stagewalk/routing/engine_table.py
+++ b/src/stagewalk/routing/engine_table.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from stagewalk.core.identities import AttemptId, EngineName, ModelName, ProcessIdentity
+from stagewalk.common.identities import AttemptId, EngineName, ModelName, ProcessIdentity
 from stagewalk.core.instructions import PollEngine
 from stagewalk.core.platform import EngineReport, EngineState, Machine, MachineKind, MachineState
 from stagewalk.routing.config import EngineTableConfig
--- a/src/stagewalk/routing/router.py
+++ b/src/stagewalk/routing/router.py
@@ -7,9 +7,8 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.core.completions import CompletionRequest
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.identities import (
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import (
     Address,
     AttemptId,
     EngineName,
@@ -17,6 +16,7 @@
     ProcessIdentity,
     WeightVersion,
 )
+from stagewalk.core.completions import CompletionRequest
 from stagewalk.routing.config import RouterConfig
 from stagewalk.routing.engine_record import EngineRecord
 from stagewalk.routing.engine_table import EngineTable, PoolView
--- a/src/stagewalk/routing/scoring.py
+++ b/src/stagewalk/routing/scoring.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from stagewalk.common.identities import Placement
 from stagewalk.core.completions import CompletionRequest
-from stagewalk.core.identities import Placement
 from stagewalk.routing.config import RouterConfig, ScoreConfig
 from stagewalk.routing.engine_record import EngineRecord
 from stagewalk.routing.prefix_index import PrefixBlocks, PrefixIndex
--- a/src/stagewalk/routing/subsets.py
+++ b/src/stagewalk/routing/subsets.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from stagewalk.core.identities import NodeName, Placement
+from stagewalk.common.identities import NodeName, Placement
 from stagewalk.core.platform import Machine
 from stagewalk.routing.config import EngineTableConfig
 
--- a/src/stagewalk/samples/core.py
+++ b/src/stagewalk/samples/core.py
@@ -9,11 +9,8 @@
 
 import random
 
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.completions import CompletionResult
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.events import SampleScored, SampleScoringFailed
-from stagewalk.core.identities import (
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import (
     CallId,
     ModelName,
     ProcessIdentity,
@@ -21,6 +18,9 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.configuration.parameters import Tenant
+from stagewalk.core.completions import CompletionResult
+from stagewalk.core.events import SampleScored, SampleScoringFailed
 from stagewalk.core.instructions import AcceptLot, FailCall
 from stagewalk.core.rollouts import RolloutLot, SamplePull
 from stagewalk.samples.config import LotConfig
--- a/src/stagewalk/samples/delivery.py
+++ b/src/stagewalk/samples/delivery.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from stagewalk.core.identities import CallId
+from stagewalk.common.identities import CallId
 from stagewalk.core.instructions import DeliverSamples
 from stagewalk.core.rollouts import Sample, SampleBatch, SamplePull
 from stagewalk.samples.config import LotConfig
--- a/src/stagewalk/samples/housekeeping.py
+++ b/src/stagewalk/samples/housekeeping.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
+from stagewalk.common.identities import ModelName
 from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.identities import ModelName
 from stagewalk.core.instructions import LogEvent, LogFields, ReadVersions
 from stagewalk.samples.config import LotConfig
 from stagewalk.samples.delivery import Delivery
--- a/src/stagewalk/samples/lengths.py
+++ b/src/stagewalk/samples/lengths.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from stagewalk.core.identities import TenantName
+from stagewalk.common.identities import TenantName
 from stagewalk.core.rollouts import RolloutPrompt
 
 MAXIMUM_PREDICTOR_ENTRIES = 20_000
--- a/src/stagewalk/samples/lots.py
+++ b/src/stagewalk/samples/lots.py
@@ -11,12 +11,12 @@
 import msgspec
 import xxhash
 
-from stagewalk.core.completions import CompletionResult
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     RequestId,
     SlotKey,
     TenantName,
 )
+from stagewalk.core.completions import CompletionResult
 from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, Sample
 
 
--- a/src/stagewalk/samples/notifications.py
+++ b/src/stagewalk/samples/notifications.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from stagewalk.common.identities import RequestId, TenantName
 from stagewalk.core.completions import CompletionRequest
-from stagewalk.core.identities import RequestId, TenantName
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/samples/sample_codec.py
+++ b/src/stagewalk/samples/sample_codec.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
+from stagewalk.common.identities import SlotKey, WeightVersion
 from stagewalk.core.completions import VersionSpan
-from stagewalk.core.identities import SlotKey, WeightVersion
 from stagewalk.core.rollouts import Sample
 
 CLAIM_KEY_PREFIX = "slot/"
--- a/src/stagewalk/samples/scheduler.py
+++ b/src/stagewalk/samples/scheduler.py
@@ -5,8 +5,8 @@
 import bisect
 from collections.abc import Iterable
 
+from stagewalk.common.identities import Incarnation, NodeName, RequestId, WeightVersion
 from stagewalk.core.completions import CompletionRequest, Priority
-from stagewalk.core.identities import Incarnation, NodeName, RequestId, WeightVersion
 from stagewalk.core.rollouts import RolloutPrompt, slot_seed
 from stagewalk.samples.config import LotConfig
 from stagewalk.samples.lengths import LengthPredictor
--- a/src/stagewalk/samples/served_versions.py
+++ b/src/stagewalk/samples/served_versions.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from stagewalk.core.identities import ModelName, WeightVersion
+from stagewalk.common.identities import ModelName, WeightVersion
 
 WINDOW_SECONDS = 1.5
 """Age up to which reports count: each engine is polled at least once in this time."""
--- a/src/stagewalk/samples/settlement.py
+++ b/src/stagewalk/samples/settlement.py
@@ -4,9 +4,9 @@
 
 import random
 
+from stagewalk.common.errors import ErrorKind, StagewalkError
+from stagewalk.common.identities import RequestId, SlotKey
 from stagewalk.core.completions import CompletionResult
-from stagewalk.core.errors import ErrorKind, StagewalkError
-from stagewalk.core.identities import RequestId, SlotKey
 from stagewalk.core.instructions import Instruction, LogEvent, LogFields, ScoreSample
 from stagewalk.core.rollouts import Sample
 from stagewalk.samples.backoff import retry_delay
--- a/src/stagewalk/samples/staleness.py
+++ b/src/stagewalk/samples/staleness.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from stagewalk.common.identities import ModelName, WeightVersion
 from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.core.identities import ModelName, WeightVersion
 
 MAXIMUM_REMEMBERED_VERSIONS = 256
 """Versions of one model whose times are kept."""
--- a/src/stagewalk/samples/store.py
+++ b/src/stagewalk/samples/store.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from stagewalk.common.identities import RequestId, TenantName, WeightVersion
 from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.identities import RequestId, TenantName, WeightVersion
 from stagewalk.samples.lots import Lot, LotKey
 from stagewalk.samples.served_versions import ServedVersions
 from stagewalk.samples.staleness import VersionClock
--- a/src/stagewalk/samples/validation.py
+++ b/src/stagewalk/samples/validation.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.identities import NodeName, TenantName
 from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
-from stagewalk.core.identities import NodeName, TenantName
 from stagewalk.core.rollouts import RolloutLot, SamplePull
 from stagewalk.samples.config import LotConfig
 
--- a/src/stagewalk/scoring/submission.py
+++ b/src/stagewalk/scoring/submission.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from stagewalk.batches.records import BatchItem
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.routes.route import RouteKind
 from stagewalk.scoring.core import RouteOf
 
--- a/src/stagewalk/settings/node_settings.py
+++ b/src/stagewalk/settings/node_settings.py
@@ -5,46 +5,16 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Any
 
 import msgspec
 from expression import Ok, Result, effect
 
-from stagewalk.core.errors import StagewalkError
-from stagewalk.core.identities import Address
-from stagewalk.settings.addresses import parse_listen_address, parse_service_url
-from stagewalk.settings.decoding import decode_table, read_table
-
-PositiveInteger = Annotated[int, msgspec.Meta(ge=1)]
-Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$", max_length=100)]
-LogLevel = Literal["debug", "info", "warning", "error"]
-
-
-class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Limits against callers that ask too much.
-
-    Attributes
-    ----------
-    body_bytes
-        Largest body of a call, in bytes.
-    buffered_body_bytes
-        Most bytes held for bodies that are still arriving, of all callers together.
-    prompt_characters
-        Longest prompt, in characters.
-    open_calls
-        Most calls that are open at once; a further one is refused.
-    buffered_characters
-        Most text, in characters, held for a caller that reads slower than the engine writes.
-    body_seconds
-        Longest time a caller may take to send its body, in seconds.
-    """
-
-    body_bytes: PositiveInteger = 8 * 1024 * 1024
-    buffered_body_bytes: PositiveInteger = 32 * 1024 * 1024
-    prompt_characters: PositiveInteger = 262_144
-    open_calls: PositiveInteger = 512
-    buffered_characters: PositiveInteger = 262_144
-    body_seconds: PositiveInteger = 30
+from stagewalk.common.errors import StagewalkError
+from stagewalk.common.identities import Address
+from stagewalk.common.settings.addresses import parse_listen_address, parse_service_url
+from stagewalk.common.settings.decoding import decode_table, read_table
+from stagewalk.common.settings.fields import Limits, LogLevel, Name
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/simulation/baseline_node.py
+++ b/src/stagewalk/simulation/baseline_node.py
@@ -10,6 +10,17 @@
 import random
 from dataclasses import dataclass, field
 
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import (
+    AttemptId,
+    CallId,
+    EngineName,
+    Epoch,
+    ModelName,
+    RequestId,
+    SlotKey,
+    WeightVersion,
+)
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.records import CONFIGURATION_STREAM
 from stagewalk.core.completions import (
@@ -20,7 +31,6 @@
     VersionSpan,
     append_span,
 )
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.core.events import (
     AttemptChunk,
     AttemptFailed,
@@ -39,16 +49,6 @@
     Tick,
     VersionsRead,
 )
-from stagewalk.core.identities import (
-    AttemptId,
-    CallId,
-    EngineName,
-    Epoch,
-    ModelName,
-    RequestId,
-    SlotKey,
-    WeightVersion,
-)
 from stagewalk.core.instructions import (
     AcceptLot,
     DeliverSamples,
--- a/src/stagewalk/simulation/benchmark_routing.py
+++ b/src/stagewalk/simulation/benchmark_routing.py
@@ -10,8 +10,7 @@
 import time
 from dataclasses import dataclass
 
-from stagewalk.core.completions import CompletionRequest, Priority
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     Address,
     AttemptId,
     EngineName,
@@ -24,6 +23,7 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.core.completions import CompletionRequest, Priority
 from stagewalk.core.platform import EngineReport, EngineState, Machine, MachineKind, MachineState
 from stagewalk.routing.config import EngineTableConfig, RouterConfig
 from stagewalk.routing.engine_table import EngineTable
--- a/src/stagewalk/simulation/callers.py
+++ b/src/stagewalk/simulation/callers.py
@@ -6,10 +6,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError
+from stagewalk.common.identities import CallId, RequestId
 from stagewalk.core.completions import CompletionRequest, CompletionResult, Priority
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError
 from stagewalk.core.events import CompletionRequested, Event
-from stagewalk.core.identities import CallId, RequestId
 from stagewalk.core.instructions import FailCall, FinishCall, SendChunk
 from stagewalk.history.answer_text import answer_length
 from stagewalk.history.checker_stops import CONNECTION_CUT
--- a/src/stagewalk/simulation/claims_explorer.py
+++ b/src/stagewalk/simulation/claims_explorer.py
@@ -27,7 +27,7 @@
 from stagewalk.claims.notifications import ClaimDecided, ClaimOutput
 from stagewalk.claims.placement import Group, GroupMember, GroupPlacement, PartitionChain
 from stagewalk.claims.types import Peer, Replica
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.core.instructions import SendPeerMessage
 from stagewalk.wire.envelope_pb2 import Envelope
 
--- a/src/stagewalk/simulation/engine_host.py
+++ b/src/stagewalk/simulation/engine_host.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from stagewalk.core.identities import AttemptId, EngineName, Incarnation, WeightVersion
+from stagewalk.common.identities import AttemptId, EngineName, Incarnation, WeightVersion
 from stagewalk.core.platform import EngineOrder, EngineReport, EngineState, OrderOutcome
 from stagewalk.history.observations import (
     EngineLeaving,
--- a/src/stagewalk/simulation/engine_messages.py
+++ b/src/stagewalk/simulation/engine_messages.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
+from stagewalk.common.identities import AttemptId, ModelName, RequestId, TenantName, WeightVersion
 from stagewalk.core.completions import Priority, TokenChunk
-from stagewalk.core.identities import AttemptId, ModelName, RequestId, TenantName, WeightVersion
 from stagewalk.core.platform import OrderOutcome
 
 
--- a/src/stagewalk/simulation/engine_model.py
+++ b/src/stagewalk/simulation/engine_model.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 from dataclasses import replace
 
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     AttemptId,
     EngineName,
     Epoch,
--- a/src/stagewalk/simulation/engine_scheduler.py
+++ b/src/stagewalk/simulation/engine_scheduler.py
@@ -5,7 +5,7 @@
 import math
 from collections import OrderedDict
 
-from stagewalk.core.identities import AttemptId, WeightVersion
+from stagewalk.common.identities import AttemptId, WeightVersion
 from stagewalk.simulation.engine_messages import (
     AttemptDone,
     AttemptPreempted,
--- a/src/stagewalk/simulation/engine_sequence.py
+++ b/src/stagewalk/simulation/engine_sequence.py
@@ -11,8 +11,8 @@
 import math
 from dataclasses import dataclass
 
+from stagewalk.common.identities import AttemptId, WeightVersion
 from stagewalk.core.completions import TokenChunk
-from stagewalk.core.identities import AttemptId, WeightVersion
 from stagewalk.history.answer_text import render_chunk
 from stagewalk.simulation.engine_messages import ChunkProduced, EngineRequest
 
--- a/src/stagewalk/simulation/engine_weights.py
+++ b/src/stagewalk/simulation/engine_weights.py
@@ -6,7 +6,7 @@
 import random
 from collections import OrderedDict
 
-from stagewalk.core.identities import Epoch, ModelName, WeightVersion
+from stagewalk.common.identities import Epoch, ModelName, WeightVersion
 from stagewalk.core.platform import EngineOrder, OrderKind, OrderOutcome
 from stagewalk.simulation.engine_messages import (
     ActivationEnded,
--- a/src/stagewalk/simulation/fault_injector.py
+++ b/src/stagewalk/simulation/fault_injector.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from stagewalk.core.identities import Placement
+from stagewalk.common.identities import Placement
 from stagewalk.history.checker_configuration import EVERY_NODE
 from stagewalk.history.observations import FaultInjected
 from stagewalk.simulation.faults import Fault, FaultKind
--- a/src/stagewalk/simulation/layouts.py
+++ b/src/stagewalk/simulation/layouts.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
+from stagewalk.common.identities import Address, ModelName, Placement, TenantName
 from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.core.identities import Address, ModelName, Placement, TenantName
 from stagewalk.simulation.layout import (
     CallerLoad,
     Endpoint,
--- a/src/stagewalk/simulation/log_service.py
+++ b/src/stagewalk/simulation/log_service.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from stagewalk.core.identities import RecordId
+from stagewalk.common.identities import RecordId
 from stagewalk.core.platform import LogRecord
 from stagewalk.history.observations import RecordAppended
 from stagewalk.simulation.layout import Endpoint
--- a/src/stagewalk/simulation/machines.py
+++ b/src/stagewalk/simulation/machines.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from stagewalk.core.identities import Address, ModelName, WeightVersion
+from stagewalk.common.identities import Address, ModelName, WeightVersion
 from stagewalk.core.platform import Machine, MachineKind, MachineState
 from stagewalk.simulation.engine_host import EngineHost
 from stagewalk.simulation.layout import EngineSite, Layout, NodeSite
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -11,13 +11,14 @@
 
 import msgspec
 
+from stagewalk.common.errors import Ran
+from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.notifications import ConfigurationChanged
 from stagewalk.configuration.outcomes import ChangeRejected, RejectionReason
 from stagewalk.configuration.parameters import Tenant
 from stagewalk.configuration.records import CONFIGURATION_STREAM, AnyChange
 from stagewalk.configuration.state import TenantRecord
-from stagewalk.core.errors import Ran
 from stagewalk.core.events import (
     AttemptChunk,
     AttemptFailed,
@@ -32,7 +33,6 @@
     StopRequested,
     VersionsRead,
 )
-from stagewalk.core.identities import AttemptId, ModelName, WeightVersion
 from stagewalk.core.instructions import ExitProcess, FailCall, Instruction, StartAttempt
 from stagewalk.core.platform import EngineState, MachineState
 from stagewalk.history.checker_verdict import Promise
--- a/src/stagewalk/simulation/node_host.py
+++ b/src/stagewalk/simulation/node_host.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from stagewalk.common.identities import Address, CallId, Incarnation, NodeName
 from stagewalk.core.events import (
     TICK_INTERVAL_SECONDS,
     CallAbandoned,
@@ -16,7 +17,6 @@
     StopRequested,
     Tick,
 )
-from stagewalk.core.identities import Address, CallId, Incarnation, NodeName
 from stagewalk.core.instructions import (
     AcceptLot,
     DeliverSamples,
--- a/src/stagewalk/simulation/operators.py
+++ b/src/stagewalk/simulation/operators.py
@@ -12,6 +12,7 @@
 import msgspec
 import simpy
 
+from stagewalk.common.identities import RecordId, TenantName
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.outcomes import ChangeAccepted
 from stagewalk.configuration.parameters import TenantParameters
@@ -22,7 +23,6 @@
     CreateTenant,
     encode_change,
 )
-from stagewalk.core.identities import RecordId, TenantName
 from stagewalk.history.observations import PublishAnswered
 from stagewalk.simulation.layout import Endpoint, Layout, TenantSite
 from stagewalk.simulation.log_service import LogPage, LogService
--- a/src/stagewalk/simulation/outbound.py
+++ b/src/stagewalk/simulation/outbound.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import Address, AttemptId
 from stagewalk.core.events import (
     AppendConfirmed,
     AppendFailed,
@@ -25,7 +26,6 @@
     SampleScoringFailed,
     VersionsRead,
 )
-from stagewalk.core.identities import Address, AttemptId
 from stagewalk.core.instructions import (
     AppendRecord,
     CancelAttempt,
--- a/src/stagewalk/simulation/platform_services.py
+++ b/src/stagewalk/simulation/platform_services.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from stagewalk.core.identities import ModelName, WeightVersion
+from stagewalk.common.identities import ModelName, WeightVersion
 from stagewalk.core.instructions import ScoreSample
 from stagewalk.core.platform import Machine, MachineState, PublishedVersion
 from stagewalk.history.observations import VersionPublished
--- a/src/stagewalk/simulation/trainers.py
+++ b/src/stagewalk/simulation/trainers.py
@@ -9,9 +9,9 @@
 
 import simpy
 
-from stagewalk.core.errors import ErrorKind
+from stagewalk.common.errors import ErrorKind
+from stagewalk.common.identities import SlotKey, WeightVersion
 from stagewalk.core.events import LotSubmitted, SamplesPulled
-from stagewalk.core.identities import SlotKey, WeightVersion
 from stagewalk.core.instructions import AcceptLot, DeliverSamples, FailCall
 from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, Sample, SamplePull, slot_seed
 from stagewalk.history.answer_text import answer_length, true_spans
--- a/src/stagewalk/simulation/world.py
+++ b/src/stagewalk/simulation/world.py
@@ -4,7 +4,7 @@
 
 import random
 
-from stagewalk.core.identities import Placement
+from stagewalk.common.identities import Placement
 from stagewalk.history.observations import ConfigurationSeen
 from stagewalk.simulation.callers import CallerWorld, InteractiveCaller
 from stagewalk.simulation.engine_host import EngineHost
--- a/src/stagewalk/weights/core.py
+++ b/src/stagewalk/weights/core.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     EngineName,
     Epoch,
     ModelName,
@@ -11,6 +10,7 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.configuration.parameters import Tenant
 from stagewalk.core.instructions import Instruction, ReadVersions
 from stagewalk.core.platform import (
     EngineReport,
--- a/src/stagewalk/weights/engines.py
+++ b/src/stagewalk/weights/engines.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from stagewalk.core.identities import Address, EngineName, WeightVersion
+from stagewalk.common.identities import Address, EngineName, WeightVersion
 from stagewalk.core.platform import EngineOrder, EngineReport, EngineState, OrderKind
 from stagewalk.weights.config import RolloutConfig
 
--- a/src/stagewalk/weights/pool.py
+++ b/src/stagewalk/weights/pool.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
+from stagewalk.common.identities import EngineName, Epoch, ModelName, WeightVersion
 from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.identities import EngineName, Epoch, ModelName, WeightVersion
 from stagewalk.core.instructions import Instruction, LogEvent, LogFields, OrderEngine, PollEngine
 from stagewalk.core.platform import (
     EngineOrder,
--- a/src/stagewalk/weights/staging.py
+++ b/src/stagewalk/weights/staging.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from stagewalk.core.identities import WeightVersion
+from stagewalk.common.identities import WeightVersion
 from stagewalk.weights.config import RolloutConfig
 from stagewalk.weights.engines import EngineView
 from stagewalk.weights.targets import VersionTarget
--- a/src/stagewalk/weights/targets.py
+++ b/src/stagewalk/weights/targets.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from stagewalk.common.identities import EngineName, ModelName, WeightVersion
 from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.identities import EngineName, ModelName, WeightVersion
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/workers/worker.py
+++ b/src/stagewalk/workers/worker.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.ports.workers import WorkerLoad
 
 LATENCY_SMOOTHING = 0.15
--- a/src/stagewalk_standins/caller.py
+++ b/src/stagewalk_standins/caller.py
@@ -11,8 +11,8 @@
 import httpx
 import msgspec
 
+from stagewalk.common.errors import Ran
 from stagewalk.core.completions import VersionSpan
-from stagewalk.core.errors import Ran
 from stagewalk.history.answer_text import answer_length
 from stagewalk.history.observations import (
     FaultInjected,
--- a/src/stagewalk_standins/engine_history.py
+++ b/src/stagewalk_standins/engine_history.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stagewalk.core.identities import EngineName, Incarnation, WeightVersion
+from stagewalk.common.identities import EngineName, Incarnation, WeightVersion
 from stagewalk.core.platform import EngineOrder, OrderKind
 from stagewalk.history.observations import (
     EngineLeaving,
--- a/src/stagewalk_standins/engine_server.py
+++ b/src/stagewalk_standins/engine_server.py
@@ -8,8 +8,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from stagewalk.core.completions import Priority
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     AttemptId,
     Epoch,
     ModelName,
@@ -17,6 +16,7 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.core.completions import Priority
 from stagewalk.core.platform import EngineOrder, EngineState, OrderKind, OrderOutcome
 from stagewalk.simulation.engine_messages import (
     ActivationEnded,
--- a/src/stagewalk_standins/memory_workers.py
+++ b/src/stagewalk_standins/memory_workers.py
@@ -9,6 +9,7 @@
 import anyio
 from expression import Error, Ok, Result
 
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.ports.send_permits import SendPermit, WorkerTarget
 from stagewalk.ports.workers import (
     AttemptFailure,
@@ -25,7 +26,6 @@
     WorkerLoad,
     WorkerReport,
 )
-from stagewalk.steady_clock import steady_seconds
 
 SUCCESS = 200
 CRASH_SECONDS = 0.02
--- a/src/stagewalk_standins/plain_dialect.py
+++ b/src/stagewalk_standins/plain_dialect.py
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from stagewalk.batches.records import BatchHeader, BatchItem, ItemFinished
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.ports.dialect import (
     CallerInterface,
     NamedVersion,
--- a/src/stagewalk_standins/weight_fetcher.py
+++ b/src/stagewalk_standins/weight_fetcher.py
@@ -5,7 +5,7 @@
 import anyio
 import httpx
 
-from stagewalk.core.identities import ModelName, WeightVersion
+from stagewalk.common.identities import ModelName, WeightVersion
 from stagewalk_standins.event_log import log_event
 from stagewalk_standins.http_client import open_client
 
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -15,9 +15,9 @@
 )
 from stagewalk.admission.limiter import AdaptiveLimiter
 from stagewalk.admission.shares import guaranteed
+from stagewalk.common.errors import ErrorKind, Ran
+from stagewalk.common.identities import NodeName, RequestId, RequestKey, TenantName
 from stagewalk.core.completions import Priority
-from stagewalk.core.errors import ErrorKind, Ran
-from stagewalk.core.identities import NodeName, RequestId, RequestKey, TenantName
 from tests.requests.support import MODEL, request, tenant
 
 SHARES = {TenantName("a"): 0.5, TenantName("b"): 0.3, TenantName("c"): 0.2}
--- a/tests/bench/test_measurements.py
+++ b/tests/bench/test_measurements.py
@@ -3,9 +3,9 @@
 from stagewalk.bench.fault_costs import measure_faults
 from stagewalk.bench.hollow_cluster import HollowCluster
 from stagewalk.cli.main import run
+from stagewalk.common.identities import ModelName, TenantName
 from stagewalk.configuration.parameters import TenantParameters
 from stagewalk.configuration.records import CONFIGURATION_STREAM, CreateTenant, encode_change
-from stagewalk.core.identities import ModelName, TenantName
 
 
 class HollowClusterTest(testtools.TestCase):
--- a/tests/claims/network.py
+++ b/tests/claims/network.py
@@ -24,7 +24,7 @@
     encode_record,
 )
 from stagewalk.claims.types import Peer, Replica
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement, RecordId
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement, RecordId
 from stagewalk.core.instructions import SendPeerMessage
 from stagewalk.core.platform import LogRecord
 
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -5,7 +5,7 @@
 import testtools
 
 from stagewalk.claims.notifications import ClaimAbsent, ClaimDecided, ClaimUndecided
-from stagewalk.core.errors import ErrorKind
+from stagewalk.common.errors import ErrorKind
 from tests.claims.network import Network
 
 
--- a/tests/claims/test_faults.py
+++ b/tests/claims/test_faults.py
@@ -8,7 +8,7 @@
 
 from stagewalk.claims.config import ClaimConfig
 from stagewalk.claims.notifications import ClaimDecided, ClaimUndecided
-from stagewalk.core.errors import ErrorKind
+from stagewalk.common.errors import ErrorKind
 from tests.claims.network import Network
 
 NODES = "abcdef"
--- a/tests/claims/test_placement.py
+++ b/tests/claims/test_placement.py
@@ -15,7 +15,7 @@
     encode_record,
 )
 from stagewalk.claims.planner import PlacementCandidate, PlacementPlanner, PlannerConfig
-from stagewalk.core.identities import Incarnation, NodeName, Placement, RecordId
+from stagewalk.common.identities import Incarnation, NodeName, Placement, RecordId
 from stagewalk.core.platform import LogRecord
 
 
--- a/tests/node/test_connection_pools.py
+++ b/tests/common/http/test_connection_pools.py
@@ -5,7 +5,7 @@
 import anyio
 import testtools
 
-from stagewalk.adapters.connection_pools import ConnectionPools
+from stagewalk.common.http.connection_pools import ConnectionPools
 
 
 def pools(maximum: int) -> ConnectionPools:
--- a/tests/logs/test_budget.py
+++ b/tests/common/logs/test_budget.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.logs.budget import (
+from stagewalk.common.logs.budget import (
     BURST_LINES,
     FAILURE_BURST_LINES,
     FAILURE_LINES_PER_SECOND,
--- a/tests/logs/test_lines.py
+++ b/tests/common/logs/test_lines.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.logs.budget import BURST_LINES, LogBudget
-from stagewalk.logs.lines import configure_logs, format_line, log_event
+from stagewalk.common.logs.budget import BURST_LINES, LogBudget
+from stagewalk.common.logs.lines import configure_logs, format_line, log_event
 
 
 class LogLinesTest(testtools.TestCase):
@@ -60,7 +60,7 @@
         self.addCleanup(configure_logs("info", lines.append, node="n-1", budget=budget))
         lines.clear()
         # The clock stands still: a budget that fills up meanwhile would let more lines through.
-        with mock.patch("stagewalk.logs.lines.steady_seconds", lambda: 1.0):
+        with mock.patch("stagewalk.common.logs.lines.steady_seconds", lambda: 1.0):
             for _ in range(int(BURST_LINES) + 7):
                 log_event("often")
             log_event("request_ended", "warning", request="r1")
--- a/tests/logs/test_writer.py
+++ b/tests/common/logs/test_writer.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from stagewalk.logs.writer import MOST_WAITING_BYTES, WRITE_BYTES, LineWriter
+from stagewalk.common.logs.writer import MOST_WAITING_BYTES, WRITE_BYTES, LineWriter
 
 
 class LineWriterTests(testtools.TestCase):
--- a/tests/configuration/cluster.py
+++ b/tests/configuration/cluster.py
@@ -4,6 +4,7 @@
 
 import random
 
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.configuration.follower import (
     ConfigurationFollower,
     FollowerConfig,
@@ -11,7 +12,6 @@
 )
 from stagewalk.configuration.notifications import ConfigurationChanged
 from stagewalk.configuration.records import AnyChange, encode_change
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.core.instructions import LogEvent, SendPeerMessage, Transport
 from stagewalk.core.platform import LogRecord
 from stagewalk.node.node_core import NodeIdentity
--- a/tests/configuration/records.py
+++ b/tests/configuration/records.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
+from stagewalk.common.identities import ModelName, RecordId
 from stagewalk.configuration.fold import ConfigurationFold
 from stagewalk.configuration.outcomes import FoldOutcome
 from stagewalk.configuration.parameters import TenantParameters
 from stagewalk.configuration.records import AnyChange, encode_change
-from stagewalk.core.identities import ModelName, RecordId
 from stagewalk.core.platform import LogRecord
 
 
--- a/tests/configuration/test_convergence.py
+++ b/tests/configuration/test_convergence.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from stagewalk.common.identities import NodeName, TenantName
 from stagewalk.configuration.records import AnyChange
-from stagewalk.core.identities import NodeName, TenantName
 from tests.configuration.cluster import Cluster
 from tests.configuration.records import change, create, delete, parameters
 
--- a/tests/configuration/test_fold.py
+++ b/tests/configuration/test_fold.py
@@ -6,6 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from stagewalk.common.identities import ModelName, TenantName, WeightVersion
 from stagewalk.configuration.fold import HISTORY_LIMIT, REVISION_LIMIT, ConfigurationFold
 from stagewalk.configuration.outcomes import (
     ChangeAccepted,
@@ -16,7 +17,6 @@
 )
 from stagewalk.configuration.parameters import TenantParameters
 from stagewalk.configuration.records import AnyChange, encode_change
-from stagewalk.core.identities import ModelName, TenantName, WeightVersion
 from stagewalk.core.platform import LogRecord
 from tests.configuration.records import (
     change,
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -4,10 +4,10 @@
 
 import testtools
 
+from stagewalk.common.identities import NodeName
 from stagewalk.configuration.follower import FollowerConfig
 from stagewalk.configuration.progress import ProgressTable
 from stagewalk.configuration.records import AnyChange, encode_change
-from stagewalk.core.identities import NodeName
 from stagewalk.core.instructions import MAXIMUM_DATAGRAM_BYTES
 from stagewalk.core.platform import LogRecord
 from stagewalk.wire.configuration_pb2 import ConfigurationMessage
--- a/tests/directory/test_node_table.py
+++ b/tests/directory/test_node_table.py
@@ -6,7 +6,7 @@
 import testtools
 from msgspec.structs import replace
 
-from stagewalk.core.identities import NodeName
+from stagewalk.common.identities import NodeName
 from stagewalk.directory.caller_subset import CallerPlace, directory_order
 from stagewalk.directory.node_table import (
     ALIVE_SECONDS,
--- a/tests/eligibility/support.py
+++ b/tests/eligibility/support.py
@@ -6,7 +6,7 @@
 
 from stagewalk.cold_starts.core import ColdStarts
 from stagewalk.cold_starts.leases import ColdLeases
-from stagewalk.core.identities import Placement
+from stagewalk.common.identities import Placement
 from stagewalk.eligibility.core import Eligibility
 from stagewalk.evacuation.zones import Evacuations
 from stagewalk.ports.send_permits import SendPermit, WorkerTarget
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from stagewalk.batches.records import BatchItem, ScoreCall
-from stagewalk.core.identities import Address, Placement
+from stagewalk.common.identities import Address, Placement
 from stagewalk.gateway.daemon import Dependencies, Gateway
 from stagewalk.gateway.settings import GatewaySettings, LogLimits, Timing
 from stagewalk.ports.dialect import NamedVersion
--- a/tests/gateway/test_batches.py
+++ b/tests/gateway/test_batches.py
@@ -7,9 +7,9 @@
 import anyio
 import testtools
 
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_store import FOLLOWED_SECONDS
 from stagewalk.ports.workers import AttemptFault
-from stagewalk.steady_clock import steady_seconds
 from tests.gateway.support import Site, run, until
 
 
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -5,9 +5,9 @@
 import anyio
 import testtools
 
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.cold_lease_service import COLD_STARTS
 from stagewalk.routes.route import Service
-from stagewalk.steady_clock import steady_seconds
 from stagewalk_standins.memory_workers import Arrival
 from tests.gateway.support import Running, Site, run, until
 
--- a/tests/gateway/test_crash_watch.py
+++ b/tests/gateway/test_crash_watch.py
@@ -7,13 +7,13 @@
 import anyio
 import testtools
 
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.crash_watch import MOST_UNSENT, CrashWatch
 from stagewalk.ports.crash_reports import SentRequest
 from stagewalk.ports.partitioned_log import KeyedRecord, Partition
 from stagewalk.ports.workers import AttemptFailure, AttemptFault, ContactLoss
 from stagewalk.quarantine.content import RequestContent
 from stagewalk.quarantine.core import MOST_STRIKES, CrashSuspects
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.workers.table import WorkerTable
 from stagewalk_standins.partitioned_log import MemoryLog
 from tests.workers.support import announcement
--- a/tests/gateway/test_duties.py
+++ b/tests/gateway/test_duties.py
@@ -7,7 +7,7 @@
 import msgspec
 import testtools
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.gateway.settings import Autoscaling, DutySettings
 from stagewalk.ports.duties import DutyOutcome, WorkerGroup
 from stagewalk.routes.route import Scaling, Service
--- a/tests/gateway/test_evacuation.py
+++ b/tests/gateway/test_evacuation.py
@@ -7,8 +7,8 @@
 import anyio
 import testtools
 
-from stagewalk.core.identities import Placement
-from stagewalk.steady_clock import steady_seconds
+from stagewalk.common.identities import Placement
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk_standins.memory_workers import MemoryWorker
 from tests.gateway.support import ROUTES, Running, Site, run, until
 
--- a/tests/gateway/test_lease_views.py
+++ b/tests/gateway/test_lease_views.py
@@ -9,10 +9,10 @@
 import testtools
 from expression import Error, Result
 
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.duty_lease import DUTIES_PARTITION, TOPIC, DutyLease
 from stagewalk.leases.log_lease import LEASE_SECONDS, LogLease, new_holder
 from stagewalk.ports.partitioned_log import LogFailure, LogFault, Partition, RecordPage
-from stagewalk.steady_clock import steady_seconds
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 
 LEASES = Partition(TOPIC, DUTIES_PARTITION)
--- a/tests/gateway/test_ledger_calls.py
+++ b/tests/gateway/test_ledger_calls.py
@@ -5,7 +5,7 @@
 import anyio
 import testtools
 
-from stagewalk.core.identities import Address, Placement
+from stagewalk.common.identities import Address, Placement
 from stagewalk.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.ledger_calls import LedgerCalls
 from stagewalk.gateway.ledger_messages import (
--- a/tests/gateway/test_ledger_reads.py
+++ b/tests/gateway/test_ledger_reads.py
@@ -10,6 +10,7 @@
 
 from stagewalk.batches.ledger import BatchLedger
 from stagewalk.batches.records import ItemFinished
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.ledger_messages import (
     LedgerAnswer,
     ResultsCall,
@@ -18,7 +19,6 @@
 )
 from stagewalk.gateway.ledger_reads import LedgerReads
 from stagewalk.gateway.open_batches import OpenBatches
-from stagewalk.steady_clock import steady_seconds
 from stagewalk_standins.partitioned_log import MemoryLog
 from stagewalk_standins.plain_dialect import PlainDialect
 from tests.batches.support import item, submitted
--- a/tests/gateway/test_node_service.py
+++ b/tests/gateway/test_node_service.py
@@ -9,7 +9,7 @@
 import msgspec
 import testtools
 
-from stagewalk.core.identities import Address, Placement
+from stagewalk.common.identities import Address, Placement
 from stagewalk.core.policy import ALL_ON
 from stagewalk.directory.node_table import NodeAnnouncement, decode_announcement
 from stagewalk.directory.renewals import RENEWAL_SECONDS
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -7,9 +7,9 @@
 import testtools
 from expression import Error, Ok
 
+from stagewalk.common.settings.addresses import settings_error
 from stagewalk.gateway.daemon import Dependencies, Gateway
 from stagewalk.gateway.settings import Timing
-from stagewalk.settings.addresses import settings_error
 from stagewalk_standins.memory_workers import MemoryWorkers
 from stagewalk_standins.partitioned_log import MemoryLog
 from stagewalk_standins.plain_dialect import PlainDialect
--- a/tests/gateway/test_run_views.py
+++ b/tests/gateway/test_run_views.py
@@ -13,6 +13,7 @@
 from stagewalk.batches.messages import StartItem
 from stagewalk.batches.records import BatchEnded, ScoreCall, encode_record
 from stagewalk.batches.view_lease import longest_view_age
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.eligibility.core import RequestScope
 from stagewalk.gateway.batch_runner import BatchRunner
 from stagewalk.gateway.early_start import PartialLedger
@@ -24,7 +25,6 @@
 from stagewalk.ports.workers import AttemptFailure, AttemptFault
 from stagewalk.quarantine.content import RequestContent
 from stagewalk.scoring.messages import ScoreEvent, SendScore
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.workers.table import WorkerTable
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 from tests.batches.support import batch_route, item, submitted
--- a/tests/gateway/test_runner_choice.py
+++ b/tests/gateway/test_runner_choice.py
@@ -9,7 +9,7 @@
 
 from stagewalk.batches.records import BatchHeader
 from stagewalk.batches.takeover import affinity
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.core.policy import ALL_ON, Policy
 from stagewalk.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.identity import ProcessId
--- a/tests/gateway/test_second_submissions.py
+++ b/tests/gateway/test_second_submissions.py
@@ -15,13 +15,13 @@
     encode_record,
 )
 from stagewalk.batches.takeover import affinity
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_store import PARTITIONS, TOPIC, BatchStore
 from stagewalk.gateway.early_start import EarlyViews
 from stagewalk.gateway.ledger_messages import ResultsCall
 from stagewalk.gateway.ledger_reads import LedgerReads
 from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
 from stagewalk.ports.partitioned_log import Partition, ProducerSequence
-from stagewalk.steady_clock import steady_seconds
 from stagewalk_standins.partitioned_log import MemoryLog
 from stagewalk_standins.plain_dialect import PlainDialect
 from tests.batches.support import item, submitted
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -15,8 +15,8 @@
 import httpx
 import testtools
 
+from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.routes.route import RouteKind, Service
-from stagewalk.steady_clock import steady_seconds
 from stagewalk.tenants.tenant import Tenant
 from tests.gateway.support import ROUTES, Running, Site, key_headers, route, run, until
 
@@ -44,7 +44,7 @@
     async def main(site: Site) -> None:
         await body(site, machine)
 
-    with mock.patch("stagewalk.steady_clock.time.clock_gettime", machine.clock_gettime):
+    with mock.patch("stagewalk.common.steady_clock.time.clock_gettime", machine.clock_gettime):
         run(main)
 
 
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -10,7 +10,7 @@
 import anyio
 import testtools
 
-from stagewalk.logs.lines import configure_logs
+from stagewalk.common.logs.lines import configure_logs
 from stagewalk.tenants.tenant import Tenant
 from tests.gateway.support import ROUTES, Running, Site, key_headers, run, until
 
--- a/tests/history/histories.py
+++ b/tests/history/histories.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from stagewalk.common.identities import ModelName, WeightVersion
 from stagewalk.configuration.parameters import TenantParameters
 from stagewalk.core.completions import VersionSpan
-from stagewalk.core.identities import ModelName, WeightVersion
 from stagewalk.history.answer_text import content_key, render_chunk
 from stagewalk.history.observations import (
     AnyObservation,
--- a/tests/history/test_answer_text.py
+++ b/tests/history/test_answer_text.py
@@ -4,8 +4,8 @@
 
 import testtools
 
+from stagewalk.common.identities import WeightVersion
 from stagewalk.core.completions import VersionSpan
-from stagewalk.core.identities import WeightVersion
 from stagewalk.history.answer_text import (
     answer_length,
     content_key,
--- a/tests/history/test_summary.py
+++ b/tests/history/test_summary.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.core.identities import WeightVersion
+from stagewalk.common.identities import WeightVersion
 from stagewalk.history.answer_text import content_key, render_chunk
 from stagewalk.history.observations import (
     RequestAnswered,
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stagewalk.core.identities import Epoch, Incarnation, NodeName, RecordId
+from stagewalk.common.identities import Epoch, Incarnation, NodeName, RecordId
 from stagewalk.core.platform import LogRecord
 from stagewalk.leases.config import LeaseConfig
 from stagewalk.leases.core import Candidate, LeaseCore, LiveMember
--- a/tests/log_client/model.py
+++ b/tests/log_client/model.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from stagewalk.common.identities import RecordId
 from stagewalk.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
-from stagewalk.core.identities import RecordId
 from stagewalk.core.instructions import AppendRecord, ReadLog
 from stagewalk.core.platform import LogRecord
 from stagewalk.log_client.config import LogClientConfig
--- a/tests/log_client/test_core.py
+++ b/tests/log_client/test_core.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stagewalk.core.errors import ErrorKind, Step
+from stagewalk.common.errors import ErrorKind, Step
+from stagewalk.common.identities import RecordId
 from stagewalk.core.events import AppendConfirmed, LogRead
-from stagewalk.core.identities import RecordId
 from stagewalk.core.instructions import ReadLog
 from stagewalk.core.platform import LogRecord
 from stagewalk.log_client.config import LogClientConfig
--- a/tests/log_relay/test_lost_answers.py
+++ b/tests/log_relay/test_lost_answers.py
@@ -12,7 +12,7 @@
 import testtools
 from expression import Error
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.log_relay.relayed_log import RelayedLog, RelayPeers
 from stagewalk.log_relay.server import LogRelay
 from stagewalk.partitioned_log.appender import AppendOutcome, PartitionAppender
--- a/tests/log_relay/test_relayed_log.py
+++ b/tests/log_relay/test_relayed_log.py
@@ -9,7 +9,7 @@
 import testtools
 from expression import Ok
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.log_relay.messages import LogAnswer, encode_message
 from stagewalk.log_relay.relayed_log import SILENCE_SECONDS, RelayedLog, RelayPeers
 from stagewalk.log_relay.server import CUT_OFF, LogRelay
--- a/tests/membership/test_core.py
+++ b/tests/membership/test_core.py
@@ -3,7 +3,7 @@
 import testtools
 
 from stagewalk.bench.membership_network import MembershipNetwork
-from stagewalk.core.identities import NodeName
+from stagewalk.common.identities import NodeName
 from stagewalk.core.instructions import MAXIMUM_DATAGRAM_BYTES
 from stagewalk.membership.codec import fact_to_record
 from stagewalk.membership.member_table import MemberFact
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.core.identities import Address, Incarnation, NodeName, Placement
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.membership.member_table import MemberFact, MemberTable
 from stagewalk.membership.members import MemberState, MemberStatus
 
--- a/tests/node/echo_core.py
+++ b/tests/node/echo_core.py
@@ -11,13 +11,21 @@
 from collections.abc import Callable
 from typing import Any
 
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import (
+    Address,
+    AttemptId,
+    CallId,
+    EngineName,
+    SlotKey,
+    WeightVersion,
+)
 from stagewalk.core.completions import (
     CompletionRequest,
     CompletionResult,
     TokenChunk,
     VersionSpan,
 )
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.core.events import (
     AnswerRequested,
     AttemptChunk,
@@ -33,14 +41,6 @@
     StopRequested,
     Tick,
 )
-from stagewalk.core.identities import (
-    Address,
-    AttemptId,
-    CallId,
-    EngineName,
-    SlotKey,
-    WeightVersion,
-)
 from stagewalk.core.instructions import (
     AcceptLot,
     DeliverSamples,
--- a/tests/node/running_node.py
+++ b/tests/node/running_node.py
@@ -13,11 +13,12 @@
 import anyio
 import httpx
 
-from stagewalk.core.identities import Address
+from stagewalk.common.http.server import open_listener, serve_http
+from stagewalk.common.identities import Address
+from stagewalk.common.settings.fields import Limits
 from stagewalk.node.daemon import Daemon
-from stagewalk.node.http_server import open_listener, serve_http
 from stagewalk.node.node_core import NodeIdentity
-from stagewalk.settings.node_settings import Limits, NodeSettings, PlatformUrls
+from stagewalk.settings.node_settings import NodeSettings, PlatformUrls
 from tests.node.echo_core import EchoCore
 
 NOWHERE = "http://127.0.0.1:1"
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -5,8 +5,8 @@
 import anyio
 import testtools
 
+from stagewalk.common.settings.fields import Limits
 from stagewalk.core.events import CallAbandoned, CompletionRequested, LotSubmitted, SamplesPulled
-from stagewalk.settings.node_settings import Limits
 from tests.node.running_node import RunningNode, eventually, on_node
 
 ASK = {"model": "qari", "tenant": "archive", "prompt": "echo a b"}
--- a/tests/node/test_engine_stream.py
+++ b/tests/node/test_engine_stream.py
@@ -15,11 +15,9 @@
 
 from stagewalk.adapters import engine_stream
 from stagewalk.adapters.engine_stream import RECONNECTIONS
-from stagewalk.adapters.http_calls import open_client, open_transport
 from stagewalk.adapters.http_engines import HttpEngineClient
-from stagewalk.core.completions import CompletionRequest, Priority
-from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.identities import (
+from stagewalk.common.http.calls import open_client, open_transport
+from stagewalk.common.identities import (
     Address,
     AttemptId,
     EngineName,
@@ -29,10 +27,12 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.core.completions import CompletionRequest, Priority
+from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.core.instructions import CancelAttempt, OrderEngine, StartAttempt
 from stagewalk.core.platform import EngineOrder, OrderKind, OrderOutcome
 from stagewalk.ports.engines import AttemptEvent
-from stagewalk.steady_clock import steady_seconds
 from tests.node.running_node import free_address, serving
 
 ATTEMPT = AttemptId("attempt-1")
--- a/tests/node/test_open_calls.py
+++ b/tests/node/test_open_calls.py
@@ -5,9 +5,9 @@
 import anyio
 import testtools
 
+from stagewalk.common.errors import ErrorKind
+from stagewalk.common.identities import CallId, WeightVersion
 from stagewalk.core.completions import TokenChunk
-from stagewalk.core.errors import ErrorKind
-from stagewalk.core.identities import CallId, WeightVersion
 from stagewalk.core.instructions import FinishCall, SendChunk
 from stagewalk.node.open_calls import AnswerPiece, OpenCall, OpenCalls
 from tests.node.echo_core import whole
--- a/tests/node/test_peer_transport.py
+++ b/tests/node/test_peer_transport.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from stagewalk.common.identities import Address
 from stagewalk.core.events import PeerMessageReceived
-from stagewalk.core.identities import Address
 from stagewalk.core.instructions import SendPeerMessage, Transport
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
--- a/tests/node/test_platform_clients.py
+++ b/tests/node/test_platform_clients.py
@@ -16,8 +16,8 @@
     HttpScorer,
     HttpWeightStore,
 )
-from stagewalk.core.errors import Ran, Step
-from stagewalk.core.identities import Address, ModelName, RecordId
+from stagewalk.common.errors import Ran, Step
+from stagewalk.common.identities import Address, ModelName, RecordId
 from stagewalk.core.instructions import ScoreSample
 from stagewalk.core.platform import LogRecord, MachineState
 
--- a/tests/platform_adapter/scripted_server.py
+++ b/tests/platform_adapter/scripted_server.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 
 NOWHERE = Address("127.0.0.1", 0)
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
--- a/tests/platform_adapter/test_dialect.py
+++ b/tests/platform_adapter/test_dialect.py
@@ -8,7 +8,7 @@
 import testtools
 
 from stagewalk.batches.records import ItemFinished, ScoreCall
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.ports.dialect import NamedVersion, ZoneEvacuation
 from stagewalk.ports.partitioned_log import KeyedRecord
 from stagewalk.routes.route import BackEnd, RouteKind
--- a/tests/regions/test_regions.py
+++ b/tests/regions/test_regions.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.core.identities import Placement
+from stagewalk.common.identities import Placement
 from stagewalk.regions.distance import DISTANCE_PENALTY, Distance, Proximity
 from stagewalk.regions.homes import allowed_regions, allows
 from stagewalk.workers.selection import choose_worker
--- a/tests/requests/support.py
+++ b/tests/requests/support.py
@@ -7,10 +7,7 @@
 
 from stagewalk.admission.config import AdmissionConfig
 from stagewalk.admission.controller import AdmissionController
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.completions import CompletionRequest, Priority, TokenChunk
-from stagewalk.core.events import AttemptChunk, AttemptFinished
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     Address,
     EngineName,
     Epoch,
@@ -23,6 +20,9 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.configuration.parameters import Tenant, TenantParameters
+from stagewalk.core.completions import CompletionRequest, Priority, TokenChunk
+from stagewalk.core.events import AttemptChunk, AttemptFinished
 from stagewalk.core.instructions import CancelAttempt, StartAttempt
 from stagewalk.core.platform import (
     EngineReport,
--- a/tests/requests/test_hand_over.py
+++ b/tests/requests/test_hand_over.py
@@ -4,8 +4,8 @@
 
 import testtools
 
+from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.core.events import AttemptFailed, AttemptRefused
-from stagewalk.core.identities import Incarnation, NodeName
 from stagewalk.core.instructions import StartAttempt
 from stagewalk.requests.claim_value import decode_claim
 from stagewalk.requests.config import RequestConfig
--- a/tests/requests/test_request_core.py
+++ b/tests/requests/test_request_core.py
@@ -4,9 +4,9 @@
 
 import testtools
 
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import RequestId, RequestKey
 from stagewalk.core.events import AttemptFailed, AttemptRefused
-from stagewalk.core.identities import RequestId, RequestKey
 from stagewalk.core.instructions import StartAttempt
 from stagewalk.requests.config import HedgeConfig, MemoryConfig, RequestConfig, RetryConfig
 from stagewalk.requests.notifications import ClaimWanted, RequestFailed
--- a/tests/requests/test_request_machine.py
+++ b/tests/requests/test_request_machine.py
@@ -14,10 +14,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
-from stagewalk.core.completions import TokenChunk
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.identities import (
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.identities import (
     AttemptId,
     Incarnation,
     NodeName,
@@ -25,6 +23,8 @@
     RequestKey,
     WeightVersion,
 )
+from stagewalk.core.completions import TokenChunk
+from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.core.instructions import CancelAttempt, StartAttempt
 from stagewalk.history.answer_text import content_key, render_chunk, true_spans, wholeness_fault
 from stagewalk.requests.config import HedgeConfig, RequestConfig
--- a/tests/requests/test_request_states.py
+++ b/tests/requests/test_request_states.py
@@ -9,8 +9,8 @@
 import testtools
 
 from stagewalk.admission.config import AdmissionConfig, LimiterConfig
+from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.core.completions import CompletionResult
-from stagewalk.core.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.core.events import AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.core.instructions import StartAttempt
 from stagewalk.requests import book
--- a/tests/routing/test_engine_table.py
+++ b/tests/routing/test_engine_table.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     Address,
     AttemptId,
     EngineName,
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -6,8 +6,8 @@
 
 import testtools
 
-from stagewalk.core.errors import ErrorKind, Ran
-from stagewalk.core.identities import AttemptId, EngineName, Incarnation, Placement
+from stagewalk.common.errors import ErrorKind, Ran
+from stagewalk.common.identities import AttemptId, EngineName, Incarnation, Placement
 from stagewalk.routing.config import (
     EngineTableConfig,
     OutlierConfig,
--- a/tests/samples/test_delivery.py
+++ b/tests/samples/test_delivery.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.core.errors import ErrorKind
+from stagewalk.common.errors import ErrorKind
 from tests.samples.world import World, make_core, make_lot, make_pull
 
 
--- a/tests/samples/test_exactly_once.py
+++ b/tests/samples/test_exactly_once.py
@@ -20,10 +20,10 @@
     rule,
 )
 
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.identities import CallId, RequestId, SlotKey, WeightVersion
 from stagewalk.core.completions import CompletionResult, VersionSpan
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
 from stagewalk.core.events import SampleScored, SampleScoringFailed
-from stagewalk.core.identities import CallId, RequestId, SlotKey, WeightVersion
 from stagewalk.core.instructions import (
     DeliverSamples,
     FailCall,
--- a/tests/samples/test_ledger.py
+++ b/tests/samples/test_ledger.py
@@ -4,9 +4,9 @@
 
 import testtools
 
+from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.identities import CallId, RequestId, WeightVersion
 from stagewalk.core.completions import CompletionRequest, CompletionResult
-from stagewalk.core.errors import ErrorKind, StagewalkError, Step
-from stagewalk.core.identities import CallId, RequestId, WeightVersion
 from stagewalk.core.instructions import AcceptLot, ReadVersions
 from stagewalk.core.rollouts import slot_seed
 from stagewalk.samples.config import LotConfig
--- a/tests/samples/world.py
+++ b/tests/samples/world.py
@@ -5,10 +5,7 @@
 import random
 from collections.abc import Callable
 
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.completions import CompletionRequest, CompletionResult, VersionSpan
-from stagewalk.core.events import SampleScored
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     Address,
     CallId,
     Incarnation,
@@ -18,6 +15,9 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.configuration.parameters import Tenant, TenantParameters
+from stagewalk.core.completions import CompletionRequest, CompletionResult, VersionSpan
+from stagewalk.core.events import SampleScored
 from stagewalk.core.instructions import DeliverSamples, FailCall, LogEvent, ScoreSample
 from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, SamplePull
 from stagewalk.node.node_core import NodeIdentity
--- a/tests/settings/test_node_settings.py
+++ b/tests/settings/test_node_settings.py
@@ -10,8 +10,8 @@
 import testtools
 
 from stagewalk.cli.main import run
-from stagewalk.core.errors import StagewalkError, Step
-from stagewalk.core.identities import Address
+from stagewalk.common.errors import StagewalkError, Step
+from stagewalk.common.identities import Address
 from stagewalk.settings.node_settings import load_node_settings
 
 EXAMPLE = Path(__file__).parents[2] / "deployments" / "example-node.toml"
--- a/tests/simulation/test_network.py
+++ b/tests/simulation/test_network.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from stagewalk.core.identities import Placement
+from stagewalk.common.identities import Placement
 from stagewalk.simulation.layout import Endpoint, Latencies
 from stagewalk.simulation.network import (
     STALL_LIMIT_SECONDS,
--- a/tests/simulation/test_platform_services.py
+++ b/tests/simulation/test_platform_services.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from stagewalk.core.identities import Placement, RecordId
+from stagewalk.common.identities import Placement, RecordId
 from stagewalk.simulation.layout import Endpoint, Latencies
 from stagewalk.simulation.log_service import LogPage, LogService
 from stagewalk.simulation.network import Network
--- a/tests/soak/asgi.py
+++ b/tests/soak/asgi.py
@@ -9,9 +9,9 @@
 import anyio
 import msgspec
 
-from stagewalk.core.identities import Address
-from stagewalk.node.http_server import open_listener, serve_http
-from stagewalk.node.lifespan import serve_lifespan
+from stagewalk.common.http.lifespan import serve_lifespan
+from stagewalk.common.http.server import open_listener, serve_http
+from stagewalk.common.identities import Address
 
 
 @dataclass(frozen=True)
--- a/tests/soak/crashes.py
+++ b/tests/soak/crashes.py
@@ -14,7 +14,7 @@
 import httpx
 import msgspec
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog
 from tests.soak.touch import TouchRecord
--- a/tests/soak/foreign.py
+++ b/tests/soak/foreign.py
@@ -10,7 +10,7 @@
 import anyio
 import msgspec
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -11,7 +11,7 @@
 import anyio.abc
 import httpx
 
-from stagewalk.logs.lines import log_event
+from stagewalk.common.logs.lines import log_event
 from tests.soak.callers import READ_SECONDS, Callers
 from tests.soak.checker import Checker
 from tests.soak.crashes import (
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -12,7 +12,7 @@
 import anyio
 import msgspec
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog
 from tests.soak.asgi import Call, Reply, Send, start_answer
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -16,7 +16,7 @@
 import httpx
 import msgspec
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.ports.partitioned_log import Partition
 from stagewalk_standins.forwarder import Forwarder, ForwarderLinks, StreamLink
 from stagewalk_standins.forwarder_faults import LinkFaults
--- a/tests/standins/engines.py
+++ b/tests/standins/engines.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any
 
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     AttemptId,
     EngineName,
     Epoch,
--- a/tests/standins/fake_node.py
+++ b/tests/standins/fake_node.py
@@ -8,7 +8,7 @@
 import httpx
 import msgspec
 
-from stagewalk.core.identities import SlotKey, TenantName, WeightVersion
+from stagewalk.common.identities import SlotKey, TenantName, WeightVersion
 from stagewalk.core.rollouts import slot_seed
 from stagewalk.history.answer_text import answer_length, content_key, render_chunk
 from stagewalk_standins.web import (
--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.core.identities import AttemptId, ModelName, WeightVersion
+from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
 from stagewalk.core.platform import EngineState, OrderKind, OrderOutcome
 from stagewalk.history.answer_text import answer_length, wholeness_fault
 from stagewalk.simulation.engine_messages import (
--- a/tests/standins/test_engine_server.py
+++ b/tests/standins/test_engine_server.py
@@ -11,7 +11,7 @@
 import msgspec
 import testtools
 
-from stagewalk.core.identities import EngineName, Incarnation
+from stagewalk.common.identities import EngineName, Incarnation
 from stagewalk.history.answer_text import answer_length, wholeness_fault
 from stagewalk.history.observations import (
     AnyObservation,
--- a/tests/weights/test_faults.py
+++ b/tests/weights/test_faults.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stagewalk.core.identities import EngineName, Epoch, WeightVersion
+from stagewalk.common.identities import EngineName, Epoch, WeightVersion
 from stagewalk.core.platform import OrderKind
 from stagewalk.weights.config import RolloutConfig
 from stagewalk.weights.targets import assign_targets, pool_targets
--- a/tests/weights/world.py
+++ b/tests/weights/world.py
@@ -5,8 +5,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.identities import (
+from stagewalk.common.identities import (
     Address,
     EngineName,
     Epoch,
@@ -17,6 +16,7 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.configuration.parameters import Tenant, TenantParameters
 from stagewalk.core.instructions import (
     Instruction,
     LogEvent,
--- a/tests/workers/support.py
+++ b/tests/workers/support.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stagewalk.core.identities import Address
+from stagewalk.common.identities import Address
 from stagewalk.workers.worker import WorkerAnnouncement, start_identity
 
 
