--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 VENV := .venv
 BIN := $(VENV)/bin
-PROTO := $(wildcard src/stagewalk/wire/proto/stagewalk/wire/*.proto)
+PROTO := $(wildcard src/stagewalk/node/wire/proto/stagewalk/node/wire/*.proto)
 
 .PHONY: setup demo test check soak gateway-soak proto format clean platform-size platform-day experiment
 
@@ -34,7 +34,7 @@
 	$(BIN)/ruff format . && $(BIN)/ruff check --fix .
 
 proto: setup
-	$(BIN)/python -m grpc_tools.protoc -Isrc/stagewalk/wire/proto --python_out=src --mypy_out=src $(PROTO)
+	$(BIN)/python -m grpc_tools.protoc -Isrc/stagewalk/node/wire/proto --python_out=src --mypy_out=src $(PROTO)
 
 # A calm day on the users' bench: make platform-day BENCH=<program> SITE=<site file> [DAY=quiet-1]
 platform-day:
--- a/examples/claims_example.py
+++ b/examples/claims_example.py
@@ -9,20 +9,20 @@
 import random
 from collections import deque
 
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.core import ClaimCore
-from stagewalk.claims.notifications import ClaimDecided, ClaimOutput
-from stagewalk.claims.placement import (
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement, RecordId
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.core import ClaimCore
+from stagewalk.node.claims.notifications import ClaimDecided, ClaimOutput
+from stagewalk.node.claims.placement import (
     GroupChange,
     MemberRecord,
     PlacementChange,
     PlacementFold,
     encode_record,
 )
-from stagewalk.claims.types import Peer, Replica
-from stagewalk.common.identities import Address, Incarnation, NodeName, Placement, RecordId
-from stagewalk.core.instructions import SendPeerMessage
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.core.instructions import SendPeerMessage
+from stagewalk.node.core.platform import LogRecord
 
 NAMES = ("north", "east", "south")
 ADDRESSES = {name: Address("127.0.0.1", 7000 + index) for index, name in enumerate(NAMES)}
--- a/examples/leases_example.py
+++ b/examples/leases_example.py
@@ -9,10 +9,10 @@
 import random
 
 from stagewalk.common.identities import Incarnation, NodeName, RecordId
-from stagewalk.core.platform import LogRecord
-from stagewalk.leases.config import LeaseConfig
-from stagewalk.leases.core import Candidate, LeaseCore, LiveMember
-from stagewalk.leases.notifications import AppendWanted, LeaseOutput
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.leases.config import LeaseConfig
+from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
+from stagewalk.node.leases.notifications import AppendWanted, LeaseOutput
 
 NAMES = ("north", "east", "south")
 DUTY = "rollout/reader"
--- a/examples/membership_example.py
+++ b/examples/membership_example.py
@@ -10,12 +10,12 @@
 from collections import deque
 
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.core.instructions import SendPeerMessage
-from stagewalk.core.platform import Machine, MachineKind, MachineState
-from stagewalk.membership.config import MembershipConfig
-from stagewalk.membership.core import MembershipCore, MembershipOutput
-from stagewalk.membership.members import MemberIdentity
-from stagewalk.membership.notifications import MemberChanged
+from stagewalk.node.core.instructions import SendPeerMessage
+from stagewalk.node.core.platform import Machine, MachineKind, MachineState
+from stagewalk.node.membership.config import MembershipConfig
+from stagewalk.node.membership.core import MembershipCore, MembershipOutput
+from stagewalk.node.membership.members import MemberIdentity
+from stagewalk.node.membership.notifications import MemberChanged
 
 TICK_SECONDS = 0.1
 VICTIM = "c"
--- a/src/stagewalk/bench/capacity_model.py
+++ b/src/stagewalk/bench/capacity_model.py
@@ -9,9 +9,9 @@
 from stagewalk.bench.capacity_data import CapacityData, SizeMeasurement, UnitCost
 from stagewalk.bench.core_costs import CHUNK_TOKENS, REPORTED_ENGINES
 from stagewalk.bench.slopes import Line, fit
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.placement import GROUP_SIZE
-from stagewalk.weights.config import RolloutConfig
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.placement import GROUP_SIZE
+from stagewalk.node.weights.config import RolloutConfig
 
 PERCENT_PER_MICROSECOND = 100 / 1e6
 MEGABYTE = 1024 * 1024
--- a/src/stagewalk/bench/claim_costs.py
+++ b/src/stagewalk/bench/claim_costs.py
@@ -8,10 +8,11 @@
 
 from stagewalk.bench.capacity_data import UnitCost
 from stagewalk.bench.unit_timing import CpuSlope
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.core import ClaimCore
-from stagewalk.claims.notifications import ClaimOutput
-from stagewalk.claims.placement import (
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement, RecordId
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.core import ClaimCore
+from stagewalk.node.claims.notifications import ClaimOutput
+from stagewalk.node.claims.placement import (
     GROUP_SIZE,
     GroupChange,
     MemberRecord,
@@ -19,10 +20,9 @@
     PlacementFold,
     encode_record,
 )
-from stagewalk.claims.types import Peer, Replica
-from stagewalk.common.identities import Address, Incarnation, NodeName, Placement, RecordId
-from stagewalk.core.instructions import SendPeerMessage
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.core.instructions import SendPeerMessage
+from stagewalk.node.core.platform import LogRecord
 
 CLAIM_COUNTS = (200, 400, 800, 1600)
 VALUE = b"v" * 64
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -21,17 +21,17 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.configuration.records import ChangeParameters, CreateTenant, encode_change
-from stagewalk.core.completions import (
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.parameters import Tenant, TenantParameters
+from stagewalk.node.configuration.records import ChangeParameters, CreateTenant, encode_change
+from stagewalk.node.core.completions import (
     CompletionRequest,
     CompletionResult,
     Priority,
     TokenChunk,
     VersionSpan,
 )
-from stagewalk.core.events import (
+from stagewalk.node.core.events import (
     AttemptChunk,
     AttemptFinished,
     CompletionRequested,
@@ -39,16 +39,16 @@
     MachinesRead,
     SampleScored,
 )
-from stagewalk.core.instructions import DeliverSamples, ScoreSample, StartAttempt
-from stagewalk.core.platform import EngineReport, EngineState, LogRecord, MachineKind
-from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, SamplePull
+from stagewalk.node.core.instructions import DeliverSamples, ScoreSample, StartAttempt
+from stagewalk.node.core.platform import EngineReport, EngineState, LogRecord, MachineKind
+from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, SamplePull
 from stagewalk.node.node_core import NodeCore
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.core import LotCore
-from stagewalk.samples.notifications import ClaimWanted, RequestWanted
-from stagewalk.samples.settlement import LotOutput
-from stagewalk.weights.config import RolloutConfig
-from stagewalk.weights.core import RolloutCore
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.core import LotCore
+from stagewalk.node.samples.notifications import ClaimWanted, RequestWanted
+from stagewalk.node.samples.settlement import LotOutput
+from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.core import RolloutCore
 
 NODES_IN_LIST = 70
 CHUNK_TOKENS = 8
--- a/src/stagewalk/bench/fault_costs.py
+++ b/src/stagewalk/bench/fault_costs.py
@@ -14,7 +14,7 @@
 from stagewalk.bench.hollow_layout import node_identities
 from stagewalk.bench.membership_network import MembershipNetwork
 from stagewalk.common.identities import Placement
-from stagewalk.membership.members import MemberState
+from stagewalk.node.membership.members import MemberState
 
 JOIN_SECONDS = 20.0
 STEP_SECONDS = 1.0
--- a/src/stagewalk/bench/hollow_cluster.py
+++ b/src/stagewalk/bench/hollow_cluster.py
@@ -24,7 +24,7 @@
 )
 from stagewalk.bench.hollow_worker import run_worker
 from stagewalk.common.identities import RecordId
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.core.platform import LogRecord
 
 SERVE_STEP_SECONDS = 0.1
 STOP_SECONDS = 5.0
--- a/src/stagewalk/bench/hollow_layout.py
+++ b/src/stagewalk/bench/hollow_layout.py
@@ -5,7 +5,7 @@
 import time
 
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.core.platform import Machine, MachineKind, MachineState
+from stagewalk.node.core.platform import Machine, MachineKind, MachineState
 from stagewalk.node.node_identity import NodeIdentity
 
 PLANNED_NODES = 420
--- a/src/stagewalk/bench/hollow_messages.py
+++ b/src/stagewalk/bench/hollow_messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import RecordId
-from stagewalk.core.platform import LogRecord, Machine
+from stagewalk.node.core.platform import LogRecord, Machine
 from stagewalk.node.node_identity import NodeIdentity
 
 
--- a/src/stagewalk/bench/hollow_node.py
+++ b/src/stagewalk/bench/hollow_node.py
@@ -12,8 +12,8 @@
 
 from stagewalk.bench.hollow_messages import Seen
 from stagewalk.bench.hollow_platform import HollowPlatform
-from stagewalk.core.events import Event
-from stagewalk.core.instructions import (
+from stagewalk.node.core.events import Event
+from stagewalk.node.core.instructions import (
     AppendRecord,
     Instruction,
     LogEvent,
@@ -24,13 +24,13 @@
     ReadVersions,
     SendPeerMessage,
 )
-from stagewalk.membership.members import MemberState
 from stagewalk.node.core_runner import CoreRunner
 from stagewalk.node.event_queue import EventQueue
+from stagewalk.node.membership.members import MemberState
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.node_core import NodeCore
 from stagewalk.node.node_identity import NodeIdentity
-from stagewalk.node.peer_transport import PeerTransport
+from stagewalk.node.peers.peer_transport import PeerTransport
 
 OUT = "sent"
 IN = "received"
--- a/src/stagewalk/bench/hollow_platform.py
+++ b/src/stagewalk/bench/hollow_platform.py
@@ -23,7 +23,7 @@
     RecordId,
     WeightVersion,
 )
-from stagewalk.core.events import (
+from stagewalk.node.core.events import (
     AppendConfirmed,
     EngineReported,
     Event,
@@ -33,14 +33,14 @@
     OrderAnswered,
     VersionsRead,
 )
-from stagewalk.core.instructions import (
+from stagewalk.node.core.instructions import (
     AppendRecord,
     OrderEngine,
     PollEngine,
     ReadLog,
     ReadVersions,
 )
-from stagewalk.core.platform import (
+from stagewalk.node.core.platform import (
     EngineReport,
     EngineState,
     LogRecord,
--- a/src/stagewalk/bench/hollow_worker.py
+++ b/src/stagewalk/bench/hollow_worker.py
@@ -25,7 +25,7 @@
 from stagewalk.bench.hollow_node import IN, OUT, HollowNode
 from stagewalk.bench.hollow_platform import HollowPlatform
 from stagewalk.common.identities import ModelName
-from stagewalk.core.instructions import AppendRecord
+from stagewalk.node.core.instructions import AppendRecord
 
 START_INTERVAL_SECONDS = 0.01
 
--- a/src/stagewalk/bench/http_costs.py
+++ b/src/stagewalk/bench/http_costs.py
@@ -10,8 +10,6 @@
 import anyio
 import httpx
 
-from stagewalk.adapters.http_engines import HttpEngineClient
-from stagewalk.adapters.http_platform import HttpLogService, HttpMachineList
 from stagewalk.bench.capacity_data import UnitCost
 from stagewalk.bench.hollow_layout import machine_list, node_identities
 from stagewalk.bench.processes import ChildProcesses, free_address, wait_until_answering
@@ -19,6 +17,8 @@
 from stagewalk.bench.unit_timing import MICROSECONDS, CpuSlope
 from stagewalk.common.http.calls import open_client, open_transport
 from stagewalk.common.identities import Address, RecordId
+from stagewalk.node.adapters.http_engines import HttpEngineClient
+from stagewalk.node.adapters.http_platform import HttpLogService, HttpMachineList
 
 CALL_COUNTS = (100, 200, 400, 800)
 LIST_NODES = (20, 60, 140, 280, 420)
--- a/src/stagewalk/bench/lone_node.py
+++ b/src/stagewalk/bench/lone_node.py
@@ -12,13 +12,13 @@
 import httpx
 import psutil
 
-from stagewalk.adapters.http_platform import HttpLogService
 from stagewalk.bench.capacity_data import EdgeMeasurement
 from stagewalk.bench.processes import ChildProcesses, free_address, wait_until_answering
 from stagewalk.common.http.calls import open_client, open_transport
 from stagewalk.common.identities import ModelName, RecordId, TenantName
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.configuration.records import CONFIGURATION_STREAM, CreateTenant, encode_change
+from stagewalk.node.adapters.http_platform import HttpLogService
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.records import CONFIGURATION_STREAM, CreateTenant, encode_change
 
 MODEL = ModelName("qari")
 TENANT = TenantName("catalogue")
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -8,14 +8,14 @@
 from itertools import count
 
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.core.events import TICK_INTERVAL_SECONDS
-from stagewalk.core.instructions import SendPeerMessage, Transport
-from stagewalk.core.platform import Machine, MachineKind, MachineState
-from stagewalk.membership.config import MembershipConfig
-from stagewalk.membership.core import MembershipCore, MembershipOutput
-from stagewalk.membership.members import MemberIdentity, MemberState
-from stagewalk.membership.notifications import MemberChanged, MembershipNotification
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.core.events import TICK_INTERVAL_SECONDS
+from stagewalk.node.core.instructions import SendPeerMessage, Transport
+from stagewalk.node.core.platform import Machine, MachineKind, MachineState
+from stagewalk.node.membership.config import MembershipConfig
+from stagewalk.node.membership.core import MembershipCore, MembershipOutput
+from stagewalk.node.membership.members import MemberIdentity, MemberState
+from stagewalk.node.membership.notifications import MemberChanged, MembershipNotification
+from stagewalk.node.wire.envelope_pb2 import Envelope
 
 UDP_OVERHEAD_BYTES = 28
 
--- a/src/stagewalk/bench/scale.py
+++ b/src/stagewalk/bench/scale.py
@@ -13,8 +13,8 @@
 from stagewalk.bench.hollow_messages import Seen, Traffic, WorkerSample
 from stagewalk.bench.hollow_platform import LOG_WAIT_SECONDS
 from stagewalk.common.identities import ModelName, TenantName
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.configuration.records import (
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.records import (
     CONFIGURATION_STREAM,
     AnyChange,
     ChangeParameters,
--- a/src/stagewalk/cli/config.py
+++ b/src/stagewalk/cli/config.py
@@ -21,10 +21,10 @@
 from stagewalk.cli.config_nodes import NodeProgress, ask_nodes, wait_for_nodes
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import TenantName
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.outcomes import ChangeAccepted, ChangeRejected
-from stagewalk.configuration.parameters import NAME_PATTERN
-from stagewalk.configuration.records import (
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.outcomes import ChangeAccepted, ChangeRejected
+from stagewalk.node.configuration.parameters import NAME_PATTERN
+from stagewalk.node.configuration.records import (
     AnyChange,
     ChangeParameters,
     CreateTenant,
--- a/src/stagewalk/cli/config_files.py
+++ b/src/stagewalk/cli/config_files.py
@@ -8,9 +8,9 @@
 from expression import Error, Ok, Result
 
 from stagewalk.common.errors import StagewalkError
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.configuration.records import invalid
-from stagewalk.configuration.templates import (
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.records import invalid
+from stagewalk.node.configuration.templates import (
     ChangeFile,
     Template,
     parse_change_file,
--- a/src/stagewalk/cli/config_log.py
+++ b/src/stagewalk/cli/config_log.py
@@ -14,20 +14,20 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import RecordId
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.outcomes import ChangeAccepted, ChangeRejected
-from stagewalk.configuration.records import (
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.outcomes import ChangeAccepted, ChangeRejected
+from stagewalk.node.configuration.records import (
     CONFIGURATION_STREAM,
     SNAPSHOT_STREAM,
     AnyChange,
     encode_change,
 )
-from stagewalk.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
-from stagewalk.core.instructions import AppendRecord, ReadLog
-from stagewalk.core.platform import LogRecord
-from stagewalk.log_client.config import LogClientConfig
-from stagewalk.log_client.core import LogClientCore, LogClientEvent, LogClientOutput
-from stagewalk.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
+from stagewalk.node.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
+from stagewalk.node.core.instructions import AppendRecord, ReadLog
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.log_client.config import LogClientConfig
+from stagewalk.node.log_client.core import LogClientCore, LogClientEvent, LogClientOutput
+from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
 
 CALL_TIMEOUT_SECONDS = 5.0
 PAUSE_SECONDS = 0.02
--- a/src/stagewalk/cli/node.py
+++ b/src/stagewalk/cli/node.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from stagewalk.node.daemon import run_node
-from stagewalk.settings.node_settings import load_node_settings
+from stagewalk.node.settings import load_node_settings
 
 EXIT_BAD_SETTINGS = 2
 
--- a/src/stagewalk/history/answer_text.py
+++ b/src/stagewalk/history/answer_text.py
@@ -18,7 +18,7 @@
 import xxhash
 
 from stagewalk.common.identities import WeightVersion
-from stagewalk.core.completions import VersionSpan, append_span
+from stagewalk.node.core.completions import VersionSpan, append_span
 
 _CHUNK = re.compile(r"([0-9a-f]{16})\[(\d+):(\d+)\]v(\d+);")
 
--- a/src/stagewalk/history/checker_configuration.py
+++ b/src/stagewalk/history/checker_configuration.py
@@ -7,7 +7,6 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from stagewalk.configuration.parameters import TenantParameters
 from stagewalk.history.checker_verdict import Promise, Verdict
 from stagewalk.history.observations import (
     AnyObservation,
@@ -16,6 +15,7 @@
     PublishAnswered,
     RecordAppended,
 )
+from stagewalk.node.configuration.parameters import TenantParameters
 
 CONFIGURATION_STREAM = "configuration"
 IN_FORCE_SECONDS = 10.0
--- a/src/stagewalk/history/checker_oracle.py
+++ b/src/stagewalk/history/checker_oracle.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from stagewalk.common.identities import RecordId
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.outcomes import ChangeAccepted
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.core.platform import LogRecord
 from stagewalk.history.observations import RecordAppended
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.outcomes import ChangeAccepted
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.core.platform import LogRecord
 
 
 class FoldOracle:
--- a/src/stagewalk/history/checker_requests.py
+++ b/src/stagewalk/history/checker_requests.py
@@ -7,7 +7,6 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.errors import Ran
-from stagewalk.core.completions import VersionSpan, append_span
 from stagewalk.history.answer_text import parse_answer, true_spans, wholeness_fault
 from stagewalk.history.checker_verdict import Promise, Verdict
 from stagewalk.history.observations import (
@@ -19,6 +18,7 @@
     WorkEnded,
     WorkReceived,
 )
+from stagewalk.node.core.completions import VersionSpan, append_span
 
 
 @dataclass(slots=True)
--- a/src/stagewalk/history/observations.py
+++ b/src/stagewalk/history/observations.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from stagewalk.core.completions import VersionSpan
+from stagewalk.node.core.completions import VersionSpan
 
 
 class Observation(msgspec.Struct, frozen=True, tag=True, kw_only=True):
--- a/src/stagewalk/adapters/engine_frames.py
+++ b/src/stagewalk/node/adapters/engine_frames.py
@@ -6,8 +6,8 @@
 
 from stagewalk.common.errors import Ran
 from stagewalk.common.identities import WeightVersion
-from stagewalk.core.completions import TokenChunk
-from stagewalk.core.instructions import StartAttempt
+from stagewalk.node.core.completions import TokenChunk
+from stagewalk.node.core.instructions import StartAttempt
 
 
 class _CompletionBody(msgspec.Struct, omit_defaults=True):
--- a/src/stagewalk/adapters/engine_stream.py
+++ b/src/stagewalk/node/adapters/engine_stream.py
@@ -8,12 +8,6 @@
 import httpx
 import msgspec
 
-from stagewalk.adapters.engine_frames import (
-    StreamEvent,
-    decode_event,
-    decode_problem,
-    encode_attempt,
-)
 from stagewalk.common.errors import Ran
 from stagewalk.common.http.calls import (
     NOT_SENT_ERRORS,
@@ -23,10 +17,16 @@
     process_url,
 )
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.completions import TokenChunk
-from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.instructions import StartAttempt
-from stagewalk.ports.engines import AttemptSink, FinalAttemptEvent
+from stagewalk.node.adapters.engine_frames import (
+    StreamEvent,
+    decode_event,
+    decode_problem,
+    encode_attempt,
+)
+from stagewalk.node.core.completions import TokenChunk
+from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
+from stagewalk.node.core.instructions import StartAttempt
+from stagewalk.node.ports.engines import AttemptSink, FinalAttemptEvent
 
 ATTEMPT_GRACE_SECONDS = 5.0
 """How long a stream may outlive its request's deadline before it is given up."""
--- a/src/stagewalk/adapters/http_engines.py
+++ b/src/stagewalk/node/adapters/http_engines.py
@@ -6,14 +6,14 @@
 import msgspec
 from expression import Result
 
-from stagewalk.adapters.engine_stream import AttemptStream
 from stagewalk.common.errors import StagewalkError, Step
 from stagewalk.common.http.calls import call_json, describe, process_url, send_json
 from stagewalk.common.identities import Address
-from stagewalk.core.events import OrderAnswered
-from stagewalk.core.instructions import CancelAttempt, OrderEngine, StartAttempt
-from stagewalk.core.platform import EngineReport, OrderOutcome
-from stagewalk.ports.engines import AttemptSink
+from stagewalk.node.adapters.engine_stream import AttemptStream
+from stagewalk.node.core.events import OrderAnswered
+from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, StartAttempt
+from stagewalk.node.core.platform import EngineReport, OrderOutcome
+from stagewalk.node.ports.engines import AttemptSink
 
 REPORT_TIMEOUT_SECONDS = 1.5
 CANCEL_TIMEOUT_SECONDS = 2.0
--- a/src/stagewalk/adapters/http_platform.py
+++ b/src/stagewalk/node/adapters/http_platform.py
@@ -9,15 +9,15 @@
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.http.calls import call_json, call_json_if_changed, path_part
 from stagewalk.common.identities import Address, ModelName, Placement, RecordId, WeightVersion
-from stagewalk.core.instructions import ScoreSample
-from stagewalk.core.platform import (
+from stagewalk.node.core.instructions import ScoreSample
+from stagewalk.node.core.platform import (
     LogRecord,
     Machine,
     MachineKind,
     MachineState,
     PublishedVersion,
 )
-from stagewalk.ports.platform_services import LogPage
+from stagewalk.node.ports.platform_services import LogPage
 
 LOG_WAIT_SECONDS = 5.0
 """How long the log may hold a read back for a first record."""
--- a/src/stagewalk/admission/controller.py
+++ b/src/stagewalk/node/admission/controller.py
@@ -13,14 +13,14 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.admission.config import AdmissionConfig
-from stagewalk.admission.limiter import AdaptiveLimiter
-from stagewalk.admission.shares import guaranteed, may_use_one_more
-from stagewalk.admission.waiting import QueueName, WaitingRoom
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import ModelName, NodeName, RequestKey, TenantName
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.completions import CompletionRequest, Priority
+from stagewalk.node.admission.config import AdmissionConfig
+from stagewalk.node.admission.limiter import AdaptiveLimiter
+from stagewalk.node.admission.shares import guaranteed, may_use_one_more
+from stagewalk.node.admission.waiting import QueueName, WaitingRoom
+from stagewalk.node.configuration.parameters import Tenant
+from stagewalk.node.core.completions import CompletionRequest, Priority
 
 
 class Admission(StrEnum):
--- a/src/stagewalk/admission/limiter.py
+++ b/src/stagewalk/node/admission/limiter.py
@@ -4,7 +4,7 @@
 
 import math
 
-from stagewalk.admission.config import LimiterConfig
+from stagewalk.node.admission.config import LimiterConfig
 
 
 class AdaptiveLimiter:
--- a/src/stagewalk/admission/waiting.py
+++ b/src/stagewalk/node/admission/waiting.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import RequestKey, TenantName
-from stagewalk.core.completions import Priority
+from stagewalk.node.core.completions import Priority
 
 
 @dataclass(frozen=True, slots=True, order=True)
--- a/src/stagewalk/node/answer_exchange.py
+++ b/src/stagewalk/node/answer_exchange.py
@@ -19,16 +19,16 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.core.completions import CompletionResult, VersionSpan
-from stagewalk.core.events import PeerMessageReceived
-from stagewalk.core.instructions import SendPeerMessage, Transport
-from stagewalk.membership.core import MembershipCore
+from stagewalk.node.core.completions import CompletionResult, VersionSpan
+from stagewalk.node.core.events import PeerMessageReceived
+from stagewalk.node.core.instructions import SendPeerMessage, Transport
+from stagewalk.node.membership.core import MembershipCore
 from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.outputs import NodeOutput
-from stagewalk.requests.core import RequestCore
-from stagewalk.requests.notifications import AnswerWanted
-from stagewalk.wire.answers_pb2 import AnswerMessage, AnswerQuery, AnswerReply, AnswerSpan
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.requests.core import RequestCore
+from stagewalk.node.requests.notifications import AnswerWanted
+from stagewalk.node.wire.answers_pb2 import AnswerMessage, AnswerQuery, AnswerReply, AnswerSpan
+from stagewalk.node.wire.envelope_pb2 import Envelope
 
 MAXIMUM_WAITING_QUERIES = 1024
 """Queries for answers still being made; one more is answered as not known."""
--- a/src/stagewalk/claims/codec.py
+++ b/src/stagewalk/node/claims/codec.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Mapping
 
-from stagewalk.claims.register import ClaimEntry
-from stagewalk.claims.types import Ballot
 from stagewalk.common.identities import Incarnation, NodeName
-from stagewalk.wire import claims_pb2
+from stagewalk.node.claims.register import ClaimEntry
+from stagewalk.node.claims.types import Ballot
+from stagewalk.node.wire import claims_pb2
 
 
 def write_ballot(ballot: Ballot) -> claims_pb2.ClaimBallot:
--- a/src/stagewalk/claims/core.py
+++ b/src/stagewalk/node/claims/core.py
@@ -10,10 +10,11 @@
 from collections import deque
 from collections.abc import Mapping
 
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.messages import ANSWERS
-from stagewalk.claims.notifications import ClaimOutput, PlacementAppendWanted
-from stagewalk.claims.placement import (
+from stagewalk.common.identities import Address, Incarnation, NodeName
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.messages import ANSWERS
+from stagewalk.node.claims.notifications import ClaimOutput, PlacementAppendWanted
+from stagewalk.node.claims.placement import (
     PLACEMENT_STREAM,
     GroupMember,
     GroupPlacement,
@@ -21,19 +22,18 @@
     RecoveryAbandoned,
     encode_record,
 )
-from stagewalk.claims.proposer import ProposerCore
-from stagewalk.claims.relay import PlacementView
-from stagewalk.claims.replica import ReplicaCore
-from stagewalk.claims.transfers import Outgoing
-from stagewalk.claims.types import Peer, Replica
-from stagewalk.common.identities import Address, Incarnation, NodeName
-from stagewalk.core.instructions import (
+from stagewalk.node.claims.proposer import ProposerCore
+from stagewalk.node.claims.relay import PlacementView
+from stagewalk.node.claims.replica import ReplicaCore
+from stagewalk.node.claims.transfers import Outgoing
+from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.core.instructions import (
     MAXIMUM_DATAGRAM_BYTES,
     SendPeerMessage,
     Transport,
 )
-from stagewalk.wire.claims_pb2 import ClaimMessage, ClaimPlacementRequest
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimPlacementRequest
+from stagewalk.node.wire.envelope_pb2 import Envelope
 
 REPORT_INTERVAL_SECONDS = 30.0
 """An abandoned recovery is reported again until the log shows it."""
--- a/src/stagewalk/claims/messages.py
+++ b/src/stagewalk/node/claims/messages.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from stagewalk.claims.codec import write_ballot
-from stagewalk.claims.types import Ballot
-from stagewalk.wire.claims_pb2 import ClaimMessage, ClaimReject, ClaimStateRequest
+from stagewalk.node.claims.codec import write_ballot
+from stagewalk.node.claims.types import Ballot
+from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimReject, ClaimStateRequest
 
 Reason = ClaimReject.Reason
 Purpose = ClaimStateRequest.Purpose
--- a/src/stagewalk/claims/notifications.py
+++ b/src/stagewalk/node/claims/notifications.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.errors import StagewalkError
-from stagewalk.core.instructions import LogEvent, SendPeerMessage
+from stagewalk.node.core.instructions import LogEvent, SendPeerMessage
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/claims/partition.py
+++ b/src/stagewalk/node/claims/partition.py
@@ -4,14 +4,14 @@
 
 from dataclasses import dataclass, field
 
-from stagewalk.claims import messages
-from stagewalk.claims.codec import read_ballot
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.messages import Reason
-from stagewalk.claims.placement import Group, PartitionChain
-from stagewalk.claims.register import ClaimEntry, Register, Usage
 from stagewalk.common.identities import Incarnation, NodeName
-from stagewalk.wire.claims_pb2 import ClaimAccept, ClaimDecision, ClaimMessage, ClaimPrepare
+from stagewalk.node.claims import messages
+from stagewalk.node.claims.codec import read_ballot
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.messages import Reason
+from stagewalk.node.claims.placement import Group, PartitionChain
+from stagewalk.node.claims.register import ClaimEntry, Register, Usage
+from stagewalk.node.wire.claims_pb2 import ClaimAccept, ClaimDecision, ClaimMessage, ClaimPrepare
 
 
 @dataclass(slots=True)
--- a/src/stagewalk/claims/placement.py
+++ b/src/stagewalk/node/claims/placement.py
@@ -15,7 +15,7 @@
 import xxhash
 
 from stagewalk.common.identities import Incarnation, NodeName
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.core.platform import LogRecord
 
 PLACEMENT_STREAM = "placement"
 DEFAULT_PARTITION_COUNT = 64
--- a/src/stagewalk/claims/planner.py
+++ b/src/stagewalk/node/claims/planner.py
@@ -7,7 +7,8 @@
 
 import xxhash
 
-from stagewalk.claims.placement import (
+from stagewalk.common.identities import Incarnation, NodeName, Placement
+from stagewalk.node.claims.placement import (
     GROUP_SIZE,
     Group,
     GroupChange,
@@ -17,7 +18,6 @@
     PartitionChain,
     PlacementChange,
 )
-from stagewalk.common.identities import Incarnation, NodeName, Placement
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/claims/proposal.py
+++ b/src/stagewalk/node/claims/proposal.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from stagewalk.claims.codec import read_ballot
-from stagewalk.claims.messages import Reason
-from stagewalk.claims.placement import Group
-from stagewalk.claims.quorum import Answer, add_answer, consistent_answers
-from stagewalk.claims.types import Ballot
 from stagewalk.common.identities import NodeName
-from stagewalk.wire.claims_pb2 import ClaimMessage
+from stagewalk.node.claims.codec import read_ballot
+from stagewalk.node.claims.messages import Reason
+from stagewalk.node.claims.placement import Group
+from stagewalk.node.claims.quorum import Answer, add_answer, consistent_answers
+from stagewalk.node.claims.types import Ballot
+from stagewalk.node.wire.claims_pb2 import ClaimMessage
 
 
 class Phase(Enum):
--- a/src/stagewalk/claims/proposer.py
+++ b/src/stagewalk/node/claims/proposer.py
@@ -4,20 +4,20 @@
 
 import random
 
-from stagewalk.claims import messages
-from stagewalk.claims.codec import read_ballot, read_incarnations
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.messages import Reason
-from stagewalk.claims.notifications import ClaimAbsent, ClaimDecided, ClaimUndecided
-from stagewalk.claims.placement import GroupMember, GroupPlacement
-from stagewalk.claims.proposal import Accepted, Phase, Proposal, Verdict
-from stagewalk.claims.quorum import Answer
-from stagewalk.claims.relay import write_chain
-from stagewalk.claims.transfers import Outgoing
-from stagewalk.claims.types import Ballot
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import NodeName
-from stagewalk.wire.claims_pb2 import ClaimMessage, ClaimPlacement
+from stagewalk.node.claims import messages
+from stagewalk.node.claims.codec import read_ballot, read_incarnations
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.messages import Reason
+from stagewalk.node.claims.notifications import ClaimAbsent, ClaimDecided, ClaimUndecided
+from stagewalk.node.claims.placement import GroupMember, GroupPlacement
+from stagewalk.node.claims.proposal import Accepted, Phase, Proposal, Verdict
+from stagewalk.node.claims.quorum import Answer
+from stagewalk.node.claims.relay import write_chain
+from stagewalk.node.claims.transfers import Outgoing
+from stagewalk.node.claims.types import Ballot
+from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimPlacement
 
 RETRY_AFTER_SECONDS = 5.0
 """When to ask again unless a replica knows better: about the time to replace a replica."""
--- a/src/stagewalk/claims/register.py
+++ b/src/stagewalk/node/claims/register.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from stagewalk.claims.types import Ballot
+from stagewalk.node.claims.types import Ballot
 
 ENTRY_OVERHEAD_BYTES = 400
 """Flat estimate of what an entry takes besides its key and value."""
--- a/src/stagewalk/claims/relay.py
+++ b/src/stagewalk/node/claims/relay.py
@@ -6,15 +6,15 @@
 
 from __future__ import annotations
 
-from stagewalk.claims.placement import (
+from stagewalk.common.identities import Incarnation, NodeName
+from stagewalk.node.claims.placement import (
     CHAIN_LENGTH,
     Group,
     GroupMember,
     GroupPlacement,
     PartitionChain,
 )
-from stagewalk.common.identities import Incarnation, NodeName
-from stagewalk.wire.claims_pb2 import ClaimMessage
+from stagewalk.node.wire.claims_pb2 import ClaimMessage
 
 
 class PlacementView:
--- a/src/stagewalk/claims/replica.py
+++ b/src/stagewalk/node/claims/replica.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from stagewalk.claims import messages
-from stagewalk.claims.codec import write_entry, write_incarnations
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.messages import Purpose, Reason
-from stagewalk.claims.partition import PartitionReplica
-from stagewalk.claims.placement import (
+from stagewalk.common.identities import Incarnation, NodeName
+from stagewalk.node.claims import messages
+from stagewalk.node.claims.codec import write_entry, write_incarnations
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.messages import Purpose, Reason
+from stagewalk.node.claims.partition import PartitionReplica
+from stagewalk.node.claims.placement import (
     Group,
     GroupMember,
     GroupPlacement,
     PartitionChain,
 )
-from stagewalk.claims.register import Register, Usage, key_hash
-from stagewalk.claims.relay import write_chain
-from stagewalk.claims.transfers import TransferCore
-from stagewalk.common.identities import Incarnation, NodeName
-from stagewalk.wire.claims_pb2 import ClaimMessage, ClaimState, ClaimStateRequest
+from stagewalk.node.claims.register import Register, Usage, key_hash
+from stagewalk.node.claims.relay import write_chain
+from stagewalk.node.claims.transfers import TransferCore
+from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimState, ClaimStateRequest
 
 SWEEP_INTERVAL_SECONDS = 1.0
 
--- a/src/stagewalk/claims/transfer.py
+++ b/src/stagewalk/node/claims/transfer.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass, field
 
-from stagewalk.claims.messages import Purpose
-from stagewalk.claims.placement import Group, GroupMember
-from stagewalk.claims.quorum import (
+from stagewalk.common.identities import Incarnation, NodeName
+from stagewalk.node.claims.messages import Purpose
+from stagewalk.node.claims.placement import Group, GroupMember
+from stagewalk.node.claims.quorum import (
     Answer,
     add_answer,
     consistent_answers,
     merge_incarnations,
 )
-from stagewalk.common.identities import Incarnation, NodeName
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/claims/transfers.py
+++ b/src/stagewalk/node/claims/transfers.py
@@ -4,18 +4,18 @@
 
 from dataclasses import dataclass
 
-from stagewalk.claims import messages
-from stagewalk.claims.codec import read_entry, read_incarnations
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.messages import Purpose, Reason
-from stagewalk.claims.partition import PartitionReplica
-from stagewalk.claims.placement import AbandonedGroup, Group, GroupMember, MemberRecord
-from stagewalk.claims.quorum import Answer
-from stagewalk.claims.relay import write_chain
-from stagewalk.claims.transfer import HeldState, Source, StateTransfer
 from stagewalk.common.identities import NodeName
-from stagewalk.core.instructions import LogEvent, LogFields
-from stagewalk.wire.claims_pb2 import ClaimMessage
+from stagewalk.node.claims import messages
+from stagewalk.node.claims.codec import read_entry, read_incarnations
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.messages import Purpose, Reason
+from stagewalk.node.claims.partition import PartitionReplica
+from stagewalk.node.claims.placement import AbandonedGroup, Group, GroupMember, MemberRecord
+from stagewalk.node.claims.quorum import Answer
+from stagewalk.node.claims.relay import write_chain
+from stagewalk.node.claims.transfer import HeldState, Source, StateTransfer
+from stagewalk.node.core.instructions import LogEvent, LogFields
+from stagewalk.node.wire.claims_pb2 import ClaimMessage
 
 MAXIMUM_PATIENCE = 8
 """Unanswered requests for state are repeated ever more slowly, up to this many retry delays."""
--- a/src/stagewalk/configuration/deployment.py
+++ b/src/stagewalk/node/configuration/deployment.py
@@ -12,8 +12,8 @@
 from expression import Error, Ok, Result
 
 from stagewalk.common.errors import StagewalkError
-from stagewalk.configuration.parameters import Fraction, ModelNameField, Name, TenantNameField
-from stagewalk.configuration.records import invalid, validation_error
+from stagewalk.node.configuration.parameters import Fraction, ModelNameField, Name, TenantNameField
+from stagewalk.node.configuration.records import invalid, validation_error
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
 PositiveNumber = Annotated[float, msgspec.Meta(gt=0.0)]
--- a/src/stagewalk/configuration/fold.py
+++ b/src/stagewalk/node/configuration/fold.py
@@ -13,7 +13,7 @@
 from expression import Error, Ok, Result
 
 from stagewalk.common.identities import RecordId, TenantName
-from stagewalk.configuration.outcomes import (
+from stagewalk.node.configuration.outcomes import (
     ChangeAccepted,
     ChangeRejected,
     ChangeRepeated,
@@ -21,8 +21,8 @@
     HistoryEntry,
     RejectionReason,
 )
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.configuration.records import (
+from stagewalk.node.configuration.parameters import Tenant, TenantParameters
+from stagewalk.node.configuration.records import (
     AnyChange,
     ChangeParameters,
     CreateTenant,
@@ -30,7 +30,7 @@
     RollBack,
     decode_change,
 )
-from stagewalk.configuration.state import (
+from stagewalk.node.configuration.state import (
     FoldState,
     RevisionEntry,
     TenantRecord,
@@ -40,7 +40,7 @@
     overcommitted_model,
     state_digest,
 )
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.core.platform import LogRecord
 
 HISTORY_LIMIT = 512
 """Records of which the outcome is kept; a record repeated later than that is judged anew.
--- a/src/stagewalk/configuration/follower.py
+++ b/src/stagewalk/node/configuration/follower.py
@@ -12,16 +12,16 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import Address, NodeName, ProcessIdentity
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.notifications import ConfigurationChanged
-from stagewalk.configuration.outcomes import ChangeRejected
-from stagewalk.configuration.progress import ProgressTable
-from stagewalk.configuration.relay import RelayCache, relayed_records
-from stagewalk.configuration.state import snapshot_offset
-from stagewalk.core.instructions import LogEvent, LogFields, SendPeerMessage, Transport
-from stagewalk.core.platform import LogRecord
-from stagewalk.wire.configuration_pb2 import ConfigurationMessage
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.notifications import ConfigurationChanged
+from stagewalk.node.configuration.outcomes import ChangeRejected
+from stagewalk.node.configuration.progress import ProgressTable
+from stagewalk.node.configuration.relay import RelayCache, relayed_records
+from stagewalk.node.configuration.state import snapshot_offset
+from stagewalk.node.core.instructions import LogEvent, LogFields, SendPeerMessage, Transport
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.wire.configuration_pb2 import ConfigurationMessage
+from stagewalk.node.wire.envelope_pb2 import Envelope
 
 FollowerOutput = SendPeerMessage | LogEvent | ConfigurationChanged
 
--- a/src/stagewalk/configuration/notifications.py
+++ b/src/stagewalk/node/configuration/notifications.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from stagewalk.configuration.parameters import Tenant
+from stagewalk.node.configuration.parameters import Tenant
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/configuration/progress.py
+++ b/src/stagewalk/node/configuration/progress.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from stagewalk.common.identities import NodeName
-from stagewalk.wire.configuration_pb2 import ConfigurationMessage
+from stagewalk.node.wire.configuration_pb2 import ConfigurationMessage
 
 
 class ProgressTable:
--- a/src/stagewalk/configuration/records.py
+++ b/src/stagewalk/node/configuration/records.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok, Result
 
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
-from stagewalk.configuration.parameters import (
+from stagewalk.node.configuration.parameters import (
     MAXIMUM_INTEGER,
     Name,
     TenantNameField,
--- a/src/stagewalk/configuration/relay.py
+++ b/src/stagewalk/node/configuration/relay.py
@@ -5,8 +5,8 @@
 from collections import deque
 
 from stagewalk.common.identities import RecordId
-from stagewalk.core.platform import LogRecord
-from stagewalk.wire.configuration_pb2 import ConfigurationMessage, ConfigurationRecord
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.wire.configuration_pb2 import ConfigurationMessage, ConfigurationRecord
 
 
 class RelayCache:
--- a/src/stagewalk/configuration/state.py
+++ b/src/stagewalk/node/configuration/state.py
@@ -8,8 +8,8 @@
 import xxhash
 
 from stagewalk.common.identities import ModelName, TenantName
-from stagewalk.configuration.outcomes import HistoryEntry
-from stagewalk.configuration.parameters import Tenant, TenantParameters
+from stagewalk.node.configuration.outcomes import HistoryEntry
+from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 
 SHARE_UNITS = 1_000_000
 """Capacity shares are added up in millionths, so that the sum is exact on every machine."""
--- a/src/stagewalk/configuration/templates.py
+++ b/src/stagewalk/node/configuration/templates.py
@@ -6,13 +6,13 @@
 from expression import Error, Ok, Result
 
 from stagewalk.common.errors import StagewalkError
-from stagewalk.configuration.parameters import (
+from stagewalk.node.configuration.parameters import (
     Name,
     TenantNameField,
     TenantParameters,
     parameters_fault,
 )
-from stagewalk.configuration.records import invalid, validation_error
+from stagewalk.node.configuration.records import invalid, validation_error
 
 ParameterValues = dict[str, object]
 """Some of the fields of `TenantParameters`, as a file gives them; checked when put together."""
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -9,35 +9,35 @@
 
 import random
 
-from stagewalk.claims.core import ClaimCore
-from stagewalk.claims.notifications import PlacementAppendWanted
-from stagewalk.claims.placement import PLACEMENT_STREAM, PlacementFold, encode_record
-from stagewalk.claims.planner import PlacementCandidate, PlacementPlanner
-from stagewalk.claims.types import Peer, Replica
 from stagewalk.common.identities import Epoch, Incarnation, ModelName, NodeName
-from stagewalk.configuration.follower import ConfigurationFollower
-from stagewalk.configuration.notifications import ConfigurationChanged
-from stagewalk.configuration.records import CONFIGURATION_STREAM, SNAPSHOT_STREAM
-from stagewalk.core.events import (
+from stagewalk.node.claims.core import ClaimCore
+from stagewalk.node.claims.notifications import PlacementAppendWanted
+from stagewalk.node.claims.placement import PLACEMENT_STREAM, PlacementFold, encode_record
+from stagewalk.node.claims.planner import PlacementCandidate, PlacementPlanner
+from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.configuration.follower import ConfigurationFollower
+from stagewalk.node.configuration.notifications import ConfigurationChanged
+from stagewalk.node.configuration.records import CONFIGURATION_STREAM, SNAPSHOT_STREAM
+from stagewalk.node.core.events import (
     AppendConfirmed,
     AppendFailed,
     LogRead,
     LogReadFailed,
     PeerMessageReceived,
 )
-from stagewalk.core.instructions import LogEvent, LogFields
-from stagewalk.core.platform import LogRecord, Machine, MachineKind, MachineState
-from stagewalk.leases.core import Candidate, LeaseCore, LiveMember
-from stagewalk.leases.fold import LEASE_STREAM
-from stagewalk.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost
-from stagewalk.log_client.core import LogClientCore
-from stagewalk.log_client.notifications import AppendAbandoned, RecordsRead
-from stagewalk.membership.core import MembershipCore
-from stagewalk.membership.members import MemberIdentity, MemberStatus
+from stagewalk.node.core.instructions import LogEvent, LogFields
+from stagewalk.node.core.platform import LogRecord, Machine, MachineKind, MachineState
+from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
+from stagewalk.node.leases.fold import LEASE_STREAM
+from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost
+from stagewalk.node.log_client.core import LogClientCore
+from stagewalk.node.log_client.notifications import AppendAbandoned, RecordsRead
+from stagewalk.node.membership.core import MembershipCore
+from stagewalk.node.membership.members import MemberIdentity, MemberStatus
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.outputs import NodeOutput
-from stagewalk.weights.core import RolloutCore
+from stagewalk.node.weights.core import RolloutCore
 
 PLACEMENT_DUTY = "placement"
 ROLLOUT_DUTY_PREFIX = "rollout/"
--- a/src/stagewalk/core/events.py
+++ b/src/stagewalk/node/core/events.py
@@ -19,16 +19,16 @@
     RequestId,
     TenantName,
 )
-from stagewalk.core.completions import CompletionRequest, TokenChunk
-from stagewalk.core.platform import (
+from stagewalk.node.core.completions import CompletionRequest, TokenChunk
+from stagewalk.node.core.platform import (
     EngineReport,
     LogRecord,
     Machine,
     OrderOutcome,
     PublishedVersion,
 )
-from stagewalk.core.rollouts import RolloutLot, SamplePull
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.core.rollouts import RolloutLot, SamplePull
+from stagewalk.node.wire.envelope_pb2 import Envelope
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/core/instructions.py
+++ b/src/stagewalk/node/core/instructions.py
@@ -7,10 +7,10 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import Address, AttemptId, CallId, EngineName, ModelName, RecordId
-from stagewalk.core.completions import CompletionRequest, CompletionResult, TokenChunk
-from stagewalk.core.platform import EngineOrder
-from stagewalk.core.rollouts import RolloutLot, SampleBatch
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
+from stagewalk.node.core.platform import EngineOrder
+from stagewalk.node.core.rollouts import RolloutLot, SampleBatch
+from stagewalk.node.wire.envelope_pb2 import Envelope
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/core/rollouts.py
+++ b/src/stagewalk/node/core/rollouts.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from stagewalk.common.identities import ModelName, SlotKey, TenantName, WeightVersion
-from stagewalk.core.completions import VersionSpan
+from stagewalk.node.core.completions import VersionSpan
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/node/core_runner.py
+++ b/src/stagewalk/node/core_runner.py
@@ -10,8 +10,8 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.events import TICK_INTERVAL_SECONDS, Event, Tick
-from stagewalk.core.instructions import Instruction
+from stagewalk.node.core.events import TICK_INTERVAL_SECONDS, Event, Tick
+from stagewalk.node.core.instructions import Instruction
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.node_core import NodeStatus
--- a/src/stagewalk/node/daemon.py
+++ b/src/stagewalk/node/daemon.py
@@ -14,19 +14,19 @@
 import anyio
 import anyio.abc
 
-from stagewalk.adapters.http_engines import HttpEngineClient
-from stagewalk.adapters.http_platform import (
+from stagewalk.common.http.calls import open_client, open_transport
+from stagewalk.common.http.server import open_listener, serve_http
+from stagewalk.common.identities import Incarnation, NodeName, Placement
+from stagewalk.common.logs.lines import configure_logs, log_event
+from stagewalk.node.adapters.http_engines import HttpEngineClient
+from stagewalk.node.adapters.http_platform import (
     HttpLogService,
     HttpMachineList,
     HttpScorer,
     HttpWeightStore,
 )
-from stagewalk.common.http.calls import open_client, open_transport
-from stagewalk.common.http.server import open_listener, serve_http
-from stagewalk.common.identities import Incarnation, NodeName, Placement
-from stagewalk.common.logs.lines import configure_logs, log_event
-from stagewalk.core.events import StopRequested
-from stagewalk.core.instructions import Instruction
+from stagewalk.node.core.events import StopRequested
+from stagewalk.node.core.instructions import Instruction
 from stagewalk.node.core_runner import Core, CoreRunner
 from stagewalk.node.edge.app import EdgeApp
 from stagewalk.node.edge.call_desk import CallDesk
@@ -39,9 +39,9 @@
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.node_core import NodeCore, NodeIdentity
 from stagewalk.node.open_calls import OpenCalls
-from stagewalk.node.peer_transport import PeerTransport
+from stagewalk.node.peers.peer_transport import PeerTransport
 from stagewalk.node.platform_tasks import PlatformServices, PlatformTasks
-from stagewalk.settings.node_settings import NodeSettings
+from stagewalk.node.settings import NodeSettings
 
 EXIT_CLEAN = 0
 EXIT_FAILED = 1
--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -9,12 +9,12 @@
 from collections import defaultdict
 from dataclasses import dataclass, replace
 
-from stagewalk.admission.controller import AdmissionController
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import CallId, RequestId, RequestKey
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.completions import CompletionRequest, CompletionResult
-from stagewalk.core.events import (
+from stagewalk.node.admission.controller import AdmissionController
+from stagewalk.node.configuration.parameters import Tenant
+from stagewalk.node.core.completions import CompletionRequest, CompletionResult
+from stagewalk.node.core.events import (
     AnswerRequested,
     AttemptChunk,
     AttemptFailed,
@@ -26,23 +26,23 @@
     LotSubmitted,
     SamplesPulled,
 )
-from stagewalk.core.instructions import FailCall, FinishCall, LogEvent, SendChunk
-from stagewalk.core.platform import Machine
+from stagewalk.node.core.instructions import FailCall, FinishCall, LogEvent, SendChunk
+from stagewalk.node.core.platform import Machine
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.outputs import NodeOutput
-from stagewalk.requests.core import RequestCore
-from stagewalk.requests.notifications import (
+from stagewalk.node.requests.core import RequestCore
+from stagewalk.node.requests.notifications import (
     RequestChunk,
     RequestFailed,
     RequestFinished,
     RequestJoined,
     SubmissionRejected,
 )
-from stagewalk.routing.engine_table import EngineTable
-from stagewalk.routing.router import Router
-from stagewalk.samples.core import LotCore
-from stagewalk.samples.notifications import RequestUnwanted, RequestWanted
+from stagewalk.node.routing.engine_table import EngineTable
+from stagewalk.node.routing.router import Router
+from stagewalk.node.samples.core import LotCore
+from stagewalk.node.samples.notifications import RequestUnwanted, RequestWanted
 
 STOPPING_RETRY_SECONDS = 1.0
 """When a caller refused by a stopping node may try another one."""
--- a/src/stagewalk/node/edge/call_desk.py
+++ b/src/stagewalk/node/edge/call_desk.py
@@ -12,8 +12,8 @@
 from stagewalk.common.http.peer_names import EDGE_PEER
 from stagewalk.common.identities import CallId
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.events import CallAbandoned, Event
-from stagewalk.core.instructions import FailCall
+from stagewalk.node.core.events import CallAbandoned, Event
+from stagewalk.node.core.instructions import FailCall
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
 from stagewalk.node.open_calls import AnswerPiece, LastAnswer, OpenCall, OpenCalls
--- a/src/stagewalk/node/edge/completions.py
+++ b/src/stagewalk/node/edge/completions.py
@@ -18,9 +18,9 @@
 from stagewalk.common.identities import ModelName, RequestId, TenantName
 from stagewalk.common.settings.fields import Limits
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.completions import CompletionRequest, CompletionResult, Priority
-from stagewalk.core.events import AnswerRequested, CompletionRequested
-from stagewalk.core.instructions import FailCall, FinishCall
+from stagewalk.node.core.completions import CompletionRequest, CompletionResult, Priority
+from stagewalk.node.core.events import AnswerRequested, CompletionRequested
+from stagewalk.node.core.instructions import FailCall, FinishCall
 from stagewalk.node.edge.call_desk import (
     ANSWER_GRACE_SECONDS,
     OUTCOME_OK,
--- a/src/stagewalk/node/edge/rollouts.py
+++ b/src/stagewalk/node/edge/rollouts.py
@@ -12,9 +12,9 @@
 from stagewalk.common.identities import ModelName, TenantName, WeightVersion
 from stagewalk.common.settings.fields import Limits
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.events import LotSubmitted, SamplesPulled
-from stagewalk.core.instructions import AcceptLot, DeliverSamples, FailCall
-from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, Sample, SampleBatch, SamplePull
+from stagewalk.node.core.events import LotSubmitted, SamplesPulled
+from stagewalk.node.core.instructions import AcceptLot, DeliverSamples, FailCall
+from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample, SampleBatch, SamplePull
 from stagewalk.node.edge.call_desk import OUTCOME_OK, CallDesk, late_error, whole_answer
 from stagewalk.node.edge.completions import estimate_tokens
 from stagewalk.node.edge.schemas import (
--- a/src/stagewalk/node/edge/schemas.py
+++ b/src/stagewalk/node/edge/schemas.py
@@ -10,7 +10,7 @@
 
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.common.http.peer_names import CALLER_PEER
-from stagewalk.core.completions import VersionSpan
+from stagewalk.node.core.completions import VersionSpan
 
 MAXIMUM_TOKENS = 1_000_000
 MAXIMUM_DEADLINE_SECONDS = 86_400.0
--- a/src/stagewalk/node/engine_tasks.py
+++ b/src/stagewalk/node/engine_tasks.py
@@ -7,7 +7,7 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import AttemptId
-from stagewalk.core.events import (
+from stagewalk.node.core.events import (
     AttemptChunk,
     AttemptFailed,
     AttemptFinished,
@@ -15,11 +15,11 @@
     EngineReportFailed,
     Event,
 )
-from stagewalk.core.instructions import CancelAttempt, OrderEngine, PollEngine, StartAttempt
-from stagewalk.core.platform import OrderOutcome
+from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, PollEngine, StartAttempt
+from stagewalk.node.core.platform import OrderOutcome
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
-from stagewalk.ports.engines import AttemptEvent, EngineClient
+from stagewalk.node.ports.engines import AttemptEvent, EngineClient
 
 
 class EngineTasks:
--- a/src/stagewalk/node/event_queue.py
+++ b/src/stagewalk/node/event_queue.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from stagewalk.core.events import Event
+from stagewalk.node.core.events import Event
 
 MAXIMUM_QUEUED_EVENTS = 4096
 _RESERVED_FOR_WAITING = 1024
--- a/src/stagewalk/node/instruction_runner.py
+++ b/src/stagewalk/node/instruction_runner.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stagewalk.common.logs.lines import LEVELS, log_event
-from stagewalk.core.instructions import (
+from stagewalk.node.core.instructions import (
     AcceptLot,
     AppendRecord,
     CancelAttempt,
@@ -28,7 +28,7 @@
 )
 from stagewalk.node.engine_tasks import EngineTasks
 from stagewalk.node.open_calls import OpenCalls
-from stagewalk.node.peer_transport import PeerTransport
+from stagewalk.node.peers.peer_transport import PeerTransport
 from stagewalk.node.platform_tasks import PlatformTasks
 
 _LEVEL_FIELD = "level"
--- a/src/stagewalk/leases/core.py
+++ b/src/stagewalk/node/leases/core.py
@@ -13,9 +13,9 @@
 import xxhash
 
 from stagewalk.common.identities import Epoch, Incarnation, NodeName
-from stagewalk.core.platform import LogRecord
-from stagewalk.leases.config import LeaseConfig
-from stagewalk.leases.fold import (
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.leases.config import LeaseConfig
+from stagewalk.node.leases.fold import (
     LEASE_STREAM,
     Acquire,
     Lease,
@@ -23,7 +23,7 @@
     Release,
     encode_record,
 )
-from stagewalk.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost, LeaseOutput
+from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost, LeaseOutput
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/leases/fold.py
+++ b/src/stagewalk/node/leases/fold.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from stagewalk.common.identities import Epoch, Incarnation, NodeName
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.core.platform import LogRecord
 
 LEASE_STREAM = "leases"
 
--- a/src/stagewalk/log_client/core.py
+++ b/src/stagewalk/node/log_client/core.py
@@ -16,11 +16,11 @@
 
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.common.identities import RecordId
-from stagewalk.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
-from stagewalk.core.instructions import AppendRecord, LogEvent, ReadLog
-from stagewalk.log_client.config import LogClientConfig
-from stagewalk.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
-from stagewalk.log_client.stream import StreamState
+from stagewalk.node.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
+from stagewalk.node.core.instructions import AppendRecord, LogEvent, ReadLog
+from stagewalk.node.log_client.config import LogClientConfig
+from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
+from stagewalk.node.log_client.stream import StreamState
 
 LogClientOutput = ReadLog | AppendRecord | LogEvent | RecordsRead | AppendSettled | AppendAbandoned
 
--- a/src/stagewalk/log_client/stream.py
+++ b/src/stagewalk/node/log_client/stream.py
@@ -9,12 +9,12 @@
 from enum import Enum, auto
 
 from stagewalk.common.identities import RecordId
-from stagewalk.core.events import AppendFailed, LogRead
-from stagewalk.core.instructions import AppendRecord, LogEvent, LogFields, ReadLog
-from stagewalk.core.platform import LogRecord
-from stagewalk.log_client.backoff import Backoff
-from stagewalk.log_client.config import LogClientConfig
-from stagewalk.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
+from stagewalk.node.core.events import AppendFailed, LogRead
+from stagewalk.node.core.instructions import AppendRecord, LogEvent, LogFields, ReadLog
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.log_client.backoff import Backoff
+from stagewalk.node.log_client.config import LogClientConfig
+from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
 
 StreamOutput = ReadLog | AppendRecord | LogEvent | RecordsRead | AppendSettled | AppendAbandoned
 
--- a/src/stagewalk/membership/codec.py
+++ b/src/stagewalk/node/membership/codec.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.membership.member_table import MemberFact
-from stagewalk.membership.members import MemberState, MemberStatus
-from stagewalk.wire.membership_pb2 import MemberRecord, MembershipState
+from stagewalk.node.membership.member_table import MemberFact
+from stagewalk.node.membership.members import MemberState, MemberStatus
+from stagewalk.node.wire.membership_pb2 import MemberRecord, MembershipState
 
 
 def fact_to_record(fact: MemberFact, with_place: bool) -> MemberRecord:
--- a/src/stagewalk/membership/contacts.py
+++ b/src/stagewalk/node/membership/contacts.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable
 
 from stagewalk.common.identities import Address, NodeName
-from stagewalk.core.platform import Machine, MachineKind, MachineState
-from stagewalk.membership.member_table import MemberTable
-from stagewalk.membership.members import MemberState
+from stagewalk.node.core.platform import Machine, MachineKind, MachineState
+from stagewalk.node.membership.member_table import MemberTable
+from stagewalk.node.membership.members import MemberState
 
 
 class ContactList:
--- a/src/stagewalk/membership/core.py
+++ b/src/stagewalk/node/membership/core.py
@@ -13,23 +13,28 @@
 from dataclasses import replace
 
 from stagewalk.common.identities import Address, NodeName
-from stagewalk.core.instructions import SendPeerMessage
-from stagewalk.core.platform import Machine
-from stagewalk.membership.codec import record_to_fact
-from stagewalk.membership.config import MembershipConfig
-from stagewalk.membership.contacts import ContactList
-from stagewalk.membership.dissemination import UpdateQueue
-from stagewalk.membership.failure_detector import FailureDetector
-from stagewalk.membership.member_table import PRESENT_STATES, MemberFact, MemberTable, TableChange
-from stagewalk.membership.members import Member, MemberIdentity, MemberState, MemberStatus
-from stagewalk.membership.messages import MessageWriter
-from stagewalk.membership.notifications import (
+from stagewalk.node.core.instructions import SendPeerMessage
+from stagewalk.node.core.platform import Machine
+from stagewalk.node.membership.codec import record_to_fact
+from stagewalk.node.membership.config import MembershipConfig
+from stagewalk.node.membership.contacts import ContactList
+from stagewalk.node.membership.dissemination import UpdateQueue
+from stagewalk.node.membership.failure_detector import FailureDetector
+from stagewalk.node.membership.member_table import (
+    PRESENT_STATES,
+    MemberFact,
+    MemberTable,
+    TableChange,
+)
+from stagewalk.node.membership.members import Member, MemberIdentity, MemberState, MemberStatus
+from stagewalk.node.membership.messages import MessageWriter
+from stagewalk.node.membership.notifications import (
     IdentitySuperseded,
     MemberChanged,
     MembershipNotification,
 )
-from stagewalk.membership.suspicion import SuspicionTerms, SuspicionTimers
-from stagewalk.wire.membership_pb2 import MembershipKind, MembershipMessage
+from stagewalk.node.membership.suspicion import SuspicionTerms, SuspicionTimers
+from stagewalk.node.wire.membership_pb2 import MembershipKind, MembershipMessage
 
 MembershipOutput = SendPeerMessage | MembershipNotification
 
--- a/src/stagewalk/membership/dissemination.py
+++ b/src/stagewalk/node/membership/dissemination.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import NodeName
-from stagewalk.membership.codec import fact_to_record
-from stagewalk.membership.member_table import MemberFact
-from stagewalk.membership.members import MemberState
-from stagewalk.wire.membership_pb2 import MemberRecord
+from stagewalk.node.membership.codec import fact_to_record
+from stagewalk.node.membership.member_table import MemberFact
+from stagewalk.node.membership.members import MemberState
+from stagewalk.node.wire.membership_pb2 import MemberRecord
 
 REPEATED_FIELD_OVERHEAD_BYTES = 3
 """Tag and length that protobuf adds to one record of a list."""
--- a/src/stagewalk/membership/failure_detector.py
+++ b/src/stagewalk/node/membership/failure_detector.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.identities import Address, NodeName
-from stagewalk.core.instructions import SendPeerMessage
-from stagewalk.membership.config import MembershipConfig
-from stagewalk.membership.member_table import MemberFact, MemberTable
-from stagewalk.membership.members import Member, MemberIdentity, MemberState
-from stagewalk.membership.messages import MessageWriter
-from stagewalk.membership.probing import PendingProbe, ProbeSchedule, RelayedProbe
-from stagewalk.wire.membership_pb2 import MembershipKind, MembershipMessage
+from stagewalk.node.core.instructions import SendPeerMessage
+from stagewalk.node.membership.config import MembershipConfig
+from stagewalk.node.membership.member_table import MemberFact, MemberTable
+from stagewalk.node.membership.members import Member, MemberIdentity, MemberState
+from stagewalk.node.membership.messages import MessageWriter
+from stagewalk.node.membership.probing import PendingProbe, ProbeSchedule, RelayedProbe
+from stagewalk.node.wire.membership_pb2 import MembershipKind, MembershipMessage
 
 
 class LocalHealth:
--- a/src/stagewalk/membership/member_table.py
+++ b/src/stagewalk/node/membership/member_table.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.membership.members import Member, MemberState, MemberStatus
+from stagewalk.node.membership.members import Member, MemberState, MemberStatus
 
 UNKNOWN_STATUS = MemberStatus()
 PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
--- a/src/stagewalk/membership/messages.py
+++ b/src/stagewalk/node/membership/messages.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from stagewalk.common.identities import Address, NodeName
-from stagewalk.core.instructions import MAXIMUM_DATAGRAM_BYTES, SendPeerMessage, Transport
-from stagewalk.membership.codec import fact_to_record
-from stagewalk.membership.dissemination import REPEATED_FIELD_OVERHEAD_BYTES, UpdateQueue
-from stagewalk.membership.member_table import MemberFact, MemberTable
-from stagewalk.membership.members import MemberIdentity, MemberState
-from stagewalk.wire.envelope_pb2 import Envelope
-from stagewalk.wire.membership_pb2 import MemberRecord, MembershipKind, MembershipMessage
+from stagewalk.node.core.instructions import MAXIMUM_DATAGRAM_BYTES, SendPeerMessage, Transport
+from stagewalk.node.membership.codec import fact_to_record
+from stagewalk.node.membership.dissemination import REPEATED_FIELD_OVERHEAD_BYTES, UpdateQueue
+from stagewalk.node.membership.member_table import MemberFact, MemberTable
+from stagewalk.node.membership.members import MemberIdentity, MemberState
+from stagewalk.node.wire.envelope_pb2 import Envelope
+from stagewalk.node.wire.membership_pb2 import MemberRecord, MembershipKind, MembershipMessage
 
 LENGTH_FIELD_RESERVE_BYTES = 8
 """Room for the length fields that grow when updates are added to a message."""
--- a/src/stagewalk/membership/notifications.py
+++ b/src/stagewalk/node/membership/notifications.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import Incarnation, NodeName
-from stagewalk.membership.members import MemberState
+from stagewalk.node.membership.members import MemberState
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/membership/probing.py
+++ b/src/stagewalk/node/membership/probing.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import Address, NodeName
-from stagewalk.membership.member_table import MemberFact
-from stagewalk.membership.members import Member
+from stagewalk.node.membership.member_table import MemberFact
+from stagewalk.node.membership.members import Member
 
 
 @dataclass(slots=True)
--- a/src/stagewalk/node/node_config.py
+++ b/src/stagewalk/node/node_config.py
@@ -4,17 +4,17 @@
 
 from dataclasses import dataclass, field
 
-from stagewalk.admission.config import AdmissionConfig
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.planner import PlannerConfig
-from stagewalk.configuration.follower import FollowerConfig
-from stagewalk.leases.config import LeaseConfig
-from stagewalk.log_client.config import LogClientConfig
-from stagewalk.membership.config import MembershipConfig
-from stagewalk.requests.config import RequestConfig
-from stagewalk.routing.config import EngineTableConfig, RouterConfig
-from stagewalk.samples.config import LotConfig
-from stagewalk.weights.config import RolloutConfig
+from stagewalk.node.admission.config import AdmissionConfig
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.planner import PlannerConfig
+from stagewalk.node.configuration.follower import FollowerConfig
+from stagewalk.node.leases.config import LeaseConfig
+from stagewalk.node.log_client.config import LogClientConfig
+from stagewalk.node.membership.config import MembershipConfig
+from stagewalk.node.requests.config import RequestConfig
+from stagewalk.node.routing.config import EngineTableConfig, RouterConfig
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.weights.config import RolloutConfig
 
 LARGEST_CLAIMED_SAMPLE_BYTES = 64 * 1024
 """A claim holds a whole finished sample; a longer one is handed over without a claim."""
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -12,14 +12,16 @@
 from dataclasses import dataclass, field
 from typing import Any, cast, get_args
 
-from stagewalk.claims.notifications import (
+from stagewalk.node.answer_exchange import AnswerExchange
+from stagewalk.node.claims.notifications import (
     ClaimAbsent,
     ClaimDecided,
     ClaimUndecided,
     PlacementAppendWanted,
 )
-from stagewalk.configuration.notifications import ConfigurationChanged
-from stagewalk.core.events import (
+from stagewalk.node.configuration.notifications import ConfigurationChanged
+from stagewalk.node.control_plane import ControlPlane
+from stagewalk.node.core.events import (
     AnswerRequested,
     AppendConfirmed,
     AppendFailed,
@@ -45,19 +47,23 @@
     Tick,
     VersionsRead,
 )
-from stagewalk.core.instructions import ExitProcess, Instruction, LogEvent, LogFields, ReadMachines
-from stagewalk.leases.fold import LEASE_STREAM
-from stagewalk.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost
-from stagewalk.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
-from stagewalk.membership.notifications import IdentitySuperseded, MemberChanged
-from stagewalk.node.answer_exchange import AnswerExchange
-from stagewalk.node.control_plane import ControlPlane
+from stagewalk.node.core.instructions import (
+    ExitProcess,
+    Instruction,
+    LogEvent,
+    LogFields,
+    ReadMachines,
+)
 from stagewalk.node.data_plane import DataPlane
+from stagewalk.node.leases.fold import LEASE_STREAM
+from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost
+from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
+from stagewalk.node.membership.notifications import IdentitySuperseded, MemberChanged
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.outputs import NodeOutput
-from stagewalk.requests import notifications as requests
-from stagewalk.samples import notifications as samples
+from stagewalk.node.requests import notifications as requests
+from stagewalk.node.samples import notifications as samples
 
 __all__ = ["NodeCore", "NodeIdentity", "NodeStatus"]
 
--- a/src/stagewalk/node/open_calls.py
+++ b/src/stagewalk/node/open_calls.py
@@ -12,7 +12,13 @@
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.common.http.peer_names import BUSY_RETRY_SECONDS, EDGE_PEER
 from stagewalk.common.identities import CallId
-from stagewalk.core.instructions import AcceptLot, DeliverSamples, FailCall, FinishCall, SendChunk
+from stagewalk.node.core.instructions import (
+    AcceptLot,
+    DeliverSamples,
+    FailCall,
+    FinishCall,
+    SendChunk,
+)
 
 LastAnswer = FinishCall | FailCall | AcceptLot | DeliverSamples
 
--- a/src/stagewalk/node/outputs.py
+++ b/src/stagewalk/node/outputs.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from stagewalk.claims.notifications import ClaimOutput
-from stagewalk.configuration.follower import FollowerOutput
-from stagewalk.core.instructions import Instruction
-from stagewalk.leases.notifications import LeaseOutput
-from stagewalk.log_client.core import LogClientOutput
-from stagewalk.membership.core import MembershipOutput
-from stagewalk.requests.notifications import RequestOutput
-from stagewalk.samples.settlement import LotOutput
+from stagewalk.node.claims.notifications import ClaimOutput
+from stagewalk.node.configuration.follower import FollowerOutput
+from stagewalk.node.core.instructions import Instruction
+from stagewalk.node.leases.notifications import LeaseOutput
+from stagewalk.node.log_client.core import LogClientOutput
+from stagewalk.node.membership.core import MembershipOutput
+from stagewalk.node.requests.notifications import RequestOutput
+from stagewalk.node.samples.settlement import LotOutput
 
 NodeOutput = (
     Instruction
--- /dev/null
+++ b/src/stagewalk/node/peers/__init__.py
@@ -0,0 +1,1 @@
+"""Transport between the nodes' processes."""
--- a/src/stagewalk/node/peer_frames.py
+++ b/src/stagewalk/node/peers/peer_frames.py
@@ -4,7 +4,7 @@
 
 from google.protobuf.message import DecodeError
 
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.wire.envelope_pb2 import Envelope
 
 LENGTH_BYTES = 4
 MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024
--- a/src/stagewalk/node/peer_transport.py
+++ b/src/stagewalk/node/peers/peer_transport.py
@@ -7,17 +7,17 @@
 from anyio.streams.buffered import BufferedByteReceiveStream
 
 from stagewalk.common.identities import Address
-from stagewalk.core.events import PeerMessageReceived
-from stagewalk.core.instructions import MAXIMUM_DATAGRAM_BYTES, SendPeerMessage, Transport
+from stagewalk.node.core.events import PeerMessageReceived
+from stagewalk.node.core.instructions import MAXIMUM_DATAGRAM_BYTES, SendPeerMessage, Transport
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
-from stagewalk.node.peer_frames import (
+from stagewalk.node.peers.peer_frames import (
     LENGTH_BYTES,
     decode_envelope,
     decode_length,
     encode_frame,
 )
-from stagewalk.node.peer_streams import OutgoingStreams
+from stagewalk.node.peers.peer_streams import OutgoingStreams
 
 QUEUED_DATAGRAMS = 512
 MAXIMUM_INCOMING_CONNECTIONS = 1024
--- a/src/stagewalk/node/platform_tasks.py
+++ b/src/stagewalk/node/platform_tasks.py
@@ -8,7 +8,7 @@
 
 from stagewalk.common.errors import Ran, StagewalkError
 from stagewalk.common.logs.lines import log_event
-from stagewalk.core.events import (
+from stagewalk.node.core.events import (
     AppendConfirmed,
     AppendFailed,
     Event,
@@ -19,18 +19,18 @@
     SampleScoringFailed,
     VersionsRead,
 )
-from stagewalk.core.instructions import (
+from stagewalk.node.core.instructions import (
     AppendRecord,
     ReadLog,
     ReadMachines,
     ReadVersions,
     ScoreSample,
 )
-from stagewalk.core.platform import MachineKind
+from stagewalk.node.core.platform import MachineKind
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
-from stagewalk.node.peer_transport import PeerTransport
-from stagewalk.ports.platform_services import LogService, MachineList, Scorer, WeightStore
+from stagewalk.node.peers.peer_transport import PeerTransport
+from stagewalk.node.ports.platform_services import LogService, MachineList, Scorer, WeightStore
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/src/stagewalk/node/ports/__init__.py
@@ -0,0 +1,1 @@
+"""What the node needs of the outside, as protocols."""
--- a/src/stagewalk/ports/engines.py
+++ b/src/stagewalk/node/ports/engines.py
@@ -9,15 +9,15 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import Address
-from stagewalk.core.events import (
+from stagewalk.node.core.events import (
     AttemptChunk,
     AttemptFailed,
     AttemptFinished,
     AttemptRefused,
     OrderAnswered,
 )
-from stagewalk.core.instructions import CancelAttempt, OrderEngine, StartAttempt
-from stagewalk.core.platform import EngineReport
+from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, StartAttempt
+from stagewalk.node.core.platform import EngineReport
 
 FinalAttemptEvent = AttemptFinished | AttemptRefused | AttemptFailed
 AttemptEvent = AttemptChunk | FinalAttemptEvent
--- a/src/stagewalk/ports/platform_services.py
+++ b/src/stagewalk/node/ports/platform_services.py
@@ -9,8 +9,8 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import ModelName, RecordId
-from stagewalk.core.instructions import ScoreSample
-from stagewalk.core.platform import LogRecord, Machine, PublishedVersion
+from stagewalk.node.core.instructions import ScoreSample
+from stagewalk.node.core.platform import LogRecord, Machine, PublishedVersion
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/requests/answer.py
+++ b/src/stagewalk/node/requests/answer.py
@@ -11,14 +11,14 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.core.completions import (
+from stagewalk.node.core.completions import (
     CompletionRequest,
     CompletionResult,
     TokenChunk,
     VersionSpan,
     append_span,
 )
-from stagewalk.requests.config import MemoryConfig
+from stagewalk.node.requests.config import MemoryConfig
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -9,27 +9,27 @@
 import random
 from dataclasses import replace
 
-from stagewalk.admission.controller import AdmissionController
 from stagewalk.common.errors import StagewalkError, Step
 from stagewalk.common.identities import AttemptId, EngineName, ProcessIdentity
-from stagewalk.core.completions import (
+from stagewalk.node.admission.controller import AdmissionController
+from stagewalk.node.core.completions import (
     CompletionRequest,
     CompletionResult,
     Priority,
     TokenChunk,
 )
-from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.instructions import CancelAttempt, StartAttempt
-from stagewalk.requests import faults
-from stagewalk.requests.answer import AnswerAssembly, HeldAnswer
-from stagewalk.requests.book import RequestBook
-from stagewalk.requests.config import RequestConfig
-from stagewalk.requests.delays import DelayWindow
-from stagewalk.requests.record import Attempt, RequestRecord
-from stagewalk.requests.retries import RetryBudget, backoff_seconds
-from stagewalk.requests.states import AttemptClass, Cause
-from stagewalk.requests.timers import Timer, TimerKind
-from stagewalk.routing.router import EngineChoice, Router
+from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
+from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
+from stagewalk.node.requests import faults
+from stagewalk.node.requests.answer import AnswerAssembly, HeldAnswer
+from stagewalk.node.requests.book import RequestBook
+from stagewalk.node.requests.config import RequestConfig
+from stagewalk.node.requests.delays import DelayWindow
+from stagewalk.node.requests.record import Attempt, RequestRecord
+from stagewalk.node.requests.retries import RetryBudget, backoff_seconds
+from stagewalk.node.requests.states import AttemptClass, Cause
+from stagewalk.node.requests.timers import Timer, TimerKind
+from stagewalk.node.routing.router import EngineChoice, Router
 
 FINISH_REASON_LENGTH = "length"
 
--- a/src/stagewalk/requests/book.py
+++ b/src/stagewalk/node/requests/book.py
@@ -4,19 +4,19 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import AttemptId, RequestKey, WeightVersion
-from stagewalk.core.completions import CompletionResult, TokenChunk
-from stagewalk.requests.config import RequestConfig
-from stagewalk.requests.notifications import (
+from stagewalk.node.core.completions import CompletionResult, TokenChunk
+from stagewalk.node.requests.config import RequestConfig
+from stagewalk.node.requests.notifications import (
     RequestChunk,
     RequestFailed,
     RequestFinished,
     RequestJoined,
     RequestOutput,
 )
-from stagewalk.requests.record import RequestRecord
-from stagewalk.requests.retained import RetainedOutcome, RetainedOutcomes
-from stagewalk.requests.states import Cause, next_state
-from stagewalk.requests.timers import Timer, TimerQueue
+from stagewalk.node.requests.record import RequestRecord
+from stagewalk.node.requests.retained import RetainedOutcome, RetainedOutcomes
+from stagewalk.node.requests.states import Cause, next_state
+from stagewalk.node.requests.timers import Timer, TimerQueue
 
 
 class RequestBook:
--- a/src/stagewalk/requests/claim_gate.py
+++ b/src/stagewalk/node/requests/claim_gate.py
@@ -12,15 +12,15 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import ProcessIdentity, RequestKey
-from stagewalk.core.completions import CompletionResult
-from stagewalk.requests import faults
-from stagewalk.requests.book import RequestBook
-from stagewalk.requests.claim_value import ClaimValue, claim_key, decode_claim, encode_claim
-from stagewalk.requests.config import RequestConfig
-from stagewalk.requests.notifications import AnswerWanted, ClaimWanted
-from stagewalk.requests.record import RequestRecord
-from stagewalk.requests.states import Cause, RequestState
-from stagewalk.requests.timers import TimerKind
+from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.requests import faults
+from stagewalk.node.requests.book import RequestBook
+from stagewalk.node.requests.claim_value import ClaimValue, claim_key, decode_claim, encode_claim
+from stagewalk.node.requests.config import RequestConfig
+from stagewalk.node.requests.notifications import AnswerWanted, ClaimWanted
+from stagewalk.node.requests.record import RequestRecord
+from stagewalk.node.requests.states import Cause, RequestState
+from stagewalk.node.requests.timers import TimerKind
 
 NONCE_BITS = 128
 
--- a/src/stagewalk/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -12,7 +12,6 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from stagewalk.admission.controller import Admission, AdmissionController, PoolCapacity
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import (
     ModelName,
@@ -20,25 +19,26 @@
     RequestKey,
     TenantName,
 )
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.completions import CompletionRequest, CompletionResult, TokenChunk
-from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.requests import faults
-from stagewalk.requests.attempts import AttemptRunner
-from stagewalk.requests.book import RequestBook
-from stagewalk.requests.claim_gate import ClaimGate
-from stagewalk.requests.config import RequestConfig
-from stagewalk.requests.notifications import (
+from stagewalk.node.admission.controller import Admission, AdmissionController, PoolCapacity
+from stagewalk.node.configuration.parameters import Tenant, TenantParameters
+from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
+from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
+from stagewalk.node.requests import faults
+from stagewalk.node.requests.attempts import AttemptRunner
+from stagewalk.node.requests.book import RequestBook
+from stagewalk.node.requests.claim_gate import ClaimGate
+from stagewalk.node.requests.config import RequestConfig
+from stagewalk.node.requests.notifications import (
     RequestJoined,
     RequestOutput,
     SubmissionRejected,
 )
-from stagewalk.requests.record import RequestRecord, fingerprint_of
-from stagewalk.requests.retained import RetainedOutcome
-from stagewalk.requests.states import Cause, RequestState
-from stagewalk.requests.tenancy import apply_parameters
-from stagewalk.requests.timers import Timer, TimerKind
-from stagewalk.routing.router import Router
+from stagewalk.node.requests.record import RequestRecord, fingerprint_of
+from stagewalk.node.requests.retained import RetainedOutcome
+from stagewalk.node.requests.states import Cause, RequestState
+from stagewalk.node.requests.tenancy import apply_parameters
+from stagewalk.node.requests.timers import Timer, TimerKind
+from stagewalk.node.routing.router import Router
 
 AttemptEvent = AttemptChunk | AttemptFinished | AttemptRefused | AttemptFailed
 
--- a/src/stagewalk/requests/faults.py
+++ b/src/stagewalk/node/requests/faults.py
@@ -4,7 +4,7 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import EngineName, NodeName
-from stagewalk.requests.record import RequestRecord
+from stagewalk.node.requests.record import RequestRecord
 
 STOPPING_RETRY_SECONDS = 0.0
 BUSY_RETRY_SECONDS = 1.0
--- a/src/stagewalk/requests/notifications.py
+++ b/src/stagewalk/node/requests/notifications.py
@@ -6,8 +6,8 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import Incarnation, NodeName, RequestKey
-from stagewalk.core.completions import CompletionResult, TokenChunk
-from stagewalk.core.instructions import CancelAttempt, StartAttempt
+from stagewalk.node.core.completions import CompletionResult, TokenChunk
+from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/requests/record.py
+++ b/src/stagewalk/node/requests/record.py
@@ -8,10 +8,10 @@
 
 from stagewalk.common.errors import Ran, StagewalkError
 from stagewalk.common.identities import Address, AttemptId, EngineName, NodeName, RequestKey
-from stagewalk.core.completions import CompletionRequest
-from stagewalk.requests.answer import AnswerAssembly, HeldAnswer
-from stagewalk.requests.claim_value import ClaimValue
-from stagewalk.requests.states import RequestState
+from stagewalk.node.core.completions import CompletionRequest
+from stagewalk.node.requests.answer import AnswerAssembly, HeldAnswer
+from stagewalk.node.requests.claim_value import ClaimValue
+from stagewalk.node.requests.states import RequestState
 
 
 @dataclass(slots=True)
--- a/src/stagewalk/requests/retained.py
+++ b/src/stagewalk/node/requests/retained.py
@@ -7,9 +7,9 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import RequestKey
-from stagewalk.core.completions import CompletionResult
-from stagewalk.requests.claim_value import ClaimValue
-from stagewalk.requests.config import MemoryConfig
+from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.requests.claim_value import ClaimValue
+from stagewalk.node.requests.config import MemoryConfig
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/requests/retries.py
+++ b/src/stagewalk/node/requests/retries.py
@@ -5,7 +5,7 @@
 import random
 
 from stagewalk.common.identities import TenantName
-from stagewalk.requests.config import RetryConfig
+from stagewalk.node.requests.config import RetryConfig
 
 
 class RetryBudget:
--- a/src/stagewalk/requests/tenancy.py
+++ b/src/stagewalk/node/requests/tenancy.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from stagewalk.common.identities import WeightVersion
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.core.completions import CompletionRequest
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.core.completions import CompletionRequest
 
 
 def apply_parameters(request: CompletionRequest, parameters: TenantParameters) -> CompletionRequest:
--- a/src/stagewalk/routing/config.py
+++ b/src/stagewalk/node/routing/config.py
@@ -173,7 +173,7 @@
     Attributes
     ----------
     policy
-        Name of the policy, as in `routing.policies.POLICIES`.
+        Name of the policy, as in `node.routing.policies.POLICIES`.
     choices
         Engines drawn at random and compared by score; the one with the longest cached
         prefix is compared with them.
--- a/src/stagewalk/routing/engine_record.py
+++ b/src/stagewalk/node/routing/engine_record.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.identities import AttemptId, EngineName, WeightVersion
-from stagewalk.core.platform import EngineReport, EngineState, Machine, MachineState
+from stagewalk.node.core.platform import EngineReport, EngineState, Machine, MachineState
 
 MAXIMUM_REMEMBERED_ENDS = 256
 
--- a/src/stagewalk/routing/engine_table.py
+++ b/src/stagewalk/node/routing/engine_table.py
@@ -13,11 +13,17 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import AttemptId, EngineName, ModelName, ProcessIdentity
-from stagewalk.core.instructions import PollEngine
-from stagewalk.core.platform import EngineReport, EngineState, Machine, MachineKind, MachineState
-from stagewalk.routing.config import EngineTableConfig
-from stagewalk.routing.engine_record import AttemptLoad, EngineRecord
-from stagewalk.routing.subsets import choose_subset
+from stagewalk.node.core.instructions import PollEngine
+from stagewalk.node.core.platform import (
+    EngineReport,
+    EngineState,
+    Machine,
+    MachineKind,
+    MachineState,
+)
+from stagewalk.node.routing.config import EngineTableConfig
+from stagewalk.node.routing.engine_record import AttemptLoad, EngineRecord
+from stagewalk.node.routing.subsets import choose_subset
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/routing/outliers.py
+++ b/src/stagewalk/node/routing/outliers.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stagewalk.routing.config import OutlierConfig
-from stagewalk.routing.engine_record import EngineRecord
+from stagewalk.node.routing.config import OutlierConfig
+from stagewalk.node.routing.engine_record import EngineRecord
 
 
 def note_success(record: EngineRecord) -> None:
--- a/src/stagewalk/routing/policies.py
+++ b/src/stagewalk/node/routing/policies.py
@@ -6,10 +6,10 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from stagewalk.routing.config import RouterConfig
-from stagewalk.routing.engine_record import EngineRecord
-from stagewalk.routing.prefix_index import PrefixBlocks, PrefixIndex
-from stagewalk.routing.scoring import CompletionTimeModel, RequestShape
+from stagewalk.node.routing.config import RouterConfig
+from stagewalk.node.routing.engine_record import EngineRecord
+from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex
+from stagewalk.node.routing.scoring import CompletionTimeModel, RequestShape
 
 
 class RoutingPolicy(Protocol):
--- a/src/stagewalk/routing/prefix_index.py
+++ b/src/stagewalk/node/routing/prefix_index.py
@@ -11,8 +11,8 @@
 
 import xxhash
 
-from stagewalk.routing.config import PrefixIndexConfig
-from stagewalk.routing.engine_record import EngineRecord
+from stagewalk.node.routing.config import PrefixIndexConfig
+from stagewalk.node.routing.engine_record import EngineRecord
 
 PrefixBlocks = tuple[int, ...]
 
--- a/src/stagewalk/routing/router.py
+++ b/src/stagewalk/node/routing/router.py
@@ -16,14 +16,14 @@
     ProcessIdentity,
     WeightVersion,
 )
-from stagewalk.core.completions import CompletionRequest
-from stagewalk.routing.config import RouterConfig
-from stagewalk.routing.engine_record import EngineRecord
-from stagewalk.routing.engine_table import EngineTable, PoolView
-from stagewalk.routing.outliers import note_failure, note_success, without_outliers
-from stagewalk.routing.policies import make_policy
-from stagewalk.routing.prefix_index import PrefixBlocks, PrefixIndex, hash_blocks
-from stagewalk.routing.scoring import CompletionTimeModel, expected_tokens, shape_of
+from stagewalk.node.core.completions import CompletionRequest
+from stagewalk.node.routing.config import RouterConfig
+from stagewalk.node.routing.engine_record import EngineRecord
+from stagewalk.node.routing.engine_table import EngineTable, PoolView
+from stagewalk.node.routing.outliers import note_failure, note_success, without_outliers
+from stagewalk.node.routing.policies import make_policy
+from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex, hash_blocks
+from stagewalk.node.routing.scoring import CompletionTimeModel, expected_tokens, shape_of
 
 NO_ENGINE_RETRY_SECONDS = 1.0
 
--- a/src/stagewalk/routing/scoring.py
+++ b/src/stagewalk/node/routing/scoring.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import Placement
-from stagewalk.core.completions import CompletionRequest
-from stagewalk.routing.config import RouterConfig, ScoreConfig
-from stagewalk.routing.engine_record import EngineRecord
-from stagewalk.routing.prefix_index import PrefixBlocks, PrefixIndex
+from stagewalk.node.core.completions import CompletionRequest
+from stagewalk.node.routing.config import RouterConfig, ScoreConfig
+from stagewalk.node.routing.engine_record import EngineRecord
+from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex
 
 KV_PRESSURE_FACTOR = 10.0
 
--- a/src/stagewalk/routing/subsets.py
+++ b/src/stagewalk/node/routing/subsets.py
@@ -8,8 +8,8 @@
 import xxhash
 
 from stagewalk.common.identities import NodeName, Placement
-from stagewalk.core.platform import Machine
-from stagewalk.routing.config import EngineTableConfig
+from stagewalk.node.core.platform import Machine
+from stagewalk.node.routing.config import EngineTableConfig
 
 HASH_SPAN = float(1 << 64)
 
--- a/src/stagewalk/samples/backoff.py
+++ b/src/stagewalk/node/samples/backoff.py
@@ -4,7 +4,7 @@
 
 import random
 
-from stagewalk.samples.config import LotConfig
+from stagewalk.node.samples.config import LotConfig
 
 _MAXIMUM_EXPONENT = 16
 
--- a/src/stagewalk/samples/core.py
+++ b/src/stagewalk/node/samples/core.py
@@ -18,22 +18,22 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.completions import CompletionResult
-from stagewalk.core.events import SampleScored, SampleScoringFailed
-from stagewalk.core.instructions import AcceptLot, FailCall
-from stagewalk.core.rollouts import RolloutLot, SamplePull
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.cursor import decode_cursor
-from stagewalk.samples.delivery import Delivery, OpenPull
-from stagewalk.samples.housekeeping import LotKeeper
-from stagewalk.samples.lots import Lot, LotKey, SlotPhase, lot_digest, lot_key, make_lot
-from stagewalk.samples.scheduler import RolloutScheduler
-from stagewalk.samples.settlement import LotOutput, SampleSettlement
-from stagewalk.samples.status import LotStatus
-from stagewalk.samples.store import LotStore
-from stagewalk.samples.timers import TimerQueue
-from stagewalk.samples.validation import check_lot, check_pull, invalid, unknown_lot
+from stagewalk.node.configuration.parameters import Tenant
+from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.core.events import SampleScored, SampleScoringFailed
+from stagewalk.node.core.instructions import AcceptLot, FailCall
+from stagewalk.node.core.rollouts import RolloutLot, SamplePull
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.cursor import decode_cursor
+from stagewalk.node.samples.delivery import Delivery, OpenPull
+from stagewalk.node.samples.housekeeping import LotKeeper
+from stagewalk.node.samples.lots import Lot, LotKey, SlotPhase, lot_digest, lot_key, make_lot
+from stagewalk.node.samples.scheduler import RolloutScheduler
+from stagewalk.node.samples.settlement import LotOutput, SampleSettlement
+from stagewalk.node.samples.status import LotStatus
+from stagewalk.node.samples.store import LotStore
+from stagewalk.node.samples.timers import TimerQueue
+from stagewalk.node.samples.validation import check_lot, check_pull, invalid, unknown_lot
 
 _HOUSEKEEPING_SECONDS = 1.0
 """Time between two looks for stragglers and for lots to pause or forget."""
--- a/src/stagewalk/samples/delivery.py
+++ b/src/stagewalk/node/samples/delivery.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import CallId
-from stagewalk.core.instructions import DeliverSamples
-from stagewalk.core.rollouts import Sample, SampleBatch, SamplePull
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.cursor import encode_cursor
-from stagewalk.samples.lots import Lot, LotKey, SlotPhase
-from stagewalk.samples.scheduler import RolloutScheduler
-from stagewalk.samples.settlement import LotOutput, SampleSettlement
-from stagewalk.samples.staleness import Freshness, judge_freshness
-from stagewalk.samples.store import LotStore
+from stagewalk.node.core.instructions import DeliverSamples
+from stagewalk.node.core.rollouts import Sample, SampleBatch, SamplePull
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.cursor import encode_cursor
+from stagewalk.node.samples.lots import Lot, LotKey, SlotPhase
+from stagewalk.node.samples.scheduler import RolloutScheduler
+from stagewalk.node.samples.settlement import LotOutput, SampleSettlement
+from stagewalk.node.samples.staleness import Freshness, judge_freshness
+from stagewalk.node.samples.store import LotStore
 
 _SAMPLE_OVERHEAD_BYTES = 400
 """What a sample takes besides its text, roughly."""
--- a/src/stagewalk/samples/housekeeping.py
+++ b/src/stagewalk/node/samples/housekeeping.py
@@ -5,16 +5,16 @@
 from collections.abc import Iterable
 
 from stagewalk.common.identities import ModelName
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.instructions import LogEvent, LogFields, ReadVersions
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.delivery import Delivery
-from stagewalk.samples.lots import Lot, LotKey, SlotPhase
-from stagewalk.samples.notifications import ClaimReadWanted
-from stagewalk.samples.sample_codec import claim_key
-from stagewalk.samples.scheduler import RolloutScheduler
-from stagewalk.samples.settlement import LotOutput
-from stagewalk.samples.store import LotStore, SlotPlace
+from stagewalk.node.configuration.parameters import Tenant
+from stagewalk.node.core.instructions import LogEvent, LogFields, ReadVersions
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.delivery import Delivery
+from stagewalk.node.samples.lots import Lot, LotKey, SlotPhase
+from stagewalk.node.samples.notifications import ClaimReadWanted
+from stagewalk.node.samples.sample_codec import claim_key
+from stagewalk.node.samples.scheduler import RolloutScheduler
+from stagewalk.node.samples.settlement import LotOutput
+from stagewalk.node.samples.store import LotStore, SlotPlace
 
 _UNFINISHED = (SlotPhase.WAITING, SlotPhase.RUNNING)
 
--- a/src/stagewalk/samples/lengths.py
+++ b/src/stagewalk/node/samples/lengths.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from stagewalk.common.identities import TenantName
-from stagewalk.core.rollouts import RolloutPrompt
+from stagewalk.node.core.rollouts import RolloutPrompt
 
 MAXIMUM_PREDICTOR_ENTRIES = 20_000
 """Prompts and families remembered; the least recently used go first."""
--- a/src/stagewalk/samples/lots.py
+++ b/src/stagewalk/node/samples/lots.py
@@ -16,8 +16,8 @@
     SlotKey,
     TenantName,
 )
-from stagewalk.core.completions import CompletionResult
-from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, Sample
+from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample
 
 
 class LotKey(NamedTuple):
--- a/src/stagewalk/samples/notifications.py
+++ b/src/stagewalk/node/samples/notifications.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import RequestId, TenantName
-from stagewalk.core.completions import CompletionRequest
+from stagewalk.node.core.completions import CompletionRequest
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/samples/sample_codec.py
+++ b/src/stagewalk/node/samples/sample_codec.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from stagewalk.common.identities import SlotKey, WeightVersion
-from stagewalk.core.completions import VersionSpan
-from stagewalk.core.rollouts import Sample
+from stagewalk.node.core.completions import VersionSpan
+from stagewalk.node.core.rollouts import Sample
 
 CLAIM_KEY_PREFIX = "slot/"
 """Begins the keys of all claims that decide slots."""
--- a/src/stagewalk/samples/scheduler.py
+++ b/src/stagewalk/node/samples/scheduler.py
@@ -6,14 +6,14 @@
 from collections.abc import Iterable
 
 from stagewalk.common.identities import Incarnation, NodeName, RequestId, WeightVersion
-from stagewalk.core.completions import CompletionRequest, Priority
-from stagewalk.core.rollouts import RolloutPrompt, slot_seed
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.lengths import LengthPredictor
-from stagewalk.samples.lots import Lot, Slot, SlotPhase
-from stagewalk.samples.notifications import LotNotification, RequestUnwanted, RequestWanted
-from stagewalk.samples.staleness import version_slack
-from stagewalk.samples.store import LotStore, SlotPlace
+from stagewalk.node.core.completions import CompletionRequest, Priority
+from stagewalk.node.core.rollouts import RolloutPrompt, slot_seed
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.lengths import LengthPredictor
+from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
+from stagewalk.node.samples.notifications import LotNotification, RequestUnwanted, RequestWanted
+from stagewalk.node.samples.staleness import version_slack
+from stagewalk.node.samples.store import LotStore, SlotPlace
 
 _MINIMUM_DURATIONS = 5
 """Finished rollouts of a lot needed before any other counts as a straggler."""
--- a/src/stagewalk/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -6,18 +6,18 @@
 
 from stagewalk.common.errors import ErrorKind, StagewalkError
 from stagewalk.common.identities import RequestId, SlotKey
-from stagewalk.core.completions import CompletionResult
-from stagewalk.core.instructions import Instruction, LogEvent, LogFields, ScoreSample
-from stagewalk.core.rollouts import Sample
-from stagewalk.samples.backoff import retry_delay
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.lots import Lot, Slot, SlotPhase
-from stagewalk.samples.notifications import ClaimWanted, LotNotification
-from stagewalk.samples.sample_codec import claim_key, decode_sample, encode_sample
-from stagewalk.samples.scheduler import RolloutScheduler
-from stagewalk.samples.staleness import Freshness, judge_freshness
-from stagewalk.samples.store import LotStore, SlotPlace
-from stagewalk.samples.timers import TimerKind, TimerQueue
+from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.core.instructions import Instruction, LogEvent, LogFields, ScoreSample
+from stagewalk.node.core.rollouts import Sample
+from stagewalk.node.samples.backoff import retry_delay
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
+from stagewalk.node.samples.notifications import ClaimWanted, LotNotification
+from stagewalk.node.samples.sample_codec import claim_key, decode_sample, encode_sample
+from stagewalk.node.samples.scheduler import RolloutScheduler
+from stagewalk.node.samples.staleness import Freshness, judge_freshness
+from stagewalk.node.samples.store import LotStore, SlotPlace
+from stagewalk.node.samples.timers import TimerKind, TimerQueue
 
 _UNFINISHED = frozenset({SlotPhase.WAITING, SlotPhase.RUNNING})
 
--- a/src/stagewalk/samples/staleness.py
+++ b/src/stagewalk/node/samples/staleness.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from stagewalk.common.identities import ModelName, WeightVersion
-from stagewalk.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.parameters import TenantParameters
 
 MAXIMUM_REMEMBERED_VERSIONS = 256
 """Versions of one model whose times are kept."""
--- a/src/stagewalk/samples/store.py
+++ b/src/stagewalk/node/samples/store.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import RequestId, TenantName, WeightVersion
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.samples.lots import Lot, LotKey
-from stagewalk.samples.served_versions import ServedVersions
-from stagewalk.samples.staleness import VersionClock
+from stagewalk.node.configuration.parameters import Tenant, TenantParameters
+from stagewalk.node.samples.lots import Lot, LotKey
+from stagewalk.node.samples.served_versions import ServedVersions
+from stagewalk.node.samples.staleness import VersionClock
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/samples/timers.py
+++ b/src/stagewalk/node/samples/timers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from stagewalk.samples.lots import LotKey
+from stagewalk.node.samples.lots import LotKey
 
 
 class TimerKind(IntEnum):
--- a/src/stagewalk/samples/validation.py
+++ b/src/stagewalk/node/samples/validation.py
@@ -4,9 +4,9 @@
 
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.common.identities import NodeName, TenantName
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.rollouts import RolloutLot, SamplePull
-from stagewalk.samples.config import LotConfig
+from stagewalk.node.configuration.parameters import Tenant
+from stagewalk.node.core.rollouts import RolloutLot, SamplePull
+from stagewalk.node.samples.config import LotConfig
 
 _NAME_SEPARATOR = "/"
 
--- a/src/stagewalk/weights/core.py
+++ b/src/stagewalk/node/weights/core.py
@@ -10,9 +10,9 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.instructions import Instruction, ReadVersions
-from stagewalk.core.platform import (
+from stagewalk.node.configuration.parameters import Tenant
+from stagewalk.node.core.instructions import Instruction, ReadVersions
+from stagewalk.node.core.platform import (
     EngineReport,
     Machine,
     MachineKind,
@@ -20,10 +20,10 @@
     OrderOutcome,
     PublishedVersion,
 )
-from stagewalk.weights.config import RolloutConfig
-from stagewalk.weights.engines import EngineView
-from stagewalk.weights.pool import PoolRollout
-from stagewalk.weights.status import PoolStatus
+from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.engines import EngineView
+from stagewalk.node.weights.pool import PoolRollout
+from stagewalk.node.weights.status import PoolStatus
 
 
 class RolloutCore:
--- a/src/stagewalk/weights/engines.py
+++ b/src/stagewalk/node/weights/engines.py
@@ -7,8 +7,8 @@
 import xxhash
 
 from stagewalk.common.identities import Address, EngineName, WeightVersion
-from stagewalk.core.platform import EngineOrder, EngineReport, EngineState, OrderKind
-from stagewalk.weights.config import RolloutConfig
+from stagewalk.node.core.platform import EngineOrder, EngineReport, EngineState, OrderKind
+from stagewalk.node.weights.config import RolloutConfig
 
 _MAXIMUM_EXPONENT = 16
 
--- a/src/stagewalk/weights/pool.py
+++ b/src/stagewalk/node/weights/pool.py
@@ -5,20 +5,26 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.identities import EngineName, Epoch, ModelName, WeightVersion
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.core.instructions import Instruction, LogEvent, LogFields, OrderEngine, PollEngine
-from stagewalk.core.platform import (
+from stagewalk.node.configuration.parameters import Tenant
+from stagewalk.node.core.instructions import (
+    Instruction,
+    LogEvent,
+    LogFields,
+    OrderEngine,
+    PollEngine,
+)
+from stagewalk.node.core.platform import (
     EngineOrder,
     EngineReport,
     EngineState,
     OrderKind,
     OrderOutcome,
 )
-from stagewalk.weights.config import RolloutConfig
-from stagewalk.weights.engines import EngineView, OpenOrder
-from stagewalk.weights.staging import StagingProgress
-from stagewalk.weights.status import PoolStatus, QuarantineStatus
-from stagewalk.weights.targets import (
+from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.engines import EngineView, OpenOrder
+from stagewalk.node.weights.staging import StagingProgress
+from stagewalk.node.weights.status import PoolStatus, QuarantineStatus
+from stagewalk.node.weights.targets import (
     VersionTarget,
     assign_targets,
     pool_idle_weight,
--- a/src/stagewalk/weights/staging.py
+++ b/src/stagewalk/node/weights/staging.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import WeightVersion
-from stagewalk.weights.config import RolloutConfig
-from stagewalk.weights.engines import EngineView
-from stagewalk.weights.targets import VersionTarget
+from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.engines import EngineView
+from stagewalk.node.weights.targets import VersionTarget
 
 
 @dataclass(slots=True)
--- a/src/stagewalk/weights/targets.py
+++ b/src/stagewalk/node/weights/targets.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import EngineName, ModelName, WeightVersion
-from stagewalk.configuration.parameters import Tenant
+from stagewalk.node.configuration.parameters import Tenant
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/simulation/ablation.py
+++ b/src/stagewalk/simulation/ablation.py
@@ -24,7 +24,7 @@
 from stagewalk.history.summary import summarize
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_core import NodeCore, NodeIdentity
-from stagewalk.samples.config import LotConfig
+from stagewalk.node.samples.config import LotConfig
 from stagewalk.simulation.idle_bound import idle_lower_bounds
 from stagewalk.simulation.layout import Layout
 from stagewalk.simulation.layouts import LAYOUTS
--- a/src/stagewalk/simulation/baseline_node.py
+++ b/src/stagewalk/simulation/baseline_node.py
@@ -21,9 +21,9 @@
     SlotKey,
     WeightVersion,
 )
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.records import CONFIGURATION_STREAM
-from stagewalk.core.completions import (
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.records import CONFIGURATION_STREAM
+from stagewalk.node.core.completions import (
     CompletionRequest,
     CompletionResult,
     Priority,
@@ -31,7 +31,7 @@
     VersionSpan,
     append_span,
 )
-from stagewalk.core.events import (
+from stagewalk.node.core.events import (
     AttemptChunk,
     AttemptFailed,
     AttemptFinished,
@@ -49,7 +49,7 @@
     Tick,
     VersionsRead,
 )
-from stagewalk.core.instructions import (
+from stagewalk.node.core.instructions import (
     AcceptLot,
     DeliverSamples,
     ExitProcess,
@@ -64,7 +64,7 @@
     SendChunk,
     StartAttempt,
 )
-from stagewalk.core.platform import (
+from stagewalk.node.core.platform import (
     EngineOrder,
     EngineReport,
     EngineState,
@@ -73,7 +73,7 @@
     MachineState,
     OrderKind,
 )
-from stagewalk.core.rollouts import RolloutLot, Sample, SampleBatch, SamplePull, slot_seed
+from stagewalk.node.core.rollouts import RolloutLot, Sample, SampleBatch, SamplePull, slot_seed
 from stagewalk.node.node_core import NodeIdentity, NodeStatus
 
 POLL_SECONDS = 1.0
--- a/src/stagewalk/simulation/benchmark_routing.py
+++ b/src/stagewalk/simulation/benchmark_routing.py
@@ -23,12 +23,18 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.core.completions import CompletionRequest, Priority
-from stagewalk.core.platform import EngineReport, EngineState, Machine, MachineKind, MachineState
-from stagewalk.routing.config import EngineTableConfig, RouterConfig
-from stagewalk.routing.engine_table import EngineTable
-from stagewalk.routing.policies import POLICIES
-from stagewalk.routing.router import Router
+from stagewalk.node.core.completions import CompletionRequest, Priority
+from stagewalk.node.core.platform import (
+    EngineReport,
+    EngineState,
+    Machine,
+    MachineKind,
+    MachineState,
+)
+from stagewalk.node.routing.config import EngineTableConfig, RouterConfig
+from stagewalk.node.routing.engine_table import EngineTable
+from stagewalk.node.routing.policies import POLICIES
+from stagewalk.node.routing.router import Router
 
 POOL_SIZES = (60, 600)
 DECISIONS = 2000
--- a/src/stagewalk/simulation/callers.py
+++ b/src/stagewalk/simulation/callers.py
@@ -8,9 +8,6 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError
 from stagewalk.common.identities import CallId, RequestId
-from stagewalk.core.completions import CompletionRequest, CompletionResult, Priority
-from stagewalk.core.events import CompletionRequested, Event
-from stagewalk.core.instructions import FailCall, FinishCall, SendChunk
 from stagewalk.history.answer_text import answer_length
 from stagewalk.history.checker_stops import CONNECTION_CUT
 from stagewalk.history.observations import (
@@ -20,6 +17,9 @@
     RequestRefused,
     RequestSent,
 )
+from stagewalk.node.core.completions import CompletionRequest, CompletionResult, Priority
+from stagewalk.node.core.events import CompletionRequested, Event
+from stagewalk.node.core.instructions import FailCall, FinishCall, SendChunk
 from stagewalk.simulation.client_calls import other_nodes
 from stagewalk.simulation.engine_prefix_cache import prompt_token_count
 from stagewalk.simulation.layout import CallerLoad
--- a/src/stagewalk/simulation/claims_explorer.py
+++ b/src/stagewalk/simulation/claims_explorer.py
@@ -22,14 +22,14 @@
 import xxhash
 from absl import app, flags
 
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.core import ClaimCore
-from stagewalk.claims.notifications import ClaimDecided, ClaimOutput
-from stagewalk.claims.placement import Group, GroupMember, GroupPlacement, PartitionChain
-from stagewalk.claims.types import Peer, Replica
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.core.instructions import SendPeerMessage
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.core import ClaimCore
+from stagewalk.node.claims.notifications import ClaimDecided, ClaimOutput
+from stagewalk.node.claims.placement import Group, GroupMember, GroupPlacement, PartitionChain
+from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.core.instructions import SendPeerMessage
+from stagewalk.node.wire.envelope_pb2 import Envelope
 
 KEY = "key"
 REPLICAS = ("a", "b", "c")
--- a/src/stagewalk/simulation/client_calls.py
+++ b/src/stagewalk/simulation/client_calls.py
@@ -8,7 +8,7 @@
 import simpy
 
 from stagewalk.common.identities import CallId
-from stagewalk.core.events import Event
+from stagewalk.node.core.events import Event
 from stagewalk.simulation.layout import Endpoint
 from stagewalk.simulation.node_host import CallAnswer, NodeHost
 from stagewalk.simulation.virtual_time import Scheduler
--- a/src/stagewalk/simulation/engine_host.py
+++ b/src/stagewalk/simulation/engine_host.py
@@ -8,7 +8,6 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.identities import AttemptId, EngineName, Incarnation, WeightVersion
-from stagewalk.core.platform import EngineOrder, EngineReport, EngineState, OrderOutcome
 from stagewalk.history.observations import (
     EngineLeaving,
     EngineServing,
@@ -19,6 +18,7 @@
     WorkReceived,
     WorkRefused,
 )
+from stagewalk.node.core.platform import EngineOrder, EngineReport, EngineState, OrderOutcome
 from stagewalk.simulation.engine_messages import (
     Accepted,
     ActivationEnded,
--- a/src/stagewalk/simulation/engine_messages.py
+++ b/src/stagewalk/simulation/engine_messages.py
@@ -6,8 +6,8 @@
 from enum import StrEnum
 
 from stagewalk.common.identities import AttemptId, ModelName, RequestId, TenantName, WeightVersion
-from stagewalk.core.completions import Priority, TokenChunk
-from stagewalk.core.platform import OrderOutcome
+from stagewalk.node.core.completions import Priority, TokenChunk
+from stagewalk.node.core.platform import OrderOutcome
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/simulation/engine_model.py
+++ b/src/stagewalk/simulation/engine_model.py
@@ -19,8 +19,8 @@
     ModelName,
     WeightVersion,
 )
-from stagewalk.core.platform import EngineOrder, EngineReport, EngineState
 from stagewalk.history.answer_text import answer_length, content_key
+from stagewalk.node.core.platform import EngineOrder, EngineReport, EngineState
 from stagewalk.simulation.engine_messages import (
     Accepted,
     CacheEvent,
--- a/src/stagewalk/simulation/engine_sequence.py
+++ b/src/stagewalk/simulation/engine_sequence.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import AttemptId, WeightVersion
-from stagewalk.core.completions import TokenChunk
 from stagewalk.history.answer_text import render_chunk
+from stagewalk.node.core.completions import TokenChunk
 from stagewalk.simulation.engine_messages import ChunkProduced, EngineRequest
 
 ROUNDING_TOKENS = 1e-6
--- a/src/stagewalk/simulation/engine_weights.py
+++ b/src/stagewalk/simulation/engine_weights.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 
 from stagewalk.common.identities import Epoch, ModelName, WeightVersion
-from stagewalk.core.platform import EngineOrder, OrderKind, OrderOutcome
+from stagewalk.node.core.platform import EngineOrder, OrderKind, OrderOutcome
 from stagewalk.simulation.engine_messages import (
     ActivationEnded,
     EngineOutput,
--- a/src/stagewalk/simulation/layout.py
+++ b/src/stagewalk/simulation/layout.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.identities import Address, ModelName, Placement, TenantName
-from stagewalk.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.parameters import TenantParameters
 from stagewalk.simulation.platform_settings import EngineSettings
 
 
--- a/src/stagewalk/simulation/layouts.py
+++ b/src/stagewalk/simulation/layouts.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from stagewalk.common.identities import Address, ModelName, Placement, TenantName
-from stagewalk.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.parameters import TenantParameters
 from stagewalk.simulation.layout import (
     CallerLoad,
     Endpoint,
--- a/src/stagewalk/simulation/log_service.py
+++ b/src/stagewalk/simulation/log_service.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import RecordId
-from stagewalk.core.platform import LogRecord
 from stagewalk.history.observations import RecordAppended
+from stagewalk.node.core.platform import LogRecord
 from stagewalk.simulation.layout import Endpoint
 from stagewalk.simulation.network import Network
 from stagewalk.simulation.remote_call import RemoteCall
--- a/src/stagewalk/simulation/machines.py
+++ b/src/stagewalk/simulation/machines.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import Address, ModelName, WeightVersion
-from stagewalk.core.platform import Machine, MachineKind, MachineState
+from stagewalk.node.core.platform import Machine, MachineKind, MachineState
 from stagewalk.simulation.engine_host import EngineHost
 from stagewalk.simulation.layout import EngineSite, Layout, NodeSite
 from stagewalk.simulation.log_service import LogService
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -13,13 +13,14 @@
 
 from stagewalk.common.errors import Ran
 from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.notifications import ConfigurationChanged
-from stagewalk.configuration.outcomes import ChangeRejected, RejectionReason
-from stagewalk.configuration.parameters import Tenant
-from stagewalk.configuration.records import CONFIGURATION_STREAM, AnyChange
-from stagewalk.configuration.state import TenantRecord
-from stagewalk.core.events import (
+from stagewalk.history.checker_verdict import Promise
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.notifications import ConfigurationChanged
+from stagewalk.node.configuration.outcomes import ChangeRejected, RejectionReason
+from stagewalk.node.configuration.parameters import Tenant
+from stagewalk.node.configuration.records import CONFIGURATION_STREAM, AnyChange
+from stagewalk.node.configuration.state import TenantRecord
+from stagewalk.node.core.events import (
     AttemptChunk,
     AttemptFailed,
     AttemptFinished,
@@ -33,12 +34,11 @@
     StopRequested,
     VersionsRead,
 )
-from stagewalk.core.instructions import ExitProcess, FailCall, Instruction, StartAttempt
-from stagewalk.core.platform import EngineState, MachineState
-from stagewalk.history.checker_verdict import Promise
+from stagewalk.node.core.instructions import ExitProcess, FailCall, Instruction, StartAttempt
+from stagewalk.node.core.platform import EngineState, MachineState
 from stagewalk.node.node_core import NodeCore, NodeIdentity, NodeStatus
 from stagewalk.node.outputs import NodeOutput
-from stagewalk.requests.notifications import ClaimWanted
+from stagewalk.node.requests.notifications import ClaimWanted
 from stagewalk.simulation.node_host import CoreFactory
 
 CONFIGURATION_FROZEN_AT_OFFSET = 2
--- a/src/stagewalk/simulation/node_host.py
+++ b/src/stagewalk/simulation/node_host.py
@@ -9,7 +9,8 @@
 from typing import Protocol
 
 from stagewalk.common.identities import Address, CallId, Incarnation, NodeName
-from stagewalk.core.events import (
+from stagewalk.history.observations import PlannedStopBegan, ProcessKilled
+from stagewalk.node.core.events import (
     TICK_INTERVAL_SECONDS,
     CallAbandoned,
     Event,
@@ -17,7 +18,7 @@
     StopRequested,
     Tick,
 )
-from stagewalk.core.instructions import (
+from stagewalk.node.core.instructions import (
     AcceptLot,
     DeliverSamples,
     ExitProcess,
@@ -28,13 +29,12 @@
     SendPeerMessage,
     Transport,
 )
-from stagewalk.history.observations import PlannedStopBegan, ProcessKilled
 from stagewalk.node.node_core import NodeIdentity, NodeStatus
+from stagewalk.node.wire.envelope_pb2 import Envelope
 from stagewalk.simulation.layout import Endpoint, NodeSite
 from stagewalk.simulation.network import STALL_LIMIT_SECONDS, Connection, Direction, Network
 from stagewalk.simulation.outbound import OutboundCalls
 from stagewalk.simulation.witness import Witness
-from stagewalk.wire.envelope_pb2 import Envelope
 
 BACKLOG_LIMIT = 4096
 GRACEFUL_SECONDS = 3.0
--- a/src/stagewalk/simulation/operators.py
+++ b/src/stagewalk/simulation/operators.py
@@ -13,17 +13,17 @@
 import simpy
 
 from stagewalk.common.identities import RecordId, TenantName
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.outcomes import ChangeAccepted
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.configuration.records import (
+from stagewalk.history.observations import PublishAnswered
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.outcomes import ChangeAccepted
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.records import (
     CONFIGURATION_STREAM,
     AnyChange,
     ChangeParameters,
     CreateTenant,
     encode_change,
 )
-from stagewalk.history.observations import PublishAnswered
 from stagewalk.simulation.layout import Endpoint, Layout, TenantSite
 from stagewalk.simulation.log_service import LogPage, LogService
 from stagewalk.simulation.virtual_time import Scheduler, Steps
--- a/src/stagewalk/simulation/outbound.py
+++ b/src/stagewalk/simulation/outbound.py
@@ -8,7 +8,7 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import Address, AttemptId
-from stagewalk.core.events import (
+from stagewalk.node.core.events import (
     AppendConfirmed,
     AppendFailed,
     AttemptChunk,
@@ -26,7 +26,7 @@
     SampleScoringFailed,
     VersionsRead,
 )
-from stagewalk.core.instructions import (
+from stagewalk.node.core.instructions import (
     AppendRecord,
     CancelAttempt,
     Instruction,
@@ -39,7 +39,7 @@
     ScoreSample,
     StartAttempt,
 )
-from stagewalk.core.platform import EngineReport, OrderOutcome
+from stagewalk.node.core.platform import EngineReport, OrderOutcome
 from stagewalk.simulation.engine_host import EngineHost, EngineStream, StreamOutput
 from stagewalk.simulation.engine_messages import (
     Accepted,
--- a/src/stagewalk/simulation/platform_services.py
+++ b/src/stagewalk/simulation/platform_services.py
@@ -10,9 +10,9 @@
 import xxhash
 
 from stagewalk.common.identities import ModelName, WeightVersion
-from stagewalk.core.instructions import ScoreSample
-from stagewalk.core.platform import Machine, MachineState, PublishedVersion
 from stagewalk.history.observations import VersionPublished
+from stagewalk.node.core.instructions import ScoreSample
+from stagewalk.node.core.platform import Machine, MachineState, PublishedVersion
 from stagewalk.simulation.layout import Endpoint
 from stagewalk.simulation.network import Network
 from stagewalk.simulation.remote_call import RemoteCall
--- a/src/stagewalk/simulation/policies.py
+++ b/src/stagewalk/simulation/policies.py
@@ -11,7 +11,7 @@
 
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_core import NodeCore, NodeIdentity
-from stagewalk.routing.config import RouterConfig
+from stagewalk.node.routing.config import RouterConfig
 from stagewalk.simulation.baseline_node import BaselineNodeCore
 from stagewalk.simulation.node_host import Core, CoreFactory
 
--- a/src/stagewalk/simulation/trainers.py
+++ b/src/stagewalk/simulation/trainers.py
@@ -11,15 +11,15 @@
 
 from stagewalk.common.errors import ErrorKind
 from stagewalk.common.identities import SlotKey, WeightVersion
-from stagewalk.core.events import LotSubmitted, SamplesPulled
-from stagewalk.core.instructions import AcceptLot, DeliverSamples, FailCall
-from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, Sample, SamplePull, slot_seed
 from stagewalk.history.answer_text import answer_length, true_spans
 from stagewalk.history.observations import (
     SampleAccepted,
     StepCompleted,
     StepStarted,
 )
+from stagewalk.node.core.events import LotSubmitted, SamplesPulled
+from stagewalk.node.core.instructions import AcceptLot, DeliverSamples, FailCall
+from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample, SamplePull, slot_seed
 from stagewalk.simulation.client_calls import call_once, other_nodes
 from stagewalk.simulation.engine_prefix_cache import prompt_token_count
 from stagewalk.simulation.layout import TrainerLoad
--- a/src/stagewalk_standins/caller.py
+++ b/src/stagewalk_standins/caller.py
@@ -12,7 +12,6 @@
 import msgspec
 
 from stagewalk.common.errors import Ran
-from stagewalk.core.completions import VersionSpan
 from stagewalk.history.answer_text import answer_length
 from stagewalk.history.observations import (
     FaultInjected,
@@ -21,6 +20,7 @@
     RequestRefused,
     RequestSent,
 )
+from stagewalk.node.core.completions import VersionSpan
 from stagewalk_standins.event_log import log_event
 from stagewalk_standins.history_file import HistoryFile, clock
 from stagewalk_standins.http_client import open_client
--- a/src/stagewalk_standins/commands.py
+++ b/src/stagewalk_standins/commands.py
@@ -65,7 +65,7 @@
 async def run_engine(options: argparse.Namespace) -> None:
     """Run an engine until it was asked to stop and has finished what ran."""
     from stagewalk.common.identities import EngineName, Incarnation, ModelName, WeightVersion
-    from stagewalk.core.platform import MachineState
+    from stagewalk.node.core.platform import MachineState
     from stagewalk.simulation.engine_model import EngineModel
     from stagewalk.simulation.platform_settings import EngineSettings
     from stagewalk_standins.engine_history import EngineHistory
--- a/src/stagewalk_standins/demo/topology.py
+++ b/src/stagewalk_standins/demo/topology.py
@@ -7,7 +7,7 @@
 from itertools import count
 from pathlib import Path
 
-from stagewalk.configuration.deployment import (
+from stagewalk.node.configuration.deployment import (
     CallerService,
     Deployment,
     EngineService,
--- a/src/stagewalk_standins/engine_history.py
+++ b/src/stagewalk_standins/engine_history.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from stagewalk.common.identities import EngineName, Incarnation, WeightVersion
-from stagewalk.core.platform import EngineOrder, OrderKind
 from stagewalk.history.observations import (
     EngineLeaving,
     EngineServing,
@@ -12,6 +11,7 @@
     WorkReceived,
     WorkRefused,
 )
+from stagewalk.node.core.platform import EngineOrder, OrderKind
 from stagewalk.simulation.engine_messages import AttemptDone, EngineRequest
 from stagewalk_standins.event_log import log_event
 from stagewalk_standins.history_file import HistoryFile, clock
--- a/src/stagewalk_standins/engine_server.py
+++ b/src/stagewalk_standins/engine_server.py
@@ -16,8 +16,8 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.core.completions import Priority
-from stagewalk.core.platform import EngineOrder, EngineState, OrderKind, OrderOutcome
+from stagewalk.node.core.completions import Priority
+from stagewalk.node.core.platform import EngineOrder, EngineState, OrderKind, OrderOutcome
 from stagewalk.simulation.engine_messages import (
     ActivationEnded,
     AttemptDone,
--- a/src/stagewalk_standins/engine_stream.py
+++ b/src/stagewalk_standins/engine_stream.py
@@ -7,8 +7,8 @@
 import anyio
 import msgspec
 
-from stagewalk.core.completions import TokenChunk
 from stagewalk.history.answer_text import content_key, render_chunk
+from stagewalk.node.core.completions import TokenChunk
 from stagewalk.simulation.engine_messages import AttemptDone, EngineRequest, WorkOutcome
 
 DONE_EVENT = b"data: [DONE]\n\n"
--- a/src/stagewalk_standins/machine_registration.py
+++ b/src/stagewalk_standins/machine_registration.py
@@ -7,7 +7,7 @@
 import anyio
 import httpx
 
-from stagewalk.core.platform import MachineKind, MachineState
+from stagewalk.node.core.platform import MachineKind, MachineState
 from stagewalk_standins.event_log import log_event
 from stagewalk_standins.http_client import open_client
 
--- a/src/stagewalk_standins/machine_server.py
+++ b/src/stagewalk_standins/machine_server.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from stagewalk.core.platform import MachineKind, MachineState
+from stagewalk.node.core.platform import MachineKind, MachineState
 from stagewalk_standins.event_log import log_event
 from stagewalk_standins.history_file import clock
 from stagewalk_standins.web import (
--- a/src/stagewalk_standins/trainer.py
+++ b/src/stagewalk_standins/trainer.py
@@ -9,7 +9,6 @@
 import msgspec
 
 from stagewalk.common.identities import SlotKey, TenantName, WeightVersion
-from stagewalk.core.rollouts import slot_seed
 from stagewalk.history.answer_text import answer_length
 from stagewalk.history.observations import (
     SampleAccepted,
@@ -17,6 +16,7 @@
     StepStarted,
     VersionPublished,
 )
+from stagewalk.node.core.rollouts import slot_seed
 from stagewalk_standins.event_log import log_event
 from stagewalk_standins.history_file import clock
 from stagewalk_standins.http_client import open_client
--- a/src/stagewalk_standins/trainer_protocol.py
+++ b/src/stagewalk_standins/trainer_protocol.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from stagewalk.core.completions import VersionSpan
+from stagewalk.node.core.completions import VersionSpan
 
 
 class PromptBody(msgspec.Struct, frozen=True):
--- a/tests/bench/test_measurements.py
+++ b/tests/bench/test_measurements.py
@@ -4,8 +4,8 @@
 from stagewalk.bench.hollow_cluster import HollowCluster
 from stagewalk.cli.main import run
 from stagewalk.common.identities import ModelName, TenantName
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.configuration.records import CONFIGURATION_STREAM, CreateTenant, encode_change
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.records import CONFIGURATION_STREAM, CreateTenant, encode_change
 
 
 class HollowClusterTest(testtools.TestCase):
--- a/tests/history/histories.py
+++ b/tests/history/histories.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 from stagewalk.common.identities import ModelName, WeightVersion
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.core.completions import VersionSpan
 from stagewalk.history.answer_text import content_key, render_chunk
 from stagewalk.history.observations import (
     AnyObservation,
@@ -17,6 +15,8 @@
     WorkReceived,
     WorkRefused,
 )
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.core.completions import VersionSpan
 
 PROMPT = "boundary notes of folio 12"
 SEED = 3
--- a/tests/history/test_answer_text.py
+++ b/tests/history/test_answer_text.py
@@ -5,7 +5,6 @@
 import testtools
 
 from stagewalk.common.identities import WeightVersion
-from stagewalk.core.completions import VersionSpan
 from stagewalk.history.answer_text import (
     answer_length,
     content_key,
@@ -13,6 +12,7 @@
     true_spans,
     wholeness_fault,
 )
+from stagewalk.node.core.completions import VersionSpan
 
 PROMPT = "place names of sheet 7"
 
--- a/tests/admission/test_admission.py
+++ b/tests/node/admission/test_admission.py
@@ -6,19 +6,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.admission.config import AdmissionConfig, LimiterConfig
-from stagewalk.admission.controller import (
+from stagewalk.common.errors import ErrorKind, Ran
+from stagewalk.common.identities import NodeName, RequestId, RequestKey, TenantName
+from stagewalk.node.admission.config import AdmissionConfig, LimiterConfig
+from stagewalk.node.admission.controller import (
     Admission,
     AdmissionController,
     PoolCapacity,
     TenantUsage,
 )
-from stagewalk.admission.limiter import AdaptiveLimiter
-from stagewalk.admission.shares import guaranteed
-from stagewalk.common.errors import ErrorKind, Ran
-from stagewalk.common.identities import NodeName, RequestId, RequestKey, TenantName
-from stagewalk.core.completions import Priority
-from tests.requests.support import MODEL, request, tenant
+from stagewalk.node.admission.limiter import AdaptiveLimiter
+from stagewalk.node.admission.shares import guaranteed
+from stagewalk.node.core.completions import Priority
+from tests.node.requests.support import MODEL, request, tenant
 
 SHARES = {TenantName("a"): 0.5, TenantName("b"): 0.3, TenantName("c"): 0.2}
 CONFIG = AdmissionConfig(
--- a/tests/claims/network.py
+++ b/tests/node/claims/network.py
@@ -6,16 +6,17 @@
 import random
 from collections import Counter
 
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.core import ClaimCore
-from stagewalk.claims.notifications import (
+from stagewalk.common.identities import Address, Incarnation, NodeName, Placement, RecordId
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.core import ClaimCore
+from stagewalk.node.claims.notifications import (
     ClaimAbsent,
     ClaimDecided,
     ClaimOutput,
     ClaimUndecided,
     PlacementAppendWanted,
 )
-from stagewalk.claims.placement import (
+from stagewalk.node.claims.placement import (
     GroupChange,
     MemberRecord,
     PartitionChain,
@@ -23,10 +24,9 @@
     PlacementFold,
     encode_record,
 )
-from stagewalk.claims.types import Peer, Replica
-from stagewalk.common.identities import Address, Incarnation, NodeName, Placement, RecordId
-from stagewalk.core.instructions import SendPeerMessage
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.core.instructions import SendPeerMessage
+from stagewalk.node.core.platform import LogRecord
 
 TICK = 0.1
 
--- a/tests/claims/test_claims.py
+++ b/tests/node/claims/test_claims.py
@@ -4,9 +4,9 @@
 
 import testtools
 
-from stagewalk.claims.notifications import ClaimAbsent, ClaimDecided, ClaimUndecided
 from stagewalk.common.errors import ErrorKind
-from tests.claims.network import Network
+from stagewalk.node.claims.notifications import ClaimAbsent, ClaimDecided, ClaimUndecided
+from tests.node.claims.network import Network
 
 
 class StableGroupTest(testtools.TestCase):
--- a/tests/claims/test_examples.py
+++ b/tests/node/claims/test_examples.py
@@ -9,7 +9,7 @@
 
 import testtools
 
-EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
+EXAMPLES = Path(__file__).resolve().parents[3] / "examples"
 
 
 def output_of(name: str) -> list[str]:
--- a/tests/claims/test_explorer.py
+++ b/tests/node/claims/test_explorer.py
@@ -7,10 +7,10 @@
 
 import testtools
 
-from stagewalk.claims.partition import PartitionReplica
-from stagewalk.claims.relay import PlacementView
-from stagewalk.claims.replica import ReplicaCore
-from stagewalk.claims.transfer import StateTransfer
+from stagewalk.node.claims.partition import PartitionReplica
+from stagewalk.node.claims.relay import PlacementView
+from stagewalk.node.claims.replica import ReplicaCore
+from stagewalk.node.claims.transfer import StateTransfer
 from stagewalk.simulation.claims_explorer import DecidedTwice, Limits, explore, walk
 
 
@@ -37,7 +37,8 @@
             self.assert_found(Limits(restarts=1, timers=2), 200, seed=0)
 
     def test_consistent_quorums(self) -> None:
-        with mock.patch("stagewalk.claims.proposal.consistent_answers", lambda answers: answers):
+        consistent_answers = "stagewalk.node.claims.proposal.consistent_answers"
+        with mock.patch(consistent_answers, lambda answers: answers):
             self.assert_found(Limits(restarts=1, timers=2), 400, seed=0)
 
     def test_sealing_of_the_group_before(self) -> None:
--- a/tests/claims/test_faults.py
+++ b/tests/node/claims/test_faults.py
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stagewalk.claims.config import ClaimConfig
-from stagewalk.claims.notifications import ClaimDecided, ClaimUndecided
 from stagewalk.common.errors import ErrorKind
-from tests.claims.network import Network
+from stagewalk.node.claims.config import ClaimConfig
+from stagewalk.node.claims.notifications import ClaimDecided, ClaimUndecided
+from tests.node.claims.network import Network
 
 NODES = "abcdef"
 KEYS = ("k0", "k1")
--- a/tests/claims/test_placement.py
+++ b/tests/node/claims/test_placement.py
@@ -4,7 +4,8 @@
 
 import testtools
 
-from stagewalk.claims.placement import (
+from stagewalk.common.identities import Incarnation, NodeName, Placement, RecordId
+from stagewalk.node.claims.placement import (
     AbandonedGroup,
     GroupChange,
     MemberRecord,
@@ -14,9 +15,8 @@
     RecoveryAbandoned,
     encode_record,
 )
-from stagewalk.claims.planner import PlacementCandidate, PlacementPlanner, PlannerConfig
-from stagewalk.common.identities import Incarnation, NodeName, Placement, RecordId
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.claims.planner import PlacementCandidate, PlacementPlanner, PlannerConfig
+from stagewalk.node.core.platform import LogRecord
 
 
 def change(base_epoch: int, names: str, fence: int = 1, forgets: bool = False) -> PlacementChange:
--- a/tests/configuration/cluster.py
+++ b/tests/node/configuration/cluster.py
@@ -5,17 +5,17 @@
 import random
 
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.configuration.follower import (
+from stagewalk.node.configuration.follower import (
     ConfigurationFollower,
     FollowerConfig,
     FollowerOutput,
 )
-from stagewalk.configuration.notifications import ConfigurationChanged
-from stagewalk.configuration.records import AnyChange, encode_change
-from stagewalk.core.instructions import LogEvent, SendPeerMessage, Transport
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.configuration.notifications import ConfigurationChanged
+from stagewalk.node.configuration.records import AnyChange, encode_change
+from stagewalk.node.core.instructions import LogEvent, SendPeerMessage, Transport
+from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.node_core import NodeIdentity
-from tests.configuration.records import log_record
+from tests.node.configuration.records import log_record
 
 TICK_SECONDS = 0.1
 
--- a/tests/configuration/records.py
+++ b/tests/node/configuration/records.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from stagewalk.common.identities import ModelName, RecordId
-from stagewalk.configuration.fold import ConfigurationFold
-from stagewalk.configuration.outcomes import FoldOutcome
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.configuration.records import AnyChange, encode_change
-from stagewalk.core.platform import LogRecord
+from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.outcomes import FoldOutcome
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.records import AnyChange, encode_change
+from stagewalk.node.core.platform import LogRecord
 
 
 def parameters(share: float = 0.5, model: str = "qari-2", bound: int = 1) -> TenantParameters:
--- a/tests/configuration/test_convergence.py
+++ b/tests/node/configuration/test_convergence.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import NodeName, TenantName
-from stagewalk.configuration.records import AnyChange
-from tests.configuration.cluster import Cluster
-from tests.configuration.records import change, create, delete, parameters
+from stagewalk.node.configuration.records import AnyChange
+from tests.node.configuration.cluster import Cluster
+from tests.node.configuration.records import change, create, delete, parameters
 
 OWNERS = {"catalogue": "archive", "transcription": "archive", "advice": "thornfield"}
 PUBLISHES = 100
--- a/tests/configuration/test_fold.py
+++ b/tests/node/configuration/test_fold.py
@@ -7,18 +7,18 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import ModelName, TenantName, WeightVersion
-from stagewalk.configuration.fold import HISTORY_LIMIT, REVISION_LIMIT, ConfigurationFold
-from stagewalk.configuration.outcomes import (
+from stagewalk.node.configuration.fold import HISTORY_LIMIT, REVISION_LIMIT, ConfigurationFold
+from stagewalk.node.configuration.outcomes import (
     ChangeAccepted,
     ChangeRejected,
     ChangeRepeated,
     FoldOutcome,
     RejectionReason,
 )
-from stagewalk.configuration.parameters import TenantParameters
-from stagewalk.configuration.records import AnyChange, encode_change
-from stagewalk.core.platform import LogRecord
-from tests.configuration.records import (
+from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.records import AnyChange, encode_change
+from stagewalk.node.core.platform import LogRecord
+from tests.node.configuration.records import (
     change,
     create,
     delete,
--- a/tests/configuration/test_follower.py
+++ b/tests/node/configuration/test_follower.py
@@ -5,14 +5,14 @@
 import testtools
 
 from stagewalk.common.identities import NodeName
-from stagewalk.configuration.follower import FollowerConfig
-from stagewalk.configuration.progress import ProgressTable
-from stagewalk.configuration.records import AnyChange, encode_change
-from stagewalk.core.instructions import MAXIMUM_DATAGRAM_BYTES
-from stagewalk.core.platform import LogRecord
-from stagewalk.wire.configuration_pb2 import ConfigurationMessage
-from tests.configuration.cluster import Cluster
-from tests.configuration.records import change, create, log_record, parameters
+from stagewalk.node.configuration.follower import FollowerConfig
+from stagewalk.node.configuration.progress import ProgressTable
+from stagewalk.node.configuration.records import AnyChange, encode_change
+from stagewalk.node.core.instructions import MAXIMUM_DATAGRAM_BYTES
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.wire.configuration_pb2 import ConfigurationMessage
+from tests.node.configuration.cluster import Cluster
+from tests.node.configuration.records import change, create, log_record, parameters
 
 
 def log_of(*changes: AnyChange) -> tuple[LogRecord, ...]:
--- a/tests/node/echo_core.py
+++ b/tests/node/echo_core.py
@@ -20,13 +20,13 @@
     SlotKey,
     WeightVersion,
 )
-from stagewalk.core.completions import (
+from stagewalk.node.core.completions import (
     CompletionRequest,
     CompletionResult,
     TokenChunk,
     VersionSpan,
 )
-from stagewalk.core.events import (
+from stagewalk.node.core.events import (
     AnswerRequested,
     AttemptChunk,
     AttemptFailed,
@@ -41,7 +41,7 @@
     StopRequested,
     Tick,
 )
-from stagewalk.core.instructions import (
+from stagewalk.node.core.instructions import (
     AcceptLot,
     DeliverSamples,
     ExitProcess,
@@ -52,7 +52,7 @@
     SendChunk,
     StartAttempt,
 )
-from stagewalk.core.rollouts import Sample, SampleBatch
+from stagewalk.node.core.rollouts import Sample, SampleBatch
 from stagewalk.node.node_core import NodeIdentity, NodeStatus
 
 VERSION = WeightVersion(3)
--- a/tests/node/echo_node.py
+++ b/tests/node/echo_node.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from stagewalk.node.daemon import run_node
-from stagewalk.settings.node_settings import load_node_settings
+from stagewalk.node.settings import load_node_settings
 from tests.node.echo_core import EchoCore
 
 EXAMPLE = Path(__file__).parents[2] / "deployments" / "example-node.toml"
--- a/tests/leases/test_leases.py
+++ b/tests/node/leases/test_leases.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import Epoch, Incarnation, NodeName, RecordId
-from stagewalk.core.platform import LogRecord
-from stagewalk.leases.config import LeaseConfig
-from stagewalk.leases.core import Candidate, LeaseCore, LiveMember
-from stagewalk.leases.fold import Acquire, LeaseFold, Release, encode_record
-from stagewalk.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost, LeaseOutput
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.leases.config import LeaseConfig
+from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
+from stagewalk.node.leases.fold import Acquire, LeaseFold, Release, encode_record
+from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost, LeaseOutput
 
 DUTIES = ("placement", "rollout/m")
 TICK = 0.1
--- a/tests/log_client/model.py
+++ b/tests/node/log_client/model.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import RecordId
-from stagewalk.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
-from stagewalk.core.instructions import AppendRecord, ReadLog
-from stagewalk.core.platform import LogRecord
-from stagewalk.log_client.config import LogClientConfig
-from stagewalk.log_client.core import LogClientCore, LogClientEvent, LogClientOutput
-from stagewalk.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
+from stagewalk.node.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
+from stagewalk.node.core.instructions import AppendRecord, ReadLog
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.log_client.config import LogClientConfig
+from stagewalk.node.log_client.core import LogClientCore, LogClientEvent, LogClientOutput
+from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
 
 TICK_SECONDS = 0.1
 POLL_SECONDS = 2.0
--- a/tests/log_client/test_core.py
+++ b/tests/node/log_client/test_core.py
@@ -8,11 +8,11 @@
 
 from stagewalk.common.errors import ErrorKind, Step
 from stagewalk.common.identities import RecordId
-from stagewalk.core.events import AppendConfirmed, LogRead
-from stagewalk.core.instructions import ReadLog
-from stagewalk.core.platform import LogRecord
-from stagewalk.log_client.config import LogClientConfig
-from tests.log_client.model import LANDS_LATE_SECONDS, Faults, LogWorld
+from stagewalk.node.core.events import AppendConfirmed, LogRead
+from stagewalk.node.core.instructions import ReadLog
+from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.log_client.config import LogClientConfig
+from tests.node.log_client.model import LANDS_LATE_SECONDS, Faults, LogWorld
 
 chances = st.sampled_from([0.0, 0.3, 0.7])
 fault_mixes = st.builds(Faults, chances, chances, chances, chances, st.just(0.0))
--- a/tests/membership/test_core.py
+++ b/tests/node/membership/test_core.py
@@ -4,12 +4,12 @@
 
 from stagewalk.bench.membership_network import MembershipNetwork
 from stagewalk.common.identities import NodeName
-from stagewalk.core.instructions import MAXIMUM_DATAGRAM_BYTES
-from stagewalk.membership.codec import fact_to_record
-from stagewalk.membership.member_table import MemberFact
-from stagewalk.membership.members import MemberState
-from stagewalk.membership.notifications import IdentitySuperseded
-from stagewalk.wire.membership_pb2 import MemberRecord, MembershipMessage
+from stagewalk.node.core.instructions import MAXIMUM_DATAGRAM_BYTES
+from stagewalk.node.membership.codec import fact_to_record
+from stagewalk.node.membership.member_table import MemberFact
+from stagewalk.node.membership.members import MemberState
+from stagewalk.node.membership.notifications import IdentitySuperseded
+from stagewalk.node.wire.membership_pb2 import MemberRecord, MembershipMessage
 
 
 def cluster(size: int, seed: int = 1) -> MembershipNetwork:
--- a/tests/membership/test_member_table.py
+++ b/tests/node/membership/test_member_table.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.membership.member_table import MemberFact, MemberTable
-from stagewalk.membership.members import MemberState, MemberStatus
+from stagewalk.node.membership.member_table import MemberFact, MemberTable
+from stagewalk.node.membership.members import MemberState, MemberStatus
 
 FACTS = st.builds(
     MemberFact,
--- a/tests/requests/support.py
+++ b/tests/node/requests/support.py
@@ -5,8 +5,6 @@
 import random
 from dataclasses import dataclass, replace
 
-from stagewalk.admission.config import AdmissionConfig
-from stagewalk.admission.controller import AdmissionController
 from stagewalk.common.identities import (
     Address,
     EngineName,
@@ -20,20 +18,22 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.completions import CompletionRequest, Priority, TokenChunk
-from stagewalk.core.events import AttemptChunk, AttemptFinished
-from stagewalk.core.instructions import CancelAttempt, StartAttempt
-from stagewalk.core.platform import (
+from stagewalk.node.admission.config import AdmissionConfig
+from stagewalk.node.admission.controller import AdmissionController
+from stagewalk.node.configuration.parameters import Tenant, TenantParameters
+from stagewalk.node.core.completions import CompletionRequest, Priority, TokenChunk
+from stagewalk.node.core.events import AttemptChunk, AttemptFinished
+from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
+from stagewalk.node.core.platform import (
     EngineReport,
     EngineState,
     Machine,
     MachineKind,
     MachineState,
 )
-from stagewalk.requests.config import RequestConfig
-from stagewalk.requests.core import RequestCore
-from stagewalk.requests.notifications import (
+from stagewalk.node.requests.config import RequestConfig
+from stagewalk.node.requests.core import RequestCore
+from stagewalk.node.requests.notifications import (
     ClaimWanted,
     RequestChunk,
     RequestFailed,
@@ -41,9 +41,9 @@
     RequestOutput,
     SubmissionRejected,
 )
-from stagewalk.routing.config import EngineTableConfig, RouterConfig
-from stagewalk.routing.engine_table import EngineTable
-from stagewalk.routing.router import Router
+from stagewalk.node.routing.config import EngineTableConfig, RouterConfig
+from stagewalk.node.routing.engine_table import EngineTable
+from stagewalk.node.routing.router import Router
 
 MODEL = ModelName("advice")
 TENANT = TenantName("growers")
--- a/tests/requests/test_hand_over.py
+++ b/tests/node/requests/test_hand_over.py
@@ -5,12 +5,12 @@
 import testtools
 
 from stagewalk.common.identities import Incarnation, NodeName
-from stagewalk.core.events import AttemptFailed, AttemptRefused
-from stagewalk.core.instructions import StartAttempt
-from stagewalk.requests.claim_value import decode_claim
-from stagewalk.requests.config import RequestConfig
-from stagewalk.requests.notifications import AnswerWanted, ClaimWanted
-from tests.requests.support import KEY, Driver, Identity
+from stagewalk.node.core.events import AttemptFailed, AttemptRefused
+from stagewalk.node.core.instructions import StartAttempt
+from stagewalk.node.requests.claim_value import decode_claim
+from stagewalk.node.requests.config import RequestConfig
+from stagewalk.node.requests.notifications import AnswerWanted, ClaimWanted
+from tests.node.requests.support import KEY, Driver, Identity
 
 CONFIG = RequestConfig(fetch_answers=True)
 
--- a/tests/requests/test_request_core.py
+++ b/tests/node/requests/test_request_core.py
@@ -6,11 +6,11 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import RequestId, RequestKey
-from stagewalk.core.events import AttemptFailed, AttemptRefused
-from stagewalk.core.instructions import StartAttempt
-from stagewalk.requests.config import HedgeConfig, MemoryConfig, RequestConfig, RetryConfig
-from stagewalk.requests.notifications import ClaimWanted, RequestFailed
-from tests.requests.support import TENANT, Driver, chunk, finished
+from stagewalk.node.core.events import AttemptFailed, AttemptRefused
+from stagewalk.node.core.instructions import StartAttempt
+from stagewalk.node.requests.config import HedgeConfig, MemoryConfig, RequestConfig, RetryConfig
+from stagewalk.node.requests.notifications import ClaimWanted, RequestFailed
+from tests.node.requests.support import TENANT, Driver, chunk, finished
 
 
 def outcomes(driver: Driver) -> list[tuple[ErrorKind, Ran]]:
--- a/tests/requests/test_request_machine.py
+++ b/tests/node/requests/test_request_machine.py
@@ -23,12 +23,12 @@
     RequestKey,
     WeightVersion,
 )
-from stagewalk.core.completions import TokenChunk
-from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.instructions import CancelAttempt, StartAttempt
 from stagewalk.history.answer_text import content_key, render_chunk, true_spans, wholeness_fault
-from stagewalk.requests.config import HedgeConfig, RequestConfig
-from stagewalk.requests.notifications import (
+from stagewalk.node.core.completions import TokenChunk
+from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
+from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
+from stagewalk.node.requests.config import HedgeConfig, RequestConfig
+from stagewalk.node.requests.notifications import (
     ClaimWanted,
     RequestChunk,
     RequestFailed,
@@ -36,7 +36,7 @@
     RequestJoined,
     SubmissionRejected,
 )
-from tests.requests.support import TENANT, Driver, Identity, request
+from tests.node.requests.support import TENANT, Driver, Identity, request
 
 ANSWER_TOKENS = 12
 CHUNK_TOKENS = 3
--- a/tests/requests/test_request_states.py
+++ b/tests/node/requests/test_request_states.py
@@ -8,20 +8,20 @@
 
 import testtools
 
-from stagewalk.admission.config import AdmissionConfig, LimiterConfig
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.core.completions import CompletionResult
-from stagewalk.core.events import AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.instructions import StartAttempt
-from stagewalk.requests import book
-from stagewalk.requests.claim_value import ClaimValue, encode_claim
-from stagewalk.requests.config import HedgeConfig, RequestConfig, RetryConfig
-from stagewalk.requests.notifications import AnswerWanted, ClaimWanted
-from stagewalk.requests.record import fingerprint_of
-from stagewalk.requests.states import TRANSITIONS, Cause, RequestState, next_state
-from tests.requests.support import KEY, Driver, chunk, finished, request
-
-DOCUMENT = Path(__file__).resolve().parents[2] / "docs" / "REQUESTS.md"
+from stagewalk.node.admission.config import AdmissionConfig, LimiterConfig
+from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.core.events import AttemptFailed, AttemptFinished, AttemptRefused
+from stagewalk.node.core.instructions import StartAttempt
+from stagewalk.node.requests import book
+from stagewalk.node.requests.claim_value import ClaimValue, encode_claim
+from stagewalk.node.requests.config import HedgeConfig, RequestConfig, RetryConfig
+from stagewalk.node.requests.notifications import AnswerWanted, ClaimWanted
+from stagewalk.node.requests.record import fingerprint_of
+from stagewalk.node.requests.states import TRANSITIONS, Cause, RequestState, next_state
+from tests.node.requests.support import KEY, Driver, chunk, finished, request
+
+DOCUMENT = Path(__file__).resolve().parents[3] / "docs" / "REQUESTS.md"
 CONFIG = RequestConfig(
     fetch_answers=True, hedge=HedgeConfig(minimum_samples=1, minimum_delay_seconds=0.3)
 )
--- a/tests/routing/test_engine_table.py
+++ b/tests/node/routing/test_engine_table.py
@@ -14,10 +14,10 @@
     NodeName,
     Placement,
 )
-from stagewalk.core.platform import EngineState, MachineState
-from stagewalk.routing.config import EngineTableConfig
-from stagewalk.routing.engine_table import EngineTable
-from tests.requests.support import MODEL, PLACE, Identity, machine, report
+from stagewalk.node.core.platform import EngineState, MachineState
+from stagewalk.node.routing.config import EngineTableConfig
+from stagewalk.node.routing.engine_table import EngineTable
+from tests.node.requests.support import MODEL, PLACE, Identity, machine, report
 
 E1 = EngineName("e1")
 
--- a/tests/routing/test_router.py
+++ b/tests/node/routing/test_router.py
@@ -8,19 +8,19 @@
 
 from stagewalk.common.errors import ErrorKind, Ran
 from stagewalk.common.identities import AttemptId, EngineName, Incarnation, Placement
-from stagewalk.routing.config import (
+from stagewalk.node.routing.config import (
     EngineTableConfig,
     OutlierConfig,
     PrefixIndexConfig,
     RouterConfig,
     ScoreConfig,
 )
-from stagewalk.routing.engine_record import EngineRecord
-from stagewalk.routing.engine_table import EngineTable
-from stagewalk.routing.policies import POLICIES
-from stagewalk.routing.prefix_index import PrefixIndex, hash_blocks
-from stagewalk.routing.router import Router
-from tests.requests.support import PLACE, Identity, machine, report, request
+from stagewalk.node.routing.engine_record import EngineRecord
+from stagewalk.node.routing.engine_table import EngineTable
+from stagewalk.node.routing.policies import POLICIES
+from stagewalk.node.routing.prefix_index import PrefixIndex, hash_blocks
+from stagewalk.node.routing.router import Router
+from tests.node.requests.support import PLACE, Identity, machine, report, request
 
 LONG_PROMPT = "survey sheet boundary parcel " * 200
 NO_SLOW_START = ScoreConfig(use_slow_start=False)
--- a/tests/node/running_node.py
+++ b/tests/node/running_node.py
@@ -18,7 +18,7 @@
 from stagewalk.common.settings.fields import Limits
 from stagewalk.node.daemon import Daemon
 from stagewalk.node.node_core import NodeIdentity
-from stagewalk.settings.node_settings import NodeSettings, PlatformUrls
+from stagewalk.node.settings import NodeSettings, PlatformUrls
 from tests.node.echo_core import EchoCore
 
 NOWHERE = "http://127.0.0.1:1"
--- a/tests/samples/test_cursor.py
+++ b/tests/node/samples/test_cursor.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.samples.cursor import MAXIMUM_CURSOR_CHARACTERS, decode_cursor, encode_cursor
+from stagewalk.node.samples.cursor import MAXIMUM_CURSOR_CHARACTERS, decode_cursor, encode_cursor
 
 DIGEST = 0x1234_5678_9ABC_DEF0
 CHARACTERS = string.printable + "éß\u2028"
--- a/tests/samples/test_delivery.py
+++ b/tests/node/samples/test_delivery.py
@@ -5,7 +5,7 @@
 import testtools
 
 from stagewalk.common.errors import ErrorKind
-from tests.samples.world import World, make_core, make_lot, make_pull
+from tests.node.samples.world import World, make_core, make_lot, make_pull
 
 
 class DeliveryTest(testtools.TestCase):
--- a/tests/samples/test_exactly_once.py
+++ b/tests/node/samples/test_exactly_once.py
@@ -22,25 +22,25 @@
 
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.common.identities import CallId, RequestId, SlotKey, WeightVersion
-from stagewalk.core.completions import CompletionResult, VersionSpan
-from stagewalk.core.events import SampleScored, SampleScoringFailed
-from stagewalk.core.instructions import (
+from stagewalk.node.core.completions import CompletionResult, VersionSpan
+from stagewalk.node.core.events import SampleScored, SampleScoringFailed
+from stagewalk.node.core.instructions import (
     DeliverSamples,
     FailCall,
     ReadVersions,
     ScoreSample,
 )
-from stagewalk.core.rollouts import SampleBatch
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.core import LotCore
-from stagewalk.samples.notifications import (
+from stagewalk.node.core.rollouts import SampleBatch
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.core import LotCore
+from stagewalk.node.samples.notifications import (
     ClaimReadWanted,
     ClaimWanted,
     RequestUnwanted,
     RequestWanted,
 )
-from stagewalk.samples.settlement import LotOutput
-from tests.samples.world import MODEL, make_core, make_lot, make_pull
+from stagewalk.node.samples.settlement import LotOutput
+from tests.node.samples.world import MODEL, make_core, make_lot, make_pull
 
 CONFIG = LotConfig(
     hand_over_margin_seconds=2.0,
--- a/tests/samples/test_ledger.py
+++ b/tests/node/samples/test_ledger.py
@@ -6,12 +6,12 @@
 
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.common.identities import CallId, RequestId, WeightVersion
-from stagewalk.core.completions import CompletionRequest, CompletionResult
-from stagewalk.core.instructions import AcceptLot, ReadVersions
-from stagewalk.core.rollouts import slot_seed
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.lengths import prompt_family
-from tests.samples.world import MODEL, World, answer, make_core, make_lot, make_pull
+from stagewalk.node.core.completions import CompletionRequest, CompletionResult
+from stagewalk.node.core.instructions import AcceptLot, ReadVersions
+from stagewalk.node.core.rollouts import slot_seed
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.lengths import prompt_family
+from tests.node.samples.world import MODEL, World, answer, make_core, make_lot, make_pull
 
 NO_ROOM = StagewalkError(ErrorKind.OVERLOADED, Step.ADMISSION, "node", "the queue is full")
 NO_ENGINE = StagewalkError(ErrorKind.NO_ENGINE, Step.ROUTING, "node", "none is eligible")
--- a/tests/samples/world.py
+++ b/tests/node/samples/world.py
@@ -15,21 +15,21 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.completions import CompletionRequest, CompletionResult, VersionSpan
-from stagewalk.core.events import SampleScored
-from stagewalk.core.instructions import DeliverSamples, FailCall, LogEvent, ScoreSample
-from stagewalk.core.rollouts import RolloutLot, RolloutPrompt, SamplePull
+from stagewalk.node.configuration.parameters import Tenant, TenantParameters
+from stagewalk.node.core.completions import CompletionRequest, CompletionResult, VersionSpan
+from stagewalk.node.core.events import SampleScored
+from stagewalk.node.core.instructions import DeliverSamples, FailCall, LogEvent, ScoreSample
+from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, SamplePull
 from stagewalk.node.node_core import NodeIdentity
-from stagewalk.samples.config import LotConfig
-from stagewalk.samples.core import LotCore
-from stagewalk.samples.notifications import (
+from stagewalk.node.samples.config import LotConfig
+from stagewalk.node.samples.core import LotCore
+from stagewalk.node.samples.notifications import (
     ClaimReadWanted,
     ClaimWanted,
     RequestUnwanted,
     RequestWanted,
 )
-from stagewalk.samples.settlement import LotOutput
+from stagewalk.node.samples.settlement import LotOutput
 
 TENANT = TenantName("thornfield")
 MODEL = ModelName("rollout-lm")
--- a/tests/settings/test_node_settings.py
+++ b/tests/node/settings/test_node_settings.py
@@ -12,9 +12,9 @@
 from stagewalk.cli.main import run
 from stagewalk.common.errors import StagewalkError, Step
 from stagewalk.common.identities import Address
-from stagewalk.settings.node_settings import load_node_settings
+from stagewalk.node.settings import load_node_settings
 
-EXAMPLE = Path(__file__).parents[2] / "deployments" / "example-node.toml"
+EXAMPLE = Path(__file__).parents[3] / "deployments" / "example-node.toml"
 
 
 class NodeSettingsTest(testtools.TestCase):
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -6,7 +6,12 @@
 import testtools
 
 from stagewalk.common.settings.fields import Limits
-from stagewalk.core.events import CallAbandoned, CompletionRequested, LotSubmitted, SamplesPulled
+from stagewalk.node.core.events import (
+    CallAbandoned,
+    CompletionRequested,
+    LotSubmitted,
+    SamplesPulled,
+)
 from tests.node.running_node import RunningNode, eventually, on_node
 
 ASK = {"model": "qari", "tenant": "archive", "prompt": "echo a b"}
--- a/tests/node/test_engine_stream.py
+++ b/tests/node/test_engine_stream.py
@@ -13,9 +13,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.adapters import engine_stream
-from stagewalk.adapters.engine_stream import RECONNECTIONS
-from stagewalk.adapters.http_engines import HttpEngineClient
 from stagewalk.common.http.calls import open_client, open_transport
 from stagewalk.common.identities import (
     Address,
@@ -28,11 +25,14 @@
     WeightVersion,
 )
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.completions import CompletionRequest, Priority
-from stagewalk.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.core.instructions import CancelAttempt, OrderEngine, StartAttempt
-from stagewalk.core.platform import EngineOrder, OrderKind, OrderOutcome
-from stagewalk.ports.engines import AttemptEvent
+from stagewalk.node.adapters import engine_stream
+from stagewalk.node.adapters.engine_stream import RECONNECTIONS
+from stagewalk.node.adapters.http_engines import HttpEngineClient
+from stagewalk.node.core.completions import CompletionRequest, Priority
+from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
+from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, StartAttempt
+from stagewalk.node.core.platform import EngineOrder, OrderKind, OrderOutcome
+from stagewalk.node.ports.engines import AttemptEvent
 from tests.node.running_node import free_address, serving
 
 ATTEMPT = AttemptId("attempt-1")
--- a/tests/node/test_node_core.py
+++ b/tests/node/test_node_core.py
@@ -8,8 +8,8 @@
 import testtools
 
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-from stagewalk.core.events import Event, StopRequested, Tick
-from stagewalk.core.instructions import ExitProcess, ReadLog, ReadMachines
+from stagewalk.node.core.events import Event, StopRequested, Tick
+from stagewalk.node.core.instructions import ExitProcess, ReadLog, ReadMachines
 from stagewalk.node.node_core import INSTRUCTION_TYPES, NodeCore, NodeIdentity
 from stagewalk.node.outputs import NodeOutput
 
--- a/tests/node/test_open_calls.py
+++ b/tests/node/test_open_calls.py
@@ -7,8 +7,8 @@
 
 from stagewalk.common.errors import ErrorKind
 from stagewalk.common.identities import CallId, WeightVersion
-from stagewalk.core.completions import TokenChunk
-from stagewalk.core.instructions import FinishCall, SendChunk
+from stagewalk.node.core.completions import TokenChunk
+from stagewalk.node.core.instructions import FinishCall, SendChunk
 from stagewalk.node.open_calls import AnswerPiece, OpenCall, OpenCalls
 from tests.node.echo_core import whole
 
--- a/tests/node/test_peer_transport.py
+++ b/tests/node/test_peer_transport.py
@@ -12,13 +12,13 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import Address
-from stagewalk.core.events import PeerMessageReceived
-from stagewalk.core.instructions import SendPeerMessage, Transport
+from stagewalk.node.core.events import PeerMessageReceived
+from stagewalk.node.core.instructions import SendPeerMessage, Transport
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import NodeMetrics
-from stagewalk.node.peer_frames import MAXIMUM_FRAME_BYTES, decode_envelope, encode_frame
-from stagewalk.node.peer_transport import PeerTransport
-from stagewalk.wire.envelope_pb2 import Envelope
+from stagewalk.node.peers.peer_frames import MAXIMUM_FRAME_BYTES, decode_envelope, encode_frame
+from stagewalk.node.peers.peer_transport import PeerTransport
+from stagewalk.node.wire.envelope_pb2 import Envelope
 from tests.node.running_node import asynchronous, eventually, free_address
 
 
--- a/tests/node/test_platform_clients.py
+++ b/tests/node/test_platform_clients.py
@@ -10,16 +10,16 @@
 import msgspec
 import testtools
 
-from stagewalk.adapters.http_platform import (
+from stagewalk.common.errors import Ran, Step
+from stagewalk.common.identities import Address, ModelName, RecordId
+from stagewalk.node.adapters.http_platform import (
     HttpLogService,
     HttpMachineList,
     HttpScorer,
     HttpWeightStore,
 )
-from stagewalk.common.errors import Ran, Step
-from stagewalk.common.identities import Address, ModelName, RecordId
-from stagewalk.core.instructions import ScoreSample
-from stagewalk.core.platform import LogRecord, MachineState
+from stagewalk.node.core.instructions import ScoreSample
+from stagewalk.node.core.platform import LogRecord, MachineState
 
 Handler = Callable[[httpx.Request], httpx.Response]
 URL = "http://127.0.0.1:9000"
--- a/tests/weights/test_faults.py
+++ b/tests/node/weights/test_faults.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import EngineName, Epoch, WeightVersion
-from stagewalk.core.platform import OrderKind
-from stagewalk.weights.config import RolloutConfig
-from stagewalk.weights.targets import assign_targets, pool_targets
-from tests.weights.world import POOL, Pool, by_name, make_core, tenant
+from stagewalk.node.core.platform import OrderKind
+from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.targets import assign_targets, pool_targets
+from tests.node.weights.world import POOL, Pool, by_name, make_core, tenant
 
 FIRST = EngineName("engine-000")
 
--- a/tests/weights/test_rollout.py
+++ b/tests/node/weights/test_rollout.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from stagewalk.core.platform import OrderKind
-from tests.weights.world import Pool, make_core
+from stagewalk.node.core.platform import OrderKind
+from tests.node.weights.world import Pool, make_core
 
 ACTIVATION_LIMIT_SECONDS = 14.0
 
--- a/tests/weights/world.py
+++ b/tests/node/weights/world.py
@@ -16,15 +16,15 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.configuration.parameters import Tenant, TenantParameters
-from stagewalk.core.instructions import (
+from stagewalk.node.configuration.parameters import Tenant, TenantParameters
+from stagewalk.node.core.instructions import (
     Instruction,
     LogEvent,
     OrderEngine,
     PollEngine,
     ReadVersions,
 )
-from stagewalk.core.platform import (
+from stagewalk.node.core.platform import (
     EngineOrder,
     EngineReport,
     EngineState,
@@ -36,8 +36,8 @@
     PublishedVersion,
 )
 from stagewalk.node.node_core import NodeIdentity
-from stagewalk.weights.config import RolloutConfig
-from stagewalk.weights.core import RolloutCore
+from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.core import RolloutCore
 
 POOL = ModelName("rollout-lm")
 PLACEMENT = Placement("r", "z")
--- a/tests/process/stage.py
+++ b/tests/process/stage.py
@@ -16,7 +16,6 @@
 import testtools
 from testtools.content import text_content
 
-from stagewalk.claims.placement import PLACEMENT_STREAM
 from stagewalk.history.checker import check_history
 from stagewalk.history.checker_oracle import FoldOracle
 from stagewalk.history.checker_verdict import Promise, Verdict
@@ -27,6 +26,7 @@
     RecordAppended,
     read_history,
 )
+from stagewalk.node.claims.placement import PLACEMENT_STREAM
 from stagewalk_standins.demo.operator import Operator
 from stagewalk_standins.demo.processes import ProcessGroup, ProcessSpecification
 from stagewalk_standins.demo.tables import history_files
--- a/tests/standins/engines.py
+++ b/tests/standins/engines.py
@@ -15,7 +15,7 @@
     TenantName,
     WeightVersion,
 )
-from stagewalk.core.platform import EngineOrder, OrderKind
+from stagewalk.node.core.platform import EngineOrder, OrderKind
 from stagewalk.simulation.engine_messages import EngineOutput, EngineRequest
 from stagewalk.simulation.engine_model import EngineModel
 from stagewalk.simulation.platform_settings import EngineSettings
--- a/tests/standins/fake_node.py
+++ b/tests/standins/fake_node.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from stagewalk.common.identities import SlotKey, TenantName, WeightVersion
-from stagewalk.core.rollouts import slot_seed
 from stagewalk.history.answer_text import answer_length, content_key, render_chunk
+from stagewalk.node.core.rollouts import slot_seed
 from stagewalk_standins.web import (
     EVENT_STREAM,
     Answer,
--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
-from stagewalk.core.platform import EngineState, OrderKind, OrderOutcome
 from stagewalk.history.answer_text import answer_length, wholeness_fault
+from stagewalk.node.core.platform import EngineState, OrderKind, OrderOutcome
 from stagewalk.simulation.engine_messages import (
     Accepted,
     ActivationEnded,
