--- a/src/stagewalk/cli/explain.py
+++ b/src/stagewalk/cli/explain.py
@@ -7,8 +7,8 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
-from stagewalk.explain.log_line import LogLine, parse_lines
-from stagewalk.explain.story import Story, find_story
+from stagewalk.gateway.explain.log_line import LogLine, parse_lines
+from stagewalk.gateway.explain.story import Story, find_story
 
 EXIT_TOLD = 0
 EXIT_UNKNOWN_ID = 1
--- a/src/stagewalk/cli/steps.py
+++ b/src/stagewalk/cli/steps.py
@@ -6,8 +6,8 @@
 import sys
 from pathlib import Path
 
-from stagewalk.explain.log_line import LogLine, parse_lines
-from stagewalk.explain.steps import StepAccount, account_steps, find_recoveries
+from stagewalk.gateway.explain.log_line import LogLine, parse_lines
+from stagewalk.gateway.explain.steps import StepAccount, account_steps, find_recoveries
 
 EXIT_TOLD = 0
 EXIT_BAD_ARGUMENTS = 2
--- a/src/stagewalk/evacuation/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Evacuation: zones whose workers get nothing new, as operators ask."""
--- a/src/stagewalk/autoscaling/core.py
+++ b/src/stagewalk/gateway/autoscaling/core.py
@@ -13,10 +13,10 @@
 from collections.abc import Container, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from stagewalk.autoscaling.demand import HOLD_SECONDS, Demand
-from stagewalk.ports.duties import DutyOutcome, WorkerGroup, WorkerOrder
-from stagewalk.routes.route import Scaling, Service
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.autoscaling.demand import HOLD_SECONDS, Demand
+from stagewalk.gateway.ports.duties import DutyOutcome, WorkerGroup, WorkerOrder
+from stagewalk.gateway.routes.route import Scaling, Service
+from stagewalk.gateway.workers.worker import Worker
 
 SETTLE_SECONDS = 4.0
 """A group's count must have stayed the same for so long to be what was found: workers that start
--- /dev/null
+++ b/src/stagewalk/gateway/batch_service/__init__.py
@@ -0,0 +1,1 @@
+"""Submission, storage and reading of batches."""
--- a/src/stagewalk/gateway/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -12,14 +12,18 @@
 import xxhash
 from expression import Result
 
-from stagewalk.batches.ledger import (
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.early_start import PartialLedger
+from stagewalk.gateway.batch_service.open_batches import BatchPlace
+from stagewalk.gateway.batches.ledger import (
     FORGET_AFTER_SECONDS,
     Batch,
     BatchLedger,
     ChangeListener,
     LedgerChange,
 )
-from stagewalk.batches.records import (
+from stagewalk.gateway.batches.records import (
     BatchEnded,
     BatchRecord,
     ItemFinished,
@@ -28,15 +32,11 @@
     split_result,
     split_submission,
 )
-from stagewalk.common.logs.lines import log_event
-from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.early_start import PartialLedger
-from stagewalk.gateway.open_batches import BatchPlace
-from stagewalk.partitioned_log.appender import AppendOutcome, PartitionAppender
-from stagewalk.partitioned_log.follower import PartitionFollower
-from stagewalk.partitioned_log.freshness import Freshness
-from stagewalk.ports.dialect import Submission
-from stagewalk.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
+from stagewalk.gateway.dialect import Submission
+from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
+from stagewalk.gateway.partitioned_log.follower import PartitionFollower
+from stagewalk.gateway.partitioned_log.freshness import Freshness
+from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
 
 TOPIC = "batches"
 PARTITIONS = 6
--- a/src/stagewalk/gateway/early_start.py
+++ b/src/stagewalk/gateway/batch_service/early_start.py
@@ -11,11 +11,11 @@
 
 import anyio
 
-from stagewalk.batches.ledger import Batch, BatchLedger, ChangeListener
-from stagewalk.batches.records import BatchSubmitted, decode_record
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batches.ledger import Batch, BatchLedger, ChangeListener
+from stagewalk.gateway.batches.records import BatchSubmitted, decode_record
+from stagewalk.gateway.ports.partitioned_log import (
     LogFault,
     Partition,
     PartitionedLog,
--- a/src/stagewalk/gateway/ledger_calls.py
+++ b/src/stagewalk/gateway/batch_service/ledger_calls.py
@@ -7,9 +7,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.directory.node_table import NodeAnnouncement
-from stagewalk.forwarding.policy import COME_BACK_SECONDS
-from stagewalk.gateway.ledger_messages import (
+from stagewalk.gateway.batch_service.ledger_messages import (
     LedgerAnswer,
     LedgerCall,
     ResultsCall,
@@ -17,9 +15,11 @@
     encode_message,
     refusal,
 )
-from stagewalk.gateway.ledger_reads import END_SECONDS, LedgerReads
-from stagewalk.peer_calls.client import PeerClient
-from stagewalk.regions.distance import Proximity
+from stagewalk.gateway.batch_service.ledger_reads import END_SECONDS, LedgerReads
+from stagewalk.gateway.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.peer_calls.client import PeerClient
+from stagewalk.gateway.zones.distance import Proximity
 
 LEDGER_PATH = "/ledger"
 ANSWER_SECONDS = 1.0
--- a/src/stagewalk/gateway/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_reads.py
@@ -7,14 +7,11 @@
 
 import anyio
 
-from stagewalk.batches.ledger import Batch
-from stagewalk.batches.records import ItemFinished
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.forwarding.policy import COME_BACK_SECONDS
-from stagewalk.gateway.batch_store import BatchStore
-from stagewalk.gateway.early_start import EarlyViews
-from stagewalk.gateway.ledger_messages import (
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.batch_service.early_start import EarlyViews
+from stagewalk.gateway.batch_service.ledger_messages import (
     EndCall,
     ItemCall,
     LedgerAnswer,
@@ -24,9 +21,12 @@
     encode_message,
     refusal,
 )
-from stagewalk.gateway.open_batches import OpenBatches
-from stagewalk.partitioned_log.appender import AppendOutcome
-from stagewalk.ports.dialect import Dialect
+from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.records import ItemFinished
+from stagewalk.gateway.dialect import Dialect
+from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.partitioned_log.appender import AppendOutcome
 
 END_SECONDS = 2.0
 PAGE_BYTES = 900_000
--- a/src/stagewalk/gateway/open_batches.py
+++ b/src/stagewalk/gateway/batch_service/open_batches.py
@@ -10,11 +10,11 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.batches.ledger import NOBODY
-from stagewalk.batches.records import owns_batch
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.ports.partitioned_log import LogFailure, Partition, PartitionedLog
+from stagewalk.gateway.batches.ledger import NOBODY
+from stagewalk.gateway.batches.records import owns_batch
+from stagewalk.gateway.ports.partitioned_log import LogFailure, Partition, PartitionedLog
 
 OPEN_BATCHES = Partition("keyed.batches", 0)
 NOTE_SECONDS = 0.2
--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -7,33 +7,33 @@
 
 import anyio.abc
 
-from stagewalk.batches.ledger import Batch
-from stagewalk.batches.scheduler import BatchScheduler
-from stagewalk.gateway.batch_calls import BatchCalls
-from stagewalk.gateway.batch_runner import BatchRunner
-from stagewalk.gateway.batch_store import TOPIC, BatchStore
-from stagewalk.gateway.early_start import EarlyViews
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.ledger_calls import LEDGER_PATH, LedgerCalls
-from stagewalk.gateway.ledger_reads import LedgerReads
-from stagewalk.gateway.node_service import NodeService
-from stagewalk.gateway.open_batches import OpenBatches
-from stagewalk.gateway.run_views import RunViews
-from stagewalk.gateway.runner_calls import RUNNER_PATH
-from stagewalk.gateway.runner_choice import RunnerChoice
-from stagewalk.gateway.runner_probes import RunnerProbes
+from stagewalk.gateway.batch_service.batch_store import TOPIC, BatchStore
+from stagewalk.gateway.batch_service.early_start import EarlyViews
+from stagewalk.gateway.batch_service.ledger_calls import LEDGER_PATH, LedgerCalls
+from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.scheduler import BatchScheduler
+from stagewalk.gateway.dialect import Dialect
+from stagewalk.gateway.entry.batch_calls import BatchCalls
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.peer_calls.client import PeerClient
+from stagewalk.gateway.peer_calls.server import PeerHandler
+from stagewalk.gateway.ports.partitioned_log import PartitionedLog
+from stagewalk.gateway.ports.workers import WorkerClient
+from stagewalk.gateway.quarantine.crash_reports import CrashReports
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.runners.batch_runner import BatchRunner
+from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.runners.runner_calls import RUNNER_PATH
+from stagewalk.gateway.runners.runner_choice import RunnerChoice
+from stagewalk.gateway.runners.runner_probes import RunnerProbes
+from stagewalk.gateway.runners.takeover_service import TakeoverService
 from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings import GatewaySettings
-from stagewalk.gateway.takeover_service import TakeoverService
-from stagewalk.peer_calls.client import PeerClient
-from stagewalk.peer_calls.server import PeerHandler
-from stagewalk.ports.crash_reports import CrashReports
-from stagewalk.ports.dialect import Dialect
-from stagewalk.ports.partitioned_log import PartitionedLog
-from stagewalk.ports.workers import WorkerClient
-from stagewalk.routes.table import RouteTable
-from stagewalk.version_rollouts.core import VersionRollouts
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.version_rollouts.core import VersionRollouts
+from stagewalk.gateway.workers.table import WorkerTable
 
 
 class BatchServices:
--- a/src/stagewalk/batches/attempt_watch.py
+++ b/src/stagewalk/gateway/batches/attempt_watch.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from stagewalk.batches.item_run import ItemRun
-from stagewalk.batches.ledger import Batch
-from stagewalk.batches.length_estimate import LengthEstimate
-from stagewalk.batches.placement import faster_engine, has_room_elsewhere
-from stagewalk.eligibility.core import Eligibility, RequestScope
-from stagewalk.routes.route import Route
-from stagewalk.workers.table import WorkerTable
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.batches.item_run import ItemRun
+from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.placement import faster_engine, has_room_elsewhere
+from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
+from stagewalk.gateway.routes.route import Route
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.worker import Worker
 
 SILENCE_SECONDS = 1.6
 """A worker that brings no event of an item for this long is left."""
--- a/src/stagewalk/batches/batch_run.py
+++ b/src/stagewalk/gateway/batches/batch_run.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from stagewalk.batches.item_run import ItemRun
-from stagewalk.batches.ledger import Batch
-from stagewalk.batches.messages import RecordItem
+from stagewalk.gateway.batches.item_run import ItemRun
+from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.messages import RecordItem
 
 
 @dataclass(slots=True)
--- a/src/stagewalk/batches/evidence.py
+++ b/src/stagewalk/gateway/batches/evidence.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from stagewalk.batches.item_run import RunningAttempt
-from stagewalk.ports.workers import AttemptFailure, AttemptFault
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.batches.item_run import RunningAttempt
+from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault
+from stagewalk.gateway.workers.worker import Worker
 
 REFUSAL_PAUSE_SECONDS = 0.25
 
--- a/src/stagewalk/batches/item_run.py
+++ b/src/stagewalk/gateway/batches/item_run.py
@@ -7,9 +7,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from stagewalk.batches.ledger import EVENT_SEPARATOR
-from stagewalk.batches.records import BatchItem, ItemFinished, ItemProgress
-from stagewalk.quarantine.content import RequestContent
+from stagewalk.gateway.batches.ledger import EVENT_SEPARATOR
+from stagewalk.gateway.batches.records import BatchItem, ItemFinished, ItemProgress
+from stagewalk.gateway.quarantine.content import RequestContent
 
 PACE_GAPS = 3
 FAILURE_PAUSE_SECONDS = 0.1
--- a/src/stagewalk/batches/item_scores.py
+++ b/src/stagewalk/gateway/batches/item_scores.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Mapping
 
-from stagewalk.batches.attempt_watch import RouteOf
-from stagewalk.batches.batch_run import BatchRun
-from stagewalk.batches.item_run import ItemRun
-from stagewalk.batches.messages import RecordItem, SchedulerInstruction
-from stagewalk.scoring.core import ScoreCalls, ScoreOutcome
-from stagewalk.scoring.messages import ScoreAnswered, ScoreBroken, StopScore
+from stagewalk.gateway.batches.attempt_watch import RouteOf
+from stagewalk.gateway.batches.batch_run import BatchRun
+from stagewalk.gateway.batches.item_run import ItemRun
+from stagewalk.gateway.batches.messages import RecordItem, SchedulerInstruction
+from stagewalk.gateway.scoring.core import ScoreCalls, ScoreOutcome
+from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, StopScore
 
 TELL_UNSCORED_SECONDS = 0.3
 """A whole text that waits longer than this for its score is told to the log: whoever takes over
--- a/src/stagewalk/batches/item_starts.py
+++ b/src/stagewalk/gateway/batches/item_starts.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Iterable, Iterator
 
-from stagewalk.batches.attempt_watch import AttemptWatch
-from stagewalk.batches.batch_run import BatchRun
-from stagewalk.batches.item_run import ItemRun, RunningAttempt
-from stagewalk.batches.length_estimate import LengthEstimate
-from stagewalk.batches.messages import StartItem
-from stagewalk.batches.placement import choose_engine
-from stagewalk.core.policy import Policy
-from stagewalk.regions.distance import Proximity
-from stagewalk.scoring.core import MayStart
+from stagewalk.gateway.batches.attempt_watch import AttemptWatch
+from stagewalk.gateway.batches.batch_run import BatchRun
+from stagewalk.gateway.batches.item_run import ItemRun, RunningAttempt
+from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.messages import StartItem
+from stagewalk.gateway.batches.placement import choose_engine
+from stagewalk.gateway.policy import Policy
+from stagewalk.gateway.scoring.core import MayStart
+from stagewalk.gateway.zones.distance import Proximity
 
 RETURNED_PRIORITY = 4
 """Of an item that came back, one above the engines' default: its trainer waits for its group
--- a/src/stagewalk/batches/ledger.py
+++ b/src/stagewalk/gateway/batches/ledger.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from stagewalk.batches.records import (
+from stagewalk.gateway.batches.records import (
     BatchClaimed,
     BatchEnded,
     BatchHeader,
--- a/src/stagewalk/batches/length_estimate.py
+++ b/src/stagewalk/gateway/batches/length_estimate.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from stagewalk.batches.item_run import ItemRun
+from stagewalk.gateway.batches.item_run import ItemRun
 
 MEMORY_ITEMS = 200
 """How many items' worth of past is remembered."""
--- a/src/stagewalk/batches/messages.py
+++ b/src/stagewalk/gateway/batches/messages.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from stagewalk.batches.records import BatchItem, ItemFinished, ItemProgress
-from stagewalk.ports.workers import AttemptFailure, StreamEvent, StreamHead
-from stagewalk.scoring.messages import ScoreEvent, ScoreInstruction
+from stagewalk.gateway.batches.records import BatchItem, ItemFinished, ItemProgress
+from stagewalk.gateway.ports.workers import AttemptFailure, StreamEvent, StreamHead
+from stagewalk.gateway.scoring.messages import ScoreEvent, ScoreInstruction
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/batches/placement.py
+++ b/src/stagewalk/gateway/batches/placement.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Collection, Sequence
 
-from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.regions.distance import Proximity
-from stagewalk.workers.selection import fastest_latency, slowness
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.workers.selection import fastest_latency, slowness
+from stagewalk.gateway.workers.worker import Worker
+from stagewalk.gateway.zones.distance import Proximity
 
 FULL_OCCUPANCY = 1.2
 """An engine with this many requests per slot gets no more: the rest waits here, where it can
--- a/src/stagewalk/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -10,15 +10,15 @@
 import itertools
 from collections.abc import Callable
 
-from stagewalk.batches.attempt_watch import AttemptWatch, RouteOf
-from stagewalk.batches.batch_run import BatchRun
-from stagewalk.batches.evidence import note_pace, note_refusal
-from stagewalk.batches.item_run import FAILURE_PAUSE_SECONDS, ItemRun, RunningAttempt
-from stagewalk.batches.item_scores import ItemScores
-from stagewalk.batches.item_starts import ItemStarts
-from stagewalk.batches.ledger import Batch, KeptText
-from stagewalk.batches.length_estimate import LengthEstimate
-from stagewalk.batches.messages import (
+from stagewalk.gateway.batches.attempt_watch import AttemptWatch, RouteOf
+from stagewalk.gateway.batches.batch_run import BatchRun
+from stagewalk.gateway.batches.evidence import note_pace, note_refusal
+from stagewalk.gateway.batches.item_run import FAILURE_PAUSE_SECONDS, ItemRun, RunningAttempt
+from stagewalk.gateway.batches.item_scores import ItemScores
+from stagewalk.gateway.batches.item_starts import ItemStarts
+from stagewalk.gateway.batches.ledger import Batch, KeptText
+from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.messages import (
     AttemptBroken,
     AttemptEnded,
     AttemptEvent,
@@ -28,12 +28,12 @@
     StopItem,
     Tick,
 )
-from stagewalk.batches.records import BatchItem
-from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.eligibility.core import Eligibility
-from stagewalk.scoring.core import MayStart, ScoreCalls, ServiceOf
-from stagewalk.scoring.messages import ScoreAnswered, ScoreBroken
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.batches.records import BatchItem
+from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.scoring.core import MayStart, ScoreCalls, ServiceOf
+from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken
+from stagewalk.gateway.workers.table import WorkerTable
 
 TELL_SECONDS = 1.0
 TELL_EVENTS = 20
--- a/src/stagewalk/batches/view_lease.py
+++ b/src/stagewalk/gateway/batches/view_lease.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from stagewalk.ports.workers import SEND_SECONDS
+from stagewalk.gateway.ports.workers import SEND_SECONDS
 
 LAG_SECONDS = 0.3
 """Left for the process itself, whose loop may come late to a connection that is up; loops that come
--- a/src/stagewalk/gateway/cold_lease_service.py
+++ b/src/stagewalk/gateway/cold_lease_service.py
@@ -7,13 +7,18 @@
 import anyio
 import anyio.abc
 
-from stagewalk.batches.takeover import affinity
-from stagewalk.cold_starts.core import ColdStarts
-from stagewalk.cold_starts.leases import AcquireLeases, ColdLeases, decode_cold_lease
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.partitioned_log.follower import PartitionFollower
-from stagewalk.ports.partitioned_log import LogFault, Partition, PartitionedLog, PartitionRecord
+from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.cold_starts.core import ColdStarts
+from stagewalk.gateway.cold_starts.leases import AcquireLeases, ColdLeases, decode_cold_lease
+from stagewalk.gateway.partitioned_log.follower import PartitionFollower
+from stagewalk.gateway.ports.partitioned_log import (
+    LogFault,
+    Partition,
+    PartitionedLog,
+    PartitionRecord,
+)
 
 COLD_STARTS = Partition("cold_starts", 0)
 STEP_SECONDS = 0.1
--- a/src/stagewalk/cold_starts/core.py
+++ b/src/stagewalk/gateway/cold_starts/core.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Container, Iterable
 from dataclasses import dataclass
 
-from stagewalk.cold_starts.leases import ColdLeases
-from stagewalk.cold_starts.rate import SlidingWindow
-from stagewalk.ports.denials import Denial
-from stagewalk.routes.route import Service
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.cold_starts.leases import ColdLeases
+from stagewalk.gateway.cold_starts.rate import SlidingWindow
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.routes.route import Service
+from stagewalk.gateway.workers.worker import Worker
 
 COLD_MARGIN_SECONDS = 0.3
 """Added to what is told of a cold start: entries are read a moment after they were written."""
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -16,34 +16,34 @@
 from stagewalk.common.logs.budget import LogBudget
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.forwarding.forwarder import Forwarder
-from stagewalk.forwarding.stream_forwarder import StreamForwarder
-from stagewalk.gateway.app import GatewayApp
 from stagewalk.gateway.batch_services import BatchServices
-from stagewalk.gateway.caller_gate import CallerGate
-from stagewalk.gateway.crash_watch import CrashWatch
+from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.duty_services import DutyServices
-from stagewalk.gateway.held_requests import HeldRequests
-from stagewalk.gateway.identity import ProcessId
+from stagewalk.gateway.entry.app import GatewayApp
+from stagewalk.gateway.entry.caller_gate import CallerGate
+from stagewalk.gateway.entry.held_requests import HeldRequests
+from stagewalk.gateway.forwarding.forwarder import Forwarder
+from stagewalk.gateway.forwarding.stream_forwarder import StreamForwarder
+from stagewalk.gateway.log_relay.relayed_log import RELAY_PATH, RelayedLog, RelayPeers
+from stagewalk.gateway.log_relay.server import LogRelay
 from stagewalk.gateway.metrics import GatewayMetrics, GatewayState
-from stagewalk.gateway.node_service import NodeService
+from stagewalk.gateway.nodes.crash_watch import CrashWatch
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.partitioned_log.measured_log import MeasuredLog
+from stagewalk.gateway.peer_calls.client import PeerClient
+from stagewalk.gateway.peer_calls.server import PeerApp
+from stagewalk.gateway.ports.duties import DutyClient
+from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog
+from stagewalk.gateway.ports.workers import WorkerClient
 from stagewalk.gateway.published_records import PublishedRecords
 from stagewalk.gateway.role_keeper import RoleKeeper
+from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.settings_reload import SettingsLoader, reload_settings
-from stagewalk.log_relay.relayed_log import RELAY_PATH, RelayedLog, RelayPeers
-from stagewalk.log_relay.server import LogRelay
-from stagewalk.partitioned_log.measured_log import MeasuredLog
-from stagewalk.peer_calls.client import PeerClient
-from stagewalk.peer_calls.server import PeerApp
-from stagewalk.ports.dialect import Dialect
-from stagewalk.ports.duties import DutyClient
-from stagewalk.ports.partitioned_log import Partition, PartitionedLog
-from stagewalk.ports.workers import WorkerClient
-from stagewalk.routes.table import RouteTable
-from stagewalk.version_rollouts.core import VersionRollouts
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.version_rollouts.core import VersionRollouts
+from stagewalk.gateway.workers.table import WorkerTable
 
 NODES = Partition("keyed.nodes", 0)
 RESUME_SECONDS = 0.25
--- a/src/stagewalk/ports/dialect.py
+++ b/src/stagewalk/gateway/dialect.py
@@ -7,11 +7,11 @@
 
 from expression import Result
 
-from stagewalk.batches.records import BatchHeader, BatchItem, ItemFinished
 from stagewalk.common.errors import StagewalkError
-from stagewalk.ports.partitioned_log import KeyedRecord, Partition
-from stagewalk.routes.route import RouteConfiguration
-from stagewalk.workers.worker import WorkerAnnouncement
+from stagewalk.gateway.batches.records import BatchHeader, BatchItem, ItemFinished
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition
+from stagewalk.gateway.routes.route import RouteConfiguration
+from stagewalk.gateway.workers.worker import WorkerAnnouncement
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/directory/caller_subset.py
+++ b/src/stagewalk/gateway/directory/caller_subset.py
@@ -12,9 +12,9 @@
 
 import xxhash
 
-from stagewalk.directory.ledger_replicas import FAST_SHARE
-from stagewalk.directory.node_table import NodeAnnouncement
-from stagewalk.regions.homes import AllowedRegions, allows
+from stagewalk.gateway.directory.ledger_replicas import FAST_SHARE
+from stagewalk.gateway.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.zones.homes import AllowedRegions, allows
 
 WHOLE_REGION_NODES = 20
 """In a region of at most so many nodes all are named: connections are warm anyway, and the loss of
--- a/src/stagewalk/directory/ledger_replicas.py
+++ b/src/stagewalk/gateway/directory/ledger_replicas.py
@@ -15,8 +15,8 @@
 
 import xxhash
 
-from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.policy import ALL_ON, Policy
 
 MOST_REPLICAS = 12
 LEDGER_REPLICAS = 6
--- a/src/stagewalk/directory/node_table.py
+++ b/src/stagewalk/gateway/directory/node_table.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from stagewalk.common.identities import Address, NodeName
-from stagewalk.directory.renewals import LONGEST_RENEWAL_SECONDS, RENEWAL_SECONDS
+from stagewalk.gateway.directory.renewals import LONGEST_RENEWAL_SECONDS, RENEWAL_SECONDS
 
 ALIVE_SECONDS = 3.0
 """A node not heard of for this long, while the log answers, is believed dead."""
--- /dev/null
+++ b/src/stagewalk/gateway/duties/__init__.py
@@ -0,0 +1,1 @@
+"""Work that one gateway does for all, under a lease."""
--- a/src/stagewalk/gateway/autoscale_service.py
+++ b/src/stagewalk/gateway/duties/autoscale_service.py
@@ -9,17 +9,17 @@
 import anyio.abc
 import msgspec
 
-from stagewalk.autoscaling.core import Autoscaler, ScalingPolicy
-from stagewalk.batches.ledger import Batch
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.evacuation.zones import Evacuations
-from stagewalk.gateway.duty_lease import DutyLease
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.partitioned_log.freshness import Freshness
-from stagewalk.ports.duties import DutyClient, DutyHolder, DutyOutcome, WorkerOrder
-from stagewalk.routes.table import RouteTable
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.autoscaling.core import Autoscaler, ScalingPolicy
+from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.duties.duty_lease import DutyLease
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.partitioned_log.freshness import Freshness
+from stagewalk.gateway.ports.duties import DutyClient, DutyHolder, DutyOutcome, WorkerOrder
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.zones.evacuations import Evacuations
 
 PLAN_PREFIX = "workers"
 STEP_SECONDS = 0.25
--- a/src/stagewalk/gateway/duty_lease.py
+++ b/src/stagewalk/gateway/duties/duty_lease.py
@@ -9,7 +9,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.leases.log_lease import (
+from stagewalk.gateway.leases.log_lease import (
     LEASE_SECONDS,
     Acquire,
     DutyRecord,
@@ -19,9 +19,9 @@
     Renew,
     decode_lease_record,
 )
-from stagewalk.partitioned_log.appender import PartitionAppender
-from stagewalk.partitioned_log.follower import PartitionFollower
-from stagewalk.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
+from stagewalk.gateway.partitioned_log.appender import PartitionAppender
+from stagewalk.gateway.partitioned_log.follower import PartitionFollower
+from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
 
 TOPIC = "leases"
 DUTIES_PARTITION = 0
--- a/src/stagewalk/gateway/order_service.py
+++ b/src/stagewalk/gateway/duties/order_service.py
@@ -8,15 +8,15 @@
 import anyio
 import anyio.abc
 
-from stagewalk.batches.ledger import Batch
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.duty_lease import DutyLease
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.leases.log_lease import DutyRecord
-from stagewalk.ports.workers import OrderOutcome, VersionOrder, WorkerClient
-from stagewalk.version_rollouts.core import OrderVersion, VersionRollouts
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.duties.duty_lease import DutyLease
+from stagewalk.gateway.leases.log_lease import DutyRecord
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.ports.workers import OrderOutcome, VersionOrder, WorkerClient
+from stagewalk.gateway.version_rollouts.core import OrderVersion, VersionRollouts
+from stagewalk.gateway.workers.table import WorkerTable
 
 STEP_SECONDS = 0.1
 
--- a/src/stagewalk/gateway/usage_service.py
+++ b/src/stagewalk/gateway/duties/usage_service.py
@@ -10,17 +10,17 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.duty_lease import DutyLease
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.partitioned_log.appender import PartitionAppender
-from stagewalk.partitioned_log.follower import PartitionFollower
-from stagewalk.ports.duties import DutyClient, DutyHolder, DutyOutcome, UsageReport
-from stagewalk.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
-from stagewalk.usage.account import UsageAccount
-from stagewalk.usage.meter import UsageMeter
-from stagewalk.usage.records import decode_counts, decode_usage, encode_counts
-from stagewalk.usage.reporting import SendReport, UsageReporting, WriteReport
-from stagewalk.usage.wall_clock import WallClock
+from stagewalk.gateway.duties.duty_lease import DutyLease
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.partitioned_log.appender import PartitionAppender
+from stagewalk.gateway.partitioned_log.follower import PartitionFollower
+from stagewalk.gateway.ports.duties import DutyClient, DutyHolder, DutyOutcome, UsageReport
+from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
+from stagewalk.gateway.usage.account import UsageAccount
+from stagewalk.gateway.usage.meter import UsageMeter
+from stagewalk.gateway.usage.records import decode_counts, decode_usage, encode_counts
+from stagewalk.gateway.usage.reporting import SendReport, UsageReporting, WriteReport
+from stagewalk.gateway.usage.wall_clock import WallClock
 
 USAGE = Partition("usage", 0)
 PLAN_PREFIX = "usage"
--- a/src/stagewalk/gateway/duty_services.py
+++ b/src/stagewalk/gateway/duty_services.py
@@ -6,23 +6,23 @@
 
 import anyio.abc
 
-from stagewalk.autoscaling.core import ScalingPolicy
-from stagewalk.evacuation.zones import Evacuations
-from stagewalk.gateway.autoscale_service import AutoscaleService
-from stagewalk.gateway.batch_store import BatchStore
-from stagewalk.gateway.duty_lease import DutyLease
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.order_service import OrderService
+from stagewalk.gateway.autoscaling.core import ScalingPolicy
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.duties.autoscale_service import AutoscaleService
+from stagewalk.gateway.duties.duty_lease import DutyLease
+from stagewalk.gateway.duties.order_service import OrderService
+from stagewalk.gateway.duties.usage_service import UsageService
+from stagewalk.gateway.leases.log_lease import LogLease, new_holder
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.ports.duties import DutyClient
+from stagewalk.gateway.ports.partitioned_log import PartitionedLog
+from stagewalk.gateway.ports.workers import WorkerClient
 from stagewalk.gateway.published_records import PublishedRecords
+from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.settings import Autoscaling, GatewaySettings
-from stagewalk.gateway.usage_service import UsageService
-from stagewalk.leases.log_lease import LogLease, new_holder
-from stagewalk.ports.duties import DutyClient
-from stagewalk.ports.partitioned_log import PartitionedLog
-from stagewalk.ports.workers import WorkerClient
-from stagewalk.routes.table import RouteTable
-from stagewalk.version_rollouts.core import VersionRollouts
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.version_rollouts.core import VersionRollouts
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.zones.evacuations import Evacuations
 
 JITTER_STEPS = 8
 JITTER_SECONDS = 0.15
--- a/src/stagewalk/eligibility/come_back.py
+++ b/src/stagewalk/gateway/eligibility/come_back.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection, Mapping
 
-from stagewalk.ports.denials import Denial
+from stagewalk.gateway.ports.denials import Denial
 
 COME_BACK_AFTER: Mapping[Denial, float] = {
     Denial.ZONE_EVACUATED: 1.0,
--- a/src/stagewalk/eligibility/core.py
+++ b/src/stagewalk/gateway/eligibility/core.py
@@ -12,17 +12,17 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.cold_starts.core import ColdStarts
-from stagewalk.evacuation.zones import Evacuations
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.send_permits import SendPermit
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.regions.distance import Proximity
-from stagewalk.regions.homes import AllowedRegions, allows
-from stagewalk.routes.route import Route, RouteKind, Service
-from stagewalk.routes.table import RouteTable
-from stagewalk.workers.table import WorkerTable
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.cold_starts.core import ColdStarts
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.send_permits import SendPermit
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.routes.route import Route, RouteKind, Service
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.worker import Worker
+from stagewalk.gateway.zones.distance import Proximity
+from stagewalk.gateway.zones.evacuations import Evacuations
+from stagewalk.gateway.zones.homes import AllowedRegions, allows
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/src/stagewalk/gateway/entry/__init__.py
@@ -0,0 +1,1 @@
+"""Callers' entry: requests, streams and calls of one gateway."""
--- a/src/stagewalk/gateway/app.py
+++ b/src/stagewalk/gateway/entry/app.py
@@ -13,23 +13,23 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.settings.fields import Limits
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.directory.caller_subset import CallerPlace
-from stagewalk.evacuation.zones import Evacuations
-from stagewalk.forwarding.forwarder import Forwarder
-from stagewalk.forwarding.inbound import InboundRequest
-from stagewalk.forwarding.policy import COME_BACK_SECONDS, Ending, Unanswered
-from stagewalk.forwarding.stream_forwarder import StreamForwarder
-from stagewalk.gateway.batch_calls import BatchCalls
-from stagewalk.gateway.caller_gate import Caller, CallerGate
-from stagewalk.gateway.exchange import OpaqueExchange
-from stagewalk.gateway.held_requests import HeldRequests
+from stagewalk.gateway.dialect import Dialect
+from stagewalk.gateway.directory.caller_subset import CallerPlace
+from stagewalk.gateway.entry.batch_calls import BatchCalls
+from stagewalk.gateway.entry.caller_gate import Caller, CallerGate
+from stagewalk.gateway.entry.exchange import OpaqueExchange
+from stagewalk.gateway.entry.held_requests import HeldRequests
+from stagewalk.gateway.entry.replies import reply_empty, reply_error, reply_json
+from stagewalk.gateway.forwarding.forwarder import Forwarder
+from stagewalk.gateway.forwarding.inbound import InboundRequest
+from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS, Ending, Unanswered
+from stagewalk.gateway.forwarding.stream_forwarder import StreamForwarder
 from stagewalk.gateway.metrics import GatewayMetrics
-from stagewalk.gateway.node_service import NodeService
-from stagewalk.gateway.replies import reply_empty, reply_error, reply_json
-from stagewalk.ports.dialect import Dialect
-from stagewalk.ports.workers import StreamHead, StreamPart
-from stagewalk.routes.route import CallerLimits, Route, RouteKind
-from stagewalk.routes.table import RouteTable
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.ports.workers import StreamHead, StreamPart
+from stagewalk.gateway.routes.route import CallerLimits, Route, RouteKind
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.zones.evacuations import Evacuations
 
 Endpoint = Callable[[OpaqueExchange], Awaitable[None]]
 
--- a/src/stagewalk/gateway/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -6,21 +6,26 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.eligibility.come_back import COME_BACK_AFTER
-from stagewalk.forwarding.policy import COME_BACK_SECONDS
-from stagewalk.gateway.batch_store import BatchStore
-from stagewalk.gateway.caller_gate import Caller
-from stagewalk.gateway.exchange import OpaqueExchange
-from stagewalk.gateway.ledger_calls import LedgerCalls
-from stagewalk.gateway.ledger_messages import EndCall, ItemCall, LedgerCall, ResultsCall
-from stagewalk.gateway.ledger_reads import LONGEST_WAIT_SECONDS
-from stagewalk.gateway.replies import RETRY_AFTER_HEADER, reply_empty, reply_error
-from stagewalk.gateway.runner_choice import RunnerChoice
-from stagewalk.partitioned_log.appender import AppendOutcome
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.dialect import Dialect, Submission
-from stagewalk.scoring.core import RouteOf
-from stagewalk.scoring.submission import find_unroutable_score
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.batch_service.ledger_calls import LedgerCalls
+from stagewalk.gateway.batch_service.ledger_messages import (
+    EndCall,
+    ItemCall,
+    LedgerCall,
+    ResultsCall,
+)
+from stagewalk.gateway.batch_service.ledger_reads import LONGEST_WAIT_SECONDS
+from stagewalk.gateway.dialect import Dialect, Submission
+from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER
+from stagewalk.gateway.entry.caller_gate import Caller
+from stagewalk.gateway.entry.exchange import OpaqueExchange
+from stagewalk.gateway.entry.replies import RETRY_AFTER_HEADER, reply_empty, reply_error
+from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.partitioned_log.appender import AppendOutcome
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.runners.runner_choice import RunnerChoice
+from stagewalk.gateway.scoring.core import RouteOf
+from stagewalk.gateway.scoring.submission import find_unroutable_score
 
 SUBMIT_SECONDS = 3.0
 """How long a submission may wait for the log."""
--- a/src/stagewalk/gateway/caller_gate.py
+++ b/src/stagewalk/gateway/entry/caller_gate.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 
 from stagewalk.common.logs.lines import log_event
-from stagewalk.forwarding.policy import COME_BACK_SECONDS
-from stagewalk.gateway.exchange import OpaqueExchange
-from stagewalk.gateway.replies import reply_error
-from stagewalk.routes.route import Route
-from stagewalk.routes.table import RouteTable
-from stagewalk.tenants.key_table import AUTHORIZATION_HEADER
-from stagewalk.tenants.tenant import ANONYMOUS, Tenant
+from stagewalk.gateway.entry.exchange import OpaqueExchange
+from stagewalk.gateway.entry.replies import reply_error
+from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.routes.route import Route
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.tenants.key_table import AUTHORIZATION_HEADER
+from stagewalk.gateway.tenants.tenant import ANONYMOUS, Tenant
 
 UNAUTHORIZED = 401
 CHALLENGE = ("www-authenticate", "Bearer")
--- a/src/stagewalk/gateway/exchange.py
+++ b/src/stagewalk/gateway/entry/exchange.py
@@ -9,7 +9,7 @@
 from stagewalk.common.http.body_budget import BodyBudget
 from stagewalk.common.http.exchange import Exchange
 from stagewalk.common.settings.fields import Limits
-from stagewalk.ports.workers import HeaderList
+from stagewalk.gateway.ports.workers import HeaderList
 
 STREAM_STATUS = 200
 LINE_BYTES = 4
--- a/src/stagewalk/gateway/held_requests.py
+++ b/src/stagewalk/gateway/entry/held_requests.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from stagewalk.common.logs.lines import log_event
-from stagewalk.gateway.crash_watch import CrashWatch
-from stagewalk.gateway.exchange import OpaqueExchange
-from stagewalk.gateway.replies import reply_empty, reply_error, reply_json
+from stagewalk.gateway.entry.exchange import OpaqueExchange
+from stagewalk.gateway.entry.replies import reply_empty, reply_error, reply_json
+from stagewalk.gateway.nodes.crash_watch import CrashWatch
 
 HELD_PATH = "/held-requests"
 
--- a/src/stagewalk/gateway/replies.py
+++ b/src/stagewalk/gateway/entry/replies.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from stagewalk.gateway.exchange import OpaqueExchange
+from stagewalk.gateway.entry.exchange import OpaqueExchange
 
 JSON_CONTENT = "application/json"
 RETRY_AFTER_HEADER = "retry-after"
--- a/src/stagewalk/explain/steps.py
+++ b/src/stagewalk/gateway/explain/steps.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from stagewalk.explain.log_line import LogLine
+from stagewalk.gateway.explain.log_line import LogLine
 
 TOGETHER_SECONDS = 1.5
 """Starts of processes this close belong to one return."""
--- a/src/stagewalk/explain/story.py
+++ b/src/stagewalk/gateway/explain/story.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from stagewalk.explain.log_line import LogLine
+from stagewalk.gateway.explain.log_line import LogLine
 
 SURROUNDING_SECONDS = 2.0
 """How long before and after the id's own lines what happened around counts."""
--- a/src/stagewalk/forwarding/attempt_failures.py
+++ b/src/stagewalk/gateway/forwarding/attempt_failures.py
@@ -4,11 +4,11 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.forwarding.inbound import InboundRequest
-from stagewalk.forwarding.policy import ForwardedRequest
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.workers import AttemptFailure, AttemptFault
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.forwarding.inbound import InboundRequest
+from stagewalk.gateway.forwarding.policy import ForwardedRequest
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault
+from stagewalk.gateway.workers.worker import Worker
 
 
 def note_failed_attempt(
--- a/src/stagewalk/forwarding/forwarder.py
+++ b/src/stagewalk/gateway/forwarding/forwarder.py
@@ -12,23 +12,28 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.eligibility.core import Eligibility
-from stagewalk.forwarding.attempt_failures import note_failed_attempt, note_withheld_attempt
-from stagewalk.forwarding.inbound import InboundRequest
-from stagewalk.forwarding.policy import ForwardedRequest, Unanswered, evidence_of, is_success
-from stagewalk.ports.crash_reports import CrashReports, SentRequest
-from stagewalk.ports.workers import (
+from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.forwarding.attempt_failures import note_failed_attempt, note_withheld_attempt
+from stagewalk.gateway.forwarding.inbound import InboundRequest
+from stagewalk.gateway.forwarding.policy import (
+    ForwardedRequest,
+    Unanswered,
+    evidence_of,
+    is_success,
+)
+from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
     OutboundRequest,
     WorkerAnswer,
     WorkerClient,
 )
-from stagewalk.routes.route import Route, RouteKind
-from stagewalk.routes.table import RouteTable
-from stagewalk.workers.selection import choose_worker
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.quarantine.crash_reports import CrashReports, SentRequest
+from stagewalk.gateway.routes.route import Route, RouteKind
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.workers.selection import choose_worker
+from stagewalk.gateway.workers.worker import Worker
 
 BegunListener = Callable[[str | None, float], None]
 """Takes that a request of a tenant began to run at a worker at a time of the steady clock."""
--- a/src/stagewalk/forwarding/inbound.py
+++ b/src/stagewalk/gateway/forwarding/inbound.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from stagewalk.eligibility.core import RequestScope
-from stagewalk.ports.workers import HeaderList
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.routes.route import Route
+from stagewalk.gateway.eligibility.core import RequestScope
+from stagewalk.gateway.ports.workers import HeaderList
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.routes.route import Route
 
 HOST_HEADER = "host"
 
--- a/src/stagewalk/forwarding/policy.py
+++ b/src/stagewalk/gateway/forwarding/policy.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from stagewalk.eligibility.come_back import come_back_seconds
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer
-from stagewalk.routes.route import Route
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.eligibility.come_back import come_back_seconds
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer
+from stagewalk.gateway.routes.route import Route
+from stagewalk.gateway.workers.worker import Worker
 
 SERVER_ERROR = 500
 SUCCESS_FROM = 200
--- a/src/stagewalk/forwarding/stream_forwarder.py
+++ b/src/stagewalk/gateway/forwarding/stream_forwarder.py
@@ -9,17 +9,16 @@
 from expression import Error, Ok, Result
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.eligibility.core import Eligibility
-from stagewalk.forwarding.attempt_failures import note_failed_attempt, note_withheld_attempt
-from stagewalk.forwarding.forwarder import (
+from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.forwarding.attempt_failures import note_failed_attempt, note_withheld_attempt
+from stagewalk.gateway.forwarding.forwarder import (
     BegunListener,
     ignore_begun,
     log_request_end,
 )
-from stagewalk.forwarding.inbound import InboundRequest
-from stagewalk.forwarding.policy import Ending, ForwardedRequest, Unanswered, evidence_of
-from stagewalk.ports.crash_reports import CrashReports, SentRequest
-from stagewalk.ports.workers import (
+from stagewalk.gateway.forwarding.inbound import InboundRequest
+from stagewalk.gateway.forwarding.policy import Ending, ForwardedRequest, Unanswered, evidence_of
+from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
     OutboundRequest,
@@ -28,10 +27,11 @@
     StreamPart,
     WorkerClient,
 )
-from stagewalk.routes.route import Route
-from stagewalk.routes.table import RouteTable
-from stagewalk.workers.selection import choose_worker
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.quarantine.crash_reports import CrashReports, SentRequest
+from stagewalk.gateway.routes.route import Route
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.workers.selection import choose_worker
+from stagewalk.gateway.workers.worker import Worker
 
 SUCCESS = 200
 StreamConsumer = Callable[[StreamPart], Awaitable[None]]
--- /dev/null
+++ b/src/stagewalk/gateway/leases/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway's lease on a partition of the log."""
--- a/src/stagewalk/log_relay/messages.py
+++ b/src/stagewalk/gateway/log_relay/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.ports.partitioned_log import (
     KeyedPage,
     LogFailure,
     Partition,
--- a/src/stagewalk/log_relay/path_choice.py
+++ b/src/stagewalk/gateway/log_relay/path_choice.py
@@ -4,7 +4,7 @@
 
 import math
 
-from stagewalk.ports.partitioned_log import LogFailure, LogFault
+from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault
 
 PROBE_SECONDS = 1.0
 """How often the straight way is tried while calls go through another node."""
--- a/src/stagewalk/log_relay/relayed_log.py
+++ b/src/stagewalk/gateway/log_relay/relayed_log.py
@@ -13,7 +13,7 @@
 from stagewalk.common.identities import Address
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.log_relay.messages import (
+from stagewalk.gateway.log_relay.messages import (
     AppendAtCall,
     AppendCall,
     AppendKeyedCall,
@@ -25,10 +25,10 @@
     decode_answer,
     encode_message,
 )
-from stagewalk.log_relay.path_choice import PathChoice
-from stagewalk.log_relay.server import CUT_OFF
-from stagewalk.peer_calls.client import PeerClient, PeerFault
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.log_relay.path_choice import PathChoice
+from stagewalk.gateway.log_relay.server import CUT_OFF
+from stagewalk.gateway.peer_calls.client import PeerClient, PeerFault
+from stagewalk.gateway.ports.partitioned_log import (
     KeyedPage,
     LogFailure,
     LogFault,
--- a/src/stagewalk/log_relay/server.py
+++ b/src/stagewalk/gateway/log_relay/server.py
@@ -6,7 +6,7 @@
 
 from expression import Result
 
-from stagewalk.log_relay.messages import (
+from stagewalk.gateway.log_relay.messages import (
     AppendAtCall,
     AppendCall,
     AppendKeyedCall,
@@ -18,7 +18,7 @@
     decode_call,
     encode_message,
 )
-from stagewalk.ports.partitioned_log import LogFailure, LogFault, PartitionedLog
+from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault, PartitionedLog
 
 CUT_OFF = LogFailure(LogFault.REFUSED, "the asked node does not reach the log either")
 
--- a/src/stagewalk/gateway/metrics.py
+++ b/src/stagewalk/gateway/metrics.py
@@ -18,7 +18,7 @@
 
 from stagewalk.common.logs.budget import LogBudget
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.ports.denials import Denial
+from stagewalk.gateway.ports.denials import Denial
 
 _LAG_BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0)
 _CALL_BUCKETS = (0.002, 0.005, 0.01, 0.03, 0.1, 0.3, 1.0)
--- /dev/null
+++ b/src/stagewalk/gateway/nodes/__init__.py
@@ -0,0 +1,1 @@
+"""What gateways know of each other."""
--- a/src/stagewalk/gateway/crash_watch.py
+++ b/src/stagewalk/gateway/nodes/crash_watch.py
@@ -11,17 +11,17 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.ports.crash_reports import SentRequest
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
-from stagewalk.ports.send_permits import WorkerTarget
-from stagewalk.ports.workers import AttemptFailure, ContactLoss
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.core import CrashSuspects, HeldContent, next_level
-from stagewalk.quarantine.losses import Loss, LossWatch, WorkerStart
-from stagewalk.quarantine.records import KEY_PREFIX, CrashStrike, decode_strike
-from stagewalk.workers.table import WorkerTable
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
+from stagewalk.gateway.ports.send_permits import WorkerTarget
+from stagewalk.gateway.ports.workers import AttemptFailure, ContactLoss
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.core import CrashSuspects, HeldContent, next_level
+from stagewalk.gateway.quarantine.crash_reports import SentRequest
+from stagewalk.gateway.quarantine.losses import Loss, LossWatch, WorkerStart
+from stagewalk.gateway.quarantine.records import KEY_PREFIX, CrashStrike, decode_strike
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.worker import Worker
 
 Probe = Callable[[WorkerTarget], Awaitable[bool | None]]
 """Tells whether anybody listens at a worker's address; None if that can't be told."""
@@ -74,7 +74,7 @@
 
 
 class CrashWatch:
-    """This node's part in finding requests that crash workers; see `ports.crash_reports`.
+    """This node's part in finding requests that crash workers; see `quarantine.crash_reports`.
 
     Parameters
     ----------
--- a/src/stagewalk/gateway/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -9,24 +9,24 @@
 import anyio
 import anyio.abc
 
-from stagewalk.batches.runner_liveness import RunnerLiveness
-from stagewalk.batches.takeover import RunnerState
 from stagewalk.common.identities import Address, NodeName, Placement
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.policy import Policy
-from stagewalk.directory.call_rate import CallRate
-from stagewalk.directory.caller_subset import CallerPlace, directory_order, wants_callers
-from stagewalk.directory.ledger_replicas import wants_replica
-from stagewalk.directory.node_table import NodeAnnouncement, NodeTable, decode_announcement
-from stagewalk.directory.read_pace import LISTED_PACE, OLDEST_VIEW_SECONDS, REFRESH_SECONDS
-from stagewalk.directory.renewals import RENEWAL_SECONDS, renewal_seconds
-from stagewalk.gateway.identity import ProcessId, parse_process_id
-from stagewalk.log_relay.relayed_log import RelayPeers
-from stagewalk.partitioned_log.follower import KeyedFollower
-from stagewalk.ports.keyed_records import KeyedRecords, NoKeyedRecords
-from stagewalk.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
-from stagewalk.regions.homes import AllowedRegions, allows
+from stagewalk.gateway.batches.runner_liveness import RunnerLiveness
+from stagewalk.gateway.batches.takeover import RunnerState
+from stagewalk.gateway.directory.call_rate import CallRate
+from stagewalk.gateway.directory.caller_subset import CallerPlace, directory_order, wants_callers
+from stagewalk.gateway.directory.ledger_replicas import wants_replica
+from stagewalk.gateway.directory.node_table import NodeAnnouncement, NodeTable, decode_announcement
+from stagewalk.gateway.directory.read_pace import LISTED_PACE, OLDEST_VIEW_SECONDS, REFRESH_SECONDS
+from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS, renewal_seconds
+from stagewalk.gateway.log_relay.relayed_log import RelayPeers
+from stagewalk.gateway.nodes.identity import ProcessId, parse_process_id
+from stagewalk.gateway.partitioned_log.follower import KeyedFollower
+from stagewalk.gateway.policy import Policy
+from stagewalk.gateway.ports.keyed_records import KeyedRecords, NoKeyedRecords
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
+from stagewalk.gateway.zones.homes import AllowedRegions, allows
 
 READ_WAIT_SECONDS = 1.0
 """How long a read waits for a first announcement."""
--- a/src/stagewalk/partitioned_log/appender.py
+++ b/src/stagewalk/gateway/partitioned_log/appender.py
@@ -17,7 +17,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.ports.partitioned_log import (
     LogFault,
     Partition,
     PartitionedLog,
--- a/src/stagewalk/partitioned_log/follower.py
+++ b/src/stagewalk/gateway/partitioned_log/follower.py
@@ -9,8 +9,8 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.partitioned_log.freshness import Freshness
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.partitioned_log.freshness import Freshness
+from stagewalk.gateway.ports.partitioned_log import (
     KeyedPage,
     KeyedRecord,
     LogFailure,
--- a/src/stagewalk/partitioned_log/measured_log.py
+++ b/src/stagewalk/gateway/partitioned_log/measured_log.py
@@ -8,7 +8,7 @@
 from expression import Result
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.ports.partitioned_log import (
     KeyedPage,
     LogFailure,
     Partition,
--- a/src/stagewalk/ports/keyed_records.py
+++ b/src/stagewalk/gateway/ports/keyed_records.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from stagewalk.ports.partitioned_log import KeyedRecord
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord
 
 
 class KeyedRecords(Protocol):
--- a/src/stagewalk/ports/send_permits.py
+++ b/src/stagewalk/gateway/ports/send_permits.py
@@ -12,7 +12,7 @@
 from typing import final
 
 from stagewalk.common.identities import Address
-from stagewalk.ports.denials import Denial
+from stagewalk.gateway.ports.denials import Denial
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 @final
 class SendPermit:
-    """Permission to send one request to one worker; only `stagewalk.eligibility` issues any.
+    """Permission to send one request to one worker; only `gateway.eligibility` issues any.
 
     Parameters
     ----------
--- a/src/stagewalk/ports/workers.py
+++ b/src/stagewalk/gateway/ports/workers.py
@@ -9,7 +9,7 @@
 
 from expression import Result
 
-from stagewalk.ports.send_permits import SendPermit, WorkerTarget
+from stagewalk.gateway.ports.send_permits import SendPermit, WorkerTarget
 
 HeaderList = tuple[tuple[str, str], ...]
 
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -7,26 +7,26 @@
 
 import anyio.abc
 
-from stagewalk.cold_starts.core import OLDEST_VIEW_SECONDS as OLDEST_WARM_VIEW_SECONDS
-from stagewalk.cold_starts.core import ColdStarts
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.directory.read_pace import (
+from stagewalk.gateway.cold_starts.core import OLDEST_VIEW_SECONDS as OLDEST_WARM_VIEW_SECONDS
+from stagewalk.gateway.cold_starts.core import ColdStarts
+from stagewalk.gateway.dialect import Dialect, NamedVersion, ZoneEvacuation
+from stagewalk.gateway.directory.read_pace import (
     LISTED_PACE,
     OLDEST_VIEW_SECONDS,
     REFRESH_SECONDS,
     RESTING_PACE,
     ReadPace,
 )
-from stagewalk.evacuation.zones import Evacuations
-from stagewalk.partitioned_log.follower import KeyedFollower
-from stagewalk.partitioned_log.freshness import Freshness
-from stagewalk.ports.dialect import Dialect, NamedVersion, ZoneEvacuation
-from stagewalk.ports.partitioned_log import KeyedRecord, PartitionedLog
-from stagewalk.routes.table import RouteTable
-from stagewalk.version_rollouts.core import VersionRollouts
-from stagewalk.workers.table import WorkerTable
-from stagewalk.workers.worker import Worker, WorkerAnnouncement
+from stagewalk.gateway.partitioned_log.follower import KeyedFollower
+from stagewalk.gateway.partitioned_log.freshness import Freshness
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord, PartitionedLog
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.version_rollouts.core import VersionRollouts
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement
+from stagewalk.gateway.zones.evacuations import Evacuations
 
 DENIAL_VIEW_SECONDS = 0.25
 """Callers are turned away by a view at most so old: a twelfth of the time in which a configuration
--- a/src/stagewalk/quarantine/core.py
+++ b/src/stagewalk/gateway/quarantine/core.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.records import HIGHEST_LEVEL, CrashStrike
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.records import HIGHEST_LEVEL, CrashStrike
 
 HELD_LEVEL = 3
 """Ends in a row after which a request is held back: the bound that users set on it."""
--- a/src/stagewalk/ports/crash_reports.py
+++ b/src/stagewalk/gateway/quarantine/crash_reports.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.workers import AttemptFailure
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.workers import AttemptFailure
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.workers.worker import Worker
 
 FIRST_TOLD_LEVEL = 2
 """From how many ends on a runner tells of its items and score calls. It goes on with them itself,
--- a/src/stagewalk/quarantine/losses.py
+++ b/src/stagewalk/gateway/quarantine/losses.py
@@ -9,8 +9,8 @@
 
 from dataclasses import dataclass
 
-from stagewalk.workers.table import WorkerTable
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.worker import Worker
 
 EVIDENCE_SECONDS = 6.0
 """How long a worker's entry may still show that it ended: one that is silent goes after three
--- a/src/stagewalk/gateway/role_keeper.py
+++ b/src/stagewalk/gateway/role_keeper.py
@@ -6,13 +6,13 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.directory.ledger_replicas import ReplicaRole
-from stagewalk.directory.read_pace import LISTED_PACE, ReadPace, read_pace
-from stagewalk.gateway.batch_runner import BatchRunner
-from stagewalk.gateway.batch_store import BatchStore
-from stagewalk.gateway.duty_lease import DutyLease
-from stagewalk.gateway.node_service import NodeService
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.directory.ledger_replicas import ReplicaRole
+from stagewalk.gateway.directory.read_pace import LISTED_PACE, ReadPace, read_pace
+from stagewalk.gateway.duties.duty_lease import DutyLease
+from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.published_records import PublishedRecords
+from stagewalk.gateway.runners.batch_runner import BatchRunner
 
 
 class RoleKeeper:
--- a/src/stagewalk/routes/route.py
+++ b/src/stagewalk/gateway/routes/route.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from stagewalk.tenants.tenant import Tenant
+from stagewalk.gateway.tenants.tenant import Tenant
 
 
 class RouteKind(StrEnum):
--- a/src/stagewalk/routes/table.py
+++ b/src/stagewalk/gateway/routes/table.py
@@ -4,9 +4,9 @@
 
 import xxhash
 
-from stagewalk.regions.homes import AllowedRegions, allowed_regions
-from stagewalk.routes.route import BackEnd, Route, RouteConfiguration, RouteKind, Service
-from stagewalk.tenants.key_table import KeyTable
+from stagewalk.gateway.routes.route import BackEnd, Route, RouteConfiguration, RouteKind, Service
+from stagewalk.gateway.tenants.key_table import KeyTable
+from stagewalk.gateway.zones.homes import AllowedRegions, allowed_regions
 
 MOST_TURNS_SKIPPED = 211
 """A node begins at one of so many turns of a split route's cycle."""
--- a/src/stagewalk/gateway/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -7,8 +7,13 @@
 import anyio
 import anyio.abc
 
-from stagewalk.batches.ledger import Batch, KeptText, LedgerChange
-from stagewalk.batches.messages import (
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.batch_service.early_start import PartialLedger
+from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batches.ledger import Batch, KeptText, LedgerChange
+from stagewalk.gateway.batches.messages import (
     RecordItem,
     SchedulerEvent,
     SchedulerInstruction,
@@ -16,26 +21,21 @@
     StopItem,
     Tick,
 )
-from stagewalk.batches.records import BatchItem, BatchReleased, ItemFinished
-from stagewalk.batches.scheduler import BatchScheduler
-from stagewalk.common.logs.lines import log_event
-from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.eligibility.core import Eligibility
-from stagewalk.gateway.batch_store import BatchStore
-from stagewalk.gateway.early_start import PartialLedger
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.item_sender import ItemSender
-from stagewalk.gateway.node_service import NodeService
-from stagewalk.gateway.open_batches import OpenBatches
-from stagewalk.gateway.run_views import RunViews
-from stagewalk.gateway.score_sender import ScoreSender
-from stagewalk.ports.crash_reports import CrashReports
-from stagewalk.ports.workers import (
+from stagewalk.gateway.batches.records import BatchItem, BatchReleased, ItemFinished
+from stagewalk.gateway.batches.scheduler import BatchScheduler
+from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.ports.workers import (
     WorkerClient,
 )
-from stagewalk.scoring.messages import SendScore, StopScore
-from stagewalk.version_rollouts.core import VersionRollouts
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.quarantine.crash_reports import CrashReports
+from stagewalk.gateway.runners.item_sender import ItemSender
+from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.runners.score_sender import ScoreSender
+from stagewalk.gateway.scoring.messages import SendScore, StopScore
+from stagewalk.gateway.version_rollouts.core import VersionRollouts
+from stagewalk.gateway.workers.table import WorkerTable
 
 TICK_SECONDS = 0.05
 LOOK_UP_RETRY_SECONDS = 0.1
--- a/src/stagewalk/gateway/item_sender.py
+++ b/src/stagewalk/gateway/runners/item_sender.py
@@ -4,8 +4,10 @@
 
 from collections.abc import Callable
 
-from stagewalk.batches.item_run import ITEM_METHOD, item_content
-from stagewalk.batches.messages import (
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batches.item_run import ITEM_METHOD, item_content
+from stagewalk.gateway.batches.messages import (
     AttemptBroken,
     AttemptEnded,
     AttemptEvent,
@@ -13,12 +15,8 @@
     SchedulerEvent,
     StartItem,
 )
-from stagewalk.common.logs.lines import log_event
-from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.eligibility.core import Eligibility
-from stagewalk.gateway.run_views import RunViews
-from stagewalk.ports.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
-from stagewalk.ports.workers import (
+from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
     OutboundRequest,
@@ -27,7 +25,9 @@
     StreamPart,
     WorkerClient,
 )
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.quarantine.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
+from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.workers.table import WorkerTable
 
 SUCCESS = 200
 HOST_HEADER = "host"
--- a/src/stagewalk/gateway/run_views.py
+++ b/src/stagewalk/gateway/runners/run_views.py
@@ -8,12 +8,12 @@
 
 import anyio
 
-from stagewalk.batches.view_lease import longest_view_age, longest_view_age_at_send
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_store import BatchStore
-from stagewalk.gateway.early_start import PartialLedger
-from stagewalk.ports.denials import Denial
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.batch_service.early_start import PartialLedger
+from stagewalk.gateway.batches.view_lease import longest_view_age, longest_view_age_at_send
+from stagewalk.gateway.ports.denials import Denial
 
 FOLLOW_SECONDS = 0.25
 """How often the partition of a batch is read that was begun ahead of this node's view, as often as
--- a/src/stagewalk/gateway/runner_calls.py
+++ b/src/stagewalk/gateway/runners/runner_calls.py
@@ -7,7 +7,8 @@
 import msgspec
 
 from stagewalk.common.identities import Address
-from stagewalk.gateway.runner_messages import (
+from stagewalk.gateway.peer_calls.client import PeerClient
+from stagewalk.gateway.runners.runner_messages import (
     AskRunner,
     RunBatch,
     RunnerAnswer,
@@ -16,7 +17,6 @@
     decode_call,
     encode_message,
 )
-from stagewalk.peer_calls.client import PeerClient
 
 RUNNER_PATH = "/runner"
 ANSWER_SECONDS = 0.3
--- a/src/stagewalk/gateway/runner_choice.py
+++ b/src/stagewalk/gateway/runners/runner_choice.py
@@ -12,22 +12,22 @@
 import anyio.abc
 from expression import Result
 
-from stagewalk.batches.ledger import NOBODY
-from stagewalk.batches.records import BatchEnded, BatchHeader
-from stagewalk.batches.takeover import affinity
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.policy import Policy
-from stagewalk.directory.node_table import NodeAnnouncement
-from stagewalk.gateway.batch_runner import BatchRunner
-from stagewalk.gateway.batch_store import BatchStore
-from stagewalk.gateway.identity import ProcessId, parse_process_id
-from stagewalk.gateway.node_service import NodeService
-from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
-from stagewalk.gateway.runner_calls import RunnerCalls
-from stagewalk.gateway.runner_messages import RunBatch, RunnerAnswer
-from stagewalk.peer_calls.client import PeerClient
-from stagewalk.ports.partitioned_log import LogFailure
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batches.ledger import NOBODY
+from stagewalk.gateway.batches.records import BatchEnded, BatchHeader
+from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.nodes.identity import ProcessId, parse_process_id
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.peer_calls.client import PeerClient
+from stagewalk.gateway.policy import Policy
+from stagewalk.gateway.ports.partitioned_log import LogFailure
+from stagewalk.gateway.runners.batch_runner import BatchRunner
+from stagewalk.gateway.runners.runner_calls import RunnerCalls
+from stagewalk.gateway.runners.runner_messages import RunBatch, RunnerAnswer
 
 NODES_ASKED = 2
 NOTED_SECONDS = 0.2
--- a/src/stagewalk/gateway/runner_probes.py
+++ b/src/stagewalk/gateway/runners/runner_probes.py
@@ -7,11 +7,11 @@
 import anyio
 import anyio.abc
 
-from stagewalk.batches.runner_liveness import RunnerLiveness
 from stagewalk.common.identities import Address
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.runner_calls import RunnerCalls
+from stagewalk.gateway.batches.runner_liveness import RunnerLiveness
+from stagewalk.gateway.runners.runner_calls import RunnerCalls
 
 PROBE_SECONDS = 0.4
 
--- a/src/stagewalk/gateway/score_sender.py
+++ b/src/stagewalk/gateway/runners/score_sender.py
@@ -9,16 +9,16 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.eligibility.core import Eligibility
-from stagewalk.gateway.run_views import RunViews
-from stagewalk.ports.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
-from stagewalk.ports.workers import (
+from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
     OutboundRequest,
     WorkerClient,
 )
-from stagewalk.scoring.messages import (
+from stagewalk.gateway.quarantine.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
+from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.scoring.messages import (
     SCORE_METHOD,
     ScoreAnswered,
     ScoreBroken,
@@ -27,7 +27,7 @@
     StopScore,
     score_content,
 )
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.workers.table import WorkerTable
 
 HOST_HEADER = "host"
 SUCCESS = 200
--- a/src/stagewalk/gateway/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -6,18 +6,18 @@
 import anyio.abc
 import msgspec
 
-from stagewalk.batches.ledger import NOBODY, Batch
-from stagewalk.batches.records import BatchClaimed
-from stagewalk.batches.takeover import OpenBatch, RunnerState, Takeovers
 from stagewalk.common.identities import Address
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.core.policy import Policy
-from stagewalk.gateway.batch_runner import BatchRunner
-from stagewalk.gateway.batch_store import BatchStore
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.node_service import NodeService
-from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batches.ledger import NOBODY, Batch
+from stagewalk.gateway.batches.records import BatchClaimed
+from stagewalk.gateway.batches.takeover import OpenBatch, RunnerState, Takeovers
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.policy import Policy
+from stagewalk.gateway.runners.batch_runner import BatchRunner
 
 SUPERVISE_SECONDS = 0.1
 IDLE_SECONDS = 1.0
--- a/src/stagewalk/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -11,22 +11,22 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from stagewalk.batches.records import ScoreCall
-from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.eligibility.core import Eligibility, RequestScope
-from stagewalk.forwarding.policy import SERVER_ERROR, hedge_delay, is_success
-from stagewalk.ports.workers import AttemptFault
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.routes.route import Route
-from stagewalk.scoring.messages import (
+from stagewalk.gateway.batches.records import ScoreCall
+from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
+from stagewalk.gateway.forwarding.policy import SERVER_ERROR, hedge_delay, is_success
+from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.ports.workers import AttemptFault
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.routes.route import Route
+from stagewalk.gateway.scoring.messages import (
     ScoreAnswered,
     ScoreBroken,
     SendScore,
     StopScore,
     score_content,
 )
-from stagewalk.workers.selection import choose_worker
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.workers.selection import choose_worker
+from stagewalk.gateway.workers.worker import Worker
 
 LONGEST_ATTEMPT_SECONDS = 1.5
 """What a worker may take: little of the time a step has, so that another attempt still counts."""
--- a/src/stagewalk/scoring/submission.py
+++ b/src/stagewalk/gateway/scoring/submission.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Sequence
 
-from stagewalk.batches.records import BatchItem
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
-from stagewalk.routes.route import RouteKind
-from stagewalk.scoring.core import RouteOf
+from stagewalk.gateway.batches.records import BatchItem
+from stagewalk.gateway.routes.route import RouteKind
+from stagewalk.gateway.scoring.core import RouteOf
 
 
 def find_unroutable_score(items: Sequence[BatchItem], route_of: RouteOf) -> StagewalkError | None:
--- a/src/stagewalk/gateway/send_rules.py
+++ b/src/stagewalk/gateway/send_rules.py
@@ -5,19 +5,19 @@
 import time
 from collections.abc import Callable
 
-from stagewalk.cold_starts.core import ColdStarts
-from stagewalk.cold_starts.leases import ColdLeases
-from stagewalk.eligibility.core import Eligibility
-from stagewalk.evacuation.zones import Evacuations
 from stagewalk.gateway.cold_lease_service import ColdLeaseService
+from stagewalk.gateway.cold_starts.core import ColdStarts
+from stagewalk.gateway.cold_starts.leases import ColdLeases
+from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.leases.log_lease import new_holder
+from stagewalk.gateway.ports.partitioned_log import PartitionedLog
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.core import CrashSuspects
+from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.settings import GatewaySettings
-from stagewalk.leases.log_lease import new_holder
-from stagewalk.ports.partitioned_log import PartitionedLog
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.core import CrashSuspects
-from stagewalk.regions.distance import Proximity
-from stagewalk.routes.table import RouteTable
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.zones.distance import Proximity
+from stagewalk.gateway.zones.evacuations import Evacuations
 
 
 class SendRules:
--- a/src/stagewalk/gateway/settings.py
+++ b/src/stagewalk/gateway/settings.py
@@ -10,13 +10,13 @@
 import msgspec
 from expression import Error, Result, effect
 
-from stagewalk.batches.view_lease import SHORTEST_BATCH_END_SECONDS
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import Address, Placement
 from stagewalk.common.settings.addresses import parse_listen_address, settings_error
 from stagewalk.common.settings.decoding import decode_table, read_table
 from stagewalk.common.settings.fields import LogLevel, Name, PositiveInteger
-from stagewalk.core.policy import ALL_ON, Policy
+from stagewalk.gateway.batches.view_lease import SHORTEST_BATCH_END_SECONDS
+from stagewalk.gateway.policy import ALL_ON, Policy
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 BatchEnd = Annotated[float, msgspec.Meta(gt=SHORTEST_BATCH_END_SECONDS)]
--- a/src/stagewalk/tenants/key_table.py
+++ b/src/stagewalk/gateway/tenants/key_table.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from stagewalk.tenants.tenant import Tenant
+from stagewalk.gateway.tenants.tenant import Tenant
 
 AUTHORIZATION_HEADER = "authorization"
 BEARER = "bearer"
@@ -15,7 +15,7 @@
 
     A look-up takes the same time however many keys there are: 0.7 us with 100 keys as with 100,000.
     Of 100,000 keys, taking a configuration in which one changed costs 34 ms, and one in which none
-    did 13 ms, their comparison (`python -m tests.tenants.benchmark_keys`, CPython 3.11).
+    did 13 ms, their comparison (`python -m tests.gateway.tenants.benchmark_keys`, CPython 3.11).
     """
 
     def __init__(self) -> None:
--- a/src/stagewalk/usage/account.py
+++ b/src/stagewalk/gateway/usage/account.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from stagewalk.usage.records import UsageCounted
+from stagewalk.gateway.usage.records import UsageCounted
 
 KEPT_WINDOWS = 60
 """Windows kept: as many as the log's history is long, 300 s, with windows of 5 s."""
--- a/src/stagewalk/usage/meter.py
+++ b/src/stagewalk/gateway/usage/meter.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from stagewalk.usage.records import UsageCounted
+from stagewalk.gateway.usage.records import UsageCounted
 
 KEPT_WINDOWS = 12
 """Windows whose counts are kept: what is later than that is of no use to anyone."""
--- a/src/stagewalk/usage/reporting.py
+++ b/src/stagewalk/gateway/usage/reporting.py
@@ -9,9 +9,9 @@
 import math
 from dataclasses import dataclass, field
 
-from stagewalk.ports.duties import DutyOutcome
-from stagewalk.usage.account import UsageAccount
-from stagewalk.usage.meter import window_of
+from stagewalk.gateway.ports.duties import DutyOutcome
+from stagewalk.gateway.usage.account import UsageAccount
+from stagewalk.gateway.usage.meter import window_of
 
 GATHER_SECONDS = 3.5
 """How long after a window's end it is summed: counts are in the log 0.3 s after a request began,
--- a/src/stagewalk/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -12,15 +12,15 @@
 from collections.abc import Callable, Container, Mapping
 from dataclasses import dataclass
 
-from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.version_rollouts.engine_sets import (
+from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.version_rollouts.engine_sets import (
     ModelDemand,
     SetSizes,
     assign_engines,
     engines_by_models,
 )
-from stagewalk.workers.table import WorkerTable
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.worker import Worker
 
 LEAST_LOADS_AT_ONCE = 2
 LOADING_SHARE = 0.4
--- a/src/stagewalk/version_rollouts/engine_sets.py
+++ b/src/stagewalk/gateway/version_rollouts/engine_sets.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.workers.worker import Worker
 
 DEMAND_SECONDS = 20.0
 """Demand is averaged over some steps of a trainer, which come every 4 s."""
--- a/src/stagewalk/workers/selection.py
+++ b/src/stagewalk/gateway/workers/selection.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Collection, Iterable
 
-from stagewalk.regions.distance import Proximity
-from stagewalk.workers.worker import Worker
+from stagewalk.gateway.workers.worker import Worker
+from stagewalk.gateway.zones.distance import Proximity
 
 COLD_PENALTY = 0.2
 """What a worker costs to which a new connection must be opened, likewise: one more request at a
--- a/src/stagewalk/workers/table.py
+++ b/src/stagewalk/gateway/workers/table.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Container, Iterable
 from dataclasses import replace
 
-from stagewalk.ports.send_permits import WorkerTarget
-from stagewalk.workers.worker import Worker, WorkerAnnouncement
+from stagewalk.gateway.ports.send_permits import WorkerTarget
+from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement
 
 DOUBT_SECONDS = 2.2
 """How long after trouble with the list a missing entry is doubted rather than believed: entries
--- a/src/stagewalk/workers/worker.py
+++ b/src/stagewalk/gateway/workers/worker.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.identities import Address
-from stagewalk.ports.workers import WorkerLoad
+from stagewalk.gateway.ports.workers import WorkerLoad
 
 LATENCY_SMOOTHING = 0.15
 LATENCY_OUTLIER = 3.0
--- a/src/stagewalk_standins/memory_duties.py
+++ b/src/stagewalk_standins/memory_duties.py
@@ -6,7 +6,13 @@
 
 import anyio.lowlevel
 
-from stagewalk.ports.duties import DutyHolder, DutyOutcome, UsageReport, WorkerGroup, WorkerOrder
+from stagewalk.gateway.ports.duties import (
+    DutyHolder,
+    DutyOutcome,
+    UsageReport,
+    WorkerGroup,
+    WorkerOrder,
+)
 
 
 @dataclass
--- a/src/stagewalk_standins/memory_workers.py
+++ b/src/stagewalk_standins/memory_workers.py
@@ -10,8 +10,8 @@
 from expression import Error, Ok, Result
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.ports.send_permits import SendPermit, WorkerTarget
-from stagewalk.ports.workers import (
+from stagewalk.gateway.ports.send_permits import SendPermit, WorkerTarget
+from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
     ContactLoss,
--- a/src/stagewalk_standins/partitioned_log.py
+++ b/src/stagewalk_standins/partitioned_log.py
@@ -12,7 +12,7 @@
 import anyio.lowlevel
 from expression import Error, Ok, Result
 
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.ports.partitioned_log import (
     KeyedPage,
     KeyedRecord,
     LogFailure,
--- a/src/stagewalk_standins/plain_dialect.py
+++ b/src/stagewalk_standins/plain_dialect.py
@@ -5,18 +5,18 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.batches.records import BatchHeader, BatchItem, ItemFinished
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
-from stagewalk.ports.dialect import (
+from stagewalk.gateway.batches.records import BatchHeader, BatchItem, ItemFinished
+from stagewalk.gateway.dialect import (
     CallerInterface,
     NamedVersion,
     OperatorRecord,
     Submission,
     ZoneEvacuation,
 )
-from stagewalk.ports.partitioned_log import KeyedRecord, Partition
-from stagewalk.routes.route import RouteConfiguration
-from stagewalk.workers.worker import WorkerAnnouncement
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition
+from stagewalk.gateway.routes.route import RouteConfiguration
+from stagewalk.gateway.workers.worker import WorkerAnnouncement
 
 CONFIGURATION_KEY = "configuration"
 VERSION_PREFIX = "version/"
--- a/tests/autoscaling/test_core.py
+++ b/tests/gateway/autoscaling/test_core.py
@@ -6,18 +6,18 @@
 
 import testtools
 
-from stagewalk.autoscaling.core import (
+from stagewalk.gateway.autoscaling.core import (
     NONE_LEFT_SECONDS,
     REPEAT_MARGIN_SECONDS,
     SETTLE_SECONDS,
     Autoscaler,
     ScalingPolicy,
 )
-from stagewalk.autoscaling.demand import HOLD_SECONDS, Demand
-from stagewalk.ports.duties import DutyOutcome, WorkerGroup, WorkerOrder
-from stagewalk.routes.route import Scaling, Service
-from stagewalk.workers.worker import Worker
-from tests.workers.support import announcement
+from stagewalk.gateway.autoscaling.demand import HOLD_SECONDS, Demand
+from stagewalk.gateway.ports.duties import DutyOutcome, WorkerGroup, WorkerOrder
+from stagewalk.gateway.routes.route import Scaling, Service
+from stagewalk.gateway.workers.worker import Worker
+from tests.gateway.workers.support import announcement
 
 BOOT = 4.0
 SERVICE = Service("s", 100, True, Scaling(1, 6, BOOT, 0.2, {"z1": 1.0, "z2": 0.8, "z3": 1.25}))
--- a/tests/gateway/test_batches.py
+++ b/tests/gateway/batch_service/test_batches.py
@@ -8,8 +8,8 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_store import FOLLOWED_SECONDS
-from stagewalk.ports.workers import AttemptFault
+from stagewalk.gateway.batch_service.batch_store import FOLLOWED_SECONDS
+from stagewalk.gateway.ports.workers import AttemptFault
 from tests.gateway.support import Site, run, until
 
 
--- a/tests/gateway/test_cut_off.py
+++ b/tests/gateway/batch_service/test_cut_off.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.routes.route import RouteKind
+from stagewalk.gateway.routes.route import RouteKind
 from tests.gateway.support import ROUTES, Site, route, run, until
 
 
--- a/tests/gateway/test_dropped_history.py
+++ b/tests/gateway/batch_service/test_dropped_history.py
@@ -11,15 +11,15 @@
 import msgspec
 import testtools
 
-from stagewalk.batches.records import BatchRecord, ItemFinished, encode_record
-from stagewalk.gateway.batch_store import PARTITIONS, TOPIC, BatchStore
-from stagewalk.gateway.ledger_messages import ResultsCall
-from stagewalk.gateway.ledger_reads import LedgerReads
-from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
-from stagewalk.ports.partitioned_log import Partition, ProducerSequence
+from stagewalk.gateway.batch_service.batch_store import PARTITIONS, TOPIC, BatchStore
+from stagewalk.gateway.batch_service.ledger_messages import ResultsCall
+from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batches.records import BatchRecord, ItemFinished, encode_record
+from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
 from stagewalk_standins.partitioned_log import MemoryLog
 from stagewalk_standins.plain_dialect import PlainDialect
-from tests.batches.support import item, submitted
+from tests.gateway.batches.support import item, submitted
 from tests.gateway.support import Site, run, until
 
 ONLY = Partition(TOPIC, 0)
--- a/tests/gateway/test_early_views.py
+++ b/tests/gateway/batch_service/test_early_views.py
@@ -9,24 +9,24 @@
 import testtools
 from expression import Ok
 
-from stagewalk.batches.records import (
+from stagewalk.gateway.batch_service.early_start import MARGIN_RECORDS, EarlyViews, PartialLedger
+from stagewalk.gateway.batch_service.ledger_messages import EndCall, ItemCall, ResultsCall
+from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batches.records import (
     BatchEnded,
     BatchRecord,
     ItemFinished,
     encode_record,
 )
-from stagewalk.core.policy import ALL_ON
-from stagewalk.gateway.early_start import MARGIN_RECORDS, EarlyViews, PartialLedger
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.ledger_messages import EndCall, ItemCall, ResultsCall
-from stagewalk.gateway.ledger_reads import LedgerReads
-from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
-from stagewalk.gateway.runner_choice import RunnerChoice
-from stagewalk.gateway.runner_messages import RunBatch
-from stagewalk.ports.partitioned_log import Partition, ProducerSequence
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.policy import ALL_ON
+from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
+from stagewalk.gateway.runners.runner_choice import RunnerChoice
+from stagewalk.gateway.runners.runner_messages import RunBatch
 from stagewalk_standins.partitioned_log import MemoryLog
 from stagewalk_standins.plain_dialect import PlainDialect
-from tests.batches.support import item, submitted
+from tests.gateway.batches.support import item, submitted
 
 TOPIC = "batches"
 PLACE = Partition(TOPIC, 0)
--- a/tests/gateway/test_ended_batches.py
+++ b/tests/gateway/batch_service/test_ended_batches.py
@@ -22,15 +22,20 @@
 import msgspec
 import testtools
 
-from stagewalk.batches.records import BatchEnded, BatchHeader, decode_record, encode_record
-from stagewalk.batches.takeover import affinity
-from stagewalk.gateway.batch_store import FOLLOWED_SECONDS, TOPIC
+from stagewalk.gateway.batch_service.batch_store import FOLLOWED_SECONDS, TOPIC
+from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batches.records import BatchEnded, BatchHeader, decode_record, encode_record
+from stagewalk.gateway.batches.takeover import affinity
 from stagewalk.gateway.daemon import NODES
-from stagewalk.gateway.open_batches import OpenBatches
-from stagewalk.gateway.runner_messages import AskRunner, RunBatch, decode_answer, encode_message
-from stagewalk.ports.partitioned_log import Partition
-from stagewalk.ports.workers import AttemptFault
-from tests.batches.support import item, submitted
+from stagewalk.gateway.ports.partitioned_log import Partition
+from stagewalk.gateway.ports.workers import AttemptFault
+from stagewalk.gateway.runners.runner_messages import (
+    AskRunner,
+    RunBatch,
+    decode_answer,
+    encode_message,
+)
+from tests.gateway.batches.support import item, submitted
 from tests.gateway.hindered_logs import HeldReadsLog, SlowHistoryLog, append, write_history
 from tests.gateway.support import Running, Site, run, until
 
@@ -107,8 +112,8 @@
 
     def test_a_batch_that_ended_is_not_run_again_where_it_is_handed_in_again(self) -> None:
         """The node without a replica finds none that answers, and is left to run it itself."""
-        self.patch("stagewalk.directory.node_table.ALIVE_SECONDS", NEVER)
-        self.patch("stagewalk.directory.ledger_replicas.LEDGER_REPLICAS", 1)
+        self.patch("stagewalk.gateway.directory.node_table.ALIVE_SECONDS", NEVER)
+        self.patch("stagewalk.gateway.directory.ledger_replicas.LEDGER_REPLICAS", 1)
 
         async def scenario(site: Site) -> None:
             replica, other = await replica_and_other([await site.start(n) for n in ("n1", "n2")])
@@ -280,7 +285,7 @@
         Both submissions lie behind what that node has read, the first one and the end further
         before the second one than a margin of a hundred records.
         """
-        self.patch("stagewalk.directory.ledger_replicas.LEDGER_REPLICAS", 1)
+        self.patch("stagewalk.gateway.directory.ledger_replicas.LEDGER_REPLICAS", 1)
 
         async def scenario(site: Site) -> None:
             await write_history(site.log)
@@ -309,7 +314,7 @@
 
     def test_a_new_replica_hears_of_the_end_of_a_batch_that_it_was_told_of(self) -> None:
         """It acknowledges the end itself, from the batch's own records."""
-        self.patch("stagewalk.directory.ledger_replicas.LEDGER_REPLICAS", 1)
+        self.patch("stagewalk.gateway.directory.ledger_replicas.LEDGER_REPLICAS", 1)
 
         async def scenario(site: Site) -> None:
             await write_history(site.log)
--- a/tests/gateway/test_ledger_calls.py
+++ b/tests/gateway/batch_service/test_ledger_calls.py
@@ -6,15 +6,15 @@
 import testtools
 
 from stagewalk.common.identities import Address, Placement
-from stagewalk.directory.node_table import NodeAnnouncement
-from stagewalk.gateway.ledger_calls import LedgerCalls
-from stagewalk.gateway.ledger_messages import (
+from stagewalk.gateway.batch_service.ledger_calls import LedgerCalls
+from stagewalk.gateway.batch_service.ledger_messages import (
     LedgerAnswer,
     ResultsCall,
     encode_message,
     refusal,
 )
-from stagewalk.regions.distance import Proximity
+from stagewalk.gateway.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.zones.distance import Proximity
 
 CALL = ResultsCall("b1", 0, 0.0)
 KNOWN = LedgerAnswer(200, b"{}")
--- a/tests/gateway/test_ledger_reads.py
+++ b/tests/gateway/batch_service/test_ledger_reads.py
@@ -8,20 +8,20 @@
 import msgspec
 import testtools
 
-from stagewalk.batches.ledger import BatchLedger
-from stagewalk.batches.records import ItemFinished
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.ledger_messages import (
+from stagewalk.gateway.batch_service.ledger_messages import (
     LedgerAnswer,
     ResultsCall,
     decode_answer,
     encode_message,
 )
-from stagewalk.gateway.ledger_reads import LedgerReads
-from stagewalk.gateway.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batches.ledger import BatchLedger
+from stagewalk.gateway.batches.records import ItemFinished
 from stagewalk_standins.partitioned_log import MemoryLog
 from stagewalk_standins.plain_dialect import PlainDialect
-from tests.batches.support import item, submitted
+from tests.gateway.batches.support import item, submitted
 
 GROUPS = 5
 ITEMS_OF_A_GROUP = 8
--- a/tests/gateway/test_open_batches.py
+++ b/tests/gateway/batch_service/test_open_batches.py
@@ -6,7 +6,7 @@
 import msgspec
 import testtools
 
-from stagewalk.gateway.open_batches import OPEN_BATCHES, BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.open_batches import OPEN_BATCHES, BatchPlace, OpenBatches
 from stagewalk_standins.partitioned_log import MemoryLog
 
 
--- a/tests/gateway/test_replicas.py
+++ b/tests/gateway/batch_service/test_replicas.py
@@ -12,7 +12,7 @@
 
 
 def one_replica() -> mock._patch[int]:
-    return mock.patch("stagewalk.directory.ledger_replicas.LEDGER_REPLICAS", 1)
+    return mock.patch("stagewalk.gateway.directory.ledger_replicas.LEDGER_REPLICAS", 1)
 
 
 async def roles(site: Site) -> tuple[Running, Running]:
@@ -22,7 +22,7 @@
     async def settled() -> bool:
         return sorted(node.gateway.store.following for node in nodes) == [False, True]
 
-    with mock.patch("stagewalk.directory.ledger_replicas.LINGER_SECONDS", 0.2):
+    with mock.patch("stagewalk.gateway.directory.ledger_replicas.LINGER_SECONDS", 0.2):
         await until(settled)
     holder, other = sorted(nodes, key=lambda node: not node.gateway.store.following)
     return holder, other
--- a/tests/gateway/test_second_submissions.py
+++ b/tests/gateway/batch_service/test_second_submissions.py
@@ -6,7 +6,13 @@
 import msgspec
 import testtools
 
-from stagewalk.batches.records import (
+from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_store import PARTITIONS, TOPIC, BatchStore
+from stagewalk.gateway.batch_service.early_start import EarlyViews
+from stagewalk.gateway.batch_service.ledger_messages import ResultsCall
+from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batches.records import (
     BatchEnded,
     BatchHeader,
     BatchRecord,
@@ -14,20 +20,19 @@
     decode_record,
     encode_record,
 )
-from stagewalk.batches.takeover import affinity
-from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_store import PARTITIONS, TOPIC, BatchStore
-from stagewalk.gateway.early_start import EarlyViews
-from stagewalk.gateway.ledger_messages import ResultsCall
-from stagewalk.gateway.ledger_reads import LedgerReads
-from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
-from stagewalk.ports.partitioned_log import Partition, ProducerSequence
+from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
 from stagewalk_standins.partitioned_log import MemoryLog
 from stagewalk_standins.plain_dialect import PlainDialect
-from tests.batches.support import item, submitted
+from tests.gateway.batch_service.test_ended_batches import (
+    BOUND_SECONDS,
+    MANY,
+    slow_engines,
+    started,
+)
+from tests.gateway.batches.support import item, submitted
 from tests.gateway.hindered_logs import SlowHistoryLog, append, write_history
 from tests.gateway.support import Site, run, until
-from tests.gateway.test_ended_batches import BOUND_SECONDS, MANY, slow_engines, started
 
 LONGER_SECONDS = 4.0
 ONLY = Partition(TOPIC, 0)
--- a/tests/batches/test_ledger.py
+++ b/tests/gateway/batches/test_ledger.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.batches.ledger import NOBODY, BatchLedger, KeptText, LedgerChange
-from stagewalk.batches.records import (
+from stagewalk.gateway.batches.ledger import NOBODY, BatchLedger, KeptText, LedgerChange
+from stagewalk.gateway.batches.records import (
     BatchClaimed,
     BatchEnded,
     BatchRecord,
@@ -22,7 +22,7 @@
     split_result,
     split_submission,
 )
-from tests.batches.support import RecordingLedger, header, item, scored_item, submitted
+from tests.gateway.batches.support import RecordingLedger, header, item, scored_item, submitted
 
 
 def finished(name: str, text: str = "t", versions: tuple[int, ...] = (1,)) -> ItemFinished:
--- a/tests/batches/test_placement.py
+++ b/tests/gateway/batches/test_placement.py
@@ -4,11 +4,11 @@
 
 import testtools
 
-from stagewalk.batches.placement import choose_engine, faster_engine
-from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.workers.worker import Worker
-from tests.eligibility.support import NEAR_Z1
-from tests.workers.support import announcement
+from stagewalk.gateway.batches.placement import choose_engine, faster_engine
+from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.workers.worker import Worker
+from tests.gateway.eligibility.support import NEAR_Z1
+from tests.gateway.workers.support import announcement
 
 PACE = 0.04
 NO_SIBLINGS = Policy(siblings=False)
--- a/tests/batches/test_runner_liveness.py
+++ b/tests/gateway/batches/test_runner_liveness.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.batches.runner_liveness import (
+from stagewalk.gateway.batches.runner_liveness import (
     EVIDENCE_SECONDS,
     LEAST_SPAN_SECONDS,
     RunnerLiveness,
--- a/tests/batches/test_scheduler.py
+++ b/tests/gateway/batches/test_scheduler.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from stagewalk.batches.item_starts import RETURNED_PRIORITY
-from stagewalk.batches.messages import (
+from stagewalk.gateway.batches.item_starts import RETURNED_PRIORITY
+from stagewalk.gateway.batches.messages import (
     AttemptBroken,
     AttemptEnded,
     AttemptEvent,
@@ -15,9 +15,9 @@
     StopItem,
     Tick,
 )
-from stagewalk.batches.records import BatchItem, ItemFinished, ItemProgress
-from stagewalk.batches.scheduler import BatchScheduler
-from stagewalk.ports.workers import (
+from stagewalk.gateway.batches.records import BatchItem, ItemFinished, ItemProgress
+from stagewalk.gateway.batches.scheduler import BatchScheduler
+from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
     StreamEvent,
@@ -25,11 +25,11 @@
     WorkerAnswer,
     WorkerLoad,
 )
-from stagewalk.scoring.messages import ScoreAnswered, SendScore, StopScore
-from stagewalk.workers.table import WorkerTable
-from tests.batches.support import RecordingLedger, batch_route, item, scored_item, submitted
-from tests.eligibility.support import unrestricted
-from tests.workers.support import announcement
+from stagewalk.gateway.scoring.messages import ScoreAnswered, SendScore, StopScore
+from stagewalk.gateway.workers.table import WorkerTable
+from tests.gateway.batches.support import RecordingLedger, batch_route, item, scored_item, submitted
+from tests.gateway.eligibility.support import unrestricted
+from tests.gateway.workers.support import announcement
 
 ENGINES = ("e1", "e2", "e3")
 SUCCESS = 200
--- a/tests/batches/test_takeover.py
+++ b/tests/gateway/batches/test_takeover.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.batches.takeover import (
+from stagewalk.gateway.batches.takeover import (
     CLAIM_REPEAT_SECONDS,
     RANK_SECONDS,
     RETURNED_SECONDS,
--- a/tests/batches/test_view_lease.py
+++ b/tests/gateway/batches/test_view_lease.py
@@ -4,12 +4,12 @@
 
 import testtools
 
-from stagewalk.batches.view_lease import (
+from stagewalk.gateway.batches.view_lease import (
     LAG_SECONDS,
     longest_view_age,
     longest_view_age_at_send,
 )
-from stagewalk.ports.workers import SEND_SECONDS
+from stagewalk.gateway.ports.workers import SEND_SECONDS
 
 
 class LongestViewAgeTests(testtools.TestCase):
--- a/tests/cold_starts/senders.py
+++ b/tests/gateway/cold_starts/senders.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from stagewalk.cold_starts.core import ColdStarts
-from stagewalk.cold_starts.leases import ColdLease, ColdLeases
-from stagewalk.ports.denials import Denial
-from stagewalk.routes.route import Service
-from stagewalk.workers.worker import Worker
-from tests.workers.support import announcement
+from stagewalk.gateway.cold_starts.core import ColdStarts
+from stagewalk.gateway.cold_starts.leases import ColdLease, ColdLeases
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.routes.route import Service
+from stagewalk.gateway.workers.worker import Worker
+from tests.gateway.workers.support import announcement
 
 RATE = 11.0
 COLD_SECONDS = 3.0
--- a/tests/cold_starts/test_leases.py
+++ b/tests/gateway/cold_starts/test_leases.py
@@ -6,8 +6,8 @@
 
 import testtools
 
-from stagewalk.cold_starts import leases
-from stagewalk.cold_starts.leases import ColdLease, ColdLeases, decode_cold_lease
+from stagewalk.gateway.cold_starts import leases
+from stagewalk.gateway.cold_starts.leases import ColdLease, ColdLeases, decode_cold_lease
 
 SPAN_SECONDS = 1.0
 
--- a/tests/cold_starts/test_rate.py
+++ b/tests/gateway/cold_starts/test_rate.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.cold_starts.rate import SlidingWindow
+from stagewalk.gateway.cold_starts.rate import SlidingWindow
 
 GAPS = st.lists(st.floats(0.0, 0.6), min_size=1, max_size=80)
 WAITS = st.lists(st.floats(0.0, 0.9), min_size=80, max_size=80)
--- a/tests/cold_starts/test_senders.py
+++ b/tests/gateway/cold_starts/test_senders.py
@@ -11,9 +11,9 @@
 
 import testtools
 
-from stagewalk.cold_starts import core, leases
-from stagewalk.cold_starts.leases import ColdLeases
-from tests.cold_starts.senders import RATE, World
+from stagewalk.gateway.cold_starts import core, leases
+from stagewalk.gateway.cold_starts.leases import ColdLeases
+from tests.gateway.cold_starts.senders import RATE, World
 
 SEEDS = range(24)
 FEWER_SEEDS = range(6)
@@ -53,13 +53,12 @@
             def due(self, worker: str, now: float) -> bool:
                 return not self.may_send(worker, now)
 
-        with mock.patch(
-            "tests.cold_starts.senders.SharedLog.append_at", lambda _log, _record, _end: True
-        ):
+        append_at = "tests.gateway.cold_starts.senders.SharedLog.append_at"
+        with mock.patch(append_at, lambda _log, _record, _end: True):
             self.assertGreater(self.broken(make_leases=Unconditional), BOUND)
 
     def test_without_a_second_look_at_the_send_late_connections_bunch(self) -> None:
-        with mock.patch("tests.cold_starts.senders.World.confirm", lambda *_: None):
+        with mock.patch("tests.gateway.cold_starts.senders.World.confirm", lambda *_: None):
             self.assertGreater(self.broken(), RATE + JITTER)
 
     def test_without_a_bound_on_the_views_a_node_cut_off_takes_the_worker_for_warm(self) -> None:
--- a/tests/directory/test_call_rate.py
+++ b/tests/gateway/directory/test_call_rate.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.directory.call_rate import CallRate
+from stagewalk.gateway.directory.call_rate import CallRate
 
 
 class CallRateTests(testtools.TestCase):
--- a/tests/directory/test_caller_subset.py
+++ b/tests/gateway/directory/test_caller_subset.py
@@ -7,7 +7,7 @@
 import msgspec
 import testtools
 
-from stagewalk.directory.caller_subset import (
+from stagewalk.gateway.directory.caller_subset import (
     CALLS_PER_CAPACITY,
     LEAST_LISTED,
     SPARES_NAMED,
@@ -16,7 +16,7 @@
     directory_order,
     wants_callers,
 )
-from stagewalk.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.directory.node_table import NodeAnnouncement
 
 ZONES = 5
 MOST = 64
--- a/tests/directory/test_ledger_replicas.py
+++ b/tests/gateway/directory/test_ledger_replicas.py
@@ -4,14 +4,14 @@
 
 import testtools
 
-from stagewalk.directory.ledger_replicas import (
+from stagewalk.gateway.directory.ledger_replicas import (
     LEDGER_REPLICAS,
     LINGER_SECONDS,
     ReplicaRole,
     rank_for_replicas,
     wants_replica,
 )
-from stagewalk.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.directory.node_table import NodeAnnouncement
 
 
 def node(number: int, capacity: float = 1.0, zone: str = "z") -> NodeAnnouncement:
--- a/tests/directory/test_node_table.py
+++ b/tests/gateway/directory/test_node_table.py
@@ -7,8 +7,8 @@
 from msgspec.structs import replace
 
 from stagewalk.common.identities import NodeName
-from stagewalk.directory.caller_subset import CallerPlace, directory_order
-from stagewalk.directory.node_table import (
+from stagewalk.gateway.directory.caller_subset import CallerPlace, directory_order
+from stagewalk.gateway.directory.node_table import (
     ALIVE_SECONDS,
     MISSED_RENEWALS,
     NodeAnnouncement,
--- a/tests/directory/test_read_pace.py
+++ b/tests/gateway/directory/test_read_pace.py
@@ -4,14 +4,14 @@
 
 import testtools
 
-from stagewalk.directory.read_pace import (
+from stagewalk.gateway.directory.read_pace import (
     LISTED_PACE,
     OLDEST_VIEW_SECONDS,
     REPLICA_PACE,
     RESTING_PACE,
     read_pace,
 )
-from stagewalk.partitioned_log.freshness import OUTAGE_GAP_SECONDS
+from stagewalk.gateway.partitioned_log.freshness import OUTAGE_GAP_SECONDS
 
 SHORTEST_DRAIN_SECONDS = 2.0
 """Shortest bound of any site on how long a leaving worker may still get work."""
--- a/tests/directory/test_renewals.py
+++ b/tests/gateway/directory/test_renewals.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from stagewalk.directory.node_table import ALIVE_SECONDS, NodeAnnouncement
-from stagewalk.directory.renewals import (
+from stagewalk.gateway.directory.node_table import ALIVE_SECONDS, NodeAnnouncement
+from stagewalk.gateway.directory.renewals import (
     IDLE_RENEWALS_PER_SECOND,
     LONGEST_RENEWAL_SECONDS,
     RENEWAL_SECONDS,
--- a/tests/gateway/test_duties.py
+++ b/tests/gateway/duties/test_duties.py
@@ -8,13 +8,13 @@
 import testtools
 
 from stagewalk.common.identities import Address
+from stagewalk.gateway.ports.duties import DutyOutcome, WorkerGroup
+from stagewalk.gateway.routes.route import Scaling, Service
 from stagewalk.gateway.settings import Autoscaling, DutySettings
-from stagewalk.ports.duties import DutyOutcome, WorkerGroup
-from stagewalk.routes.route import Scaling, Service
-from stagewalk.tenants.tenant import Tenant
-from stagewalk.usage.reporting import GATHER_SECONDS
+from stagewalk.gateway.tenants.tenant import Tenant
+from stagewalk.gateway.usage.reporting import GATHER_SECONDS
 from tests.gateway.support import Running, Site, key_headers, run, until
-from tests.workers.support import announcement
+from tests.gateway.workers.support import announcement
 
 A = Tenant("a", ("key-a1",))
 B = Tenant("b", ("key-b1",))
--- a/tests/gateway/test_usage_views.py
+++ b/tests/gateway/duties/test_usage_views.py
@@ -7,13 +7,19 @@
 import anyio
 import testtools
 
-from stagewalk.gateway.duty_lease import DUTIES_PARTITION, TOPIC, DutyLease
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.usage_service import PLAN_PREFIX, USAGE, UsageService
-from stagewalk.leases.log_lease import NO_FENCE, LeaseRecord, LogLease, PlanRecord, new_holder
-from stagewalk.ports.partitioned_log import Partition
-from stagewalk.usage.meter import window_of
-from stagewalk.usage.records import UsageCounted, encode_counts
+from stagewalk.gateway.duties.duty_lease import DUTIES_PARTITION, TOPIC, DutyLease
+from stagewalk.gateway.duties.usage_service import PLAN_PREFIX, USAGE, UsageService
+from stagewalk.gateway.leases.log_lease import (
+    NO_FENCE,
+    LeaseRecord,
+    LogLease,
+    PlanRecord,
+    new_holder,
+)
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.ports.partitioned_log import Partition
+from stagewalk.gateway.usage.meter import window_of
+from stagewalk.gateway.usage.records import UsageCounted, encode_counts
 from stagewalk_standins.memory_duties import MemoryDuties
 from stagewalk_standins.partitioned_log import MemoryLog
 from tests.gateway.support import until
--- a/tests/eligibility/support.py
+++ b/tests/gateway/eligibility/support.py
@@ -4,19 +4,19 @@
 
 from collections.abc import Mapping, Sequence
 
-from stagewalk.cold_starts.core import ColdStarts
-from stagewalk.cold_starts.leases import ColdLeases
 from stagewalk.common.identities import Placement
-from stagewalk.eligibility.core import Eligibility
-from stagewalk.evacuation.zones import Evacuations
-from stagewalk.ports.send_permits import SendPermit, WorkerTarget
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.core import CrashSuspects
-from stagewalk.regions.distance import Proximity
-from stagewalk.routes.route import CallerLimits, Route, RouteConfiguration, Service
-from stagewalk.routes.table import RouteTable
-from stagewalk.tenants.tenant import Tenant
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.cold_starts.core import ColdStarts
+from stagewalk.gateway.cold_starts.leases import ColdLeases
+from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.ports.send_permits import SendPermit, WorkerTarget
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.core import CrashSuspects
+from stagewalk.gateway.routes.route import CallerLimits, Route, RouteConfiguration, Service
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.tenants.tenant import Tenant
+from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.zones.distance import Proximity
+from stagewalk.gateway.zones.evacuations import Evacuations
 
 ZONES = {"z1": "r1", "z2": "r1", "z3": "r2"}
 NEAR_Z1 = Proximity(Placement("r1", "z1"), ZONES)
--- a/tests/eligibility/test_core.py
+++ b/tests/gateway/eligibility/test_core.py
@@ -8,22 +8,22 @@
 
 import testtools
 
-from stagewalk.eligibility.come_back import COME_BACK_AFTER, come_back_seconds
-from stagewalk.eligibility.core import RequestScope
-from stagewalk.ports.denials import Denial
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.records import CrashStrike
-from stagewalk.routes.route import Route, RouteKind, Service
-from stagewalk.tenants.tenant import Tenant
-from stagewalk.workers.table import WorkerTable
-from tests.batches.support import batch_route
-from tests.eligibility.support import Rules
-from tests.workers.support import announcement
+from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER, come_back_seconds
+from stagewalk.gateway.eligibility.core import RequestScope
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.records import CrashStrike
+from stagewalk.gateway.routes.route import Route, RouteKind, Service
+from stagewalk.gateway.tenants.tenant import Tenant
+from stagewalk.gateway.workers.table import WorkerTable
+from tests.gateway.batches.support import batch_route
+from tests.gateway.eligibility.support import Rules
+from tests.gateway.workers.support import announcement
 
 ROUTE = batch_route()
 CONTENT = RequestContent("POST", "h.example", "/run/x", b"body")
 SERVICE = Service("s", 100, True, cold_seconds=3.0, cold_rate=2.0)
-ROOT = Path(__file__).resolve().parent.parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent.parent
 
 
 def homes(route: Route, *regions: str) -> Route:
@@ -202,4 +202,4 @@
             if isinstance(node, ast.Call)
             and getattr(node.func, "id", getattr(node.func, "attr", "")) == "SendPermit"
         }
-        self.assertEqual({"src/stagewalk/eligibility/core.py"}, makers)
+        self.assertEqual({"src/stagewalk/gateway/eligibility/core.py"}, makers)
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/entry/test_requests.py
@@ -7,8 +7,8 @@
 import anyio
 import testtools
 
-from stagewalk.ports.workers import AttemptFault
-from stagewalk.routes.route import CallerLimits, RouteKind
+from stagewalk.gateway.ports.workers import AttemptFault
+from stagewalk.gateway.routes.route import CallerLimits, RouteKind
 from tests.gateway.support import ROUTES, Site, route, run, until
 
 
@@ -179,7 +179,7 @@
         def note(event: str, _level: str = "info", **_fields: object) -> None:
             events.append(event)
 
-        with mock.patch("stagewalk.gateway.app.log_event", note):
+        with mock.patch("stagewalk.gateway.entry.app.log_event", note):
             run(scenario)
         self.assertIn("lookup_refused", events)
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/entry/test_streams.py
@@ -5,7 +5,7 @@
 import httpx
 import testtools
 
-from stagewalk.ports.workers import AttemptFault
+from stagewalk.gateway.ports.workers import AttemptFault
 from tests.gateway.support import Site, run
 
 WHOLE = "".join(f"q1-{number}" for number in range(1, 4))
--- a/tests/explain/test_steps.py
+++ b/tests/gateway/explain/test_steps.py
@@ -11,9 +11,9 @@
 import testtools
 
 from stagewalk.cli.main import run
-from stagewalk.explain.log_line import parse_lines
-from stagewalk.explain.steps import account_steps, find_recoveries
-from tests.explain.test_story import line
+from stagewalk.gateway.explain.log_line import parse_lines
+from stagewalk.gateway.explain.steps import account_steps, find_recoveries
+from tests.gateway.explain.test_story import line
 
 STEP = (
     line(10.0, "n1", "batch_submitted", batch="b", step="3", items="2", outcome="appended"),
--- a/tests/explain/test_story.py
+++ b/tests/gateway/explain/test_story.py
@@ -14,8 +14,8 @@
 from stagewalk.cli.explain import render_story
 from stagewalk.cli.main import run
 from stagewalk.common.logs.lines import format_line
-from stagewalk.explain.log_line import parse_line, parse_lines
-from stagewalk.explain.story import Kind, Story, find_story
+from stagewalk.gateway.explain.log_line import parse_line, parse_lines
+from stagewalk.gateway.explain.story import Kind, Story, find_story
 
 
 def line(second: float, node: str, event: str, level: str = "info", **fields: str) -> str:
--- a/tests/forwarding/test_policy.py
+++ b/tests/gateway/forwarding/test_policy.py
@@ -4,11 +4,11 @@
 
 import testtools
 
-from stagewalk.eligibility.come_back import COME_BACK_AFTER
-from stagewalk.forwarding.policy import Ending, Evidence, ForwardedRequest
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer
-from stagewalk.routes.route import BackEnd, Route, RouteKind
+from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER
+from stagewalk.gateway.forwarding.policy import Ending, Evidence, ForwardedRequest
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer
+from stagewalk.gateway.routes.route import BackEnd, Route, RouteKind
 
 EVIDENCE = Evidence(occupancy=0.25, load_age=0.1)
 
--- a/tests/gateway/hindered_logs.py
+++ b/tests/gateway/hindered_logs.py
@@ -5,9 +5,14 @@
 import anyio
 from expression import Ok, Result
 
-from stagewalk.batches.records import BatchEnded, encode_record
-from stagewalk.gateway.batch_store import PARTITIONS, TOPIC
-from stagewalk.ports.partitioned_log import LogFailure, Partition, ProducerSequence, RecordPage
+from stagewalk.gateway.batch_service.batch_store import PARTITIONS, TOPIC
+from stagewalk.gateway.batches.records import BatchEnded, encode_record
+from stagewalk.gateway.ports.partitioned_log import (
+    LogFailure,
+    Partition,
+    ProducerSequence,
+    RecordPage,
+)
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 
 SLOW_RECORDS = 100
--- a/tests/leases/test_log_lease.py
+++ b/tests/gateway/leases/test_log_lease.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.leases.log_lease import (
+from stagewalk.gateway.leases.log_lease import (
     LEASE_SECONDS,
     Acquire,
     LogLease,
--- a/tests/log_relay/test_both_ways.py
+++ b/tests/gateway/log_relay/test_both_ways.py
@@ -9,12 +9,12 @@
 from expression import Ok, Result
 
 from stagewalk.common.identities import Address
-from stagewalk.log_relay.relayed_log import RelayedLog, RelayPeers
-from stagewalk.log_relay.server import LogRelay
-from stagewalk.partitioned_log.appender import AppendOutcome, PartitionAppender
-from stagewalk.partitioned_log.follower import PartitionFollower
-from stagewalk.peer_calls.client import PeerClient, PeerFault
-from stagewalk.ports.partitioned_log import LogFault, Partition, ProducerSequence
+from stagewalk.gateway.log_relay.relayed_log import RelayedLog, RelayPeers
+from stagewalk.gateway.log_relay.server import LogRelay
+from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
+from stagewalk.gateway.partitioned_log.follower import PartitionFollower
+from stagewalk.gateway.peer_calls.client import PeerClient, PeerFault
+from stagewalk.gateway.ports.partitioned_log import LogFault, Partition, ProducerSequence
 from stagewalk_standins.partitioned_log import MemoryLog
 
 PLACE = Partition("t", 0)
--- a/tests/log_relay/test_lost_answers.py
+++ b/tests/gateway/log_relay/test_lost_answers.py
@@ -13,11 +13,11 @@
 from expression import Error
 
 from stagewalk.common.identities import Address
-from stagewalk.log_relay.relayed_log import RelayedLog, RelayPeers
-from stagewalk.log_relay.server import LogRelay
-from stagewalk.partitioned_log.appender import AppendOutcome, PartitionAppender
-from stagewalk.peer_calls.client import PeerFault
-from stagewalk.ports.partitioned_log import LogFault, Partition, ProducerSequence
+from stagewalk.gateway.log_relay.relayed_log import RelayedLog, RelayPeers
+from stagewalk.gateway.log_relay.server import LogRelay
+from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
+from stagewalk.gateway.peer_calls.client import PeerFault
+from stagewalk.gateway.ports.partitioned_log import LogFault, Partition, ProducerSequence
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 
 PLACE = Partition("t", 0)
--- a/tests/log_relay/test_path_choice.py
+++ b/tests/gateway/log_relay/test_path_choice.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from stagewalk.log_relay.path_choice import PROBE_SECONDS, PathChoice
-from stagewalk.ports.partitioned_log import LogFailure, LogFault
+from stagewalk.gateway.log_relay.path_choice import PROBE_SECONDS, PathChoice
+from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault
 
 CUT = LogFailure(LogFault.UNKNOWN, "no answer")
 
--- a/tests/log_relay/test_relayed_log.py
+++ b/tests/gateway/log_relay/test_relayed_log.py
@@ -10,10 +10,10 @@
 from expression import Ok
 
 from stagewalk.common.identities import Address
-from stagewalk.log_relay.messages import LogAnswer, encode_message
-from stagewalk.log_relay.relayed_log import SILENCE_SECONDS, RelayedLog, RelayPeers
-from stagewalk.log_relay.server import CUT_OFF, LogRelay
-from stagewalk.ports.partitioned_log import Partition
+from stagewalk.gateway.log_relay.messages import LogAnswer, encode_message
+from stagewalk.gateway.log_relay.relayed_log import SILENCE_SECONDS, RelayedLog, RelayPeers
+from stagewalk.gateway.log_relay.server import CUT_OFF, LogRelay
+from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog
 
 PLACE = Partition("keyed.t", 0)
--- a/tests/gateway/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -8,15 +8,15 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.crash_watch import MOST_UNSENT, CrashWatch
-from stagewalk.ports.crash_reports import SentRequest
-from stagewalk.ports.partitioned_log import KeyedRecord, Partition
-from stagewalk.ports.workers import AttemptFailure, AttemptFault, ContactLoss
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.core import MOST_STRIKES, CrashSuspects
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.nodes.crash_watch import MOST_UNSENT, CrashWatch
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition
+from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, ContactLoss
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.core import MOST_STRIKES, CrashSuspects
+from stagewalk.gateway.quarantine.crash_reports import SentRequest
+from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk_standins.partitioned_log import MemoryLog
-from tests.workers.support import announcement
+from tests.gateway.workers.support import announcement
 
 NODES = Partition("keyed.nodes", 0)
 CLOSED = AttemptFailure(AttemptFault.MAY_HAVE_RUN, "closed", contact_loss=ContactLoss.CLOSED)
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/nodes/test_crashing_requests.py
@@ -26,9 +26,9 @@
 import httpx
 import testtools
 
-from stagewalk.ports.workers import AttemptFault
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.core import HELD_LEVEL_OF_ITEMS
+from stagewalk.gateway.ports.workers import AttemptFault
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.core import HELD_LEVEL_OF_ITEMS
 from tests.gateway.support import HOST, Running, Site, run, until
 from tests.node.running_node import free_address
 
--- a/tests/gateway/test_node_service.py
+++ b/tests/gateway/nodes/test_node_service.py
@@ -10,12 +10,12 @@
 import testtools
 
 from stagewalk.common.identities import Address, Placement
-from stagewalk.core.policy import ALL_ON
-from stagewalk.directory.node_table import NodeAnnouncement, decode_announcement
-from stagewalk.directory.renewals import RENEWAL_SECONDS
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.node_service import NodeService
-from stagewalk.ports.partitioned_log import Partition
+from stagewalk.gateway.directory.node_table import NodeAnnouncement, decode_announcement
+from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.policy import ALL_ON
+from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 from tests.gateway.support import until
 
@@ -103,7 +103,7 @@
         self.log = MemoryLog()
         self.events: list[tuple[str, dict[str, object]]] = []
         patched = mock.patch(
-            "stagewalk.gateway.node_service.log_event",
+            "stagewalk.gateway.nodes.node_service.log_event",
             lambda event, _level="info", **fields: self.events.append((event, fields)),
         )
         patched.start()
--- a/tests/partitioned_log/test_appender.py
+++ b/tests/gateway/partitioned_log/test_appender.py
@@ -7,8 +7,8 @@
 import anyio
 import testtools
 
-from stagewalk.partitioned_log.appender import AppendOutcome, PartitionAppender
-from stagewalk.ports.partitioned_log import Partition
+from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
+from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 
 PLACE = Partition("t", 0)
--- a/tests/partitioned_log/test_follower.py
+++ b/tests/gateway/partitioned_log/test_follower.py
@@ -10,8 +10,8 @@
 import testtools
 from expression import Ok, Result
 
-from stagewalk.partitioned_log.follower import KeyedFollower, PartitionFollower
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.partitioned_log.follower import KeyedFollower, PartitionFollower
+from stagewalk.gateway.ports.partitioned_log import (
     KeyedPage,
     KeyedRecord,
     LogFailure,
--- a/tests/quarantine/loads.py
+++ b/tests/gateway/quarantine/loads.py
@@ -1,6 +1,6 @@
 """Seeded loads on a virtual clock: one request crashes its workers, others are merely there.
 
-    python -m tests.quarantine.loads [SEEDS]
+    python -m tests.gateway.quarantine.loads [SEEDS]
 
 prints what each way of telling them apart costs: workers that the request ended, tries of it that
 reached workers later than three seconds after the third end, and proper requests refused for it.
@@ -15,9 +15,9 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.core import CrashSuspects, next_level
-from stagewalk.quarantine.records import CrashStrike
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.core import CrashSuspects, next_level
+from stagewalk.gateway.quarantine.records import CrashStrike
 
 NODES = 10
 WORKERS = 3
--- a/tests/quarantine/support.py
+++ b/tests/gateway/quarantine/support.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from stagewalk.ports.crash_reports import SentRequest
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.workers import AttemptFailure
-from stagewalk.quarantine.content import RequestContent
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.workers import AttemptFailure
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.crash_reports import SentRequest
 
 
 class NoCrashes:
--- a/tests/quarantine/test_core.py
+++ b/tests/gateway/quarantine/test_core.py
@@ -6,8 +6,8 @@
 
 import testtools
 
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.quarantine.core import (
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.quarantine.core import (
     FIRST_HOLD_SECONDS,
     HELD_LEVEL_AT_ONE_ADDRESS,
     HELD_LEVEL_OF_ITEMS,
@@ -19,7 +19,7 @@
     hold_seconds,
     next_level,
 )
-from stagewalk.quarantine.records import KEY_PREFIX, CrashStrike, decode_strike
+from stagewalk.gateway.quarantine.records import KEY_PREFIX, CrashStrike, decode_strike
 
 CONTENT = RequestContent("POST", "h.example", "/ask/x?q=1", b"body")
 NUMBERS = itertools.count()
--- a/tests/quarantine/test_losses.py
+++ b/tests/gateway/quarantine/test_losses.py
@@ -6,10 +6,16 @@
 
 import testtools
 
-from stagewalk.ports.workers import WorkerLoad
-from stagewalk.quarantine.losses import EVIDENCE_SECONDS, MOST_PENDING, Loss, LossWatch, WorkerStart
-from stagewalk.workers.table import WorkerTable
-from tests.workers.support import announcement
+from stagewalk.gateway.ports.workers import WorkerLoad
+from stagewalk.gateway.quarantine.losses import (
+    EVIDENCE_SECONDS,
+    MOST_PENDING,
+    Loss,
+    LossWatch,
+    WorkerStart,
+)
+from stagewalk.gateway.workers.table import WorkerTable
+from tests.gateway.workers.support import announcement
 
 
 def loss(content: str = "c", worker: str = "a", at: float = 10.0) -> Loss:
--- a/tests/quarantine/test_seeded_loads.py
+++ b/tests/gateway/quarantine/test_seeded_loads.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from tests.quarantine.loads import WAYS, Load, Outcome
+from tests.gateway.quarantine.loads import WAYS, Load, Outcome
 
 SEEDS = range(4)
 MOST_LATE_TRIES = 3
--- a/tests/routes/test_regions.py
+++ b/tests/gateway/routes/test_regions.py
@@ -6,10 +6,10 @@
 
 import testtools
 
-from stagewalk.routes.route import CallerLimits, Route, RouteConfiguration, RouteKind
-from stagewalk.routes.table import RouteTable
-from stagewalk.tenants.tenant import Tenant
-from tests.batches.support import batch_route
+from stagewalk.gateway.routes.route import CallerLimits, Route, RouteConfiguration, RouteKind
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.tenants.tenant import Tenant
+from tests.gateway.batches.support import batch_route
 
 LOOK_UP = replace(batch_route(), name="ask", path_prefix="/ask/", kind=RouteKind.REPEATABLE)
 
--- a/tests/routes/test_table.py
+++ b/tests/gateway/routes/test_table.py
@@ -8,8 +8,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.routes.route import BackEnd, CallerLimits, Route, RouteConfiguration, RouteKind
-from stagewalk.routes.table import RouteTable
+from stagewalk.gateway.routes.route import (
+    BackEnd,
+    CallerLimits,
+    Route,
+    RouteConfiguration,
+    RouteKind,
+)
+from stagewalk.gateway.routes.table import RouteTable
 
 
 def route(name: str, prefix: str, *back_ends: BackEnd, host: str = "h.example") -> Route:
--- a/tests/gateway/test_lease_views.py
+++ b/tests/gateway/runners/test_lease_views.py
@@ -10,9 +10,9 @@
 from expression import Error, Result
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.duty_lease import DUTIES_PARTITION, TOPIC, DutyLease
-from stagewalk.leases.log_lease import LEASE_SECONDS, LogLease, new_holder
-from stagewalk.ports.partitioned_log import LogFailure, LogFault, Partition, RecordPage
+from stagewalk.gateway.duties.duty_lease import DUTIES_PARTITION, TOPIC, DutyLease
+from stagewalk.gateway.leases.log_lease import LEASE_SECONDS, LogLease, new_holder
+from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault, Partition, RecordPage
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 
 LEASES = Partition(TOPIC, DUTIES_PARTITION)
--- a/tests/gateway/test_run_views.py
+++ b/tests/gateway/runners/test_run_views.py
@@ -9,28 +9,33 @@
 import testtools
 from expression import Result
 
-from stagewalk.batches.evidence import note_refusal
-from stagewalk.batches.messages import StartItem
-from stagewalk.batches.records import BatchEnded, ScoreCall, encode_record
-from stagewalk.batches.view_lease import longest_view_age
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.eligibility.core import RequestScope
-from stagewalk.gateway.batch_runner import BatchRunner
-from stagewalk.gateway.early_start import PartialLedger
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.run_views import RunViews
-from stagewalk.gateway.score_sender import ScoreSender
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.partitioned_log import LogFailure, Partition, ProducerSequence, RecordPage
-from stagewalk.ports.workers import AttemptFailure, AttemptFault
-from stagewalk.quarantine.content import RequestContent
-from stagewalk.scoring.messages import ScoreEvent, SendScore
-from stagewalk.workers.table import WorkerTable
+from stagewalk.gateway.batch_service.early_start import PartialLedger
+from stagewalk.gateway.batches.evidence import note_refusal
+from stagewalk.gateway.batches.messages import StartItem
+from stagewalk.gateway.batches.records import BatchEnded, ScoreCall, encode_record
+from stagewalk.gateway.batches.view_lease import longest_view_age
+from stagewalk.gateway.eligibility.core import RequestScope
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.partitioned_log import (
+    LogFailure,
+    Partition,
+    ProducerSequence,
+    RecordPage,
+)
+from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault
+from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.runners.batch_runner import BatchRunner
+from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.runners.score_sender import ScoreSender
+from stagewalk.gateway.scoring.messages import ScoreEvent, SendScore
+from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
-from tests.batches.support import batch_route, item, submitted
-from tests.eligibility.support import unrestricted
-from tests.quarantine.support import NoCrashes
-from tests.workers.support import announcement
+from tests.gateway.batches.support import batch_route, item, submitted
+from tests.gateway.eligibility.support import unrestricted
+from tests.gateway.quarantine.support import NoCrashes
+from tests.gateway.workers.support import announcement
 
 PLACE = Partition("batches", 0)
 BOUND = 3.0
--- a/tests/gateway/test_runner_choice.py
+++ b/tests/gateway/runners/test_runner_choice.py
@@ -7,15 +7,15 @@
 import anyio
 import testtools
 
-from stagewalk.batches.records import BatchHeader
-from stagewalk.batches.takeover import affinity
 from stagewalk.common.identities import Address
-from stagewalk.core.policy import ALL_ON, Policy
-from stagewalk.directory.node_table import NodeAnnouncement
-from stagewalk.gateway.identity import ProcessId
-from stagewalk.gateway.open_batches import BatchPlace, OpenBatches
-from stagewalk.gateway.runner_choice import RunnerChoice
-from stagewalk.gateway.runner_messages import (
+from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batches.records import BatchHeader
+from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.directory.node_table import NodeAnnouncement
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.runners.runner_choice import RunnerChoice
+from stagewalk.gateway.runners.runner_messages import (
     AskRunner,
     RunBatch,
     RunnerAnswer,
--- a/tests/gateway/test_scores.py
+++ b/tests/gateway/runners/test_scores.py
@@ -5,7 +5,7 @@
 import anyio
 import testtools
 
-from stagewalk.ports.workers import AttemptFault
+from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk_standins.memory_workers import MemoryWorker
 from tests.gateway.support import ROUTES, Running, Site, route, run, until
 
--- a/tests/gateway/test_takeover.py
+++ b/tests/gateway/runners/test_takeover.py
@@ -7,7 +7,7 @@
 import anyio
 import testtools
 
-from stagewalk.gateway.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from tests.gateway.support import Running, Site, run, until
 
 NEVER = 1_000.0
@@ -36,7 +36,7 @@
         self.addCleanup(patched.stop)
 
     def test_a_batch_is_not_given_to_a_node_that_is_gone_but_listed(self) -> None:
-        self.patch("stagewalk.directory.node_table.ALIVE_SECONDS", NEVER)
+        self.patch("stagewalk.gateway.directory.node_table.ALIVE_SECONDS", NEVER)
 
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
@@ -55,7 +55,7 @@
         run(scenario)
 
     def test_a_runner_that_answers_no_more_is_replaced_before_the_list_tells(self) -> None:
-        self.patch("stagewalk.directory.node_table.ALIVE_SECONDS", NEVER)
+        self.patch("stagewalk.gateway.directory.node_table.ALIVE_SECONDS", NEVER)
 
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
@@ -119,7 +119,7 @@
         run(scenario)
 
     def test_a_runner_is_told_of_its_batch_although_the_log_wakes_nobody(self) -> None:
-        self.patch("stagewalk.partitioned_log.follower.ACTIVE_WAIT_SECONDS", 1.0)
+        self.patch("stagewalk.gateway.partitioned_log.follower.ACTIVE_WAIT_SECONDS", 1.0)
 
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
--- a/tests/scoring/test_core.py
+++ b/tests/gateway/scoring/test_core.py
@@ -6,20 +6,20 @@
 
 import testtools
 
-from stagewalk.batches.records import ScoreCall
-from stagewalk.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer, WorkerLoad
-from stagewalk.routes.route import BackEnd, Route, RouteKind
-from stagewalk.scoring.core import (
+from stagewalk.gateway.batches.records import ScoreCall
+from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer, WorkerLoad
+from stagewalk.gateway.routes.route import BackEnd, Route, RouteKind
+from stagewalk.gateway.scoring.core import (
     LONGEST_ATTEMPT_SECONDS,
     MOST_AT_ONCE,
     ScoreCalls,
     ScoreOutcome,
     ScoreResult,
 )
-from stagewalk.scoring.messages import ScoreAnswered, ScoreBroken, SendScore, StopScore
-from stagewalk.workers.table import WorkerTable
-from tests.eligibility.support import unrestricted
-from tests.workers.support import announcement
+from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, SendScore, StopScore
+from stagewalk.gateway.workers.table import WorkerTable
+from tests.gateway.eligibility.support import unrestricted
+from tests.gateway.workers.support import announcement
 
 CALL = ScoreCall("c1", "h.example", "/score/x", b"text")
 BATCH_ATTEMPTS = 2
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -11,12 +11,11 @@
 import httpx
 import msgspec
 
-from stagewalk.batches.records import BatchItem, ScoreCall
 from stagewalk.common.identities import Address, Placement
+from stagewalk.gateway.batches.records import BatchItem, ScoreCall
 from stagewalk.gateway.daemon import Dependencies, Gateway
-from stagewalk.gateway.settings import GatewaySettings, LogLimits, Timing
-from stagewalk.ports.dialect import NamedVersion
-from stagewalk.routes.route import (
+from stagewalk.gateway.dialect import NamedVersion
+from stagewalk.gateway.routes.route import (
     BackEnd,
     CallerLimits,
     Route,
@@ -24,13 +23,14 @@
     RouteKind,
     Service,
 )
-from stagewalk.tenants.tenant import Tenant
+from stagewalk.gateway.settings import GatewaySettings, LogLimits, Timing
+from stagewalk.gateway.tenants.tenant import Tenant
 from stagewalk_standins.memory_duties import MemoryDuties
 from stagewalk_standins.memory_workers import MemoryWorker, MemoryWorkers
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 from stagewalk_standins.plain_dialect import EVACUATION_PREFIX, PlainDialect, SubmittedBatch
+from tests.gateway.workers.support import announcement
 from tests.node.running_node import free_address
-from tests.workers.support import announcement
 
 HOST = "h.example"
 PORTS: dict[str, int] = {}
--- a/tests/tenants/benchmark_keys.py
+++ b/tests/gateway/tenants/benchmark_keys.py
@@ -1,4 +1,4 @@
-"""Time and memory of keys: `python -m tests.tenants.benchmark_keys`.
+"""Time and memory of keys: `python -m tests.gateway.tenants.benchmark_keys`.
 
 Before there was a table, no key was looked at. Seen with CPython 3.11: see docs/TENANTS.md.
 """
@@ -8,8 +8,8 @@
 import time
 import tracemalloc
 
-from stagewalk.tenants.key_table import KeyTable
-from stagewalk.tenants.tenant import Tenant
+from stagewalk.gateway.tenants.key_table import KeyTable
+from stagewalk.gateway.tenants.tenant import Tenant
 
 KEYS_OF_A_TENANT = 4
 LOOK_UPS = 200_000
--- a/tests/tenants/test_key_table.py
+++ b/tests/gateway/tenants/test_key_table.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from stagewalk.tenants.key_table import KeyTable
-from stagewalk.tenants.tenant import Tenant
+from stagewalk.gateway.tenants.key_table import KeyTable
+from stagewalk.gateway.tenants.tenant import Tenant
 
 A = Tenant("a", ("key-1", "key-2"), 1)
 B = Tenant("b", ("key-3",))
--- a/tests/node/test_deferred_imports.py
+++ b/tests/gateway/test_deferred_imports.py
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 LEFT_OUT = """
-from stagewalk.node.deferred_imports import defer_unused_parts
+from stagewalk.gateway.deferred_imports import defer_unused_parts
 defer_unused_parts()
 import sys
 import stagewalk.gateway.daemon
@@ -20,7 +20,7 @@
 """
 
 ASKED_FOR = """
-from stagewalk.node.deferred_imports import defer_unused_parts
+from stagewalk.gateway.deferred_imports import defer_unused_parts
 defer_unused_parts()
 import hypercorn.protocol, hypercorn.config
 from unittest import mock
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -5,7 +5,7 @@
 import testtools
 from prometheus_client.parser import text_string_to_metric_families
 
-from stagewalk.ports.denials import Denial
+from stagewalk.gateway.ports.denials import Denial
 from tests.gateway.support import Running, Site, run, until
 
 
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from stagewalk.core.policy import Policy
+from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.settings import load_gateway_settings
 
 GOOD = """
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -8,7 +8,7 @@
 import anyio
 import testtools
 
-from stagewalk.batches.records import BatchEnded
+from stagewalk.gateway.batches.records import BatchEnded
 from stagewalk.gateway.settings import GatewaySettings, Timing
 from tests.gateway.support import Running, Site, run
 
--- a/tests/gateway/test_store_trouble.py
+++ b/tests/gateway/test_store_trouble.py
@@ -7,9 +7,9 @@
 import msgspec
 import testtools
 
-from stagewalk.ports.workers import AttemptFault
+from stagewalk.gateway.ports.workers import AttemptFault
 from tests.gateway.support import Site, run, until
-from tests.workers.support import announcement
+from tests.gateway.workers.support import announcement
 
 
 class StoreTroubleTests(testtools.TestCase):
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -16,8 +16,8 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.routes.route import RouteKind, Service
-from stagewalk.tenants.tenant import Tenant
+from stagewalk.gateway.routes.route import RouteKind, Service
+from stagewalk.gateway.tenants.tenant import Tenant
 from tests.gateway.support import ROUTES, Running, Site, key_headers, route, run, until
 
 ASLEEP_SECONDS = 30.0
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -11,7 +11,7 @@
 import testtools
 
 from stagewalk.common.logs.lines import configure_logs
-from stagewalk.tenants.tenant import Tenant
+from stagewalk.gateway.tenants.tenant import Tenant
 from tests.gateway.support import ROUTES, Running, Site, key_headers, run, until
 
 A = Tenant("a", ("key-a1", "key-a2"))
@@ -171,7 +171,7 @@
 
     def test_another_tenants_batch_is_not_taken_where_no_replica_is_held(self) -> None:
         """A node that doesn't follow the batches has read of none, and must not go by that."""
-        patched = mock.patch("stagewalk.directory.ledger_replicas.LEDGER_REPLICAS", 1)
+        patched = mock.patch("stagewalk.gateway.directory.ledger_replicas.LEDGER_REPLICAS", 1)
         patched.start()
         self.addCleanup(patched.stop)
 
--- a/tests/usage/test_clock_and_meter.py
+++ b/tests/gateway/usage/test_clock_and_meter.py
@@ -4,10 +4,10 @@
 
 import testtools
 
-from stagewalk.usage.account import UsageAccount
-from stagewalk.usage.meter import KEPT_WINDOWS, UsageMeter, window_of
-from stagewalk.usage.records import UsageCounted, decode_usage
-from stagewalk.usage.wall_clock import SAMPLE_SECONDS, WallClock
+from stagewalk.gateway.usage.account import UsageAccount
+from stagewalk.gateway.usage.meter import KEPT_WINDOWS, UsageMeter, window_of
+from stagewalk.gateway.usage.records import UsageCounted, decode_usage
+from stagewalk.gateway.usage.wall_clock import SAMPLE_SECONDS, WallClock
 
 WINDOW = 5.0
 
--- a/tests/usage/test_reporting.py
+++ b/tests/gateway/usage/test_reporting.py
@@ -11,17 +11,17 @@
 
 import testtools
 
-from stagewalk.leases.log_lease import (
+from stagewalk.gateway.leases.log_lease import (
     Acquire,
     LeaseRecord,
     LogLease,
     PlanRecord,
     decode_lease_record,
 )
-from stagewalk.ports.duties import DutyOutcome
-from stagewalk.usage.account import UsageAccount
-from stagewalk.usage.records import UsageCounted, decode_counts, encode_counts
-from stagewalk.usage.reporting import (
+from stagewalk.gateway.ports.duties import DutyOutcome
+from stagewalk.gateway.usage.account import UsageAccount
+from stagewalk.gateway.usage.records import UsageCounted, decode_counts, encode_counts
+from stagewalk.gateway.usage.reporting import (
     GATHER_SECONDS,
     POSTED_SECONDS,
     RESERVE_SECONDS,
@@ -29,7 +29,7 @@
     UsageReporting,
     WriteReport,
 )
-from stagewalk.usage.wall_clock import WallClock
+from stagewalk.gateway.usage.wall_clock import WallClock
 
 WINDOW = 5.0
 DUE = 10.0
--- a/tests/version_rollouts/test_core.py
+++ b/tests/gateway/version_rollouts/test_core.py
@@ -4,16 +4,16 @@
 
 import testtools
 
-from stagewalk.core.policy import Policy
-from stagewalk.version_rollouts.core import (
+from stagewalk.gateway.policy import Policy
+from stagewalk.gateway.version_rollouts.core import (
     LEAST_LOADS_AT_ONCE,
     LOADING_SHARE,
     ORDER_DEADLINE_SECONDS,
     OrderVersion,
     VersionRollouts,
 )
-from stagewalk.workers.table import WorkerTable
-from tests.workers.support import announcement
+from stagewalk.gateway.workers.table import WorkerTable
+from tests.gateway.workers.support import announcement
 
 ENGINES = 4
 
--- a/tests/version_rollouts/test_engine_sets.py
+++ b/tests/gateway/version_rollouts/test_engine_sets.py
@@ -7,16 +7,16 @@
 
 import testtools
 
-from stagewalk.core.policy import Policy
-from stagewalk.version_rollouts.core import VersionRollouts
-from stagewalk.version_rollouts.engine_sets import (
+from stagewalk.gateway.policy import Policy
+from stagewalk.gateway.version_rollouts.core import VersionRollouts
+from stagewalk.gateway.version_rollouts.engine_sets import (
     ModelDemand,
     SetSizes,
     assign_engines,
     engines_by_models,
 )
-from stagewalk.workers.table import WorkerTable
-from tests.workers.support import announcement
+from stagewalk.gateway.workers.table import WorkerTable
+from tests.gateway.workers.support import announcement
 
 MODELS = ("m", "n", "o")
 SETS = Policy()
--- a/tests/workers/support.py
+++ b/tests/gateway/workers/support.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stagewalk.common.identities import Address
-from stagewalk.workers.worker import WorkerAnnouncement, start_identity
+from stagewalk.gateway.workers.worker import WorkerAnnouncement, start_identity
 
 
 def announcement(
--- a/tests/workers/test_table.py
+++ b/tests/gateway/workers/test_table.py
@@ -6,12 +6,12 @@
 
 import testtools
 
-from stagewalk.ports.workers import WorkerLoad
-from stagewalk.workers.selection import choose_worker
-from stagewalk.workers.table import DOUBT_SECONDS, EARLIER_START_SECONDS, WorkerTable
-from stagewalk.workers.worker import WARM_SECONDS, Worker
-from tests.eligibility.support import NEAR_Z1
-from tests.workers.support import announcement
+from stagewalk.gateway.ports.workers import WorkerLoad
+from stagewalk.gateway.workers.selection import choose_worker
+from stagewalk.gateway.workers.table import DOUBT_SECONDS, EARLIER_START_SECONDS, WorkerTable
+from stagewalk.gateway.workers.worker import WARM_SECONDS, Worker
+from tests.gateway.eligibility.support import NEAR_Z1
+from tests.gateway.workers.support import announcement
 
 CALM = -math.inf
 
--- a/tests/evacuation/test_zones.py
+++ b/tests/gateway/zones/test_evacuations.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.evacuation.zones import Evacuations
+from stagewalk.gateway.zones.evacuations import Evacuations
 
 
 class EvacuationTests(testtools.TestCase):
--- a/tests/regions/test_regions.py
+++ b/tests/gateway/zones/test_regions.py
@@ -5,12 +5,12 @@
 import testtools
 
 from stagewalk.common.identities import Placement
-from stagewalk.regions.distance import DISTANCE_PENALTY, Distance, Proximity
-from stagewalk.regions.homes import allowed_regions, allows
-from stagewalk.workers.selection import choose_worker
-from stagewalk.workers.worker import Worker
-from tests.eligibility.support import NEAR_Z1
-from tests.workers.support import announcement
+from stagewalk.gateway.workers.selection import choose_worker
+from stagewalk.gateway.workers.worker import Worker
+from stagewalk.gateway.zones.distance import DISTANCE_PENALTY, Distance, Proximity
+from stagewalk.gateway.zones.homes import allowed_regions, allows
+from tests.gateway.eligibility.support import NEAR_Z1
+from tests.gateway.workers.support import announcement
 
 
 class ProximityTests(testtools.TestCase):
--- a/tests/node/leases/test_lease_gap.py
+++ b/tests/node/leases/test_lease_gap.py
@@ -4,7 +4,13 @@
 
 import testtools
 
-from stagewalk.leases.log_lease import LEASE_SECONDS, NO_FENCE, Acquire, LeaseRecord, LogLease
+from stagewalk.gateway.leases.log_lease import (
+    LEASE_SECONDS,
+    NO_FENCE,
+    Acquire,
+    LeaseRecord,
+    LogLease,
+)
 
 QUIET_SECONDS = 3.0
 GAP_AT = 100.0
--- a/tests/platform_adapter/test_dialect.py
+++ b/tests/platform_adapter/test_dialect.py
@@ -7,12 +7,12 @@
 
 import testtools
 
-from stagewalk.batches.records import ItemFinished, ScoreCall
 from stagewalk.common.identities import Address
-from stagewalk.ports.dialect import NamedVersion, ZoneEvacuation
-from stagewalk.ports.partitioned_log import KeyedRecord
-from stagewalk.routes.route import BackEnd, RouteKind
-from stagewalk.tenants.tenant import Tenant
+from stagewalk.gateway.batches.records import ItemFinished, ScoreCall
+from stagewalk.gateway.dialect import NamedVersion, ZoneEvacuation
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord
+from stagewalk.gateway.routes.route import BackEnd, RouteKind
+from stagewalk.gateway.tenants.tenant import Tenant
 from stagewalk_platform.dialect import PlatformDialect
 
 CONFIGURATION = {
--- a/tests/platform_adapter/test_foreign_records.py
+++ b/tests/platform_adapter/test_foreign_records.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stagewalk.batches.records import decode_record
-from stagewalk.cold_starts.leases import decode_cold_lease
-from stagewalk.directory.node_table import decode_announcement
-from stagewalk.ports.partitioned_log import KeyedRecord
-from stagewalk.quarantine.records import decode_strike
+from stagewalk.gateway.batches.records import decode_record
+from stagewalk.gateway.cold_starts.leases import decode_cold_lease
+from stagewalk.gateway.directory.node_table import decode_announcement
+from stagewalk.gateway.ports.partitioned_log import KeyedRecord
+from stagewalk.gateway.quarantine.records import decode_strike
 from stagewalk_platform.dialect import PlatformDialect
 
 ENTRY = {
--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from stagewalk.ports.partitioned_log import LogFault, Partition, ProducerSequence
+from stagewalk.gateway.ports.partitioned_log import LogFault, Partition, ProducerSequence
 from stagewalk_platform.store import PlatformLog
 from tests.platform_adapter.scripted_server import Scripted, ScriptedServer, play, respond
 
--- a/tests/platform_adapter/test_workers.py
+++ b/tests/platform_adapter/test_workers.py
@@ -8,9 +8,9 @@
 import anyio
 import testtools
 
-from stagewalk.ports.denials import Denial
-from stagewalk.ports.send_permits import SendPermit, WorkerTarget
-from stagewalk.ports.workers import (
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.send_permits import SendPermit, WorkerTarget
+from stagewalk.gateway.ports.workers import (
     AttemptFault,
     ContactLoss,
     OrderOutcome,
@@ -22,7 +22,7 @@
     WorkerLoad,
 )
 from stagewalk_platform.workers import PlatformWorkers
-from tests.eligibility.support import granted
+from tests.gateway.eligibility.support import granted
 from tests.platform_adapter.scripted_server import Scripted, ScriptedServer, chunked, play, respond
 
 SIGNED = {"x_request_id": "q1", "x_response_signature": "s", "x_instance_load": "3,1,8"}
--- a/tests/soak/crashes.py
+++ b/tests/soak/crashes.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from stagewalk.common.identities import Address
-from stagewalk.ports.partitioned_log import Partition
+from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog
 from tests.soak.touch import TouchRecord
 
--- a/tests/soak/foreign.py
+++ b/tests/soak/foreign.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from stagewalk.common.identities import Address
-from stagewalk.ports.partitioned_log import Partition
+from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog
 
 ANNOUNCEMENTS = Partition("keyed.servers", 0)
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from stagewalk.ports.partitioned_log import (
+from stagewalk.gateway.ports.partitioned_log import (
     LogFailure,
     LogFault,
     Partition,
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from stagewalk.common.identities import Address
-from stagewalk.ports.partitioned_log import Partition
+from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog
 from tests.soak.asgi import Call, Reply, Send, start_answer
 from tests.soak.senders import Connection
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from stagewalk.common.identities import Address
-from stagewalk.ports.partitioned_log import Partition
+from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.forwarder import Forwarder, ForwarderLinks, StreamLink
 from stagewalk_standins.forwarder_faults import LinkFaults
 from stagewalk_standins.partitioned_log import MemoryLog
--- a/tests/soak/zones.py
+++ b/tests/soak/zones.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from stagewalk.ports.partitioned_log import Partition
+from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.partitioned_log import MemoryLog
 from tests.soak.senders import Connection
 from tests.soak.touch import TouchRecord
