--- a/tests/run.sh
+++ b/tests/run.sh
@@ -16,15 +16,19 @@
 check "$BIN/mypy"
 check "$BIN/lint-imports" --no-cache
 if [ "${1:-}" != checks-only ]; then
-  # Tests of real processes mostly wait, so they run beside the others.
+  # Most tests wait for processes or timers, so three groups run beside each other.
   mkdir -p out
   rm -f out/counts-*
   "$BIN/python" -m tests.runner --folders=process,soak --counts=out/counts-process >out/process.log 2>&1 &
   processes=$!
-  "$BIN/python" -m tests.runner --without=process,soak --counts=out/counts-others
+  "$BIN/python" -m tests.runner --folders=gateway --counts=out/counts-gateway >out/gateway.log 2>&1 &
+  gateways=$!
+  "$BIN/python" -m tests.runner --without=process,soak,gateway --counts=out/counts-others
+  wait "$gateways"
+  cat out/gateway.log
   wait "$processes"
   cat out/process.log
-  for counts in out/counts-process out/counts-others; do
+  for counts in out/counts-process out/counts-gateway out/counts-others; do
     read -r group_passed group_failed < <(cat "$counts" 2>/dev/null || echo "0 1")
     passed=$((passed + group_passed))
     failed=$((failed + group_failed))
