--- a/src/stagewalk/gateway/batches/attempt_watch.py
+++ b/src/stagewalk/gateway/batches/attempt_watch.py
@@ -2,14 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.ledger import Batch
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
 from stagewalk.gateway.batches.placement import faster_engine, has_room_elsewhere
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
-from stagewalk.gateway.routes.route import Route
+from stagewalk.gateway.scoring.core import RouteOf
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
 
@@ -29,9 +27,6 @@
 FIRST_EVENT_SECONDS = 3.0
 """The same before the first event, when the item may still wait for its place."""
 
-RouteOf = Callable[[str, str], Route | None]
-"""Finds the route in force for a host and a path."""
-
 
 class AttemptWatch:
     """Judges attempts by what their engines have shown."""
--- a/src/stagewalk/gateway/batches/item_scores.py
+++ b/src/stagewalk/gateway/batches/item_scores.py
@@ -4,11 +4,10 @@
 
 from collections.abc import Mapping
 
-from stagewalk.gateway.batches.attempt_watch import RouteOf
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.messages import RecordItem, SchedulerInstruction
-from stagewalk.gateway.scoring.core import ScoreCalls, ScoreOutcome
+from stagewalk.gateway.scoring.core import RouteOf, ScoreCalls, ScoreOutcome
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, StopScore
 
 TELL_UNSCORED_SECONDS = 0.3
--- a/src/stagewalk/gateway/batches/records.py
+++ b/src/stagewalk/gateway/batches/records.py
@@ -9,22 +9,9 @@
 
 import msgspec
 
-ItemHeaders = tuple[tuple[str, str], ...]
-
-
-class ScoreCall(msgspec.Struct, frozen=True, array_like=True):
-    """The request that has a sample scored: a `POST` by the route of its host and path.
+from stagewalk.gateway.scoring.records import ScoreCall
 
-    Attributes
-    ----------
-    call
-        Its own id, under which the service that scores sees it.
-    """
-
-    call: str
-    host: str
-    path: str
-    body: bytes
+ItemHeaders = tuple[tuple[str, str], ...]
 
 
 class BatchItem(msgspec.Struct, frozen=True, array_like=True):
--- a/src/stagewalk/gateway/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -10,7 +10,7 @@
 import itertools
 from collections.abc import Callable
 
-from stagewalk.gateway.batches.attempt_watch import AttemptWatch, RouteOf
+from stagewalk.gateway.batches.attempt_watch import AttemptWatch
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.evidence import note_pace, note_refusal
 from stagewalk.gateway.batches.item_run import FAILURE_PAUSE_SECONDS, ItemRun, RunningAttempt
@@ -31,7 +31,7 @@
 from stagewalk.gateway.batches.records import BatchItem
 from stagewalk.gateway.eligibility.core import Eligibility
 from stagewalk.gateway.policy import ALL_ON, Policy
-from stagewalk.gateway.scoring.core import MayStart, ScoreCalls, ServiceOf
+from stagewalk.gateway.scoring.core import MayStart, RouteOf, ScoreCalls, ServiceOf
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken
 from stagewalk.gateway.workers.table import WorkerTable
 
--- a/src/stagewalk/gateway/scoring/submission.py
+++ b/src/stagewalk/gateway/batches/submission.py
@@ -1,4 +1,7 @@
-"""Checks of the score calls that come with a batch, before any of it is taken."""
+"""Validates the score calls of a submission before any of it is accepted.
+
+Owns one check and no state. Relies on the routes in force, which the caller passes in.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -15,6 +15,7 @@
     ResultsCall,
 )
 from stagewalk.gateway.batch_service.ledger_reads import LONGEST_WAIT_SECONDS
+from stagewalk.gateway.batches.submission import find_unroutable_score
 from stagewalk.gateway.dialect import Dialect, Submission
 from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER
 from stagewalk.gateway.entry.caller_gate import Caller
@@ -25,7 +26,6 @@
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.scoring.core import RouteOf
-from stagewalk.gateway.scoring.submission import find_unroutable_score
 
 SUBMIT_SECONDS = 3.0
 """How long a submission may wait for the log."""
--- a/src/stagewalk/gateway/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from stagewalk.gateway.batches.records import ScoreCall
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
 from stagewalk.gateway.forwarding.policy import SERVER_ERROR, hedge_delay, is_success
 from stagewalk.gateway.policy import ALL_ON, Policy
@@ -25,6 +24,7 @@
     StopScore,
     score_content,
 )
+from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
 
--- a/src/stagewalk/gateway/scoring/messages.py
+++ b/src/stagewalk/gateway/scoring/messages.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from stagewalk.gateway.batches.records import ScoreCall
 from stagewalk.gateway.ports.workers import AttemptFailure, WorkerAnswer
 from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.scoring.records import ScoreCall
 
 SCORE_METHOD = "POST"
 
--- a/tests/gateway/batches/support.py
+++ b/tests/gateway/batches/support.py
@@ -5,8 +5,9 @@
 import msgspec
 
 from stagewalk.gateway.batches.ledger import Batch, BatchLedger, LedgerChange
-from stagewalk.gateway.batches.records import BatchHeader, BatchItem, BatchSubmitted, ScoreCall
+from stagewalk.gateway.batches.records import BatchHeader, BatchItem, BatchSubmitted
 from stagewalk.gateway.routes.route import BackEnd, Route, RouteKind
+from stagewalk.gateway.scoring.records import ScoreCall
 
 
 def header(batch: str = "b", minimum: int = 1, model: str = "m") -> BatchHeader:
--- a/tests/gateway/runners/test_run_views.py
+++ b/tests/gateway/runners/test_run_views.py
@@ -13,7 +13,7 @@
 from stagewalk.gateway.batch_service.early_start import PartialLedger
 from stagewalk.gateway.batches.evidence import note_refusal
 from stagewalk.gateway.batches.messages import StartItem
-from stagewalk.gateway.batches.records import BatchEnded, ScoreCall, encode_record
+from stagewalk.gateway.batches.records import BatchEnded, encode_record
 from stagewalk.gateway.batches.view_lease import longest_view_age
 from stagewalk.gateway.eligibility.core import RequestScope
 from stagewalk.gateway.nodes.identity import ProcessId
@@ -30,6 +30,7 @@
 from stagewalk.gateway.runners.run_views import RunViews
 from stagewalk.gateway.runners.score_sender import ScoreSender
 from stagewalk.gateway.scoring.messages import ScoreEvent, SendScore
+from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 from tests.gateway.batches.support import batch_route, item, submitted
--- a/tests/gateway/scoring/test_core.py
+++ b/tests/gateway/scoring/test_core.py
@@ -6,7 +6,6 @@
 
 import testtools
 
-from stagewalk.gateway.batches.records import ScoreCall
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer, WorkerLoad
 from stagewalk.gateway.routes.route import BackEnd, Route, RouteKind
 from stagewalk.gateway.scoring.core import (
@@ -17,6 +16,7 @@
     ScoreResult,
 )
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, SendScore, StopScore
+from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.eligibility.support import unrestricted
 from tests.gateway.workers.support import announcement
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from stagewalk.common.identities import Address, Placement
-from stagewalk.gateway.batches.records import BatchItem, ScoreCall
+from stagewalk.gateway.batches.records import BatchItem
 from stagewalk.gateway.daemon import Dependencies, Gateway
 from stagewalk.gateway.dialect import NamedVersion
 from stagewalk.gateway.routes.route import (
@@ -23,6 +23,7 @@
     RouteKind,
     Service,
 )
+from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.settings import GatewaySettings, LogLimits, Timing
 from stagewalk.gateway.tenants.tenant import Tenant
 from stagewalk_standins.memory_duties import MemoryDuties
--- a/tests/platform_adapter/test_dialect.py
+++ b/tests/platform_adapter/test_dialect.py
@@ -8,10 +8,11 @@
 import testtools
 
 from stagewalk.common.identities import Address
-from stagewalk.gateway.batches.records import ItemFinished, ScoreCall
+from stagewalk.gateway.batches.records import ItemFinished
 from stagewalk.gateway.dialect import NamedVersion, ZoneEvacuation
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord
 from stagewalk.gateway.routes.route import BackEnd, RouteKind
+from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.tenants.tenant import Tenant
 from stagewalk_platform.dialect import PlatformDialect
 
