--- a/src/stagewalk/gateway/batch_service/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_reads.py
@@ -10,7 +10,6 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.early_start import EarlyViews
 from stagewalk.gateway.batch_service.ledger_messages import (
     EndCall,
     ItemCall,
@@ -21,6 +20,7 @@
     encode_message,
     refusal,
 )
+from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.ledger import Batch
 from stagewalk.gateway.batches.records import ItemFinished
@@ -77,7 +77,7 @@
         due_seconds: Callable[[Batch], float] = lambda _batch: math.inf,
         *,
         hold_results: bool = False,
-        early: EarlyViews | None = None,
+        early: OpenBatchViews | None = None,
         starting: Callable[[], bool] = lambda: False,
     ) -> None:
         self._early = early
--- a/src/stagewalk/gateway/batch_service/early_start.py
+++ b/src/stagewalk/gateway/batch_service/open_batch_views.py
@@ -90,7 +90,7 @@
         return None if name in self._began_before else self.ledger.get(name)
 
 
-class EarlyViews:
+class OpenBatchViews:
     """Open batches as of now, for as long as the whole log has not been read.
 
     Parameters
--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -8,9 +8,9 @@
 import anyio.abc
 
 from stagewalk.gateway.batch_service.batch_store import TOPIC, BatchStore
-from stagewalk.gateway.batch_service.early_start import EarlyViews
 from stagewalk.gateway.batch_service.ledger_calls import LEDGER_PATH, LedgerCalls
 from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.ledger import Batch
 from stagewalk.gateway.batches.scheduler import BatchScheduler
@@ -25,7 +25,7 @@
 from stagewalk.gateway.quarantine.crash_reports import CrashReports
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.runners.batch_runner import BatchRunner
-from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.runners.batch_views import BatchViews
 from stagewalk.gateway.runners.runner_calls import RUNNER_PATH
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.runners.runner_probes import RunnerProbes
@@ -74,7 +74,7 @@
             log, producer, limits.record_bytes, limits.call_bytes, limits.partitions
         )
         places = OpenBatches(log)
-        views = RunViews(self.store, lambda: settings().timing.batch_end)
+        views = BatchViews(self.store, lambda: settings().timing.batch_end)
         self.runner = BatchRunner(
             identity=identity,
             store=self.store,
@@ -125,7 +125,7 @@
             places,
             self._due_seconds,
             hold_results=policy.hold_results,
-            early=EarlyViews(log, TOPIC, places),
+            early=OpenBatchViews(log, TOPIC, places),
             starting=starting,
         )
         calls = LedgerCalls(
--- a/src/stagewalk/gateway/batches/item_starts.py
+++ b/src/stagewalk/gateway/batches/attempt_starter.py
@@ -20,7 +20,7 @@
 runs is stopped."""
 
 
-class ItemStarts:
+class AttemptStarter:
     """Begins attempts at items.
 
     Parameters
@@ -69,7 +69,7 @@
             if other.running is not None and other.spec.group == item.spec.group
         }
         worker = choose_engine(
-            self._watch.candidates(run.batch, item, now, wanting=True),
+            self._watch.candidates(run.batch, item, now, request_leases=True),
             item.spec.model,
             now,
             proximity=self._proximity,
--- a/src/stagewalk/gateway/batches/attempt_watch.py
+++ b/src/stagewalk/gateway/batches/attempt_watch.py
@@ -14,8 +14,8 @@
 SILENCE_SECONDS = 1.6
 """A worker that brings no event of an item for this long is left."""
 
-IMPATIENT_SECONDS = 0.7
-IMPATIENT_PACES = 8.0
+SHORT_SILENCE_SECONDS = 0.7
+SHORT_SILENCE_EVENTS = 8.0
 """With room at another worker it is left after this many times what an event takes there."""
 
 MOVE_PAUSE_SECONDS = 1.5
@@ -44,13 +44,13 @@
         self._lengths = lengths
 
     def candidates(
-        self, batch: Batch, item: ItemRun, now: float, *, wanting: bool = False
+        self, batch: Batch, item: ItemRun, now: float, *, request_leases: bool = False
     ) -> list[Worker]:
         """Return the workers that may run an item now: eligible, on weights that fit.
 
         Parameters
         ----------
-        wanting
+        request_leases
             Whether the item waits for a worker: cold ones that it could take are wanted then.
         """
         route = self._route_of(batch.header.host, item.spec.path)
@@ -61,7 +61,7 @@
         for back_end in route.back_ends:
             found = self._eligibility.candidates(back_end.service, scope, now)
             workers += found.workers
-            if wanting:
+            if request_leases:
                 self._eligibility.want(found, now)
         model = item.spec.model
         oldest = batch.header.minimum_version
@@ -81,10 +81,10 @@
         silence = now - since
         if len(item.events) == attempt.events_before:
             # An engine that is listed no more, and brought nothing yet, is not worth the wait.
-            patience = IMPATIENT_SECONDS if worker is None else FIRST_EVENT_SECONDS
+            patience = SHORT_SILENCE_SECONDS if worker is None else FIRST_EVENT_SECONDS
             return silence > patience
         pace = None if worker is None else worker.recent_latency(now)
-        impatient = max(IMPATIENT_SECONDS, IMPATIENT_PACES * (pace or 0.0))
+        impatient = max(SHORT_SILENCE_SECONDS, SHORT_SILENCE_EVENTS * (pace or 0.0))
         if silence <= min(impatient, SILENCE_SECONDS):
             return False
         candidates = self.candidates(batch, item, now)
--- a/src/stagewalk/gateway/batches/batch_run.py
+++ b/src/stagewalk/gateway/batches/batch_run.py
@@ -23,13 +23,13 @@
         return self.batch.header.batch
 
     @property
-    def untold(self) -> Iterable[ItemRun]:
+    def unpublished(self) -> Iterable[ItemRun]:
         """Return the items of which the log lacks something one could go on from."""
-        return (item for item in self.items.values() if item.untold and not item.recording)
+        return (item for item in self.items.values() if item.unpublished and not item.recording)
 
-    def tell(self, item: ItemRun) -> RecordItem:
+    def progress(self, item: ItemRun) -> RecordItem:
         """Have the log told what was made of an item."""
-        return RecordItem(item.tell(self.name))
+        return RecordItem(item.publish_progress(self.name))
 
     def fail(self, item: ItemRun) -> RecordItem:
         """Give an item up."""
--- a/src/stagewalk/gateway/batches/item_run.py
+++ b/src/stagewalk/gateway/batches/item_run.py
@@ -61,13 +61,13 @@
         How often a worker ran it and said it failed.
     recording
         Whether its result is on its way to the log.
-    told
+    published_events
         How many of its events the log holds.
     scoring_since
         When its text was whole and its score was first asked for; None before that.
     score_failures
         How often the service that scores said that it failed.
-    told_score_failures
+    published_score_failures
         What of that the log holds; None while the log does not hold the whole text.
     known_events
         How many events were made of it in an earlier batch, at least; 0: it did not come back.
@@ -82,11 +82,11 @@
     run_failures: int = 0
     recording: bool = False
     last_worker: str = ""
-    told: int = 0
+    published_events: int = 0
     moved_at: float = -math.inf
     scoring_since: float | None = None
     score_failures: int = 0
-    told_score_failures: int | None = None
+    published_score_failures: int | None = None
     known_events: int = 0
 
     @classmethod
@@ -105,13 +105,13 @@
         return self.scoring_since is not None and not self.recording
 
     @property
-    def untold(self) -> bool:
+    def unpublished(self) -> bool:
         """Whether the log lacks something that whoever takes over could go on from."""
         if self.scoring:
-            return self.told_score_failures != self.score_failures
-        return len(self.events) > self.told
+            return self.published_score_failures != self.score_failures
+        return len(self.events) > self.published_events
 
-    def take_event(self, data: str) -> None:
+    def add_event(self, data: str) -> None:
         """Take the next event, made under the version its attempt is at."""
         assert self.running is not None
         self.events.append(data)
@@ -129,13 +129,13 @@
         """Go on from text that was made before."""
         self.events = list(events)
         self.versions = sorted(versions)
-        self.told = len(self.events)
+        self.published_events = len(self.events)
 
-    def tell(self, batch: str) -> ItemProgress:
+    def publish_progress(self, batch: str) -> ItemProgress:
         """Return what has been made so far, to be told in the log."""
-        self.told = len(self.events)
+        self.published_events = len(self.events)
         if self.scoring:
-            self.told_score_failures = self.score_failures
+            self.published_score_failures = self.score_failures
         return ItemProgress(
             batch,
             self.spec.item,
--- a/src/stagewalk/gateway/batches/item_scores.py
+++ b/src/stagewalk/gateway/batches/item_scores.py
@@ -10,7 +10,7 @@
 from stagewalk.gateway.scoring.core import RouteOf, ScoreCalls, ScoreOutcome
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, StopScore
 
-TELL_UNSCORED_SECONDS = 0.3
+PUBLISH_UNSCORED_SECONDS = 0.3
 """A whole text that waits longer than this for its score is told to the log: whoever takes over
 needs only the score. Most scores come sooner, and then text and score are told once."""
 
@@ -72,7 +72,7 @@
         """Return the calls to make now."""
         return [*self._calls.due(now)]
 
-    def take(self, event: ScoreAnswered | ScoreBroken, now: float) -> list[SchedulerInstruction]:
+    def handle(self, event: ScoreAnswered | ScoreBroken, now: float) -> list[SchedulerInstruction]:
         """Take what became of an attempt at a call."""
         if isinstance(event, ScoreBroken):
             self._calls.broken(event, now)
@@ -89,13 +89,14 @@
                 instructions.append(run.fail(item))
         return [*instructions, *self.due(now)]
 
-    def tell_late(self, now: float) -> list[RecordItem]:
+    def publish_overdue(self, now: float) -> list[RecordItem]:
         """Tell the log of whole texts that wait long for their score."""
         if not self.pending:
             return []
         return [
-            run.tell(item)
+            run.progress(item)
             for run in self._runs.values()
-            for item in run.untold
-            if item.scoring_since is not None and now - item.scoring_since > TELL_UNSCORED_SECONDS
+            for item in run.unpublished
+            if item.scoring_since is not None
+            and now - item.scoring_since > PUBLISH_UNSCORED_SECONDS
         ]
--- a/src/stagewalk/gateway/batches/ledger.py
+++ b/src/stagewalk/gateway/batches/ledger.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptText:
+class ReusableText:
     """Text of an item, whole or so far, from whichever batch had the most of it.
 
     Items come back under the same id in a later batch if their group was not whole.
@@ -94,7 +94,6 @@
     runner: str
     seen_at: float
     epoch: int = 0
-    runner_since: float = 0.0
     results: list[ItemFinished] = field(default_factory=list)
     listed: set[str] = field(default_factory=set)
     ended: bool = False
@@ -146,7 +145,7 @@
         self._batches: dict[str, Batch] = {}
         self._submissions: dict[tuple[str, str], _Submission] = {}
         self._result_parts: dict[tuple[str, str, str], dict[int, str]] = {}
-        self._kept: dict[str, KeptText] = {}
+        self._texts: dict[str, ReusableText] = {}
         self._ended_at: dict[str, float] = {}
         """Batches whose end was read, those too whose submission was not, and when."""
 
@@ -163,12 +162,12 @@
         """Return the batches of which something is left to run."""
         return [batch for batch in self._batches.values() if batch.open]
 
-    def kept_text(self, item: BatchItem) -> KeptText | None:
+    def reusable_text(self, item: BatchItem) -> ReusableText | None:
         """Return what was made of the same item before, in this batch or an earlier one.
 
         A score belongs to one call: an item that comes back with another one is scored anew.
         """
-        kept = self._kept.get(item.item)
+        kept = self._texts.get(item.item)
         if kept is None or (kept.spec.path, kept.spec.body) != (item.path, item.body):
             return None
         if kept.spec.score_call != item.score_call:
@@ -189,9 +188,9 @@
             case BatchEnded():
                 self._ended(record, now)
             case BatchClaimed():
-                self._claimed(record, now)
+                self._claimed(record)
             case BatchReleased():
-                self._released(record, now)
+                self._released(record)
 
     def forget(self, now: float) -> list[str]:
         """Drop batches that ended long ago; return those whose end is remembered no more."""
@@ -218,7 +217,7 @@
 
     def _drop(self, batch: str) -> None:
         for item in self._batches.pop(batch).items:
-            self._kept.pop(item, None)
+            self._texts.pop(item, None)
 
     def _submitted(self, record: BatchSubmitted, now: float, offset: int) -> None:
         name = record.header.batch
@@ -237,7 +236,6 @@
             items,
             record.runner,
             now,
-            runner_since=now,
             first_offset=submission.first_offset,
         )
         self._batches[name] = batch
@@ -255,7 +253,7 @@
         batch.list_result(record)
         if record.succeeded:
             events = tuple(record.text.split(EVENT_SEPARATOR))
-            self._kept[record.item] = KeptText(
+            self._texts[record.item] = ReusableText(
                 spec, events, record.versions, whole=True, score=record.score
             )
         self._on_change(batch, LedgerChange.LISTED)
@@ -279,9 +277,9 @@
         batch = self._batches.get(record.batch)
         if batch is None or record.item in batch.listed or record.item not in batch.items:
             return
-        known = self._kept.get(record.item)
-        if known is None or _tells_more(record, known):
-            self._kept[record.item] = KeptText(
+        known = self._texts.get(record.item)
+        if known is None or _holds_more(record, known):
+            self._texts[record.item] = ReusableText(
                 batch.items[record.item],
                 record.events,
                 record.versions,
@@ -298,25 +296,24 @@
         batch.ended_at = now
         self._on_change(batch, LedgerChange.ENDED)
 
-    def _claimed(self, record: BatchClaimed, now: float) -> None:
+    def _claimed(self, record: BatchClaimed) -> None:
         batch = self._batches.get(record.batch)
         if batch is None or record.epoch != batch.epoch + 1:
             return
         batch.epoch = record.epoch
-        self._set_runner(batch, record.runner, now)
+        self._set_runner(batch, record.runner)
 
-    def _released(self, record: BatchReleased, now: float) -> None:
+    def _released(self, record: BatchReleased) -> None:
         batch = self._batches.get(record.batch)
         if batch is not None and batch.runner == record.runner:
-            self._set_runner(batch, NOBODY, now)
+            self._set_runner(batch, NOBODY)
 
-    def _set_runner(self, batch: Batch, runner: str, now: float) -> None:
+    def _set_runner(self, batch: Batch, runner: str) -> None:
         batch.runner = runner
-        batch.runner_since = now
         self._on_change(batch, LedgerChange.RUNNER)
 
 
-def _tells_more(record: ItemProgress, known: KeptText) -> bool:
+def _holds_more(record: ItemProgress, known: ReusableText) -> bool:
     """Whether progress holds more than what is kept: more text, or more tries at its score."""
     if known.whole:
         same_text = record.whole and record.events == known.events
--- a/src/stagewalk/gateway/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -10,13 +10,13 @@
 import itertools
 from collections.abc import Callable
 
+from stagewalk.gateway.batches.attempt_starter import AttemptStarter
 from stagewalk.gateway.batches.attempt_watch import AttemptWatch
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.evidence import note_pace, note_refusal
 from stagewalk.gateway.batches.item_run import FAILURE_PAUSE_SECONDS, ItemRun, RunningAttempt
 from stagewalk.gateway.batches.item_scores import ItemScores
-from stagewalk.gateway.batches.item_starts import ItemStarts
-from stagewalk.gateway.batches.ledger import Batch, KeptText
+from stagewalk.gateway.batches.ledger import Batch, ReusableText
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
 from stagewalk.gateway.batches.messages import (
     AttemptBroken,
@@ -35,8 +35,8 @@
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken
 from stagewalk.gateway.workers.table import WorkerTable
 
-TELL_SECONDS = 1.0
-TELL_EVENTS = 20
+PUBLISH_SECONDS = 1.0
+PUBLISH_EVENTS = 20
 """An item that has made this many events more than the log holds tells them."""
 
 SUCCESS = 200
@@ -82,10 +82,10 @@
             may_start=may_start,
         )
         self._scores = ItemScores(calls, self._runs, route_of)
-        self._told_at = 0.0
+        self._published_at = 0.0
         self._lengths = LengthEstimate()
         self._watch = AttemptWatch(workers, eligibility, route_of, self._lengths)
-        self._starts = ItemStarts(
+        self._starts = AttemptStarter(
             self._watch,
             self._lengths,
             numbers,
@@ -114,9 +114,9 @@
         return self._scores.pending
 
     def open(
-        self, batch: Batch, kept_text: Callable[[BatchItem], KeptText | None], now: float
+        self, batch: Batch, reusable_text: Callable[[BatchItem], ReusableText | None], now: float
     ) -> list[SchedulerInstruction]:
-        """Begin to run what is left of a batch; `kept_text` finds what was made of an item."""
+        """Begin to run what is left of a batch; `reusable_text` finds what was made of an item."""
         if batch.header.batch in self._runs:
             return []
         run = BatchRun(batch)
@@ -127,7 +127,7 @@
                 continue
             item = ItemRun.begin(batch.header.host, spec)
             run.items[name] = item
-            kept = kept_text(spec)
+            kept = reusable_text(spec)
             item.known_events = 0 if kept is None else len(kept.events)
             if kept is None or not self._policy.kept_text or not self._fits(batch, spec, kept):
                 continue
@@ -165,7 +165,7 @@
         run = self._runs.get(batch)
         if run is None:
             return []
-        return [run.tell(item) for item in run.untold]
+        return [run.progress(item) for item in run.unpublished]
 
     def handle(self, event: SchedulerEvent, now: float) -> list[SchedulerInstruction]:
         """Take an event and return what to do."""
@@ -179,7 +179,7 @@
             case AttemptBroken():
                 return self._broken(event, now)
             case ScoreAnswered() | ScoreBroken():
-                return self._scores.take(event, now)
+                return self._scores.handle(event, now)
             case Tick():
                 return self._tick(now)
 
@@ -198,7 +198,7 @@
             return []
         item.running.last_event_at = now
         for version in event.head.versions:
-            refused = self._take_version(run, item, version, now)
+            refused = self._apply_version(run, item, version, now)
             if refused:
                 return refused
         return []
@@ -212,17 +212,17 @@
         if event.event.number != len(item.events) + 1:
             return self._leave(item, now, "event out of order")
         if event.event.version is not None:
-            refused = self._take_version(run, item, event.event.version, now)
+            refused = self._apply_version(run, item, event.event.version, now)
             if refused:
                 return refused
-        item.take_event(event.event.data)
+        item.add_event(event.event.data)
         worker = self._workers.worker(item.running.worker)
         if worker is not None:
             note_pace(worker, item.running, len(item.events), now)
         item.running.last_event_at = now
         return []
 
-    def _take_version(
+    def _apply_version(
         self, run: BatchRun, item: ItemRun, version: int, now: float
     ) -> list[SchedulerInstruction]:
         """Note what makes the events that follow; leave a worker whose weights don't fit.
@@ -289,26 +289,26 @@
                     worker.note_failure(now)
                 instructions += self._leave(item, now, "silent")
         instructions += self._give_up(now)
-        instructions += self._tell_progress(now)
+        instructions += self._publish_progress(now)
         instructions += self._move_from_evacuated(now)
         instructions += self._move_from_slow(now)
         instructions += self._start_items(now)
         instructions += self._scores.due(now)
         return instructions
 
-    def _tell_progress(self, now: float) -> list[SchedulerInstruction]:
+    def _publish_progress(self, now: float) -> list[SchedulerInstruction]:
         """Tell now and then what long items have made, and which texts wait long for a score.
 
         Whoever takes over goes on from there.
         """
-        if now - self._told_at < TELL_SECONDS:
+        if now - self._published_at < PUBLISH_SECONDS:
             return []
-        self._told_at = now
+        self._published_at = now
         instructions: list[SchedulerInstruction] = []
         for run, item in self._attempts.values():
-            if len(item.events) >= item.told + TELL_EVENTS:
-                instructions.append(run.tell(item))
-        instructions += self._scores.tell_late(now)
+            if len(item.events) >= item.published_events + PUBLISH_EVENTS:
+                instructions.append(run.progress(item))
+        instructions += self._scores.publish_overdue(now)
         return instructions
 
     def _give_up(self, now: float) -> list[SchedulerInstruction]:
@@ -390,7 +390,7 @@
             worker.note_ended()
         return attempt
 
-    def _fits(self, batch: Batch, spec: BatchItem, kept: KeptText) -> bool:
+    def _fits(self, batch: Batch, spec: BatchItem, kept: ReusableText) -> bool:
         """Whether text that was made before may be used in a batch."""
         if any(version < batch.header.minimum_version for version in kept.versions):
             return False
--- a/src/stagewalk/gateway/batches/takeover.py
+++ b/src/stagewalk/gateway/batches/takeover.py
@@ -87,11 +87,11 @@
                 continue
             orphans.add(batch.name)
             since = self._orphaned_since.setdefault(batch.name, now)
-            due = since + self._patience(batch.name, state, replicas)
+            due = since + self._claim_delay(batch.name, state, replicas)
             if now >= due and self._may_claim(batch.name, now):
                 self._claimed_at[batch.name] = now
                 claims.append(batch.name)
-        self._forget_all_but(orphans)
+        self._forget_others(orphans)
         return claims
 
     def place(self, batch: str, runner: str, replicas: Sequence[str]) -> int:
@@ -99,7 +99,7 @@
         others = [node for node in replicas if not runner.startswith(f"{node}#")]
         return self._rank(batch, others)
 
-    def _patience(self, batch: str, state: RunnerState, replicas: Sequence[str]) -> float:
+    def _claim_delay(self, batch: str, state: RunnerState, replicas: Sequence[str]) -> float:
         if state is RunnerState.MINE_BEFORE:
             return 0.0
         returned = RETURNED_SECONDS if state is RunnerState.RETURNED else 0.0
@@ -112,7 +112,7 @@
     def _may_claim(self, batch: str, now: float) -> bool:
         return now - self._claimed_at.get(batch, -CLAIM_REPEAT_SECONDS) >= CLAIM_REPEAT_SECONDS
 
-    def _forget_all_but(self, orphans: set[str]) -> None:
+    def _forget_others(self, orphans: set[str]) -> None:
         for known in (self._orphaned_since, self._claimed_at):
             for name in set(known) - orphans:
                 del known[name]
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -98,7 +98,7 @@
             outcome="appended" if outcome.is_ok() else outcome.error.value,
         )
         if outcome.is_ok():
-            await self._runners.tell(runner, header, outcome.ok)
+            await self._runners.notify(runner, header, outcome.ok)
             await reply_empty(exchange, 202)
         elif outcome.error is AppendOutcome.NOT_APPENDED:
             await reply_error(exchange, 503, "the log takes no appends", COME_BACK_SECONDS)
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -10,9 +10,9 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.early_start import PartialLedger
+from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
-from stagewalk.gateway.batches.ledger import Batch, KeptText, LedgerChange
+from stagewalk.gateway.batches.ledger import Batch, LedgerChange, ReusableText
 from stagewalk.gateway.batches.messages import (
     RecordItem,
     SchedulerEvent,
@@ -30,8 +30,8 @@
     WorkerClient,
 )
 from stagewalk.gateway.quarantine.crash_reports import CrashReports
+from stagewalk.gateway.runners.batch_views import BatchViews
 from stagewalk.gateway.runners.item_sender import ItemSender
-from stagewalk.gateway.runners.run_views import RunViews
 from stagewalk.gateway.runners.score_sender import ScoreSender
 from stagewalk.gateway.scoring.messages import SendScore, StopScore
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
@@ -42,7 +42,7 @@
 """Between two looks for a batch's mark while the log does not answer, as between two reads."""
 
 ENDED = "ended"
-KeptTextOf = Callable[[BatchItem], KeptText | None]
+ReusableTextOf = Callable[[BatchItem], ReusableText | None]
 
 
 class BatchRunner:
@@ -59,7 +59,7 @@
         eligibility: Eligibility,
         nodes: NodeService,
         rollouts: VersionRollouts,
-        views: RunViews,
+        views: BatchViews,
         places: OpenBatches,
         crashes: CrashReports,
         on_item_started: Callable[[float], None] = lambda _view_age: None,
@@ -202,7 +202,7 @@
             self._close(name, "taken over")
 
     def _open(self, batch: Batch) -> None:
-        self._begin(batch, self._store.ledger.kept_text)
+        self._begin(batch, self._store.ledger.reusable_text)
 
     def begin_ahead(self, batch: Batch, partial: PartialLedger, epoch: int) -> None:
         """Run a batch that this node's view does not tell of yet.
@@ -219,7 +219,7 @@
             return
         assert self._tasks is not None
         self._views.begin_ahead(name, partial, epoch)
-        self._begin(batch, partial.ledger.kept_text)
+        self._begin(batch, partial.ledger.reusable_text)
         self._tasks.start_soon(self._views.follow, name, self._lose)
 
     def _left(self, name: str, epoch: int) -> bool:
@@ -233,7 +233,7 @@
         taken_over = known.epoch >= epoch and known.runner != str(self._identity)
         return not known.open or taken_over
 
-    def _begin(self, batch: Batch, kept_text: KeptTextOf) -> None:
+    def _begin(self, batch: Batch, reusable_text: ReusableTextOf) -> None:
         name = batch.header.batch
         if not batch.open or name in self._scheduler.batches:
             return
@@ -248,7 +248,7 @@
             read_from=self._views.read_from(name),
             view_age=self._views.age(name, steady_seconds()),
         )
-        self._carry_out(self._scheduler.open(batch, kept_text, steady_seconds()))
+        self._carry_out(self._scheduler.open(batch, reusable_text, steady_seconds()))
         self._begun.set()
         self._handle(Tick())
 
--- a/src/stagewalk/gateway/runners/item_sender.py
+++ b/src/stagewalk/gateway/runners/item_sender.py
@@ -26,7 +26,7 @@
     WorkerClient,
 )
 from stagewalk.gateway.quarantine.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
-from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.runners.batch_views import BatchViews
 from stagewalk.gateway.workers.table import WorkerTable
 
 SUCCESS = 200
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    tell
+    report
         Takes heads and events as they arrive.
     views
         Tell whether something of a batch may be sent to an engine at a time.
@@ -51,15 +51,15 @@
         client: WorkerClient,
         workers: WorkerTable,
         eligibility: Eligibility,
-        tell: Callable[[SchedulerEvent], None],
-        views: RunViews,
+        report: Callable[[SchedulerEvent], None],
+        views: BatchViews,
         *,
         crashes: CrashReports,
     ) -> None:
         self._client = client
         self._workers = workers
         self._eligibility = eligibility
-        self._tell = tell
+        self._report = report
         self._views = views
         self._crashes = crashes
 
@@ -87,8 +87,8 @@
         route = "" if scope is None else scope.route.name
         known_level = self._crashes.known_level(content)
         sent = SentRequest(start.item.item, content, worker, route, known_level, now)
-        delivery = _Delivery(start, self._tell)
-        result = await self._client.stream(permit.ok, _outbound(start), delivery.take)
+        delivery = _Delivery(start, self._report)
+        result = await self._client.stream(permit.ok, _outbound(start), delivery.handle)
         if result.is_ok():
             self._crashes.answered(content)
             _log_end(start, result.ok)
@@ -116,18 +116,18 @@
 class _Delivery:
     """Tells of an attempt's head and events, and whether any event came."""
 
-    def __init__(self, start: StartItem, tell: Callable[[SchedulerEvent], None]) -> None:
+    def __init__(self, start: StartItem, report: Callable[[SchedulerEvent], None]) -> None:
         self._start = start
-        self._tell = tell
+        self._report = report
         self.progressed = False
 
-    async def take(self, part: StreamPart) -> None:
+    async def handle(self, part: StreamPart) -> None:
         """Take a part of the stream."""
         if isinstance(part, StreamHead):
-            self._tell(AttemptHead(self._start.attempt, part))
+            self._report(AttemptHead(self._start.attempt, part))
         else:
             self.progressed = True
-            self._tell(AttemptEvent(self._start.attempt, part))
+            self._report(AttemptEvent(self._start.attempt, part))
 
 
 def _log_end(start: StartItem, end: StreamEnd) -> None:
--- a/src/stagewalk/gateway/runners/runner_calls.py
+++ b/src/stagewalk/gateway/runners/runner_calls.py
@@ -30,7 +30,7 @@
     ----------
     describe
         Tells of this process, and how busy it is for others than a trainer.
-    take
+    accept
         Takes a batch that this process is to run; returns whether it noted the batch's place.
     """
 
@@ -38,17 +38,17 @@
         self,
         client: PeerClient,
         describe: Callable[[str], RunnerAnswer],
-        take: Callable[[RunBatch], Awaitable[bool]],
+        accept: Callable[[RunBatch], Awaitable[bool]],
     ) -> None:
         self._client = client
         self._describe = describe
-        self._take = take
+        self._accept = accept
 
     async def ask(self, peer: Address, trainer: str = "") -> RunnerAnswer | None:
         """Ask a node about itself; None if no answer came."""
         return await self._call(peer, AskRunner(trainer))
 
-    async def tell(self, peer: Address, run: RunBatch) -> RunnerAnswer | None:
+    async def notify(self, peer: Address, run: RunBatch) -> RunnerAnswer | None:
         """Tell a node of a batch it is to run; None if no answer came."""
         return await self._call(peer, run)
 
@@ -59,7 +59,7 @@
             return None
         if isinstance(call, AskRunner):
             return encode_message(self._describe(call.trainer))
-        noted = await self._take(call)
+        noted = await self._accept(call)
         return encode_message(msgspec.structs.replace(self._describe(""), noted=noted))
 
     async def _call(self, peer: Address, call: RunnerCall) -> RunnerAnswer | None:
--- a/src/stagewalk/gateway/runners/runner_choice.py
+++ b/src/stagewalk/gateway/runners/runner_choice.py
@@ -63,7 +63,7 @@
         self._runner = runner
         self._open_batches = open_batches
         self._policy = policy
-        self.calls = RunnerCalls(client, self._describe, self._take)
+        self.calls = RunnerCalls(client, self._describe, self._accept)
         self._tasks: anyio.abc.TaskGroup | None = None
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -99,7 +99,7 @@
         """Return the place of a batch that was handed in before, maybe at another node."""
         return await self._open_batches.find(batch)
 
-    async def tell(self, process: str, header: BatchHeader, offset: int) -> None:
+    async def notify(self, process: str, header: BatchHeader, offset: int) -> None:
         """Tell the process that is to run a batch where its records begin, and note that.
 
         The batch may have been handed in at another node before, or even have ended: then its
@@ -139,9 +139,9 @@
         """Have a process run a batch; it notes the batch's place if its view tells that."""
         peer = self._nodes.peer_of(process)
         if process == str(self._identity):
-            hand_over.noted = await self._take(run)
+            hand_over.noted = await self._accept(run)
         elif peer is not None and self._policy.ask_runner:
-            answer = await self.calls.tell(peer, run)
+            answer = await self.calls.notify(peer, run)
             if answer is None:
                 log_event("runner_notify_failed", "warning", batch=run.batch, peer=str(peer))
             hand_over.noted = answer is not None and answer.noted
@@ -164,7 +164,7 @@
         willing = not self._runner.stopping and self._nodes.known
         return RunnerAnswer(str(self._identity), willing, self._runner.items_of_others(trainer))
 
-    async def _take(self, run: RunBatch) -> bool:
+    async def _accept(self, run: RunBatch) -> bool:
         """Read of a batch that this process is to run, without waiting for the log to wake it.
 
         Returns
--- a/src/stagewalk/gateway/runners/score_sender.py
+++ b/src/stagewalk/gateway/runners/score_sender.py
@@ -17,7 +17,7 @@
     WorkerClient,
 )
 from stagewalk.gateway.quarantine.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
-from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.runners.batch_views import BatchViews
 from stagewalk.gateway.scoring.messages import (
     SCORE_METHOD,
     ScoreAnswered,
@@ -42,7 +42,7 @@
     ----------
     eligibility
         Permits sends.
-    tell
+    report
         Takes what became of an attempt.
     views
         Tell whether something of a batch may be sent to a worker at a time.
@@ -55,8 +55,8 @@
         client: WorkerClient,
         workers: WorkerTable,
         eligibility: Eligibility,
-        tell: EventSink,
-        views: RunViews,
+        report: EventSink,
+        views: BatchViews,
         *,
         crashes: CrashReports,
     ) -> None:
@@ -64,7 +64,7 @@
         self._client = client
         self._workers = workers
         self._eligibility = eligibility
-        self._tell = tell
+        self._report = report
         self._views = views
         self._tasks: anyio.abc.TaskGroup | None = None
         self._scopes: dict[int, anyio.CancelScope] = {}
@@ -93,7 +93,7 @@
         if not scope.cancelled_caught:
             self._scopes.pop(send.attempt, None)
             _log_outcome(send, event, steady_seconds() - began)
-            self._tell(event)
+            self._report(event)
 
     async def _attempt(self, send: SendScore) -> ScoreEvent:
         worker = self._workers.worker(send.worker)
--- a/tests/gateway/batch_service/test_early_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -9,9 +9,13 @@
 import testtools
 from expression import Ok
 
-from stagewalk.gateway.batch_service.early_start import MARGIN_RECORDS, EarlyViews, PartialLedger
 from stagewalk.gateway.batch_service.ledger_messages import EndCall, ItemCall, ResultsCall
 from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batch_views import (
+    MARGIN_RECORDS,
+    OpenBatchViews,
+    PartialLedger,
+)
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
 from stagewalk.gateway.batches.records import (
     BatchEnded,
@@ -74,7 +78,7 @@
         self.log = MemoryLog()
         self.client = self.log.client()
         self.places = OpenBatches(self.client)
-        self.early = EarlyViews(self.client, TOPIC, self.places)
+        self.early = OpenBatchViews(self.client, TOPIC, self.places)
         self.store = UnreadStore()
         self.reads = LedgerReads(
             self.store, PlainDialect(), self.places, early=self.early, starting=lambda: True
--- a/tests/gateway/batch_service/test_second_submissions.py
+++ b/tests/gateway/batch_service/test_second_submissions.py
@@ -8,9 +8,9 @@
 
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import PARTITIONS, TOPIC, BatchStore
-from stagewalk.gateway.batch_service.early_start import EarlyViews
 from stagewalk.gateway.batch_service.ledger_messages import ResultsCall
 from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
 from stagewalk.gateway.batches.records import (
     BatchEnded,
@@ -193,7 +193,7 @@
             places = OpenBatches(client)
             await places.note("b", BatchPlace(0, await put(second), "n#1"))
             await put(ItemFinished("b", "y", True, "t", (1,)))
-            batch = await EarlyViews(log.client(), TOPIC, places).find("b")
+            batch = await OpenBatchViews(log.client(), TOPIC, places).find("b")
             if batch is not None:
                 shown = [result.item for result in batch.results]
                 self.assertEqual(["x", "y"][: len(shown)], shown)
--- a/tests/gateway/batches/test_ledger.py
+++ b/tests/gateway/batches/test_ledger.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.gateway.batches.ledger import NOBODY, BatchLedger, KeptText, LedgerChange
+from stagewalk.gateway.batches.ledger import NOBODY, BatchLedger, LedgerChange, ReusableText
 from stagewalk.gateway.batches.records import (
     BatchClaimed,
     BatchEnded,
@@ -98,15 +98,15 @@
         spec = self.batch.items["x"]
         self.ledger.apply(ItemProgress("b", "x", ("1", "2"), (1,)), 1.0)
         self.ledger.apply(ItemProgress("b", "x", ("1",), (1,)), 1.0)
-        self.assertEqual(("1", "2"), self.ledger.kept_text(spec).events)
+        self.assertEqual(("1", "2"), self.ledger.reusable_text(spec).events)
         self.ledger.apply(finished("x", "a\nb\nc"), 1.0)
-        kept = self.ledger.kept_text(spec)
+        kept = self.ledger.reusable_text(spec)
         self.assertEqual((("a", "b", "c"), True), (kept.events, kept.whole))
 
     def test_text_of_another_request_under_the_same_id_is_not_kept(self) -> None:
         self.ledger.apply(finished("x"), 1.0)
         other = msgspec.structs.replace(self.batch.items["x"], body=b"other")
-        self.assertIsNone(self.ledger.kept_text(other))
+        self.assertIsNone(self.ledger.reusable_text(other))
 
     def test_an_ended_batch_keeps_what_is_listed(self) -> None:
         self.ledger.apply(finished("x"), 1.0)
@@ -154,8 +154,8 @@
         self.ledger = self.recording.ledger
         self.batch = self.recording.open(submitted(scored_item("x")))
 
-    def kept(self, call: str = "x-score") -> KeptText:
-        kept = self.ledger.kept_text(scored_item("x", call))
+    def kept(self, call: str = "x-score") -> ReusableText:
+        kept = self.ledger.reusable_text(scored_item("x", call))
         assert kept is not None
         return kept
 
--- a/tests/gateway/batches/test_scheduler.py
+++ b/tests/gateway/batches/test_scheduler.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.gateway.batches.item_starts import RETURNED_PRIORITY
+from stagewalk.gateway.batches.attempt_starter import RETURNED_PRIORITY
 from stagewalk.gateway.batches.messages import (
     AttemptBroken,
     AttemptEnded,
@@ -61,7 +61,7 @@
 
     def open(self, *items: BatchItem, minimum: int = 1) -> None:
         batch = self.ledger.open(submitted(*items, minimum=minimum))
-        self.take(self.scheduler.open(batch, self.ledger.ledger.kept_text, self.now))
+        self.take(self.scheduler.open(batch, self.ledger.ledger.reusable_text, self.now))
         self.tick()
 
     def tick(self, seconds: float = 0.0) -> None:
@@ -259,7 +259,7 @@
         other = Bench()
         batch = other.ledger.open(submitted(item("x")))
         other.ledger.ledger.apply(told[0], 0.0)
-        other.take(other.scheduler.open(batch, other.ledger.ledger.kept_text, other.now))
+        other.take(other.scheduler.open(batch, other.ledger.ledger.reusable_text, other.now))
         other.tick()
         self.assertEqual(1, other.attempts["x"].resume_after)
 
@@ -463,7 +463,7 @@
         other = Bench()
         batch = other.ledger.open(submitted(scored_item("x")))
         other.ledger.ledger.apply(bench.recorded[0], 0.0)
-        other.take(other.scheduler.open(batch, other.ledger.ledger.kept_text, other.now))
+        other.take(other.scheduler.open(batch, other.ledger.ledger.reusable_text, other.now))
         other.tick()
         self.assertEqual({}, other.attempts)
         for _ in range(2):
--- a/tests/gateway/runners/test_run_views.py
+++ b/tests/gateway/runners/test_batch_views.py
@@ -10,7 +10,7 @@
 from expression import Result
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.early_start import PartialLedger
+from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
 from stagewalk.gateway.batches.evidence import note_refusal
 from stagewalk.gateway.batches.messages import StartItem
 from stagewalk.gateway.batches.records import BatchEnded, encode_record
@@ -27,7 +27,7 @@
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.runners.batch_runner import BatchRunner
-from stagewalk.gateway.runners.run_views import RunViews
+from stagewalk.gateway.runners.batch_views import BatchViews
 from stagewalk.gateway.runners.score_sender import ScoreSender
 from stagewalk.gateway.scoring.messages import ScoreEvent, SendScore
 from stagewalk.gateway.scoring.records import ScoreCall
@@ -57,8 +57,8 @@
         return self.age < 1.0
 
 
-def views_of(store: FakeStore) -> RunViews:
-    return RunViews(store, lambda: BOUND)  # type: ignore[arg-type]
+def views_of(store: FakeStore) -> BatchViews:
+    return BatchViews(store, lambda: BOUND)  # type: ignore[arg-type]
 
 
 class RunViewsTests(testtools.TestCase):
--- a/tests/gateway/runners/test_runner_choice.py
+++ b/tests/gateway/runners/test_runner_choice.py
@@ -151,7 +151,7 @@
     async def submit(self, offset: int) -> None:
         async with anyio.create_task_group() as tasks:
             self.choice.start(tasks)
-            await self.choice.tell("n1#1", TRAINER, offset)
+            await self.choice.notify("n1#1", TRAINER, offset)
 
     def test_the_first_submission_is_noted_and_told(self) -> None:
         async def scenario() -> None:
--- a/tests/gateway/runners/test_scores.py
+++ b/tests/gateway/runners/test_scores.py
@@ -75,7 +75,9 @@
                 ledgers = [node.gateway.store.ledger for node in nodes.values()]
                 batches = [batch for ledger in ledgers if (batch := ledger.get("b1"))]
                 kept = [
-                    ledger.kept_text(batch.items["x"]) for ledger in ledgers for batch in batches
+                    ledger.reusable_text(batch.items["x"])
+                    for ledger in ledgers
+                    for batch in batches
                 ]
                 return len(kept) > 0 and all(text is not None and text.whole for text in kept)
 
