--- /dev/null
+++ b/src/stagewalk/gateway/batches/attempt_events.py
@@ -0,0 +1,146 @@
+"""Applies what attempts bring to their items: heads, events, ends and breaks.
+
+Owns no state: items, attempts and workers are the scheduler's. Relies on `version_rules` and
+`retry_rules` for what an event or an end means, and on `evidence` for what it says of the worker.
+"""
+
+from __future__ import annotations
+
+from stagewalk.gateway.batches.attempt_starter import AttemptStarter
+from stagewalk.gateway.batches.attempts import Attempts, RunningItem
+from stagewalk.gateway.batches.evidence import note_pace, note_refusal
+from stagewalk.gateway.batches.item_scores import ItemScores
+from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.messages import (
+    AttemptBroken,
+    AttemptEnded,
+    AttemptEvent,
+    AttemptHead,
+    SchedulerInstruction,
+    StopItem,
+)
+from stagewalk.gateway.batches.retry_rules import (
+    RUN_FAILED,
+    SUCCESS,
+    AttemptOutcome,
+    judge_answer,
+)
+from stagewalk.gateway.batches.version_rules import VersionConflict, find_conflict
+from stagewalk.gateway.scoring.core import RouteOf
+from stagewalk.gateway.workers.table import WorkerTable
+
+
+class AttemptEvents:
+    """Applies the events of attempts under way; those of attempts that are over change nothing.
+
+    Parameters
+    ----------
+    lengths
+        Learns from texts that are whole.
+    """
+
+    def __init__(
+        self,
+        attempts: Attempts,
+        workers: WorkerTable,
+        route_of: RouteOf,
+        *,
+        starter: AttemptStarter,
+        scores: ItemScores,
+        lengths: LengthEstimate,
+    ) -> None:
+        self._attempts = attempts
+        self._workers = workers
+        self._route_of = route_of
+        self._starter = starter
+        self._scores = scores
+        self._lengths = lengths
+
+    def head(self, event: AttemptHead, now: float) -> list[SchedulerInstruction]:
+        """Handle the head of an answer: the worker's load, and the weights of the next events."""
+        known = self._attempts.get(event.attempt)
+        if known is None:
+            return []
+        running = known.item.running
+        assert running is not None
+        worker = self._workers.worker(running.worker)
+        if worker is not None:
+            worker.note_load(event.head.load, now)
+        if event.head.status != SUCCESS:
+            return []
+        running.last_event_at = now
+        for version in event.head.versions:
+            stop = self._apply_version(known, version, now)
+            if stop is not None:
+                return [stop]
+        return []
+
+    def event(self, event: AttemptEvent, now: float) -> list[SchedulerInstruction]:
+        """Handle one event of an item's text."""
+        known = self._attempts.get(event.attempt)
+        if known is None:
+            return []
+        item = known.item
+        running = item.running
+        assert running is not None
+        if event.event.number != len(item.events) + 1:
+            return [self._attempts.leave(item, "event out of order", now)]
+        if event.event.version is not None:
+            stop = self._apply_version(known, event.event.version, now)
+            if stop is not None:
+                return [stop]
+        item.add_event(event.event.data)
+        worker = self._workers.worker(running.worker)
+        if worker is not None:
+            note_pace(worker, running, len(item.events), now)
+        running.last_event_at = now
+        return []
+
+    def ended(self, event: AttemptEnded, now: float) -> list[SchedulerInstruction]:
+        """Handle a complete answer: record or score the text, fail the item, or try again."""
+        ended = self._attempts.end(event.attempt)
+        if ended is None:
+            return []
+        run, item = ended.run, ended.item
+        if event.status == RUN_FAILED:
+            item.run_failures += 1
+        outcome = judge_answer(
+            event.status,
+            has_events=bool(item.events),
+            run_failures=item.run_failures,
+            route=self._route_of(run.batch.header.host, item.spec.path),
+        )
+        if outcome is AttemptOutcome.TEXT_WHOLE:
+            self._lengths.learn(item)
+            return self._scores.text_whole(run, item, now)
+        if outcome is AttemptOutcome.FAILED:
+            return [run.fail(item)]
+        self._attempts.retry_later(item, ended.worker, now)
+        return [*self._starter.start_due(now)]
+
+    def broken(self, event: AttemptBroken, now: float) -> list[SchedulerInstruction]:
+        """Handle the end of an attempt that brought no whole answer: try again."""
+        ended = self._attempts.end(event.attempt)
+        if ended is None:
+            return []
+        worker = self._workers.worker(ended.worker)
+        if worker is not None:
+            note_refusal(worker, ended.item.spec.model, event.failure, now)
+        self._attempts.retry_later(ended.item, ended.worker, now)
+        return [*self._starter.start_due(now)]
+
+    def _apply_version(self, known: RunningItem, version: int, now: float) -> StopItem | None:
+        """Set the weight version of the events that follow; stop the attempt if it doesn't fit."""
+        item, header = known.item, known.run.batch.header
+        assert item.running is not None
+        worker = self._workers.worker(item.running.worker)
+        if worker is not None:
+            worker.versions[item.spec.model] = version
+        route = self._route_of(header.host, item.spec.path)
+        conflict = find_conflict(version, item.versions, header.minimum_version, route)
+        if conflict is None:
+            item.running.version = version
+            return None
+        if conflict is VersionConflict.CHANGED:
+            item.restart()
+        return self._attempts.leave(item, conflict.value, now)
--- a/src/stagewalk/gateway/batches/attempt_starter.py
+++ b/src/stagewalk/gateway/batches/attempt_starter.py
@@ -1,10 +1,15 @@
-"""Decides which waiting item starts next, and at which engine. Pure."""
+"""Decides which waiting items start next, in which order, and begins their attempts. Pure.
+
+Owns the order of starts and the priority of returned items. Relies on `placement` for the engine,
+on `attempt_watch` for the candidates, and on `length_estimate` for how long an item will run.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterator, Mapping
 
 from stagewalk.gateway.batches.attempt_watch import AttemptWatch
+from stagewalk.gateway.batches.attempts import Attempts
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.item_run import ItemRun, RunningAttempt
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
@@ -12,6 +17,7 @@
 from stagewalk.gateway.batches.placement import choose_engine
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.scoring.core import MayStart
+from stagewalk.gateway.workers.worker import Worker
 from stagewalk.gateway.zones.distance import Proximity
 
 RETURNED_PRIORITY = 4
@@ -25,8 +31,12 @@
 
     Parameters
     ----------
+    runs
+        The batches run here, by name.
+    attempts
+        Where attempts that begin are added.
     numbers
-        Numbers of attempts, shared with whoever else starts attempts.
+        Numbers of attempts, shared with the score calls.
     proximity
         Where this node is: near engines are preferred.
     may_start
@@ -35,6 +45,8 @@
 
     def __init__(
         self,
+        runs: Mapping[str, BatchRun],
+        attempts: Attempts,
         watch: AttemptWatch,
         lengths: LengthEstimate,
         numbers: Iterator[int],
@@ -43,6 +55,8 @@
         policy: Policy,
         may_start: MayStart,
     ) -> None:
+        self._runs = runs
+        self._attempts = attempts
         self._watch = watch
         self._lengths = lengths
         self._numbers = numbers
@@ -50,41 +64,30 @@
         self._policy = policy
         self._may_start = may_start
 
-    def due(self, runs: Iterable[BatchRun], now: float) -> list[tuple[BatchRun, ItemRun]]:
-        """Return the items that wait for an attempt now, in the order in which to start them."""
+    def start_due(self, now: float) -> list[StartItem]:
+        """Begin attempts at the items that wait for one, as far as engines have room."""
         waiting = [
             (run, item)
-            for run in runs
+            for run in self._runs.values()
             if self._may_start(run.name, now)
             for item in run.items.values()
             if item.waiting and item.not_before <= now
         ]
-        return sorted(waiting, key=lambda pair: self._order(*pair))
+        waiting.sort(key=lambda pair: self._order(*pair))
+        return [start for run, item in waiting for start in self.start(run, item, now)]
 
-    def begin(self, run: BatchRun, item: ItemRun, now: float) -> StartItem | None:
-        """Begin an attempt at an item; None if no engine has room for it."""
-        siblings = {
-            other.running.worker
-            for other in run.items.values()
-            if other.running is not None and other.spec.group == item.spec.group
-        }
-        worker = choose_engine(
-            self._watch.candidates(run.batch, item, now, request_leases=True),
-            item.spec.model,
-            now,
-            proximity=self._proximity,
-            siblings=siblings,
-            avoid=item.last_worker,
-            policy=self._policy,
-        )
+    def start(self, run: BatchRun, item: ItemRun, now: float) -> list[StartItem]:
+        """Begin an attempt at an item; nothing if no engine has room for it."""
+        worker = self._choose(run, item, now)
         if worker is None:
-            return None
+            return []
         attempt = next(self._numbers)
         name = worker.announcement.worker
         item.running = RunningAttempt(attempt, name, now, now, len(item.events))
         worker.note_sent()
+        self._attempts.add(attempt, run, item)
         header = run.batch.header
-        return StartItem(
+        start = StartItem(
             attempt,
             header.batch,
             header.host,
@@ -94,6 +97,24 @@
             tenant=header.tenant,
             priority=RETURNED_PRIORITY if item.known_events else None,
         )
+        return [start]
+
+    def _choose(self, run: BatchRun, item: ItemRun, now: float) -> Worker | None:
+        """Return the engine for an item's next attempt, None if none has room."""
+        siblings = {
+            other.running.worker
+            for other in run.items.values()
+            if other.running is not None and other.spec.group == item.spec.group
+        }
+        return choose_engine(
+            self._watch.candidates(run.batch, item, now, request_leases=True),
+            item.spec.model,
+            now,
+            proximity=self._proximity,
+            siblings=siblings,
+            avoid=item.last_worker,
+            policy=self._policy,
+        )
 
     def _order(self, run: BatchRun, item: ItemRun) -> tuple[float, float, str]:
         """Older batches first, within one the items expected to run longest."""
--- a/src/stagewalk/gateway/batches/item_run.py
+++ b/src/stagewalk/gateway/batches/item_run.py
@@ -12,9 +12,7 @@
 from stagewalk.gateway.quarantine.content import RequestContent
 
 PACE_GAPS = 3
-FAILURE_PAUSE_SECONDS = 0.1
-"""How long an item whose attempt failed waits before the next one."""
-
+"""An engine's pace is the middle one of this many gaps between events: one pause is left out."""
 
 ITEM_METHOD = "POST"
 
