--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -4,7 +4,6 @@
 
 import math
 import uuid
-from collections.abc import Callable
 from functools import partial
 
 import anyio
@@ -59,7 +58,7 @@
     ) -> None:
         self._record_bytes = record_bytes
         self.ledger = BatchLedger(self._changed)
-        self.on_change: Callable[[Batch, LedgerChange], None] = lambda _batch, _change: None
+        self._listener: ChangeListener = lambda _batch, _change: None
         self._news: dict[str, anyio.Event] = {}
         numbers = [Partition(TOPIC, n) for n in range(min(PARTITIONS, partitions))]
         self._log = log
@@ -76,8 +75,19 @@
         self.set_following(False)
         self._appenders = [PartitionAppender(log, p, producer, call_bytes) for p in numbers]
 
-    def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start following and appending."""
+    def start(
+        self,
+        tasks: anyio.abc.TaskGroup,
+        listener: ChangeListener = lambda _batch, _change: None,
+    ) -> None:
+        """Start following and appending.
+
+        Parameters
+        ----------
+        listener
+            Called with each batch and what a record changed in it.
+        """
+        self._listener = listener
         for follower in self._followers:
             tasks.start_soon(follower.run)
         for appender in self._appenders:
@@ -219,7 +229,7 @@
         news = self._news.pop(batch.header.batch, None)
         if news is not None:
             news.set()
-        self.on_change(batch, change)
+        self._listener(batch, change)
 
 
 def _partition_of(batch: str, partitions: int) -> int:
--- a/src/stagewalk/gateway/batch_service/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_reads.py
@@ -46,7 +46,7 @@
 """A read is held that asks for no more than the last results of a step of which this share is
 there: others, of whoever looks at a step from its start, are answered at once."""
 
-EARLY_READ_SECONDS = 0.15
+OPEN_READ_SECONDS = 0.15
 """How often the log is asked for news of a batch before it has been read whole."""
 
 OPAQUE_CONTENT = "application/octet-stream"
@@ -63,7 +63,7 @@
         Whether reads near the end of a step wait until all is there that its trainer waits for.
     open_batches
         Notes that batches end.
-    early
+    open_views
         Finds open batches while the log has not been read to its end; None: nothing does.
     starting
         Whether the log is left to those that look for open batches: it isn't read whole on demand.
@@ -77,10 +77,10 @@
         due_seconds: Callable[[Batch], float] = lambda _batch: math.inf,
         *,
         hold_results: bool = False,
-        early: OpenBatchViews | None = None,
+        open_views: OpenBatchViews | None = None,
         starting: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._early = early
+        self._open_views = open_views
         self._starting = starting
         self._store = store
         self._dialect = dialect
@@ -117,9 +117,9 @@
 
     async def _results(self, call: ResultsCall, oldest_seconds: float) -> LedgerAnswer:
         """Show a batch's results from a position on."""
-        early = await self._find_early(call.batch)
-        if early is not None:
-            return await self._early_results(early, call)
+        open_batch = await self._find_open(call.batch)
+        if open_batch is not None:
+            return await self._open_results(open_batch, call)
         batch = await self._find(call)
         if isinstance(batch, LedgerAnswer):
             return batch
@@ -143,20 +143,20 @@
         next_position = call.position + len(page)
         return LedgerAnswer(200, self._dialect.results(len(batch.items), next_position, page))
 
-    async def _find_early(self, name: str) -> Batch | None:
+    async def _find_open(self, name: str) -> Batch | None:
         """Return an open batch while the log has not been read to its end."""
-        if self._early is None or self._store.read_whole(name):
+        if self._open_views is None or self._store.read_whole(name):
             return None
-        return await self._early.find(name)
+        return await self._open_views.find(name)
 
-    async def _early_results(self, batch: Batch, call: ResultsCall) -> LedgerAnswer:
+    async def _open_results(self, batch: Batch, call: ResultsCall) -> LedgerAnswer:
         """Show results of an open batch before the whole log is read."""
         if not batch.header.belongs_to(call.tenant):
             return self._deny(call)
         until = steady_seconds() + min(LONGEST_WAIT_SECONDS, call.wait_seconds)
         while call.position >= len(batch.results) and batch.open and steady_seconds() < until:
-            await anyio.sleep(EARLY_READ_SECONDS)
-            batch = await self._find_early(call.batch) or batch
+            await anyio.sleep(OPEN_READ_SECONDS)
+            batch = await self._find_open(call.batch) or batch
         if call.position > len(batch.results):
             return refusal(503, "the view is too old", COME_BACK_SECONDS)
         page = _page(batch, call.position)
@@ -243,7 +243,7 @@
         return refusal(404, "there is no such batch")
 
     async def _look_up(self, name: str) -> Batch | LedgerAnswer:
-        batch = self._store.ledger.get(name) or await self._find_early(name)
+        batch = self._store.ledger.get(name) or await self._find_open(name)
         if batch is not None:
             return batch
         if self._starting():
--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -1,4 +1,8 @@
-"""Everything that keeps, runs and shows batches on one gateway, put together."""
+"""Assembles everything that keeps, runs and shows batches on one gateway.
+
+Owns the batch store and the services on top of it: the runner's (`runners.runner_service`) and the
+reads of the ledger. The one place where the store's changes are passed on to the runner is `start`.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,6 @@
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.ledger import Batch
-from stagewalk.gateway.batches.scheduler import BatchScheduler
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.entry.batch_calls import BatchCalls
 from stagewalk.gateway.nodes.identity import ProcessId
@@ -21,19 +24,11 @@
 from stagewalk.gateway.peer_calls.client import PeerClient
 from stagewalk.gateway.peer_calls.server import PeerHandler
 from stagewalk.gateway.ports.partitioned_log import PartitionedLog
-from stagewalk.gateway.ports.workers import WorkerClient
-from stagewalk.gateway.quarantine.crash_reports import CrashReports
-from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.runners.batch_runner import BatchRunner
-from stagewalk.gateway.runners.batch_views import BatchViews
-from stagewalk.gateway.runners.runner_calls import RUNNER_PATH
-from stagewalk.gateway.runners.runner_choice import RunnerChoice
-from stagewalk.gateway.runners.runner_probes import RunnerProbes
+from stagewalk.gateway.runners.runner_service import RunnerService, WorkerAccess
 from stagewalk.gateway.runners.takeover_service import TakeoverService
-from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
-from stagewalk.gateway.workers.table import WorkerTable
 
 
 class BatchServices:
@@ -43,10 +38,12 @@
     ----------
     settings
         Returns the settings in force: they change while the process runs.
+    access
+        Everything between this node's batches and the workers.
     starting
-        Whether the log is left to those that look for open batches.
+        Whether the log is left to nodes that look for open batches.
     on_item_started
-        Takes the age of the view by which an item was started, in seconds.
+        Observes the age of the view by which an item was started, in seconds.
     """
 
     def __init__(
@@ -57,67 +54,30 @@
         identity: ProcessId,
         producer: str,
         dialect: Dialect,
-        client: WorkerClient,
         peer_client: PeerClient,
         nodes: NodeService,
-        workers: WorkerTable,
-        routes: RouteTable,
-        rules: SendRules,
-        crashes: CrashReports,
+        access: WorkerAccess,
         rollouts: VersionRollouts,
         starting: Callable[[], bool],
         on_item_started: Callable[[float], None],
     ) -> None:
         limits, policy = settings().log_limits, settings().policy
-        self._routes = routes
+        self._routes = access.routes
         self.store = BatchStore(
             log, producer, limits.record_bytes, limits.call_bytes, limits.partitions
         )
         places = OpenBatches(log)
-        views = BatchViews(self.store, lambda: settings().timing.batch_end)
-        self.runner = BatchRunner(
+        self._running = RunnerService(
             identity=identity,
             store=self.store,
-            scheduler=BatchScheduler(
-                workers,
-                routes.find,
-                lambda route: routes.choose_back_end(route).service,
-                rules.eligibility,
-                policy,
-                may_start=views.may_start,
-            ),
-            client=client,
-            workers=workers,
-            eligibility=rules.eligibility,
-            nodes=nodes,
-            rollouts=rollouts,
-            views=views,
             places=places,
-            crashes=crashes,
-            on_item_started=on_item_started,
-        )
-        self.runners = RunnerChoice(
-            identity=identity,
-            nodes=nodes,
-            store=self.store,
-            runner=self.runner,
-            client=peer_client,
-            open_batches=places,
-            policy=policy,
-        )
-        self.takeovers = TakeoverService(
-            identity=identity,
-            store=self.store,
-            runner=self.runner,
             nodes=nodes,
-            open_batches=places,
+            peer_client=peer_client,
+            access=access,
+            rollouts=rollouts,
             policy=policy,
-        )
-        self._probes = RunnerProbes(
-            self.runners.calls,
-            nodes.liveness,
-            self.takeovers.probe_targets,
-            self.store.wait_until_following,
+            batch_end_seconds=lambda: settings().timing.batch_end,
+            on_item_started=on_item_started,
         )
         self._reads = LedgerReads(
             self.store,
@@ -125,31 +85,40 @@
             places,
             self._due_seconds,
             hold_results=policy.hold_results,
-            early=OpenBatchViews(log, TOPIC, places),
+            open_views=OpenBatchViews(log, TOPIC, places),
             starting=starting,
         )
-        calls = LedgerCalls(
+        ledger = LedgerCalls(
             self._reads,
             peer_client,
-            rules.proximity,
+            access.rules.proximity,
             nodes.replicas,
             lambda: self.store.following,
             may_hold=lambda: nodes.may_hold_batches,
         )
-        self.calls = BatchCalls(self.store, self.runners, calls, dialect, routes.find)
+        self.calls = BatchCalls(
+            self.store, self._running.choice, ledger, dialect, access.routes.find
+        )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start all of them."""
-        self.store.start(tasks)
-        self.runner.start(tasks)
-        self.runners.start(tasks)
-        self.takeovers.start(tasks)
-        tasks.start_soon(self._probes.run)
+        """Start all of them; what the store reads goes to the runner from now on."""
+        self.store.start(tasks, self.runner.ledger_changed)
+        self._running.start(tasks)
+
+    @property
+    def runner(self) -> BatchRunner:
+        """Return the runner of this node's batches."""
+        return self._running.runner
+
+    @property
+    def takeovers(self) -> TakeoverService:
+        """Return the service that takes batches over."""
+        return self._running.takeovers
 
     @property
     def peer_handlers(self) -> dict[str, PeerHandler]:
         """Return by path what answers other nodes' calls."""
-        return {LEDGER_PATH: self._reads.handle, RUNNER_PATH: self.runners.calls.handle}
+        return {LEDGER_PATH: self._reads.handle, **self._running.peer_handlers}
 
     def _due_seconds(self, batch: Batch) -> float:
         """Return how long after its submission a batch's results are due."""
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -39,6 +39,7 @@
 from stagewalk.gateway.published_records import PublishedRecords
 from stagewalk.gateway.role_keeper import RoleKeeper
 from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.runners.runner_service import WorkerAccess
 from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.settings_reload import SettingsLoader, reload_settings
@@ -146,19 +147,17 @@
             identity=self._identity,
             producer=producer,
             dialect=self._dialect,
-            client=dependencies.workers,
             peer_client=peer_client,
             nodes=self._nodes,
-            workers=self._workers,
-            routes=self._routes,
-            rules=self._rules,
-            crashes=self._crashes,
+            access=WorkerAccess(
+                dependencies.workers, self._workers, self._routes, self._rules, self._crashes
+            ),
             rollouts=self._rollouts,
             starting=lambda: self._roles.starting,
             on_item_started=self._metrics.item_view_age.observe,
         )
         self.store = self._batches.store
-        self._runner, self._runners = self._batches.runner, self._batches.runners
+        self._runner = self._batches.runner
         self._published = PublishedRecords(
             log,
             self._dialect,
--- a/src/stagewalk/gateway/runners/item_sender.py
+++ b/src/stagewalk/gateway/runners/item_sender.py
@@ -1,11 +1,13 @@
-"""Sends items of batches to engines, and tells the scheduler what they make of them."""
+"""Sends items of batches to engines, and reports heads, events and ends to the scheduler.
+
+Owns no state. Relies on `checked_sends` for the permit of each send.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from stagewalk.common.logs.lines import log_event
-from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batches.item_run import ITEM_METHOD, item_content
 from stagewalk.gateway.batches.messages import (
     AttemptBroken,
@@ -15,21 +17,16 @@
     SchedulerEvent,
     StartItem,
 )
-from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.batches.retry_rules import SUCCESS
 from stagewalk.gateway.ports.workers import (
     AttemptFailure,
-    AttemptFault,
     OutboundRequest,
     StreamEnd,
     StreamHead,
     StreamPart,
-    WorkerClient,
 )
-from stagewalk.gateway.quarantine.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
-from stagewalk.gateway.runners.batch_views import BatchViews
-from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.runners.checked_sends import CheckedSends, PlannedSend
 
-SUCCESS = 200
 HOST_HEADER = "host"
 
 
@@ -39,82 +36,32 @@
     Parameters
     ----------
     report
-        Takes heads and events as they arrive.
-    views
-        Tell whether something of a batch may be sent to an engine at a time.
-    crashes
-        Take which items lost their engine.
+        Handles heads and events as they arrive.
     """
 
-    def __init__(
-        self,
-        client: WorkerClient,
-        workers: WorkerTable,
-        eligibility: Eligibility,
-        report: Callable[[SchedulerEvent], None],
-        views: BatchViews,
-        *,
-        crashes: CrashReports,
-    ) -> None:
-        self._client = client
-        self._workers = workers
-        self._eligibility = eligibility
+    def __init__(self, sends: CheckedSends, report: Callable[[SchedulerEvent], None]) -> None:
+        self._sends = sends
         self._report = report
-        self._views = views
-        self._crashes = crashes
 
     async def attempt(self, start: StartItem) -> AttemptEnded | AttemptBroken:
         """Send an item to its engine; return how the attempt ended."""
-        content = item_content(start.host, start.item)
-        denial = await self._crashes.denial(content, item=True)
-        if denial is not None:
-            return self._broken(start, AttemptFailure(AttemptFault.WITHHELD, denial.value))
-        worker = self._workers.worker(start.worker)
-        if worker is None:
-            gone = AttemptFailure(AttemptFault.NOT_SENT, "the worker is gone")
-            return AttemptBroken(start.attempt, gone)
-        now = steady_seconds()
-        if not self._views.may_start(start.batch, now):
-            # Decided in time, but this task came to its turn late: the loop was busy or stopped.
-            withheld = AttemptFailure(AttemptFault.WITHHELD, "the view of the log is too old")
-            return AttemptBroken(start.attempt, withheld)
-        scope = self._eligibility.scope(start.item.path, content, start.tenant)
-        permit = self._eligibility.permit(
-            worker, scope, now, lambda at: self._views.denial(start.batch, at)
-        )
-        if permit.is_error():
-            return self._broken(start, AttemptFailure(AttemptFault.WITHHELD, permit.error.value))
-        route = "" if scope is None else scope.route.name
-        known_level = self._crashes.known_level(content)
-        sent = SentRequest(start.item.item, content, worker, route, known_level, now)
+        checked = await self._sends.check(_planned(start))
+        if checked.is_error():
+            return _broken(start, checked.error)
         delivery = _Delivery(start, self._report)
-        result = await self._client.stream(permit.ok, _outbound(start), delivery.handle)
+        result = await checked.ok.stream(_outbound(start), delivery.handle)
         if result.is_ok():
-            self._crashes.answered(content)
+            self._sends.note_answer(checked.ok.sent)
             _log_end(start, result.ok)
             return AttemptEnded(start.attempt, result.ok.status)
         if not delivery.progressed:
             # One that got further than before does not end each engine at the same place.
-            await self._crashes.lost(sent, result.error)
-            self._crashes.tell(content, FIRST_TOLD_LEVEL)
-        return self._broken(start, result.error)
-
-    @staticmethod
-    def _broken(start: StartItem, failure: AttemptFailure) -> AttemptBroken:
-        log_event(
-            "item_attempt_failed",
-            "warning",
-            item=start.item.item,
-            attempt=start.attempt,
-            worker=start.worker,
-            fault=failure.fault,
-            detail=failure.detail,
-        )
-        return AttemptBroken(start.attempt, failure)
+            await self._sends.note_loss(checked.ok.sent, result.error)
+        return _broken(start, result.error)
 
 
 class _Delivery:
-    """Tells of an attempt's head and events, and whether any event came."""
+    """Reports an attempt's head and events; knows whether any event came."""
 
     def __init__(self, start: StartItem, report: Callable[[SchedulerEvent], None]) -> None:
         self._start = start
@@ -122,7 +69,7 @@
         self.progressed = False
 
     async def handle(self, part: StreamPart) -> None:
-        """Take a part of the stream."""
+        """Report a part of the stream."""
         if isinstance(part, StreamHead):
             self._report(AttemptHead(self._start.attempt, part))
         else:
@@ -130,14 +77,10 @@
             self._report(AttemptEvent(self._start.attempt, part))
 
 
-def _log_end(start: StartItem, end: StreamEnd) -> None:
-    log_event(
-        "text_whole" if end.status == SUCCESS else "item_attempt_refused",
-        item=start.item.item,
-        batch=start.batch,
-        attempt=start.attempt,
-        worker=start.worker,
-        status=end.status,
+def _planned(start: StartItem) -> PlannedSend:
+    content = item_content(start.host, start.item)
+    return PlannedSend(
+        start.batch, start.item.item, content, start.worker, start.tenant, is_item=True
     )
 
 
@@ -153,3 +96,27 @@
         tenant=start.tenant,
         priority=start.priority,
     )
+
+
+def _broken(start: StartItem, failure: AttemptFailure) -> AttemptBroken:
+    log_event(
+        "item_attempt_failed",
+        "warning",
+        item=start.item.item,
+        attempt=start.attempt,
+        worker=start.worker,
+        fault=failure.fault,
+        detail=failure.detail,
+    )
+    return AttemptBroken(start.attempt, failure)
+
+
+def _log_end(start: StartItem, end: StreamEnd) -> None:
+    log_event(
+        "text_whole" if end.status == SUCCESS else "item_attempt_refused",
+        item=start.item.item,
+        batch=start.batch,
+        attempt=start.attempt,
+        worker=start.worker,
+        status=end.status,
+    )
--- /dev/null
+++ b/src/stagewalk/gateway/runners/runner_service.py
@@ -0,0 +1,138 @@
+"""Assembles what runs batches on one gateway: the runner, its choice, takeover and probes.
+
+Owns these services and their start. Relies on the batch store, the places of open batches and the
+list of nodes, and on `WorkerAccess` for everything between this node and the workers.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import anyio.abc
+
+from stagewalk.gateway.batch_service.batch_store import BatchStore
+from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batches.scheduler import BatchScheduler
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.peer_calls.client import PeerClient
+from stagewalk.gateway.peer_calls.server import PeerHandler
+from stagewalk.gateway.policy import Policy
+from stagewalk.gateway.ports.workers import WorkerClient
+from stagewalk.gateway.quarantine.crash_reports import CrashReports
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.runners.batch_runner import BatchRunner
+from stagewalk.gateway.runners.batch_views import BatchViews
+from stagewalk.gateway.runners.checked_sends import CheckedSends
+from stagewalk.gateway.runners.runner_calls import RUNNER_PATH
+from stagewalk.gateway.runners.runner_choice import RunnerChoice
+from stagewalk.gateway.runners.runner_probes import RunnerProbes
+from stagewalk.gateway.runners.scheduler_loop import SchedulerLoop
+from stagewalk.gateway.runners.takeover_service import TakeoverService
+from stagewalk.gateway.send_rules import SendRules
+from stagewalk.gateway.version_rollouts.core import VersionRollouts
+from stagewalk.gateway.workers.table import WorkerTable
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerAccess:
+    """What decides and carries out the sends to workers."""
+
+    client: WorkerClient
+    workers: WorkerTable
+    routes: RouteTable
+    rules: SendRules
+    crashes: CrashReports
+
+
+class RunnerService:
+    """The batches run on this node, and those that it may run.
+
+    Parameters
+    ----------
+    batch_end_seconds
+        Returns how long after a batch's end was acknowledged its items may still reach workers.
+    on_item_started
+        Observes the age of the view by which an item was started, in seconds.
+    """
+
+    def __init__(
+        self,
+        *,
+        identity: ProcessId,
+        store: BatchStore,
+        places: OpenBatches,
+        nodes: NodeService,
+        peer_client: PeerClient,
+        access: WorkerAccess,
+        rollouts: VersionRollouts,
+        policy: Policy,
+        batch_end_seconds: Callable[[], float],
+        on_item_started: Callable[[float], None],
+    ) -> None:
+        views = BatchViews(store, batch_end_seconds)
+        scheduler = _build_scheduler(access, policy, views)
+        self.runner = BatchRunner(
+            identity=identity,
+            store=store,
+            scheduler=scheduler,
+            loop=SchedulerLoop(
+                scheduler, store, views, _build_sends(access, views), on_item_started
+            ),
+            rollouts=rollouts,
+            views=views,
+            places=places,
+        )
+        self.choice = RunnerChoice(
+            identity=identity,
+            nodes=nodes,
+            store=store,
+            runner=self.runner,
+            client=peer_client,
+            open_batches=places,
+            policy=policy,
+        )
+        self.takeovers = TakeoverService(
+            identity=identity,
+            store=store,
+            runner=self.runner,
+            nodes=nodes,
+            open_batches=places,
+            policy=policy,
+        )
+        self._probes = RunnerProbes(
+            self.choice.calls,
+            nodes.liveness,
+            self.takeovers.probe_targets,
+            store.wait_until_following,
+        )
+
+    def start(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Start all of them."""
+        self.runner.start(tasks)
+        self.choice.start(tasks)
+        self.takeovers.start(tasks)
+        tasks.start_soon(self._probes.run)
+
+    @property
+    def peer_handlers(self) -> dict[str, PeerHandler]:
+        """Return by path what answers other nodes' calls about runners."""
+        return {RUNNER_PATH: self.choice.calls.handle}
+
+
+def _build_scheduler(access: WorkerAccess, policy: Policy, views: BatchViews) -> BatchScheduler:
+    return BatchScheduler(
+        access.workers,
+        access.routes.find,
+        lambda route: access.routes.choose_back_end(route).service,
+        access.rules.eligibility,
+        policy,
+        may_start=views.may_start,
+    )
+
+
+def _build_sends(access: WorkerAccess, views: BatchViews) -> CheckedSends:
+    return CheckedSends(
+        access.client, access.workers, access.rules.eligibility, views, access.crashes
+    )
--- a/tests/gateway/batch_service/test_open_batch_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -81,7 +81,7 @@
         self.early = OpenBatchViews(self.client, TOPIC, self.places)
         self.store = UnreadStore()
         self.reads = LedgerReads(
-            self.store, PlainDialect(), self.places, early=self.early, starting=lambda: True
+            self.store, PlainDialect(), self.places, open_views=self.early, starting=lambda: True
         )
 
     async def append(self, *records: BatchRecord) -> int:
@@ -184,10 +184,10 @@
                 open_batches=self.places,
                 policy=ALL_ON,
             )
-            await choice._take(RunBatch("b", 0, offset))
+            await choice._accept(RunBatch("b", 0, offset))
             runner.begin_ahead.assert_called_once()
             runner.begin_ahead.reset_mock()
-            await choice._take(RunBatch("b", 0, 0))
+            await choice._accept(RunBatch("b", 0, 0))
             runner.begin_ahead.assert_not_called()
 
         anyio.run(scenario)
--- a/tests/gateway/runners/test_batch_views.py
+++ b/tests/gateway/runners/test_batch_views.py
@@ -16,7 +16,6 @@
 from stagewalk.gateway.batches.records import BatchEnded, encode_record
 from stagewalk.gateway.batches.view_lease import longest_view_age
 from stagewalk.gateway.eligibility.core import RequestScope
-from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.ports.partitioned_log import (
     LogFailure,
@@ -26,10 +25,10 @@
 )
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.runners.batch_runner import BatchRunner
 from stagewalk.gateway.runners.batch_views import BatchViews
-from stagewalk.gateway.runners.score_sender import ScoreSender
-from stagewalk.gateway.scoring.messages import ScoreEvent, SendScore
+from stagewalk.gateway.runners.checked_sends import CheckedSends
+from stagewalk.gateway.runners.scheduler_loop import SchedulerLoop
+from stagewalk.gateway.scoring.messages import SendScore
 from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
@@ -205,57 +204,36 @@
         self.workers.announce(announcement("e1", versions={"m": 1}), 0.0)
 
     def test_an_item_is_not_sent_from_a_view_that_grew_old_since_it_was_decided(self) -> None:
-        scheduler = mock.Mock(batches=set())
-        scheduler.handle.return_value = []
-        runner = BatchRunner(
-            identity=ProcessId("n", 1),
-            store=mock.Mock(),
-            scheduler=scheduler,
-            client=self.client,
-            workers=self.workers,
-            eligibility=unrestricted(self.workers),
-            nodes=mock.Mock(),
-            rollouts=mock.Mock(),
-            views=self.views,  # type: ignore[arg-type]
-            places=mock.Mock(),
-            crashes=NoCrashes(),
-        )
-
-        async def scenario() -> None:
-            async with anyio.create_task_group() as tasks:
-                runner.start(tasks)
-                runner._start_item(StartItem(1, "b", "h", item("x"), "e1", None))
-                self.views.recent = False
-                await anyio.sleep(0.05)
-                tasks.cancel_scope.cancel()
-
-        anyio.run(scenario)
+        failure = self.failure_of(StartItem(1, "b", "h", item("x"), "e1", None))
         self.client.stream.assert_not_called()
-        ((told, _now), _) = scheduler.handle.call_args
-        self.assertIs(AttemptFault.WITHHELD, told.failure.fault)
+        self.assertIs(AttemptFault.WITHHELD, failure.fault)
 
     def test_a_score_call_is_not_sent_from_a_view_that_grew_old_since_it_was_decided(self) -> None:
-        told: list[ScoreEvent] = []
-        sender = ScoreSender(
-            self.client,
-            self.workers,
-            unrestricted(self.workers),
-            told.append,
-            self.views,
-            crashes=NoCrashes(),
-        )
         call = ScoreCall("c", "h", "/score/x", b"")
+        failure = self.failure_of(SendScore(1, "b", "x", call, "e1", 1.0, None))
+        self.client.send.assert_not_called()
+        self.assertIs(AttemptFault.WITHHELD, failure.fault)
+
+    def failure_of(self, instruction: StartItem | SendScore) -> AttemptFailure:
+        """Return how an attempt ends whose view grows old once it was decided."""
+        scheduler = mock.Mock(batches=set())
+        scheduler.handle.return_value = []
+        views: BatchViews = self.views  # type: ignore[assignment]
+        eligibility = unrestricted(self.workers)
+        sends = CheckedSends(self.client, self.workers, eligibility, views, NoCrashes())
+        loop = SchedulerLoop(scheduler, mock.Mock(), views, sends)
 
         async def scenario() -> None:
             async with anyio.create_task_group() as tasks:
-                sender.start(tasks)
-                sender.send(SendScore(1, "b", "x", call, "e1", 1.0, None))
+                loop.start(tasks)
+                loop.carry_out([instruction])
                 self.views.recent = False
+                await anyio.sleep(0.05)
+                tasks.cancel_scope.cancel()
 
         anyio.run(scenario)
-        self.client.send.assert_not_called()
-        (broken,) = told
-        self.assertIs(AttemptFault.WITHHELD, broken.failure.fault)
+        ((broken, _now),) = [args for args, _ in scheduler.handle.call_args_list]
+        return broken.failure
 
     def test_an_item_whose_connection_comes_up_after_the_bound_is_not_sent(self) -> None:
         """A connection that turned out unusable makes it wait for another one."""
--- a/tests/gateway/runners/test_runner_choice.py
+++ b/tests/gateway/runners/test_runner_choice.py
@@ -184,7 +184,7 @@
                 batch = mock.Mock(header=TRAINER, runner="n1#1", ended=False)
                 store.ledger.get = lambda _name: batch
                 self.choice._store = store
-                noted = await self.choice._take(RunBatch("b2", 2, 7))
+                noted = await self.choice._accept(RunBatch("b2", 2, 7))
                 self.assertEqual(offset is not None, noted)
                 place = (await self.places.find("b2")).ok
                 certain = BatchPlace(2, 3, "n1#1", certain=True)
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -69,7 +69,7 @@
             for name in ("e1", "e2"):
                 site.workers.workers[name].event_seconds = 9.0
             await site.submit(node, "b1", "x")
-            views = node.gateway._batches.runner._sender._views
+            views = node.gateway._batches.runner._views
             await until(lambda: _is(views.may_start("b1", steady_seconds())))
             machine.sleep()
             self.assertFalse(views.may_start("b1", steady_seconds()))
