--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -14,7 +14,7 @@
     LedgerCall,
     ResultsCall,
 )
-from stagewalk.gateway.batch_service.ledger_reads import LONGEST_WAIT_SECONDS
+from stagewalk.gateway.batch_service.read_rules import LONGEST_WAIT_SECONDS
 from stagewalk.gateway.batches.submission import find_unroutable_score
 from stagewalk.gateway.dialect import Dialect, Submission
 from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER
