--- a/src/stagewalk/gateway/batch_service/batch_lookup.py
+++ b/src/stagewalk/gateway/batch_service/batch_lookup.py
@@ -17,7 +17,7 @@
 from stagewalk.gateway.batch_service.ledger_messages import LedgerAnswer, LedgerCall, refusal
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
-from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
 
 NO_SUCH_BATCH = "there is no such batch"
--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -15,9 +15,9 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
 from stagewalk.gateway.batch_service.open_batches import BatchPlace
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.ledger import (
     FORGET_AFTER_SECONDS,
-    Batch,
     BatchLedger,
     ChangeListener,
     LedgerChange,
--- a/src/stagewalk/gateway/batch_service/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_reads.py
@@ -30,7 +30,7 @@
     MAXIMUM_VIEW_AGE_SECONDS,
 )
 from stagewalk.gateway.batch_service.result_reads import ResultReads
-from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome
--- a/src/stagewalk/gateway/batch_service/open_batch_views.py
+++ b/src/stagewalk/gateway/batch_service/open_batch_views.py
@@ -13,7 +13,8 @@
 
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
-from stagewalk.gateway.batches.ledger import Batch, BatchLedger, ChangeListener
+from stagewalk.gateway.batches.batch import Batch
+from stagewalk.gateway.batches.ledger import BatchLedger, ChangeListener
 from stagewalk.gateway.batches.records import BatchSubmitted, decode_record
 from stagewalk.gateway.ports.partitioned_log import (
     LogFault,
--- a/src/stagewalk/gateway/batch_service/open_batches.py
+++ b/src/stagewalk/gateway/batch_service/open_batches.py
@@ -12,7 +12,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batches.ledger import NOBODY
+from stagewalk.gateway.batches.batch import NOBODY
 from stagewalk.gateway.batches.records import owns_batch
 from stagewalk.gateway.ports.partitioned_log import LogFailure, Partition, PartitionedLog
 
--- a/src/stagewalk/gateway/batch_service/read_rules.py
+++ b/src/stagewalk/gateway/batch_service/read_rules.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.records import ItemFinished
 
 PAGE_BYTES = 900_000
--- a/src/stagewalk/gateway/batch_service/result_reads.py
+++ b/src/stagewalk/gateway/batch_service/result_reads.py
@@ -27,7 +27,7 @@
     is_worth_waiting,
     select_page,
 )
-from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.records import ItemFinished
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -16,7 +16,7 @@
 from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
-from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.entry.batch_calls import BatchCalls
 from stagewalk.gateway.nodes.identity import ProcessId
--- a/src/stagewalk/gateway/batches/batch_run.py
+++ b/src/stagewalk/gateway/batches/batch_run.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.item_run import ItemRun
-from stagewalk.gateway.batches.ledger import Batch
 from stagewalk.gateway.batches.messages import RecordItem
 
 
--- a/src/stagewalk/gateway/batches/item_run.py
+++ b/src/stagewalk/gateway/batches/item_run.py
@@ -7,8 +7,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from stagewalk.gateway.batches.ledger import EVENT_SEPARATOR
 from stagewalk.gateway.batches.records import BatchItem, ItemFinished, ItemProgress
+from stagewalk.gateway.batches.reusable_texts import EVENT_SEPARATOR
 from stagewalk.gateway.quarantine.content import RequestContent
 
 PACE_GAPS = 3
--- a/src/stagewalk/gateway/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -18,11 +18,11 @@
 from stagewalk.gateway.batches.attempt_starter import AttemptStarter
 from stagewalk.gateway.batches.attempt_watch import AttemptWatch
 from stagewalk.gateway.batches.attempts import Attempts
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.item_moves import ItemMoves
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.item_scores import ItemScores
-from stagewalk.gateway.batches.ledger import Batch, ReusableText
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
 from stagewalk.gateway.batches.messages import (
     AttemptBroken,
@@ -35,6 +35,7 @@
 )
 from stagewalk.gateway.batches.records import BatchItem
 from stagewalk.gateway.batches.retry_rules import is_overdue
+from stagewalk.gateway.batches.reusable_texts import ReusableText
 from stagewalk.gateway.batches.version_rules import may_reuse
 from stagewalk.gateway.eligibility.core import Eligibility
 from stagewalk.gateway.policy import ALL_ON, Policy
--- a/src/stagewalk/gateway/duties/autoscale_service.py
+++ b/src/stagewalk/gateway/duties/autoscale_service.py
@@ -12,7 +12,7 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.autoscaling.core import Autoscaler, ScalingPolicy
-from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.duties.duty_lease import DutyLease
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.partitioned_log.freshness import Freshness
--- a/src/stagewalk/gateway/duties/order_service.py
+++ b/src/stagewalk/gateway/duties/order_service.py
@@ -10,7 +10,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batches.ledger import Batch
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.duties.duty_lease import DutyLease
 from stagewalk.gateway.leases.log_lease import DutyRecord
 from stagewalk.gateway.nodes.identity import ProcessId
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -16,8 +16,10 @@
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
-from stagewalk.gateway.batches.ledger import Batch, LedgerChange, ReusableText
+from stagewalk.gateway.batches.batch import Batch
+from stagewalk.gateway.batches.ledger import LedgerChange
 from stagewalk.gateway.batches.records import BatchItem, BatchReleased
+from stagewalk.gateway.batches.reusable_texts import ReusableText
 from stagewalk.gateway.batches.scheduler import BatchScheduler
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.runners.batch_views import BatchViews
--- a/src/stagewalk/gateway/runners/runner_choice.py
+++ b/src/stagewalk/gateway/runners/runner_choice.py
@@ -16,7 +16,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
-from stagewalk.gateway.batches.ledger import NOBODY
+from stagewalk.gateway.batches.batch import NOBODY
 from stagewalk.gateway.batches.records import BatchEnded, BatchHeader
 from stagewalk.gateway.batches.takeover import affinity
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -11,7 +11,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
-from stagewalk.gateway.batches.ledger import NOBODY, Batch
+from stagewalk.gateway.batches.batch import NOBODY, Batch
 from stagewalk.gateway.batches.records import BatchClaimed
 from stagewalk.gateway.batches.takeover import OpenBatch, RunnerState, Takeovers
 from stagewalk.gateway.nodes.identity import ProcessId
--- a/src/stagewalk/gateway/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -1,7 +1,8 @@
-"""Decides the attempts of score calls: a pure state machine.
+"""Keeps the score calls that samples wait for; decides which attempts begin and stop. Pure.
 
-A call may be repeated, so it goes to another worker at once where one fails, and beside one that
-is late. What a worker itself answers with 500 counts: after so many the sample has no score.
+Owns the calls without a score and their attempts under way. Relies on `retry_rules` for retries,
+hedges and giving up, on `eligibility` for the workers a call may go to, and on `workers.selection`
+for the choice.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from enum import StrEnum
 
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
-from stagewalk.gateway.forwarding.policy import SERVER_ERROR, hedge_delay, is_success
+from stagewalk.gateway.forwarding.policy import hedge_delay
 from stagewalk.gateway.policy import ALL_ON, Policy
 from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk.gateway.quarantine.content import RequestContent
@@ -25,20 +26,16 @@
     score_content,
 )
 from stagewalk.gateway.scoring.records import ScoreCall
+from stagewalk.gateway.scoring.retry_rules import (
+    AnswerMeaning,
+    attempt_seconds,
+    judge_answer,
+    most_attempts,
+    pause_seconds,
+)
 from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
 
-LONGEST_ATTEMPT_SECONDS = 1.5
-"""What a worker may take: little of the time a step has, so that another attempt still counts."""
-
-MOST_AT_ONCE = 3
-"""Attempts at one call under way together: each next one is begun beside a late one."""
-
-FAILURE_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 0.8
-"""How long a call waits after a failed attempt; twice as long after each further one."""
-
-
 _NO_FAULT_OF_THE_WORKER = (AttemptFault.NOT_RUN, AttemptFault.WITHHELD)
 
 
@@ -94,7 +91,7 @@
     under_way: dict[int, _Attempt] = field(default_factory=dict)
     tried: list[str] = field(default_factory=list)
     """Workers of this round: none is asked again before all were."""
-    fruitless: int = 0
+    failed_in_a_row: int = 0
     """Attempts in a row that ended without any answer that counts."""
     not_before: float = -math.inf
 
@@ -119,11 +116,11 @@
     Parameters
     ----------
     eligibility
-        Tells which workers a call may be sent to.
+        Decides which workers a call may be sent to.
     route_of, service_of
         Which route a call takes, and which of its services.
     numbers
-        Numbers of attempts, shared with whoever else starts attempts.
+        Numbers of attempts, shared with the attempts at items.
     policy
         Which mechanisms of decision are in use.
     may_start
@@ -145,7 +142,7 @@
         self._service_of = service_of
         self._numbers = numbers
         self._may_start = may_start
-        self._most_at_once = MOST_AT_ONCE if policy.score_hedges else 1
+        self._hedges = policy.score_hedges
         self._calls: dict[tuple[str, str], _PendingCall] = {}
         self._attempts: dict[int, _PendingCall] = {}
 
@@ -171,7 +168,7 @@
         batch_attempts
             Failures that the batch's own route allows; the call's route may allow more.
         failures
-            Answers that said so before, at whoever ran the item until now.
+            Answers that said so before, on nodes that ran the item until now.
         tenant
             Whose batch it is.
         """
@@ -181,7 +178,7 @@
         self._calls.setdefault((batch, item), pending)
 
     def drop(self, batch: str, item: str, reason: str) -> list[StopScore]:
-        """Call for a sample's score no more."""
+        """Stop calling for a sample's score."""
         pending = self._calls.pop((batch, item), None)
         return [] if pending is None else self._stop_attempts(pending, reason)
 
@@ -193,23 +190,22 @@
     def answered(
         self, event: ScoreAnswered, now: float
     ) -> tuple[ScoreResult | None, list[StopScore]]:
-        """Take an answer; return what it means, and the attempts it makes needless."""
+        """Handle an answer; return what it means, and the attempts it makes needless."""
         pending = self._attempts.pop(event.attempt, None)
         if pending is None:
             return None, []
         attempt = pending.under_way.pop(event.attempt)
         attempt.worker.note_ended()
         attempt.worker.note_load(event.answer.load, now)
-        status = event.answer.status
-        if is_success(status) and event.answer.signature:
-            attempt.worker.note_success(now - attempt.began_at, now)
-            return self._settle(pending, ScoreOutcome.SCORED, event.answer.signature, "scored")
-        if status != SERVER_ERROR:
-            # Not what a service that scores says: it neither scored nor failed the sample.
+        signature = event.answer.signature
+        meaning = judge_answer(event.answer.status, signed=bool(signature))
+        if meaning is AnswerMeaning.NO_SCORE:
             attempt.worker.note_failure(now)
             self._pause(pending, now)
             return self._result(pending, ScoreOutcome.PENDING), []
         attempt.worker.note_success(now - attempt.began_at, now)
+        if meaning is AnswerMeaning.SCORED:
+            return self._settle(pending, ScoreOutcome.SCORED, signature, "scored")
         pending.failures += 1
         route = self._route_of(pending.call.host, pending.call.path)
         if route is not None and pending.failures >= pending.allowed_failures(route):
@@ -218,7 +214,7 @@
         return self._result(pending, ScoreOutcome.PENDING), []
 
     def broken(self, event: ScoreBroken, now: float) -> None:
-        """Take the end of an attempt that brought no whole answer."""
+        """Handle the end of an attempt that brought no whole answer."""
         pending = self._attempts.pop(event.attempt, None)
         if pending is None:
             return
@@ -242,9 +238,8 @@
     @staticmethod
     def _pause(pending: _PendingCall, now: float) -> None:
         """Wait a little before the next attempt if no other is under way, longer each time."""
-        pending.fruitless += 1
-        doubled = FAILURE_PAUSE_SECONDS * 2 ** min(pending.fruitless - 1, 8)
-        pending.not_before = now + min(LONGEST_PAUSE_SECONDS, doubled)
+        pending.failed_in_a_row += 1
+        pending.not_before = now + pause_seconds(pending.failed_in_a_row)
 
     def _stop_attempts(self, pending: _PendingCall, reason: str) -> list[StopScore]:
         for number, attempt in pending.under_way.items():
@@ -271,20 +266,17 @@
             pending.item,
             pending.call,
             worker.announcement.worker,
-            min(LONGEST_ATTEMPT_SECONDS, route.timeout_seconds),
+            attempt_seconds(route),
             pending.tenant,
         )
 
     def _may_begin(self, pending: _PendingCall, route: Route, now: float) -> bool:
-        """Whether an attempt may begin: the first one, or one beside others that are late.
-
-        No more are under way than may all fail.
-        """
+        """Whether an attempt may begin: the first one, or one beside others that are late."""
         if not self._may_start(pending.batch, now):
             return False
         under_way = pending.under_way.values()
-        room = min(self._most_at_once, pending.allowed_failures(route) - pending.failures)
-        if len(under_way) >= room:
+        allowed = pending.allowed_failures(route)
+        if len(under_way) >= most_attempts(allowed, pending.failures, hedges=self._hedges):
             return False
         if not under_way:
             return now >= pending.not_before
--- a/src/stagewalk/gateway/scoring/messages.py
+++ b/src/stagewalk/gateway/scoring/messages.py
@@ -1,4 +1,8 @@
-"""What the score calls are told, and what they tell the shell to do."""
+"""Events and instructions of the score calls, and the request content of a call.
+
+Owns the types that `core` and the shell exchange. Relies on the ports of workers for answers and
+failures.
+"""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/src/stagewalk/gateway/scoring/retry_rules.py
@@ -0,0 +1,79 @@
+"""Decides when a score call is tried again, beside a late attempt or after one, and given up. Pure.
+
+Owns the bounds of attempts at one call. Relies on the route of the call for `maximum_attempts` and
+on `forwarding.policy.hedge_delay` for when an attempt counts as late.
+
+A call may be repeated, so it goes to another worker at once where one is late. Only what a worker
+itself answers with 500 counts against the sample: after so many it has no score.
+"""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+from stagewalk.gateway.forwarding.policy import SERVER_ERROR, is_success
+from stagewalk.gateway.routes.route import Route
+
+LONGEST_ATTEMPT_SECONDS = 1.5
+"""What a worker may take: little of the time a step has, so that another attempt still counts.
+Chosen, not measured; of 1,295 calls the longest took 0.225 s (docs/WORTH.md)."""
+
+MOST_AT_ONCE = 3
+"""Attempts at one call under way together: each next one is begun beside a late one. Chosen, not
+measured: 1,295 calls for 1,284 texts show that hedges are rarely needed (docs/WORTH.md)."""
+
+FAILURE_PAUSE_SECONDS = 0.05
+LONGEST_PAUSE_SECONDS = 0.8
+"""How long a call waits after a failed attempt; twice as long after each further one, up to the
+longest. Chosen, not measured."""
+
+_MOST_DOUBLINGS = 8
+
+
+class AnswerMeaning(Enum):
+    """What a worker's answer says of the sample."""
+
+    SCORED = auto()
+    FAILED = auto()
+    """The worker ran the call and failed: counted against the sample."""
+    NO_SCORE = auto()
+    """Not what a service that scores says: it neither scored nor failed the sample."""
+
+
+def judge_answer(status: int, *, signed: bool) -> AnswerMeaning:
+    """Return what an answer means.
+
+    Parameters
+    ----------
+    signed
+        Whether it carries the service's signature, which is the score.
+    """
+    if is_success(status) and signed:
+        return AnswerMeaning.SCORED
+    return AnswerMeaning.FAILED if status == SERVER_ERROR else AnswerMeaning.NO_SCORE
+
+
+def pause_seconds(failed_in_a_row: int) -> float:
+    """Return how long a call waits after this many failed attempts in a row, at least one."""
+    doubled = FAILURE_PAUSE_SECONDS * 2.0 ** min(failed_in_a_row - 1, _MOST_DOUBLINGS)
+    return min(LONGEST_PAUSE_SECONDS, doubled)
+
+
+def most_attempts(allowed_failures: int, failures: int, *, hedges: bool) -> int:
+    """Return how many attempts may be under way: no more than may all fail.
+
+    Parameters
+    ----------
+    allowed_failures
+        How many answers that say it failed leave the sample without a score.
+    failures
+        How many came already.
+    hedges
+        Whether a second attempt is begun beside a late one at all.
+    """
+    return min(MOST_AT_ONCE if hedges else 1, allowed_failures - failures)
+
+
+def attempt_seconds(route: Route) -> float:
+    """Return how long one attempt at a call of a route may take."""
+    return min(LONGEST_ATTEMPT_SECONDS, route.timeout_seconds)
--- a/tests/gateway/batches/support.py
+++ b/tests/gateway/batches/support.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from stagewalk.gateway.batches.ledger import Batch, BatchLedger, LedgerChange
+from stagewalk.gateway.batches.batch import Batch
+from stagewalk.gateway.batches.ledger import BatchLedger, LedgerChange
 from stagewalk.gateway.batches.records import BatchHeader, BatchItem, BatchSubmitted
 from stagewalk.gateway.routes.route import BackEnd, Route, RouteKind
 from stagewalk.gateway.scoring.records import ScoreCall
--- a/tests/gateway/batches/test_ledger.py
+++ b/tests/gateway/batches/test_ledger.py
@@ -9,7 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.gateway.batches.ledger import NOBODY, BatchLedger, LedgerChange, ReusableText
+from stagewalk.gateway.batches.batch import NOBODY
+from stagewalk.gateway.batches.ledger import BatchLedger, LedgerChange
 from stagewalk.gateway.batches.records import (
     BatchClaimed,
     BatchEnded,
@@ -22,6 +23,7 @@
     split_result,
     split_submission,
 )
+from stagewalk.gateway.batches.reusable_texts import ReusableText
 from tests.gateway.batches.support import RecordingLedger, header, item, scored_item, submitted
 
 
--- a/tests/gateway/scoring/test_core.py
+++ b/tests/gateway/scoring/test_core.py
@@ -8,15 +8,10 @@
 
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer, WorkerLoad
 from stagewalk.gateway.routes.route import BackEnd, Route, RouteKind
-from stagewalk.gateway.scoring.core import (
-    LONGEST_ATTEMPT_SECONDS,
-    MOST_AT_ONCE,
-    ScoreCalls,
-    ScoreOutcome,
-    ScoreResult,
-)
+from stagewalk.gateway.scoring.core import ScoreCalls, ScoreOutcome, ScoreResult
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, SendScore, StopScore
 from stagewalk.gateway.scoring.records import ScoreCall
+from stagewalk.gateway.scoring.retry_rules import LONGEST_ATTEMPT_SECONDS, MOST_AT_ONCE
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.eligibility.support import unrestricted
 from tests.gateway.workers.support import announcement
