--- a/src/stagewalk/common/errors.py
+++ b/src/stagewalk/common/errors.py
@@ -1,4 +1,7 @@
-"""Errors as values: each names the step and the peer at which it arose."""
+"""Errors as values: each names the step and the peer at which it arose.
+
+Owns the codes that callers see and the words for "may have run". Relies on nothing.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/common/http/body_budget.py
+++ b/src/stagewalk/common/http/body_budget.py
@@ -1,4 +1,4 @@
-"""A budget of bytes for bodies that are still arriving, shared by all exchanges."""
+"""A budget of bytes for bodies that are still arriving, shared by all exchanges of a process."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/common/http/calls.py
+++ b/src/stagewalk/common/http/calls.py
@@ -1,4 +1,8 @@
-"""Calls with JSON bodies over pooled HTTP connections, with errors as values."""
+"""Calls with JSON bodies over pooled HTTP connections, with errors as values.
+
+Owns timeouts and socket options of outgoing connections. A call's error says whether its request
+may have been executed, which decides whether it may be repeated. Relies on `httpx`.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,11 @@
 """Failures before any byte of a request was written."""
 
 CONNECT_TIMEOUT_SECONDS = 2.0
+"""Longest wait for a connection: a lost first packet is sent again after 1 s."""
+
 POOL_TIMEOUT_SECONDS = 2.0
+"""Longest wait for a free connection of a pool; chosen, not measured."""
+
 KEEPALIVE_SECONDS = 4.0
 """Idle connections are dropped before usual servers close them, so that none breaks in use."""
 
@@ -45,6 +53,8 @@
 _BARE_TLS_CONTEXT = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
 _JSON_HEADERS = {"Content-Type": "application/json"}
 _DETAIL_CHARACTERS = 200
+"""Longest quotation of a peer's answer or of an exception in an error."""
+
 _REQUEST_TIMEOUT_STATUS = 408
 _NOT_MODIFIED_STATUS = 304
 
--- a/src/stagewalk/common/http/connection_pools.py
+++ b/src/stagewalk/common/http/connection_pools.py
@@ -1,7 +1,8 @@
 """Kept connections to many peers: a pool for each.
 
-A pool of `httpx` looks at every idle connection it has for each request, with a system call
-each. One pool for all peers would make a request dearer the more peers there are.
+A pool of `httpx` checks each of its idle connections on every request, with a system call each.
+One pool for all peers would make a request dearer with each peer. Owns the pools and closes those
+unused longest; relies on `http.calls` for their transport.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/common/http/exchange.py
+++ b/src/stagewalk/common/http/exchange.py
@@ -1,4 +1,8 @@
-"""One HTTP exchange over ASGI: its body within limits, its answer, its caller going away."""
+"""One HTTP exchange over ASGI: its body within limits, its response, its caller's disconnect.
+
+Owns the bytes of one body while it arrives, counted against a budget that all exchanges share.
+Relies on the server's ASGI callables; what a request means belongs to its handler.
+"""
 
 from __future__ import annotations
 
@@ -36,14 +40,14 @@
 class Exchange:
     """One request and its response.
 
-    `watch` runs beside the handler for the whole exchange. It keeps taking what the caller
-    sends, beyond the limit only to throw it away, so that the server's queue never fills up
-    and the caller's going away is always noticed.
+    `watch` runs beside the handler for the whole exchange. It keeps reading what the caller
+    sends, discarding it beyond the limit, so that the server's queue never fills up and a
+    disconnect is always noticed.
 
     Parameters
     ----------
     last
-        Says whether the connection is to end with this response, since the node stops.
+        Whether the connection ends with this response, as the process stops.
     """
 
     def __init__(
@@ -85,13 +89,13 @@
         return self._headers.get(name)
 
     def on_disconnect(self, action: Callable[[], None]) -> None:
-        """Set what to do when the caller goes away; done at once if it has gone."""
+        """Set the callback for the caller's disconnect; runs at once if it has disconnected."""
         self._on_disconnect = action
         if self.disconnected:
             action()
 
     async def watch(self) -> None:
-        """Take what the caller sends until it goes away."""
+        """Read what the caller sends until it disconnects."""
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
@@ -105,7 +109,7 @@
             self._on_disconnect()
 
     async def body(self) -> Result[bytes, StagewalkError]:
-        """Wait for the whole body, within the limits of size and time, and hand it over."""
+        """Wait for the whole body, within the limits of size and time, and return it."""
         if self._fault is None:
             with anyio.move_on_after(self._limits.body_seconds) as waiting:
                 await self._body_settled.wait()
@@ -118,7 +122,7 @@
         return Ok(content)
 
     def release_body(self) -> None:
-        """Give up the memory of what has arrived of the body."""
+        """Release the memory of what has arrived of the body."""
         self._budget.give_back(len(self._body))
         self._body = bytearray()
 
@@ -127,8 +131,8 @@
     ) -> None:
         """Send a whole response, at once even if the caller is still sending its body.
 
-        Closing then would reset the connection under the answer, so the rest of the body is
-        taken and thrown away for a while first.
+        Closing then would reset the connection under the response, so the rest of the body is
+        read and discarded for `LINGER_SECONDS` at most.
         """
         length = ("content-length", str(len(body)))
         await self.start(status, content_type, (length, *headers))
--- a/src/stagewalk/common/http/listener_filter.py
+++ b/src/stagewalk/common/http/listener_filter.py
@@ -1,8 +1,8 @@
 """Makes the kernel drop new connections of a listening socket before it is closed.
 
-A classic socket filter on the listener drops the first packet of each new connection: the
-caller's kernel sends it again a second later and is then refused, which a caller may take for
-"nothing was sent". Connections that are accepted already are untouched.
+A classic socket filter on the listener drops the first packet of each new connection: the caller's
+kernel retransmits it a second later and is then refused, which a caller may read as "not sent".
+Established connections are untouched. Relies on Linux; elsewhere the filter is left out.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def drop_new_connections(listener: socket.socket) -> None:
-    """Drop what arrives for the listener itself; a system without such filters goes without."""
+    """Drop packets for the listener itself; does nothing on a system without such filters."""
     drop_all = _FilterInstruction(RETURN_CONSTANT, 0, 0, 0)
     program = _FilterProgram(1, ctypes.pointer(drop_all))
     with contextlib.suppress(OSError):
--- a/src/stagewalk/common/http/peer_names.py
+++ b/src/stagewalk/common/http/peer_names.py
@@ -1,4 +1,4 @@
-"""Who an error of the edge names as the peer at which it arose, and when to come back."""
+"""Peers that errors of an HTTP edge name, and its retry delay when too much is open."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 CALLER_PEER = "caller"
 
 BUSY_RETRY_SECONDS = 1.0
-"""When a caller that was refused because too much is open may come back."""
+"""Retry delay for a caller that was refused because too many calls or bodies are open."""
--- a/src/stagewalk/common/http/problems.py
+++ b/src/stagewalk/common/http/problems.py
@@ -1,4 +1,7 @@
-"""Errors as `application/problem+json`."""
+"""Errors as `application/problem+json`: their status, headers and body.
+
+Owns the mapping from error codes to HTTP; relies on `common.errors` for the codes.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/common/http/server.py
+++ b/src/stagewalk/common/http/server.py
@@ -1,4 +1,8 @@
-"""Serves the edge's application with `hypercorn`."""
+"""Serves an ASGI application with `hypercorn`, and closes listeners without cutting requests off.
+
+Owns listening sockets and the order of a shutdown: new connections are dropped, existing ones are
+answered, then the server ends. Relies on `listener_filter` for the first step.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +17,22 @@
 from stagewalk.common.identities import Address
 
 BACKLOG = 1024
+"""Connections the kernel accepts ahead of the server; chosen, not measured."""
+
 MAXIMUM_HEAD_BYTES = 64 * 1024
-"""Longest head of a request, well above what published limits let callers send."""
+"""Longest head of a request; well above the header limits that routes publish."""
 
 KEEP_ALIVE_SECONDS = 75.0
 """Longer than clients usually keep idle connections, so that it is they who close them."""
 
 GRACEFUL_SECONDS = 3.0
+"""How long requests under way may go on once the listener is closed; chosen, not measured."""
 
 EXIT_LINGER_SECONDS = 0.5
-"""How long requests that were under way when the node exits are still refused in words."""
+"""How long requests that arrive during an exit still get a status instead of a reset."""
+
 STALLED_WRITE_MILLISECONDS = 30_000
-"""After that time the kernel drops a connection whose peer takes no more data."""
+"""After this time the kernel drops a connection whose peer acknowledges no more data."""
 
 
 def open_listener(address: Address) -> socket.socket:
@@ -44,13 +52,16 @@
 ) -> None:
     """Serve the application on a listening socket until `stop` is set.
 
-    `linger_seconds` is how long requests that come while it closes are still answered.
-
     Closing the socket at once would reset connections that the kernel has accepted but the
-    server has not, and requests that were on their way; so first no new ones are let in.
+    server has not, and requests on their way; so new connections are dropped first.
 
     `hypercorn` can't be cancelled half-way through its shutdown, so a cancellation of this call
     sets `stop` and waits for the orderly end, at most `GRACEFUL_SECONDS`.
+
+    Parameters
+    ----------
+    linger_seconds
+        How long requests that arrive while the listener closes are still answered.
     """
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_serve_shielded, app, listener, stop, linger_seconds)
--- a/src/stagewalk/common/identities.py
+++ b/src/stagewalk/common/identities.py
@@ -1,4 +1,7 @@
-"""Identities that cross subsystem borders, each a type of its own for the type checker."""
+"""Identities that cross subsystem borders, each a type of its own for the type checker.
+
+Relies on nothing; what an identity is made from belongs to the subsystem that makes it.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/common/logs/budget.py
+++ b/src/stagewalk/common/logs/budget.py
@@ -1,8 +1,8 @@
-"""How many lines may be written: a pure token bucket for each kind of event.
+"""How many log lines may be written: a pure token bucket for each kind of event.
 
-A decision on a request that fails is never dropped before one on a request that goes well: lines
-of level `warning` and above have a budget of their own, and when that is spent they take what is
-left of the ordinary one.
+A line about a failure is never dropped before one about a success: lines of level `warning` and
+above have a budget of their own, and when it is spent they use the rest of the ordinary one. Owns
+the counts of events and of dropped lines, which metrics show.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 FAILURE_LINES_PER_SECOND = 100.0
 FAILURE_BURST_LINES = 1_000.0
-"""The same for lines that tell of failures."""
+"""The same for lines of level `warning` and above."""
 
 MOST_KINDS = 256
-"""Kinds of events counted apart; any further ones share a budget."""
+"""Kinds of events counted separately; any further ones share a budget."""
 
 OTHER_KINDS = "other"
 
@@ -51,22 +51,22 @@
         self._ordinary: dict[str, _Bucket] = {}
         self._failures: dict[str, _Bucket] = {}
         self._dropped: Counter[str] = Counter()
-        self._told: Counter[tuple[str, bool]] = Counter()
+        self._events: Counter[tuple[str, bool]] = Counter()
 
     @property
-    def told(self) -> dict[tuple[str, bool], int]:
-        """Return how many events there were by kind and whether they tell of a failure.
+    def events(self) -> dict[tuple[str, bool], int]:
+        """Return the number of events by kind and by whether they were failures.
 
-        Those whose lines were dropped count too.
+        Events whose lines were dropped are included.
         """
-        return dict(self._told)
+        return dict(self._events)
 
     def allows(self, event: str, failure: bool, now: float) -> bool:
         """Whether a line may be written now; one that may not is counted."""
         kind = event
         if event not in self._ordinary and len(self._ordinary) >= MOST_KINDS:
             kind = OTHER_KINDS
-        self._told[(kind, failure)] += 1
+        self._events[(kind, failure)] += 1
         if failure and self._failure_bucket(kind, now).take(now):
             return True
         if self._ordinary_bucket(kind, now).take(now):
--- a/src/stagewalk/common/logs/lines.py
+++ b/src/stagewalk/common/logs/lines.py
@@ -1,7 +1,8 @@
 """Logs: one line of key=value pairs for each event.
 
-Events are `eliot` messages; this module is their only destination. Messages of libraries that
-use the standard `logging` module are turned into events too, so that every line has one form.
+Events are `eliot` messages; this module is their only destination, and turns messages of libraries
+that use the standard `logging` module into events, so that every line has one form. Relies on a
+`LogBudget` to bound the lines and on a writer that doesn't block.
 """
 
 from __future__ import annotations
@@ -24,7 +25,10 @@
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 LIBRARY_MESSAGE_INTERVAL_SECONDS = 10.0
+"""Shortest time between two lines of the same message of a library."""
+
 MAXIMUM_LIBRARY_MESSAGES = 256
+"""Messages of libraries that are remembered for it."""
 
 _OMITTED = frozenset({"task_uuid", "task_level", "timestamp", "message_type", "level"})
 _PLAIN_VALUE = re.compile(r"[A-Za-z0-9._:/\-+@,%\[\]{}()*;~^<>!?&|#$]+")
@@ -54,7 +58,7 @@
     Returns
     -------
     Callable
-        Undoes it.
+        Removes the destination again.
     """
     destination = _LineDestination(LEVELS[minimum_level], write, node, budget)
     handler = _LibraryHandler()
@@ -133,7 +137,7 @@
 
 
 class _LibraryHandler(logging.Handler):
-    """Turns library messages into events, the same message at most once in a while.
+    """Turns library messages into events, each at most once in an interval.
 
     A broken caller could otherwise have a library fill the log with one message.
     """
--- a/src/stagewalk/common/logs/writer.py
+++ b/src/stagewalk/common/logs/writer.py
@@ -1,4 +1,7 @@
-"""Writes lines to a descriptor without ever waiting for whoever reads them."""
+"""Writes lines to a descriptor without ever blocking on its reader.
+
+Owns the lines that wait for room, up to a bound.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from collections.abc import Callable
 
 MOST_WAITING_BYTES = 1_000_000
-"""Lines that wait for the reader; a line that finds no room is lost, and counted."""
+"""Most bytes that wait for the reader; a line beyond that is dropped, and counted."""
 
 WRITE_BYTES = 4_096
 """A pipe that has room takes at least so much at once without blocking (POSIX `PIPE_BUF`)."""
@@ -20,11 +23,11 @@
     Parameters
     ----------
     descriptor
-        Where lines go: a pipe, a file or a terminal. It is shared with others perhaps, so it
-        is not made non-blocking; it is asked before each write instead.
+        A pipe, a file or a terminal. Other processes may share it, so it is not made
+        non-blocking; it is polled before each write instead.
     schedule
-        Has a call made soon, so that the lines of one turn of the loop are written together.
-        None writes each line at once.
+        Schedules a call for the next turn of the event loop, so that the lines of one turn are
+        written together. None writes each line at once.
     """
 
     def __init__(
@@ -40,11 +43,11 @@
 
     @property
     def waiting_bytes(self) -> int:
-        """Return how much waits for the reader."""
+        """Return how many bytes wait for the reader."""
         return self._waiting_bytes
 
     def write(self, line: str) -> bool:
-        """Take a line; return whether there was room for it."""
+        """Write a line now or soon; return whether there was room for it."""
         encoded = line.encode(errors="replace")
         if self._waiting_bytes + len(encoded) > MOST_WAITING_BYTES:
             self.flush()
@@ -60,13 +63,13 @@
         return True
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much as the descriptor takes now."""
         while self._waiting and self._has_room():
             piece = self._next_piece()
             try:
                 written = os.write(self._descriptor, piece)
             except OSError:
-                # Nobody reads any more: what can't be told is dropped.
+                # The reader is gone, so there is nowhere left to report it: the lines are dropped.
                 written = len(piece)
             self._waiting_bytes -= written
             if written < len(piece):
@@ -80,7 +83,7 @@
         return any(events & select.POLLOUT for _, events in self._poll.poll(0))
 
     def _next_piece(self) -> bytes:
-        """Take lines of up to `WRITE_BYTES`, or the beginning of a longer one."""
+        """Return lines of up to `WRITE_BYTES` together, or the beginning of a longer one."""
         first = self._waiting.popleft()
         if len(first) > WRITE_BYTES:
             self._waiting.appendleft(first[WRITE_BYTES:])
--- a/src/stagewalk/common/settings/addresses.py
+++ b/src/stagewalk/common/settings/addresses.py
@@ -1,4 +1,7 @@
-"""Addresses of a settings file: IP numbers only, never host names."""
+"""Addresses of a settings file: IP numbers only, never host names.
+
+Errors name the field at fault by its path in the file.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/common/settings/decoding.py
+++ b/src/stagewalk/common/settings/decoding.py
@@ -1,4 +1,7 @@
-"""Settings files: TOML into checked types, with the field's name in the error."""
+"""Settings files: TOML into checked types, with the field's name in the error.
+
+What a program's fields are belongs to its own settings module.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/common/steady_clock.py
+++ b/src/stagewalk/common/steady_clock.py
@@ -1,9 +1,9 @@
-"""The clock of everything that is compared across machines, or with a lease or deadline.
+"""The clock for everything that is compared across machines, or with a lease or a deadline.
 
-A machine may be suspended for seconds. The usual steady clock stands still meanwhile: a holder that
-wakes would believe in a lease, a view or a permit that ended long ago. Timers of the event loop
-stand still too, so what was waiting as the machine slept is judged by this clock on waking, before
-anything is sent.
+The usual monotonic clock stands still while a machine is suspended, for seconds at times: a holder
+that wakes would trust a lease, a view or a permit that expired long ago. Timers of the event loop
+stand still too, so whatever waited through a suspension is checked against this clock on waking,
+before anything is sent. Relies on Linux's `CLOCK_BOOTTIME`; without it, on the monotonic clock.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/gateway/metrics.py
+++ b/src/stagewalk/gateway/metrics.py
@@ -92,7 +92,7 @@
         events = CounterMetricFamily(
             "stagewalk_events", "Log events, dropped ones too.", labels=["event", "failure"]
         )
-        for (event, failure), count in sorted(self._budget.told.items()):
+        for (event, failure), count in sorted(self._budget.events.items()):
             events.add_metric([event, str(failure).lower()], count)
         yield events
 
--- a/tests/common/logs/test_budget.py
+++ b/tests/common/logs/test_budget.py
@@ -59,4 +59,4 @@
         budget = LogBudget()
         written(budget, "a", 10_000, 0.0)
         written(budget, "a", 3, 0.0, failure=True)
-        self.assertEqual({("a", False): 10_000, ("a", True): 3}, budget.told)
+        self.assertEqual({("a", False): 10_000, ("a", True): 3}, budget.events)
