--- a/src/stagewalk/cli/main.py
+++ b/src/stagewalk/cli/main.py
@@ -21,7 +21,6 @@
     "bench": "put load on running processes and measure them",
     "explain": "tell from logs what became of a request, a batch or an item",
     "steps": "take steps of trainers and recoveries apart, from logs",
-    "report": "draw tables and plots from results",
 }
 
 
--- a/src/stagewalk/cli/sim.py
+++ b/src/stagewalk/cli/sim.py
@@ -1,7 +1,7 @@
 """`stagewalk sim`: simulate a deployment on a virtual clock.
 
-With the word `sweep` it runs many seeds side by side and shrinks the first that fails; with
-`results` it runs the experiments behind docs/RESULTS.md and writes the page.
+With the word `sweep` it runs many seeds side by side and shrinks the first that fails. Owns the
+command's flags and what it prints; relies on `simulation` for runs and on `history` for verdicts.
 """
 
 from __future__ import annotations
@@ -17,11 +17,9 @@
 from tqdm import tqdm
 
 from stagewalk.history.observations import encode_line
-from stagewalk.simulation.experiments import experiment_runs, results_page
 from stagewalk.simulation.faults import FaultLevel
 from stagewalk.simulation.layouts import LAYOUTS
 from stagewalk.simulation.mutants import MUTANTS
-from stagewalk.simulation.policies import POLICIES, PRODUCT
 from stagewalk.simulation.shrink import Shrinker, broken_promises
 from stagewalk.simulation.simulation_run import (
     Replay,
@@ -39,27 +37,25 @@
 EXIT_BAD_ARGUMENTS = 2
 
 SWEEP = "sweep"
-RESULTS = "results"
 SHRINKING_RUNS = 60
 
 
 def add_flags(parser: argparse.ArgumentParser) -> None:
     """Define the subcommand's flags."""
     levels = [level.value for level in FaultLevel]
-    parser.add_argument("mode", nargs="?", choices=[SWEEP, RESULTS], help="run many seeds")
+    parser.add_argument("mode", nargs="?", choices=[SWEEP], help="run many seeds")
     parser.add_argument("--deployment", choices=sorted(LAYOUTS), default="thornfield")
     parser.add_argument("--seed", type=int, default=1, help="of the run, or the first of many")
     parser.add_argument("--duration_seconds", type=float, default=120.0, help="virtual time")
     parser.add_argument("--faults", choices=levels, default=FaultLevel.NONE.value)
     parser.add_argument("--fault_rate_factor", type=float, default=1.0, help="faults per time")
-    parser.add_argument("--policy", choices=sorted(POLICIES), default=PRODUCT)
     parser.add_argument("--mutant", choices=["", *sorted(MUTANTS)], default="")
     parser.add_argument("--report", type=Path, help="write the report as JSON")
     parser.add_argument("--history", type=Path, help="write the history as JSON lines")
     parser.add_argument("--replay", type=Path, help="run the arguments of an earlier report")
     parser.add_argument("--seeds", type=int, default=20, help="number of seeds of many runs")
     parser.add_argument("--processes", type=int, help="runs side by side; default: processors")
-    parser.add_argument("--output", type=Path, help="folder of a sweep, or page of results")
+    parser.add_argument("--output", type=Path, help="folder of a sweep's reports")
 
 
 def run(arguments: argparse.Namespace) -> int:
@@ -69,8 +65,6 @@
         return EXIT_BAD_ARGUMENTS
     if arguments.mode == SWEEP:
         return _sweep(parsed, arguments)
-    if arguments.mode == RESULTS:
-        return _results(parsed, arguments)
     return _run_one(parsed, arguments)
 
 
@@ -93,7 +87,6 @@
         duration_seconds=arguments.duration_seconds,
         faults=FaultLevel(arguments.faults),
         fault_rate_factor=arguments.fault_rate_factor,
-        policy=arguments.policy,
         mutant=arguments.mutant,
     )
 
@@ -144,23 +137,6 @@
     print(f"replay: stagewalk sim --replay={path}")
 
 
-def _results(parsed: SimulationArguments, arguments: argparse.Namespace) -> int:
-    """Run all policies on the same seeds with and without faults, and write the page."""
-    seeds = range(parsed.seed, parsed.seed + arguments.seeds)
-    runs = experiment_runs([parsed.deployment], seeds, parsed.duration_seconds)
-    with tqdm(total=len(runs), unit="run") as bar:
-        reports = run_many(runs, arguments.processes, finished=partial(_count, bar))
-    command = (
-        f"stagewalk sim results --deployment={parsed.deployment} --seed={parsed.seed}"
-        f" --seeds={arguments.seeds} --duration_seconds={parsed.duration_seconds:g}"
-    )
-    page = results_page(reports, command)
-    if arguments.output is not None:
-        arguments.output.write_text(page)
-    print(page)
-    return EXIT_CLEAN
-
-
 def _count(bar: Bar, _: SimulationReport) -> None:
     bar.update()
 
@@ -176,7 +152,7 @@
 
 
 def _name(arguments: SimulationArguments) -> str:
-    parts = [arguments.deployment, arguments.faults.value, arguments.policy, arguments.mutant]
+    parts = [arguments.deployment, arguments.faults.value, arguments.mutant]
     return "-".join(part for part in parts if part)
 
 
--- a/src/stagewalk/simulation/simulation_run.py
+++ b/src/stagewalk/simulation/simulation_run.py
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
+from typing import Literal
 
 import msgspec
 
@@ -14,12 +15,11 @@
 from stagewalk.history.checker_verdict import Promise, Verdict
 from stagewalk.history.observations import AnyObservation
 from stagewalk.history.summary import TenantSummary, summarize
+from stagewalk.node.node_core import NodeCore
 from stagewalk.simulation.faults import Fault, FaultLevel, draw_schedule
 from stagewalk.simulation.idle_bound import idle_lower_bounds
 from stagewalk.simulation.layouts import LAYOUTS
 from stagewalk.simulation.mutants import MUTANTS
-from stagewalk.simulation.policies import POLICIES, PRODUCT
-from stagewalk.simulation.series import TenantSeries, collect_series
 from stagewalk.simulation.world import World
 
 PROGRESS_SECONDS = 5.0
@@ -30,7 +30,15 @@
 class SimulationArguments(msgspec.Struct, frozen=True, kw_only=True):
     """What determines a run to the byte.
 
-    `schedule` replaces the drawn faults, for replays and for shrinking.
+    Attributes
+    ----------
+    policy
+        What runs in the nodes. Kept replays name it; a replay of anything but the product is
+        refused instead of running the product in its place.
+    mutant
+        Name of a mutant that runs in place of the product; empty for the product.
+    schedule
+        Faults in place of the drawn ones, for replays and for shrinking.
     """
 
     deployment: str = "thornfield"
@@ -38,7 +46,7 @@
     duration_seconds: float = 120.0
     faults: FaultLevel = FaultLevel.NONE
     fault_rate_factor: float = 1.0
-    policy: str = PRODUCT
+    policy: Literal["product"] = "product"
     mutant: str = ""
     schedule: tuple[Fault, ...] | None = None
 
@@ -74,7 +82,6 @@
     unanswered: int
     control_bytes_per_second: float
     schedule: tuple[Fault, ...]
-    series: dict[str, TenantSeries]
     observations: int
     wall_seconds: float
     events: int
@@ -119,9 +126,7 @@
     began = time.perf_counter()
     schedule = planned_schedule(arguments)
     layout = LAYOUTS[arguments.deployment]()
-    factory = POLICIES[arguments.policy]
-    if arguments.mutant:
-        factory = MUTANTS[arguments.mutant].factory
+    factory = MUTANTS[arguments.mutant].factory if arguments.mutant else NodeCore
     world = World(layout, arguments.seed, factory)
     with _collector_paused():
         world.start(schedule)
@@ -171,7 +176,6 @@
         unanswered=sum(caller.unanswered for caller in world.callers),
         control_bytes_per_second=sent / node_seconds,
         schedule=schedule,
-        series=collect_series(history, arguments.duration_seconds),
         observations=len(history),
         wall_seconds=wall_seconds,
         events=world.scheduler.executed,
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -70,7 +70,6 @@
         unanswered=0,
         control_bytes_per_second=0.0,
         schedule=arguments.schedule or (),
-        series={},
         observations=0,
         wall_seconds=0.0,
         events=0,
--- a/tests/simulation/test_simulation_run.py
+++ b/tests/simulation/test_simulation_run.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import argparse
 import os
 import subprocess
 import sys
@@ -11,7 +10,6 @@
 
 import testtools
 
-from stagewalk.cli import report as report_command
 from stagewalk.cli.sim import read_report
 from stagewalk.history.check import EXIT_CLEAN, EXIT_VIOLATION
 from stagewalk.history.check import main as check_main
@@ -62,17 +60,6 @@
         self.assertEqual(digests[0], digests[1])
         expected = EXIT_CLEAN if read_report(folder / "report1.json").clean else EXIT_VIOLATION
         self.assertEqual(expected, check_main([str(folder / "h")]))
-        self._assert_drawn(folder)
-
-    def _assert_drawn(self, folder: Path) -> None:
-        parser = argparse.ArgumentParser()
-        report_command.add_flags(parser)
-        page = folder / "page.html"
-        words = [str(folder / "report1.json"), f"--output={page}"]
-        self.assertEqual(0, report_command.run(parser.parse_args(words)))
-        text = page.read_text()
-        self.assertIn("data:image/png;base64", text)
-        self.assertNotIn("http://", text)
 
     def test_bad_arguments(self) -> None:
         folder = self.new_folder()
