--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 BIN := $(VENV)/bin
 PROTO := $(wildcard src/stagewalk/node/wire/proto/stagewalk/node/wire/*.proto)
 
-.PHONY: setup demo test check soak gateway-soak proto format clean platform-size platform-day experiment
+.PHONY: setup demo test check soak gateway-soak proto format clean platform-size platform-day
 
 setup: $(VENV)/.installed
 
@@ -40,13 +40,6 @@
 platform-day:
 	$(BENCH) run $(SITE) $(or $(DAY),quiet-1) --why "$(or $(WHY),a calm day)"
 
-# Rounds of policy: make experiment BENCH=<program> SITES="a.toml b.toml" DAYS="trouble-1 scale-1" \
-#   [SEEDS="1 2"] POLICIES="all-on moves=false" WHY="hypothesis" [JOBS=4]
-experiment: setup
-	PYTHONPATH=src $(BIN)/python -m stagewalk.bench.rounds --bench=$(BENCH) --why="$(WHY)" --jobs=$(or $(JOBS),4) \
-	  $(foreach s,$(SITES),--site=$(s)) $(foreach d,$(DAYS),--day=$(d)) $(foreach s,$(SEEDS),--seed=$(s)) \
-	  $(foreach p,$(POLICIES),--policy=$(subst all-on,,$(p)))
-
 # Lines and bytes of the adapter for the users' platform, and the product's beside them.
 platform-size:
 	@for folder in platform src; do \
--- a/src/stagewalk/bench/capacity_data.py
+++ b/src/stagewalk/bench/capacity_data.py
@@ -1,4 +1,8 @@
-"""Measurements behind docs/CAPACITY.md, as they are kept in docs/capacity.json."""
+"""Measurements behind docs/CAPACITY.md, as they are kept in docs/capacity.json.
+
+Owns the file's form and its reading and writing. `sizes` was measured by a bench that is gone: its
+figures are kept, and `capacity_model` draws lines through them.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/capacity_page.py
+++ b/src/stagewalk/bench/capacity_page.py
@@ -1,4 +1,8 @@
-"""The generated part of docs/CAPACITY.md."""
+"""The generated part of docs/CAPACITY.md.
+
+Owns the tables' form. Relies on `capacity_data` for measurements and `capacity_model` for what they
+come to at the planned size; a test holds the committed page to the committed data.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +21,11 @@
 BEGIN = "<!-- generated from capacity.json: begin -->"
 END = "<!-- generated from capacity.json: end -->"
 NOT_MEASURED = "not measured"
+SIZES_ORIGIN = (
+    "Measured 2026-12-02 on x86_64, Python 3.11.7, at commit b919428;"
+    " the code that measured them is gone."
+)
+"""Origin of `CapacityData.sizes`, which no command measures anew."""
 
 
 def write_page(path: Path, data: CapacityData) -> None:
@@ -34,7 +43,7 @@
 def render(data: CapacityData) -> str:
     """Return all tables."""
     parts = [
-        f"Measured {data.measured_at} on {data.machine}.",
+        f"Measured {data.measured_at} on {data.machine}, the clusters apart.",
         _sizes(data),
         _lines(data),
         _units(data),
@@ -68,7 +77,8 @@
         "change in force, s",
         "one in ten reaches the log, s",
     )
-    return _table("Hollow clusters", header, [_size_row(size) for size in data.sizes])
+    table = _table("Hollow clusters", header, [_size_row(size) for size in data.sizes])
+    return f"{table}\n\n{SIZES_ORIGIN}"
 
 
 def _size_row(size: SizeMeasurement) -> tuple[str, ...]:
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from stagewalk.bench.capacity_data import UnitCost
-from stagewalk.bench.hollow_layout import MODELS, machine_list, node_identities
+from stagewalk.bench.planned_layout import MODELS, machine_list, node_identities
 from stagewalk.bench.unit_timing import CpuSlope
 from stagewalk.common.identities import (
     AttemptId,
--- a/src/stagewalk/bench/fault_costs.py
+++ b/src/stagewalk/bench/fault_costs.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 from stagewalk.bench.capacity_data import FaultMeasurement
-from stagewalk.bench.hollow_layout import node_identities
 from stagewalk.bench.membership_network import MembershipNetwork
+from stagewalk.bench.planned_layout import node_identities
 from stagewalk.common.identities import Placement
 from stagewalk.node.membership.members import MemberState
 
--- a/src/stagewalk/bench/http_costs.py
+++ b/src/stagewalk/bench/http_costs.py
@@ -11,7 +11,7 @@
 import httpx
 
 from stagewalk.bench.capacity_data import UnitCost
-from stagewalk.bench.hollow_layout import machine_list, node_identities
+from stagewalk.bench.planned_layout import machine_list, node_identities
 from stagewalk.bench.processes import ChildProcesses, free_address, wait_until_answering
 from stagewalk.bench.slopes import fit
 from stagewalk.bench.unit_timing import MICROSECONDS, CpuSlope
--- a/src/stagewalk/bench/hollow_layout.py
+++ b/src/stagewalk/bench/planned_layout.py
@@ -1,16 +1,18 @@
-"""Names, addresses and places of a hollow cluster of any size, in the planned proportions."""
+"""Nodes and engines of any number, in the proportions and places of the planned size.
+
+For measurements that need a membership or a machine list: names, loopback addresses, zones. Owns
+nothing that runs; relies on `planned_load` for the planned numbers.
+"""
 
 from __future__ import annotations
 
 import time
 
+from stagewalk.bench import planned_load as planned
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.node.core.platform import Machine, MachineKind, MachineState
 from stagewalk.node.node_identity import NodeIdentity
 
-PLANNED_NODES = 420
-PLANNED_ENGINES = 600
-
 ZONES = (
     Placement("amman", "jabal-hall"),
     Placement("new-england", "hall-north"),
@@ -24,21 +26,21 @@
 """One model a region; the service of its engines has the same name."""
 
 NODE_NETWORK, ENGINE_NETWORK = 88, 89
-"""Second octets of the loopback addresses, if the caller has no choice of its own."""
+"""Second octets of the loopback addresses of nodes and of engines."""
 
 PEER_PORT = 7946
 ENGINE_PORT = 8000
 ADDRESSES_PER_NETWORK = 250
 
 
-def node_identities(count: int, network: int = NODE_NETWORK) -> tuple[NodeIdentity, ...]:
-    """Return that many nodes, zone by zone in turn, each with an address in 127.`network`/16."""
+def node_identities(count: int) -> tuple[NodeIdentity, ...]:
+    """Return that many nodes, zone by zone in turn, each with its own loopback address."""
     incarnation = Incarnation(time.time_ns() // 1_000_000)
     return tuple(
         NodeIdentity(
             NodeName(f"{ZONES[index % len(ZONES)].zone}-{index}"),
             incarnation,
-            _address(network, index, PEER_PORT),
+            _address(NODE_NETWORK, index, PEER_PORT),
             ZONES[index % len(ZONES)],
         )
         for index in range(count)
@@ -58,7 +60,7 @@
         )
         for identity in identities
     )
-    engine_count = round(len(identities) * PLANNED_ENGINES / PLANNED_NODES)
+    engine_count = round(len(identities) * planned.ENGINES / planned.NODES)
     return nodes + tuple(_engine(index) for index in range(engine_count))
 
 
--- a/src/stagewalk/cli/bench.py
+++ b/src/stagewalk/cli/bench.py
@@ -1,4 +1,8 @@
-"""`stagewalk bench`: measure running processes and work out what they come to at size."""
+"""`stagewalk bench`: measure units of work, membership faults and a lone node.
+
+Owns the command's flags and the files it rewrites (docs/capacity.json, docs/CAPACITY.md); relies on
+`stagewalk.bench` for the measurements and the page.
+"""
 
 from __future__ import annotations
 
@@ -16,9 +20,8 @@
 EXIT_DONE = 0
 EXIT_BAD_ARGUMENTS = 2
 
-SIZES_PART, UNITS_PART, FAULTS_PART = "sizes", "units", "faults"
-PARTS = (SIZES_PART, UNITS_PART, FAULTS_PART)
-DEFAULT_SIZES = "30,60,120,240,420"
+UNITS_PART, FAULTS_PART = "units", "faults"
+PARTS = (UNITS_PART, FAULTS_PART)
 DEFAULT_FAULT_SIZES = "105,210,420"
 DEFAULT_DATA = Path("docs/capacity.json")
 DEFAULT_PAGE = Path("docs/CAPACITY.md")
@@ -28,11 +31,9 @@
 def add_flags(parser: argparse.ArgumentParser) -> None:
     """Define the flags of `stagewalk bench`."""
     commands = parser.add_subparsers(dest="bench_command", required=True, metavar="COMMAND")
-    scale = commands.add_parser("scale", help="measure slopes and rewrite the capacity page")
-    scale.add_argument("--sizes", default=DEFAULT_SIZES, help="nodes of each hollow cluster")
-    scale.add_argument("--workers", type=int, default=3, help="processes that host hollow nodes")
-    scale.add_argument("--rest_seconds", type=float, default=10.0, help="time measured at rest")
-    scale.add_argument("--join_seconds", type=float, default=90.0, help="longest wait for a join")
+    scale = commands.add_parser(
+        "scale", help="measure unit costs and faults, and rewrite the capacity page"
+    )
     scale.add_argument(
         "--fault_sizes", default=DEFAULT_FAULT_SIZES, help="nodes of the networks under faults"
     )
@@ -60,15 +61,11 @@
     data = load(arguments.data) or CapacityData(measured_at="", machine="")
     match arguments.bench_command:
         case "scale":
-            sizes = _parse_sizes(arguments.sizes)
             fault_sizes = _parse_sizes(arguments.fault_sizes)
-            if sizes is None or fault_sizes is None or arguments.workers < 1:
-                print(
-                    "--sizes, --fault_sizes: numbers above 1; --workers: at least 1",
-                    file=sys.stderr,
-                )
+            if fault_sizes is None:
+                print("--fault_sizes: numbers above 1", file=sys.stderr)
                 return EXIT_BAD_ARGUMENTS
-            data = _measure_scale(data, sizes, fault_sizes, arguments)
+            data = _measure_scale(data, fault_sizes, arguments.parts.split(","))
         case "idle_memory":
             data = _measure_idle(data, arguments.seconds)
         case "edge":
@@ -92,40 +89,15 @@
 
 
 def _measure_scale(
-    data: CapacityData,
-    sizes: tuple[int, ...],
-    fault_sizes: tuple[int, ...],
-    arguments: argparse.Namespace,
+    data: CapacityData, fault_sizes: tuple[int, ...], parts: list[str]
 ) -> CapacityData:
-    from stagewalk.bench.plots import plot_sizes
-
-    parts = arguments.parts.split(",")
-    if SIZES_PART in parts:
-        data = _measure_sizes(data, sizes, arguments)
     if UNITS_PART in parts:
         data = _measure_units(data)
     if FAULTS_PART in parts:
         data = _measure_faults(data, fault_sizes)
-    save(OUTPUT / "scale.json", data)
-    plot_sizes(data, OUTPUT / "scale.png")
     return data
 
 
-def _measure_sizes(
-    data: CapacityData, sizes: tuple[int, ...], arguments: argparse.Namespace
-) -> CapacityData:
-    """Measure hollow clusters; sizes measured before and not named now are kept."""
-    from stagewalk.bench.scale import ScaleTiming, measure_size
-
-    timing = ScaleTiming(join=arguments.join_seconds, rest=arguments.rest_seconds)
-    measured = {size.nodes: size for size in data.sizes}
-    for size in sizes:
-        measured[size] = measure_size(size, arguments.workers, timing)
-        print(msgspec.json.encode(measured[size]).decode(), file=sys.stderr, flush=True)
-    in_order = tuple(measured[size] for size in sorted(measured))
-    return msgspec.structs.replace(data, sizes=in_order)
-
-
 def _measure_faults(data: CapacityData, sizes: tuple[int, ...]) -> CapacityData:
     from stagewalk.bench.fault_costs import LARGEST_CUT, measure_faults
 
