--- a/src/stagewalk/node/admission/controller.py
+++ b/src/stagewalk/node/admission/controller.py
@@ -1,7 +1,7 @@
 """Admission: decides at this node when a request may be dispatched, or that it may not.
 
 There is no central point. Each node enforces the tenants' shares over what it sees: its own
-adaptive limit, the load of the engines it routes over, and what other nodes say they use.
+adaptive limit and the load of the engines it routes over.
 A refusal is given at once, says `ran: no`, and names when to come back.
 """
 
@@ -30,25 +30,12 @@
     WAITING = "waiting"
 
 
-@dataclass(frozen=True, slots=True)
-class TenantUsage:
-    """Requests of a tenant in flight in a pool."""
-
-    model: ModelName
-    tenant: TenantName
-    in_flight: int
-
-
 @dataclass(frozen=True, slots=True)
 class PoolCapacity:
-    """Slots and load of a pool's engines, as far as this node sees them.
-
-    `scale` is how many times larger the whole pool is than what is seen.
-    """
+    """Slots and load of a pool's engines, in sequences, as far as this node sees them."""
 
     slots: int
     load: int
-    scale: float = 1.0
 
 
 @dataclass(slots=True)
@@ -59,7 +46,6 @@
     service_seconds: dict[Priority, float]
     shares: dict[TenantName, float] = field(default_factory=dict)
     in_use: dict[TenantName, int] = field(default_factory=dict)
-    in_use_elsewhere: dict[TenantName, int] = field(default_factory=dict)
     waiting: WaitingRoom = field(default_factory=WaitingRoom)
     capacity: PoolCapacity | None = None
     started_since: int = 0
@@ -105,21 +91,6 @@
         free = max(0.0, capacity.slots * self._config.pool_overcommit - capacity.load)
         pool.room_limit = pool.in_flight() + self._config.free_room_fraction * free
 
-    def set_usage_elsewhere(self, usage: Iterable[TenantUsage]) -> None:
-        """Take what other nodes say their tenants use, in sum over those nodes."""
-        for pool in self._pools.values():
-            pool.in_use_elsewhere = {}
-        for entry in usage:
-            self._pool(entry.model).in_use_elsewhere[entry.tenant] = entry.in_flight
-
-    def usage(self) -> tuple[TenantUsage, ...]:
-        """Return what this node's tenants use, for other nodes."""
-        return tuple(
-            TenantUsage(model, tenant, count)
-            for model, pool in sorted(self._pools.items())
-            for tenant, count in sorted(pool.in_use.items())
-        )
-
     def models(self) -> tuple[ModelName, ...]:
         """Return the pools with requests in flight or waiting."""
         return tuple(
@@ -248,29 +219,7 @@
         if name.priority is not Priority.INTERACTIVE:
             usable -= capacity.slots * self._config.interactive_reserve
         load = capacity.load + pool.started_since
-        if load + 1 > max(1.0, usable):
-            return False
-        if not pool.in_use_elsewhere:
-            return True
-        return self._global_share_allows(pool, name.tenant, capacity, load)
-
-    def _global_share_allows(
-        self, pool: _Pool, tenant: TenantName, capacity: PoolCapacity, load: int
-    ) -> bool:
-        """Check a tenant's use over all nodes against its share of the whole pool."""
-        whole = capacity.slots * capacity.scale
-        own = guaranteed(pool.shares, tenant, whole)
-        used = pool.in_use.get(tenant, 0) + pool.in_use_elsewhere.get(tenant, 0)
-        if used + 1 <= own:
-            return True
-        kept = 0.0
-        for other in pool.shares:
-            if other == tenant:
-                continue
-            theirs = pool.in_use.get(other, 0) + pool.in_use_elsewhere.get(other, 0)
-            kept += max(0.0, guaranteed(pool.shares, other, whole) - theirs)
-        kept_fraction = self._config.share_reserve * kept / whole if whole else 0.0
-        return load + 1 <= max(1.0, capacity.slots * (1.0 - kept_fraction))
+        return load + 1 <= max(1.0, usable)
 
     def _refusal(
         self, pool: _Pool, key: RequestKey, request: CompletionRequest, now: float
--- a/src/stagewalk/node/requests/answer.py
+++ b/src/stagewalk/node/requests/answer.py
@@ -51,8 +51,6 @@
         An answer longer than they allow is taken as endless.
     reordered
         Chunks held, by offset, while one before them is missing.
-    discarded
-        Chunks that brought nothing new.
     """
 
     request: CompletionRequest
@@ -64,7 +62,6 @@
     characters: int
     last_sequence: int = -1
     reordered: dict[int, TokenChunk] = field(default_factory=dict)
-    discarded: int = 0
 
     @classmethod
     def after(
@@ -93,11 +90,9 @@
         if chunk.token_count <= 0 or chunk.offset < 0 or chunk.sequence < 0:
             return Error(FramingFault("a chunk has no tokens or a negative position"))
         if chunk.sequence <= self.last_sequence:
-            self.discarded += 1
             return Ok([])
         end = chunk.offset + chunk.token_count
         if end <= self.token_count:
-            self.discarded += 1
             return Ok([])
         if chunk.offset < self.token_count:
             return Error(FramingFault(f"a chunk overlaps the {self.token_count} tokens held"))
@@ -129,7 +124,6 @@
 
     def _hold_back(self, chunk: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
         if chunk.offset in self.reordered:
-            self.discarded += 1
             return Ok([])
         if len(self.reordered) >= self.bounds.maximum_reordered_chunks:
             return Error(FramingFault(f"tokens from {self.token_count} on are missing"))
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -239,11 +239,11 @@
 
     def _may_hedge(self, record: RequestRecord) -> bool:
         hedge = self._config.hedge
-        if not hedge.enabled or record.stream or len(self._delays) < hedge.minimum_samples:
+        if record.stream or len(self._delays) < hedge.minimum_samples:
             return False
         if record.attempt_count >= self._config.retry.maximum_attempts:
             return False
-        return hedge.rollouts or record.request.priority is Priority.INTERACTIVE
+        return record.request.priority is Priority.INTERACTIVE
 
     def _silent_until(self, attempt: Attempt) -> float:
         if attempt.last_chunk_at is None:
--- a/src/stagewalk/node/requests/config.py
+++ b/src/stagewalk/node/requests/config.py
@@ -46,16 +46,12 @@
         Measured delays needed, and kept.
     minimum_delay_seconds
         Never hedged sooner.
-    rollouts
-        Whether rollouts are hedged too.
     """
 
-    enabled: bool = True
     percentile: float = 0.95
     minimum_samples: int = 20
     window: int = 256
     minimum_delay_seconds: float = 0.05
-    rollouts: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -175,7 +175,6 @@
         if record is None:
             return []
         if record.state is RequestState.RUNNING and not record.request.repeatable:
-            record.detached = True
             self._book.move(record, Cause.DETACHED)
             return []
         self._runner.cancel_all(record, now)
@@ -206,7 +205,6 @@
         if fingerprint != record.fingerprint:
             self._reject(record.key, faults.duplicate(self._identity.name, record.ran))
             return
-        record.detached = False
         record.stream = record.stream or request.stream
         held = None
         if record.streamed_tokens > 0:
@@ -364,7 +362,7 @@
             return
         self._pool_views_at[model] = now
         view = self._router.pool_view(model, now)
-        self._admission.set_pool(model, PoolCapacity(view.slots, view.load, view.scale))
+        self._admission.set_pool(model, PoolCapacity(view.slots, view.load))
 
     def _reject(self, key: RequestKey, error: StagewalkError) -> None:
         self._book.output(SubmissionRejected(key, error))
--- a/src/stagewalk/node/requests/record.py
+++ b/src/stagewalk/node/requests/record.py
@@ -59,8 +59,6 @@
         Engines that failed or refused it.
     no_engine_since
         Since when no engine was eligible; `None` if one was.
-    detached
-        Its callers left; it runs on because it can't be run again.
     """
 
     key: RequestKey
@@ -86,7 +84,6 @@
     excluded: set[EngineName] = field(default_factory=set)
     last_error: StagewalkError | None = None
     no_engine_since: float | None = None
-    detached: bool = False
     characters: int = 0
 
     @property
--- a/src/stagewalk/node/requests/states.py
+++ b/src/stagewalk/node/requests/states.py
@@ -33,9 +33,6 @@
     """Ended without an answer: its callers went away."""
 
 
-FINAL_STATES = frozenset({RequestState.FINISHED, RequestState.FAILED, RequestState.ABANDONED})
-
-
 class Cause(StrEnum):
     """Why a request changes its state."""
 
--- a/src/stagewalk/node/routing/config.py
+++ b/src/stagewalk/node/routing/config.py
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoreConfig:
-    """Model of an attempt's completion time and the parts of it that are switched on.
+    """Model of an attempt's completion time.
 
     Attributes
     ----------
@@ -116,11 +116,6 @@
     kv_pressure_threshold: float = 0.9
     slow_start_seconds: float = 5.0
     slow_start_factor: float = 1.0
-    use_load: bool = True
-    use_lag_correction: bool = True
-    use_prefix_cache: bool = True
-    use_zone_cost: bool = True
-    use_slow_start: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,7 +158,6 @@
     ejection_seconds: float = 2.0
     maximum_ejection_seconds: float = 30.0
     maximum_ejected_fraction: float = 0.5
-    enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -181,7 +175,6 @@
 
     policy: str = "product"
     choices: int = 4
-    use_power_of_choices: bool = True
     score: ScoreConfig = field(default_factory=ScoreConfig)
     prefix_index: PrefixIndexConfig = field(default_factory=PrefixIndexConfig)
     outlier: OutlierConfig = field(default_factory=OutlierConfig)
--- a/src/stagewalk/node/routing/engine_table.py
+++ b/src/stagewalk/node/routing/engine_table.py
@@ -38,18 +38,15 @@
         Sequences they decode at once, in sum.
     load
         Sequences running or waiting at them, corrected for this node's attempts.
-    scale
-        Engines of the pool for each engine seen: how much larger the whole pool is.
     """
 
     engines: int
     slots: int
     load: int
-    scale: float
 
 
 class EngineTable:
-    """Knowledge of all engines this node routes over or watches.
+    """Knowledge of all engines this node routes over.
 
     Parameters
     ----------
@@ -64,7 +61,6 @@
         self._config = config
         self._records: dict[EngineName, EngineRecord] = {}
         self._machines: dict[EngineName, Machine] = {}
-        self._watched: frozenset[EngineName] = frozenset()
         self._subset: frozenset[str] = frozenset()
         self._routable: list[EngineRecord] = []
         self._attempts: dict[AttemptId, EngineName] = {}
@@ -91,12 +87,6 @@
         self._machines = engines
         self._rebuild(now)
 
-    def set_watched(self, engines: frozenset[EngineName], now: float) -> None:
-        """Poll these engines also, whether or not this node routes over them."""
-        if engines != self._watched:
-            self._watched = engines
-            self._rebuild(now)
-
     def handle_report(self, engine: EngineName, report: EngineReport, now: float) -> None:
         """Take an engine's report; a new incarnation resets all that was known of the old."""
         record = self._records.get(engine)
@@ -180,7 +170,7 @@
         return self._records.get(engine)
 
     def names(self) -> frozenset[EngineName]:
-        """Return the names of the engines routed over or watched."""
+        """Return the names of the engines routed over, or with attempts of this node."""
         return frozenset(self._records)
 
     def eligible(self, model: ModelName, now: float) -> list[EngineRecord]:
@@ -196,15 +186,13 @@
         records = self.eligible(model, now)
         slots = 0
         load = 0
-        services = set()
         for record in records:
             report = record.report
             if report is None:
                 continue
             slots += report.batch_limit
             load += max(0, report.running + report.waiting + record.added_sequences)
-            services.add(record.machine.service)
-        return PoolView(len(records), slots, load, self._scale(services))
+        return PoolView(len(records), slots, load)
 
     def tick(self, now: float) -> list[PollEngine]:
         """Return the polls that are due, within the budget; none is doubled in flight."""
@@ -266,13 +254,6 @@
         record.clock_offset = min(offset, record.clock_offset + drifted)
         record.clock_offset_at = now
 
-    def _scale(self, services: set[str]) -> float:
-        known = sum(1 for machine in self._machines.values() if machine.service in services)
-        seen = sum(
-            1 for name in self._subset if self._machines[EngineName(name)].service in services
-        )
-        return known / seen if seen else 1.0
-
     def _rebuild(self, now: float) -> None:
         live = [
             machine for machine in self._machines.values() if machine.state is MachineState.LIVE
@@ -280,13 +261,11 @@
         self._subset = choose_subset(
             self._identity.name, self._identity.placement, live, self._config
         )
-        wanted = {EngineName(name) for name in self._subset} | (
-            self._watched & self._machines.keys()
-        )
+        chosen = {EngineName(name) for name in self._subset}
         running = {engine for engine in self._attempts.values() if engine in self._machines}
         old = self._records
         self._records = {}
-        for name in sorted(wanted | running):
+        for name in sorted(chosen | running):
             machine = self._machines[name]
             record = old.get(name)
             if record is None or record.machine.address != machine.address:
--- a/src/stagewalk/node/routing/outliers.py
+++ b/src/stagewalk/node/routing/outliers.py
@@ -27,8 +27,6 @@
     records: list[EngineRecord], config: OutlierConfig, now: float
 ) -> list[EngineRecord]:
     """Return the engines not set aside; all of them if too many are set aside."""
-    if not config.enabled:
-        return records
     kept = [record for record in records if record.ejected_until <= now]
     ejected = len(records) - len(kept)
     if ejected > config.maximum_ejected_fraction * len(records):
--- a/src/stagewalk/node/routing/policies.py
+++ b/src/stagewalk/node/routing/policies.py
@@ -63,10 +63,10 @@
     def _draw(
         self, blocks: PrefixBlocks, candidates: Sequence[EngineRecord]
     ) -> Sequence[EngineRecord]:
-        if not self._config.use_power_of_choices or len(candidates) <= self._config.choices:
+        if len(candidates) <= self._config.choices:
             return candidates
         drawn = self._generator.sample(candidates, self._config.choices)
-        if self._config.score.use_prefix_cache and blocks:
+        if blocks:
             cached = longest_match(self._prefix_index, blocks, candidates)
             if cached is not None and all(cached is not record for record in drawn):
                 drawn.append(cached)
--- a/src/stagewalk/node/routing/scoring.py
+++ b/src/stagewalk/node/routing/scoring.py
@@ -50,10 +50,7 @@
 
 @dataclass(slots=True)
 class CompletionTimeModel:
-    """Estimates, in seconds, how long a request would take at an engine.
-
-    The parts of the sum can be switched off one by one, to measure what each earns.
-    """
+    """Estimates, in seconds, how long a request would take at an engine."""
 
     placement: Placement
     config: RouterConfig
@@ -61,35 +58,25 @@
 
     def score(self, shape: RequestShape, record: EngineRecord, now: float) -> float:
         """Return the expected seconds from dispatch to the last token."""
-        config = self.config.score
         seconds = self._prefill_seconds(shape, record)
         seconds += self._queue_and_decode_seconds(shape, record)
-        if config.use_slow_start:
-            seconds *= self._slow_start(record, now)
-        if config.use_zone_cost:
-            seconds += self._placement_cost(record.machine.placement)
-        return seconds
+        seconds *= self._slow_start(record, now)
+        return seconds + self._placement_cost(record.machine.placement)
 
     def _prefill_seconds(self, shape: RequestShape, record: EngineRecord) -> float:
-        config = self.config.score
-        tokens = shape.prompt_tokens
-        if config.use_prefix_cache:
-            cached = self.prefix_index.matched_tokens(record, shape.blocks)
-            tokens = max(0.0, tokens - cached)
-        return tokens / config.prefill_tokens_per_second
+        cached = self.prefix_index.matched_tokens(record, shape.blocks)
+        tokens = max(0.0, shape.prompt_tokens - cached)
+        return tokens / self.config.score.prefill_tokens_per_second
 
     def _queue_and_decode_seconds(self, shape: RequestShape, record: EngineRecord) -> float:
         config = self.config.score
         report = record.report
         rate = record.sequence_rate or config.decode_tokens_per_second
         answer = shape.answer_tokens
-        if report is None or not config.use_load:
+        if report is None:
             return answer / rate
-        sequences = report.running + report.waiting
-        pending = float(report.pending_tokens)
-        if config.use_lag_correction:
-            sequences = max(0, sequences + record.added_sequences)
-            pending = max(0.0, pending + record.added_tokens)
+        sequences = max(0, report.running + report.waiting + record.added_sequences)
+        pending = max(0.0, report.pending_tokens + record.added_tokens)
         batch = max(1, report.batch_limit)
         fullness = min(1.0, (sequences + 1) / batch)
         decode = answer / rate * (1.0 + config.batch_slowdown * fullness)
--- a/tests/node/admission/test_admission.py
+++ b/tests/node/admission/test_admission.py
@@ -9,12 +9,7 @@
 from stagewalk.common.errors import ErrorKind, Ran
 from stagewalk.common.identities import NodeName, RequestId, RequestKey, TenantName
 from stagewalk.node.admission.config import AdmissionConfig, LimiterConfig
-from stagewalk.node.admission.controller import (
-    Admission,
-    AdmissionController,
-    PoolCapacity,
-    TenantUsage,
-)
+from stagewalk.node.admission.controller import Admission, AdmissionController, PoolCapacity
 from stagewalk.node.admission.limiter import AdaptiveLimiter
 from stagewalk.node.admission.shares import guaranteed
 from stagewalk.node.core.completions import Priority
@@ -141,14 +136,6 @@
         desk.controller.set_pool(MODEL, PoolCapacity(slots=100, load=110))
         self.assertEqual(Admission.WAITING, desk.admit("a").ok)
 
-    def test_use_at_other_nodes_counts_against_the_share(self) -> None:
-        desk = Desk()
-        desk.controller.set_pool(MODEL, PoolCapacity(slots=100, load=92))
-        elsewhere = (TenantUsage(MODEL, TenantName("a"), 92),)
-        desk.controller.set_usage_elsewhere(elsewhere)
-        self.assertEqual(Admission.WAITING, desk.admit("a").ok)
-        self.assertEqual(Admission.ADMITTED, desk.admit("b").ok)
-
     def test_hopeless_deadline_is_refused_before_it_waits(self) -> None:
         desk = Desk()
         while not desk.waiting:
--- a/tests/node/routing/test_engine_table.py
+++ b/tests/node/routing/test_engine_table.py
@@ -177,14 +177,6 @@
             self.assertEqual(["e1"], eligible(table, now))
         self.assertLess(polls, 8)
 
-    def test_watched_engines_are_polled_but_get_no_work(self) -> None:
-        config = EngineTableConfig(subset_size=1)
-        table = table_of("e1", "e2", config=config)
-        table.set_watched(frozenset({E1, EngineName("e2")}), 0.0)
-        for poll in table.tick(0.0):
-            table.handle_report(poll.engine, report(poll.engine, 0.0), 0.0)
-        self.assertEqual(1, len(eligible(table, 0.1)))
-
 
 class SubsetTest(testtools.TestCase):
     def subset(self, node: str, engines: int, gone: str = "") -> set[str]:
--- a/tests/node/routing/test_router.py
+++ b/tests/node/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The least expected completion time wins; each part of it can be switched off."""
+"""The least expected completion time wins."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.node.requests.support import PLACE, Identity, machine, report, request
 
 LONG_PROMPT = "survey sheet boundary parcel " * 200
-NO_SLOW_START = ScoreConfig(use_slow_start=False)
+NO_SLOW_START = ScoreConfig(slow_start_factor=0.0)
 
 
 def engines(count: int) -> list[str]:
