--- a/src/stagewalk/node/admission/config.py
+++ b/src/stagewalk/node/admission/config.py
@@ -1,4 +1,7 @@
-"""Parameters of admission."""
+"""Parameters of admission, with units and where the figures come from.
+
+Where no measurement is named, a figure was chosen, not measured.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,17 @@
     Attributes
     ----------
     initial_limit, minimum_limit, maximum_limit
-        Requests of one pool in flight from this node.
+        Requests of one pool in flight from this node. Even a pool that refuses everything gets
+        the minimum, so that its recovery is noticed.
     growth_per_completion
         What a completion adds to a limit that is in use, once it has fallen for the first
-        time; until then each adds one, so that the limit doubles in a service time.
+        time; until then each adds one, so that the limit doubles in a service time. A quarter
+        makes it grow by a quarter of itself in a service time.
     decrease_factor
-        What a refusal by an engine leaves of the limit.
+        Fraction of the limit that stays after a refusal by an engine.
     delay_decrease_factor
-        What a first token much later than usual leaves of it.
+        Fraction that stays after a first token much later than usual: a weaker sign than a
+        refusal, so it costs less.
     decrease_interval_seconds
         The limit falls at most once in this time: refusals come in bursts.
     delay_tolerance
@@ -54,7 +60,7 @@
         Requests of one tenant waiting in one pool.
     share_reserve
         Fraction of each tenant's unused share that is kept free and not lent, so that its
-        next request starts at once.
+        next request starts at once; the rest comes back with the borrowers' completions.
     interactive_reserve
         Fraction of the pool that rollouts leave to interactive requests.
     pool_overcommit
@@ -66,12 +72,12 @@
     service_smoothing
         Weight of the newest duration in the moving mean of service times.
     initial_service_seconds
-        Assumed until a duration is measured.
+        Duration of a request assumed until one is measured.
     shed_service_fraction
         A waiting request is refused when what is left until its deadline, after the
         expected wait, is less than this fraction of the mean service time.
     minimum_retry_after_seconds, maximum_retry_after_seconds
-        Bounds of the advice given with a refusal.
+        Bounds of the advice given with a rejection.
     """
 
     maximum_waiting: int = 512
--- a/src/stagewalk/node/admission/controller.py
+++ b/src/stagewalk/node/admission/controller.py
@@ -1,64 +1,37 @@
-"""Admission: decides at this node when a request may be dispatched, or that it may not.
+"""Admission: carries out the rules of `admission.rules` for every pool at this node.
 
-There is no central point. Each node enforces the tenants' shares over what it sees: its own
-adaptive limit and the load of the engines it routes over.
-A refusal is given at once, says `ran: no`, and names when to come back.
+Owns the pools' state and which requests wait or are admitted. Relies on the request core for
+every start, end and view of the engines. There is no central point: each node enforces the
+tenants' shares over what it sees, its own adaptive limit and the load of the engines it routes
+over. A rejection is given at once, says `ran: no`, and names when to retry.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import StrEnum
 
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import Ran, StagewalkError, Step
 from stagewalk.common.identities import ModelName, NodeName, RequestKey, TenantName
+from stagewalk.node.admission import rules
 from stagewalk.node.admission.config import AdmissionConfig
-from stagewalk.node.admission.limiter import AdaptiveLimiter
-from stagewalk.node.admission.shares import guaranteed, may_use_one_more
-from stagewalk.node.admission.waiting import QueueName, WaitingRoom
+from stagewalk.node.admission.pool import Pool, PoolCapacity
+from stagewalk.node.admission.rules import Rejection
+from stagewalk.node.admission.waiting import QueueName
 from stagewalk.node.configuration.parameters import Tenant
 from stagewalk.node.core.completions import CompletionRequest, Priority
 
 
 class Admission(StrEnum):
-    """What became of a request that was not refused."""
+    """What became of a request that was not rejected."""
 
     ADMITTED = "admitted"
     WAITING = "waiting"
 
 
-@dataclass(frozen=True, slots=True)
-class PoolCapacity:
-    """Slots and load of a pool's engines, in sequences, as far as this node sees them."""
-
-    slots: int
-    load: int
-
-
-@dataclass(slots=True)
-class _Pool:
-    """Mutable state of one model's pool."""
-
-    limiter: AdaptiveLimiter
-    service_seconds: dict[Priority, float]
-    shares: dict[TenantName, float] = field(default_factory=dict)
-    in_use: dict[TenantName, int] = field(default_factory=dict)
-    waiting: WaitingRoom = field(default_factory=WaitingRoom)
-    capacity: PoolCapacity | None = None
-    started_since: int = 0
-    room_limit: float = 0.0
-
-    def in_flight(self) -> int:
-        return sum(self.in_use.values())
-
-    def limit(self) -> float:
-        """Return the requests this node may have in flight: what it has learnt, or sees free."""
-        return max(self.limiter.limit, self.room_limit)
-
-
 @dataclass(frozen=True, slots=True)
 class _Admitted:
     model: ModelName
@@ -67,29 +40,31 @@
 
 
 class AdmissionController:
-    """Shares, queue and adaptive limit of each pool, at this node."""
+    """Shares, queues and adaptive limit of each pool, at this node.
+
+    Parameters
+    ----------
+    owner
+        This node: the peer that its errors name.
+    """
 
     def __init__(self, owner: NodeName, config: AdmissionConfig) -> None:
         self._owner = owner
         self._config = config
-        self._pools: dict[ModelName, _Pool] = {}
+        self._pools: dict[ModelName, Pool] = {}
         self._admitted: dict[RequestKey, _Admitted] = {}
         self._waiting: dict[RequestKey, ModelName] = {}
         self._tenants: dict[TenantName, Tenant] = {}
 
     def set_tenants(self, tenants: Iterable[Tenant]) -> None:
-        """Take the tenants in force; their shares hold from now on."""
+        """Replace the tenants; their shares apply from now on."""
         self._tenants = {tenant.name: tenant for tenant in tenants}
         for model, pool in self._pools.items():
             pool.shares = self._shares_of(model)
 
     def set_pool(self, model: ModelName, capacity: PoolCapacity) -> None:
-        """Take a newer view of a pool's slots and load."""
-        pool = self._pool(model)
-        pool.capacity = capacity
-        pool.started_since = 0
-        free = max(0.0, capacity.slots * self._config.pool_overcommit - capacity.load)
-        pool.room_limit = pool.in_flight() + self._config.free_room_fraction * free
+        """Replace the view of a pool's slots and load."""
+        self._pool(model).set_capacity(capacity)
 
     def models(self) -> tuple[ModelName, ...]:
         """Return the pools with requests in flight or waiting."""
@@ -108,79 +83,76 @@
     def admit(
         self, key: RequestKey, request: CompletionRequest, now: float
     ) -> Result[Admission, StagewalkError]:
-        """Admit a request, queue it, or refuse it at once; the refusal is `ran: no`."""
+        """Admit a request, queue it, or reject it at once; the rejection says `ran: no`."""
         pool = self._pool(request.model)
         queue = QueueName(request.priority, key.tenant)
-        if not self._has_claim_before(pool, queue) and self._may_start(pool, queue):
+        if not rules.waits_behind_own_tenant(pool, queue) and self._may_start(pool, queue):
             self._start(key, request.model, request.priority, now)
             return Ok(Admission.ADMITTED)
-        refusal = self._refusal(pool, key, request, now)
-        if refusal is not None:
-            return Error(refusal)
+        rejection = rules.rejection_of(pool, key.tenant, request, self._config, now)
+        if rejection is not None:
+            return Error(self._error_of(rejection))
         pool.waiting.add(key, request.priority)
         self._waiting[key] = request.model
         return Ok(Admission.WAITING)
 
     def release(self, now: float) -> list[RequestKey]:
-        """Return the waiting requests that are admitted now, most entitled first."""
-        if not self._waiting:
-            return []
+        """Admit the waiting requests that may start now; return them in the order of the rules."""
         released: list[RequestKey] = []
         for model in sorted(set(self._waiting.values())):
             released.extend(self._release_pool(model, now))
         return released
 
     def withdraw(self, key: RequestKey) -> None:
-        """Forget a request, waiting or admitted, whose end says nothing about the pool."""
+        """Remove a request, waiting or admitted, whose end says nothing about the pool."""
         model = self._waiting.pop(key, None)
         if model is not None:
             self._pool(model).waiting.remove(key)
             return
-        self._give_back(key)
+        self._end(key)
 
     def ended(self, key: RequestKey, now: float) -> None:
-        """Note that an admitted request was answered; its duration is measured."""
-        admitted = self._give_back(key)
+        """Record that an admitted request was answered; its duration is measured."""
+        admitted = self._end(key)
         if admitted is None:
             return
         pool = self._pool(admitted.model)
-        weight = self._config.service_smoothing
-        old = pool.service_seconds[admitted.priority]
-        new = now - admitted.admitted_at
-        pool.service_seconds[admitted.priority] = old + weight * (new - old)
-        pool.limiter.note_completed(pool.in_flight() + 1)
+        pool.record_duration(admitted.priority, now - admitted.admitted_at)
+        pool.limiter.note_completed(pool.in_flight + 1)
 
     def note_refused(self, model: ModelName, now: float) -> None:
-        """Note that an engine of a pool refused work for want of room."""
+        """Record that an engine of a pool refused work for want of room."""
         self._pool(model).limiter.note_refused(now)
 
     def note_first_token(self, model: ModelName, delay_seconds: float, now: float) -> None:
-        """Note how long an attempt waited for its first token."""
+        """Record how long an attempt waited for its first token."""
         self._pool(model).limiter.note_first_token(delay_seconds, now)
 
     def limit(self, model: ModelName) -> float:
         """Return the adaptive limit of a pool, in requests in flight."""
-        return self._pool(model).limit()
+        return self._pool(model).limit
 
     def expected_wait_seconds(self, model: ModelName, priority: Priority) -> float:
         """Return how long a request of a priority would wait if it came now."""
-        pool = self._pool(model)
-        ahead = pool.waiting.ahead_of(priority) + 1
-        return ahead * pool.service_seconds[priority] / max(1.0, pool.limit())
+        return rules.expected_wait_seconds(self._pool(model), priority)
 
     def latest_start(self, request: CompletionRequest) -> float:
         """Return when a waiting request must start, at the latest, to be answered in time."""
-        service = self._pool(request.model).service_seconds[request.priority]
-        return request.deadline - service * self._config.shed_service_fraction
+        return rules.latest_start(self._pool(request.model), request, self._config)
+
+    def _may_start(self, pool: Pool, queue: QueueName) -> bool:
+        return rules.may_start(pool, queue, self._config)
 
     def _release_pool(self, model: ModelName, now: float) -> list[RequestKey]:
         pool = self._pool(model)
         released: list[RequestKey] = []
         while len(pool.waiting):
-            startable = [name for name in pool.waiting.queue_names() if self._may_start(pool, name)]
+            startable = [
+                queue for queue in pool.waiting.queue_names() if self._may_start(pool, queue)
+            ]
             if not startable:
                 break
-            chosen = min(startable, key=lambda name: self._entitlement(pool, name))
+            chosen = min(startable, key=lambda queue: rules.order_of_queue(pool, queue))
             key = pool.waiting.first(chosen)
             pool.waiting.remove(key)
             del self._waiting[key]
@@ -188,94 +160,30 @@
             released.append(key)
         return released
 
-    def _entitlement(self, pool: _Pool, name: QueueName) -> tuple[bool, int, float, str]:
-        """Sort key: within the share first, then interactive, then the least served tenant."""
-        in_use = pool.in_use.get(name.tenant, 0)
-        own = guaranteed(pool.shares, name.tenant, pool.limit())
-        share = pool.shares.get(name.tenant, 0.0)
-        served = in_use / share if share > 0 else float(in_use)
-        return (in_use + 1 > own, int(name.priority), served, str(name.tenant))
-
-    def _has_claim_before(self, pool: _Pool, name: QueueName) -> bool:
-        """Say whether a waiting request of the same tenant goes before one of this queue."""
-        return any(
-            other.tenant == name.tenant and other.priority <= name.priority
-            for other in pool.waiting.queue_names()
-        )
-
-    def _may_start(self, pool: _Pool, name: QueueName) -> bool:
-        reserve = self._config.share_reserve
-        limit = pool.limit()
-        if not may_use_one_more(pool.shares, pool.in_use, name.tenant, limit, reserve):
-            return False
-        return self._pool_has_room(pool, name)
-
-    def _pool_has_room(self, pool: _Pool, name: QueueName) -> bool:
-        """Check the load of the pool's engines, which includes all nodes' requests."""
-        capacity = pool.capacity
-        if capacity is None or capacity.slots == 0:
-            return True
-        usable = capacity.slots * self._config.pool_overcommit
-        if name.priority is not Priority.INTERACTIVE:
-            usable -= capacity.slots * self._config.interactive_reserve
-        load = capacity.load + pool.started_since
-        return load + 1 <= max(1.0, usable)
-
-    def _refusal(
-        self, pool: _Pool, key: RequestKey, request: CompletionRequest, now: float
-    ) -> StagewalkError | None:
-        wait = self.expected_wait_seconds(request.model, request.priority)
-        if pool.waiting.of_tenant(key.tenant) >= self._config.maximum_waiting_per_tenant:
-            return self._refuse(ErrorKind.OVER_LIMIT, "too many requests of the tenant wait", wait)
-        if len(pool.waiting) >= self._config.maximum_waiting:
-            return self._refuse(ErrorKind.OVERLOADED, "too many requests wait", wait)
-        service = pool.service_seconds[request.priority] * self._config.shed_service_fraction
-        if now + wait + service > request.deadline:
-            return self._refuse(ErrorKind.OVERLOADED, "the deadline can't be met", wait)
-        return None
-
-    def _refuse(self, kind: ErrorKind, detail: str, wait: float) -> StagewalkError:
-        retry_after = min(
-            self._config.maximum_retry_after_seconds,
-            max(self._config.minimum_retry_after_seconds, wait),
-        )
+    def _error_of(self, rejection: Rejection) -> StagewalkError:
         return StagewalkError(
-            kind=kind,
+            kind=rejection.kind,
             step=Step.ADMISSION,
             peer=str(self._owner),
-            detail=detail,
+            detail=rejection.detail,
             ran=Ran.NO,
-            retry_after_seconds=retry_after,
+            retry_after_seconds=rejection.retry_after_seconds,
         )
 
     def _start(self, key: RequestKey, model: ModelName, priority: Priority, now: float) -> None:
-        pool = self._pool(model)
-        pool.in_use[key.tenant] = pool.in_use.get(key.tenant, 0) + 1
-        pool.started_since += 1
+        self._pool(model).start(key.tenant)
         self._admitted[key] = _Admitted(model, priority, now)
 
-    def _give_back(self, key: RequestKey) -> _Admitted | None:
+    def _end(self, key: RequestKey) -> _Admitted | None:
         admitted = self._admitted.pop(key, None)
-        if admitted is None:
-            return None
-        pool = self._pool(admitted.model)
-        left = pool.in_use[key.tenant] - 1
-        if left:
-            pool.in_use[key.tenant] = left
-        else:
-            del pool.in_use[key.tenant]
-        pool.started_since = max(0, pool.started_since - 1)
+        if admitted is not None:
+            self._pool(admitted.model).end(key.tenant)
         return admitted
 
-    def _pool(self, model: ModelName) -> _Pool:
+    def _pool(self, model: ModelName) -> Pool:
         pool = self._pools.get(model)
         if pool is None:
-            initial = self._config.initial_service_seconds
-            pool = _Pool(
-                limiter=AdaptiveLimiter(self._config.limiter),
-                service_seconds=dict.fromkeys(Priority, initial),
-                shares=self._shares_of(model),
-            )
+            pool = Pool(self._config, self._shares_of(model))
             self._pools[model] = pool
         return pool
 
--- a/src/stagewalk/node/admission/limiter.py
+++ b/src/stagewalk/node/admission/limiter.py
@@ -1,4 +1,8 @@
-"""Adaptive limit of requests in flight, driven by refusals and by late first tokens."""
+"""Adaptive limit of requests in flight, driven by refusals and by late first tokens.
+
+Owns one number for each pool. It guards against reports that lag: the load that engines report is
+checked besides (`admission.rules`). Relies on the controller for completions and refusals.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +12,10 @@
 
 
 class AdaptiveLimiter:
-    """Growth while in use and well, multiplicative decrease when the pool pushes back.
+    """Grows while it is in use, falls by a factor when the pool pushes back.
 
-    It guards against reports that lag: the pool's reported load is checked besides. A service
-    time is seconds to minutes, so the limit must grow by a part of itself in each; growth by one
-    left a pool two thirds empty while a step waited.
+    A service time is seconds to minutes, so the limit must grow by a part of itself in each;
+    growth by one left a pool two thirds empty while a step waited.
     """
 
     def __init__(self, config: LimiterConfig) -> None:
@@ -27,19 +30,19 @@
         return self._limit
 
     def note_completed(self, in_flight: int) -> None:
-        """Grow, if the limit was in use."""
+        """Raise the limit after a completion, if at least half of it was in use."""
         if in_flight * 2 < self._limit:
             return
-        begun = self._decreased_at == -math.inf
-        growth = 1.0 if begun else self._config.growth_per_completion
+        never_fell = self._decreased_at == -math.inf
+        growth = 1.0 if never_fell else self._config.growth_per_completion
         self._limit = min(self._config.maximum_limit, self._limit + growth)
 
     def note_refused(self, now: float) -> None:
-        """Fall: an engine had no room."""
+        """Lower the limit: an engine had no room."""
         self._decrease(self._config.decrease_factor, now)
 
     def note_first_token(self, delay_seconds: float, now: float) -> None:
-        """Fall a little when the first token came much later than usual."""
+        """Lower the limit a little if a first token came much later than usual."""
         if delay_seconds < self._usual_delay:
             self._usual_delay = delay_seconds
             return
--- a/src/stagewalk/node/admission/shares.py
+++ b/src/stagewalk/node/admission/shares.py
@@ -1,4 +1,7 @@
-"""Arithmetic of weighted shares: what is guaranteed, what may be borrowed."""
+"""Arithmetic of weighted shares: what is guaranteed, what may be borrowed.
+
+Pure functions of shares (fractions of a pool), counts and a capacity, both in requests.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
     capacity: float,
     reserve: float,
 ) -> bool:
-    """Say whether a tenant may take one more slot: its own share's, or a borrowed one."""
+    """Return whether a tenant may use one more slot, of its own share or borrowed."""
     used = sum(in_use.values())
     if used + 1 > max(1.0, capacity):
         return False
--- a/src/stagewalk/node/admission/waiting.py
+++ b/src/stagewalk/node/admission/waiting.py
@@ -1,4 +1,7 @@
-"""Bounded queues of requests that wait for a slot of a pool."""
+"""Queues of requests that wait for a slot of a pool, by tenant and priority.
+
+Owns the order inside a queue; `admission.rules` bounds the queues and picks between them.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +51,7 @@
         self._by_tenant[key.tenant] = self._by_tenant.get(key.tenant, 0) + 1
 
     def remove(self, key: RequestKey) -> bool:
-        """Take a request out, wherever it stands; say whether it waited."""
+        """Remove a request, wherever it stands; return whether it waited."""
         name = self._names.pop(key, None)
         if name is None:
             return False
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -19,7 +19,8 @@
     RequestKey,
     TenantName,
 )
-from stagewalk.node.admission.controller import Admission, AdmissionController, PoolCapacity
+from stagewalk.node.admission.controller import Admission, AdmissionController
+from stagewalk.node.admission.pool import PoolCapacity
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
 from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
--- a/tests/node/admission/test_admission.py
+++ b/tests/node/admission/test_admission.py
@@ -9,8 +9,9 @@
 from stagewalk.common.errors import ErrorKind, Ran
 from stagewalk.common.identities import NodeName, RequestId, RequestKey, TenantName
 from stagewalk.node.admission.config import AdmissionConfig, LimiterConfig
-from stagewalk.node.admission.controller import Admission, AdmissionController, PoolCapacity
+from stagewalk.node.admission.controller import Admission, AdmissionController
 from stagewalk.node.admission.limiter import AdaptiveLimiter
+from stagewalk.node.admission.pool import PoolCapacity
 from stagewalk.node.admission.shares import guaranteed
 from stagewalk.node.core.completions import Priority
 from tests.node.requests.support import MODEL, request, tenant
