--- a/src/stagewalk/node/requests/answer.py
+++ b/src/stagewalk/node/requests/answer.py
@@ -1,8 +1,9 @@
-"""Puts an answer together from the chunks of one attempt.
+"""Puts an answer together from the chunks of one attempt, and rejects what breaks its framing.
 
 An engine's or a network's fault shows in the frames: a chunk may come doubled, late, out of
 order, overlapping, or not at all, and a broken engine may send without end. Only the chunk
-that continues the answer exactly is taken; the final count says whether it is whole.
+that continues the answer exactly is appended; the final count says whether it is whole. Owns the
+text of one attempt; relies on `MemoryConfig` for its bounds.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
     mixed_versions
         Whether several versions may have produced one answer.
     bounds
-        An answer longer than they allow is taken as endless.
+        An answer longer than they allow counts as endless.
     reordered
         Chunks held, by offset, while one before them is missing.
     """
@@ -83,7 +84,7 @@
         )
 
     def add(self, chunk: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
-        """Take a chunk; return those that now continue the answer, in order.
+        """Add a chunk; return those that now continue the answer, in order.
 
         A repeated chunk is dropped. A fault means that the attempt must be given up.
         """
@@ -102,10 +103,10 @@
             return Error(FramingFault("the answer is longer than any may be"))
         if chunk.offset > self.token_count:
             return self._hold_back(chunk)
-        return self._take_all_from(chunk)
+        return self._append_from(chunk)
 
     def whole(self, token_count: int) -> bool:
-        """Say whether the final count matches what is held, with nothing missing."""
+        """Return whether the final count matches what is held, with nothing missing."""
         return token_count == self.token_count
 
     def held(self) -> HeldAnswer:
@@ -131,23 +132,26 @@
         self.characters += len(chunk.text)
         return Ok([])
 
-    def _take_all_from(self, first: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
+    def _append_from(self, first: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
         self.characters += len(first.text)
-        taken = []
+        appended = []
         following: TokenChunk | None = first
         while following is not None:
             unsuitable = self._version_fault(following)
             if unsuitable is not None:
                 return Error(unsuitable)
-            self._take(following)
-            taken.append(following)
+            self._append(following)
+            appended.append(following)
             following = self.reordered.pop(self.token_count, None)
         if any(offset < self.token_count for offset in self.reordered):
             return Error(FramingFault("chunks held back overlap the tokens held"))
-        return Ok(taken)
+        return Ok(appended)
 
     def _version_fault(self, chunk: TokenChunk) -> FramingFault | None:
-        """Judge a chunk's version: an engine may change its weights while it generates."""
+        """Return why a chunk's version may not continue the answer; None if it may.
+
+        An engine may change its weights while it generates.
+        """
         minimum = self.request.minimum_version
         maximum = self.request.maximum_version
         too_old = minimum is not None and chunk.version < minimum
@@ -159,7 +163,7 @@
             return FramingFault(f"version {chunk.version} may not go on with another's answer")
         return None
 
-    def _take(self, chunk: TokenChunk) -> None:
+    def _append(self, chunk: TokenChunk) -> None:
         self.pieces.append(chunk.text)
         self.token_count += chunk.token_count
         self.spans = append_span(self.spans, chunk.version, chunk.token_count)
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -1,7 +1,7 @@
 """Attempts of admitted requests: dispatch, chunks, ends, retries, hedges and stalls.
 
-The one rule for requests that are not repeatable: an attempt is started only while the claim
-is held, no attempt is under way, and none that ended may have run.
+Owns the attempts' ids, the delays of first tokens and the tenants' retry budgets. Relies on
+`attempt_rules` for what may be tried, on the router for an engine and on the book for state.
 """
 
 from __future__ import annotations
@@ -10,18 +10,13 @@
 from dataclasses import replace
 
 from stagewalk.common.errors import StagewalkError, Step
-from stagewalk.common.identities import AttemptId, EngineName, ProcessIdentity
+from stagewalk.common.identities import AttemptId, EngineName, ProcessIdentity, TenantName
 from stagewalk.node.admission.controller import AdmissionController
-from stagewalk.node.core.completions import (
-    CompletionRequest,
-    CompletionResult,
-    Priority,
-    TokenChunk,
-)
+from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
 from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
-from stagewalk.node.requests import faults
-from stagewalk.node.requests.answer import AnswerAssembly, HeldAnswer
+from stagewalk.node.requests import attempt_rules, faults
+from stagewalk.node.requests.answer import AnswerAssembly
 from stagewalk.node.requests.book import RequestBook
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.delays import DelayWindow
@@ -35,7 +30,7 @@
 
 
 class AttemptRunner:
-    """Starts attempts and takes what becomes of them."""
+    """Starts attempts and handles what becomes of them."""
 
     def __init__(
         self,
@@ -56,7 +51,15 @@
         self._delays = DelayWindow(config.hedge.window)
         self._prefix = f"{identity.name}.{identity.incarnation:x}.{generator.getrandbits(32):08x}"
         self._number = 0
-        self.budget = RetryBudget(config.retry)
+        self._budget = RetryBudget(config.retry)
+
+    def set_tenants(self, tenants: frozenset[TenantName]) -> None:
+        """Drop the retry budgets of tenants that are no more."""
+        self._budget.retain(tenants)
+
+    def record_submission(self, tenant: TenantName) -> None:
+        """Add to a tenant's retry budget what a new request earns."""
+        self._budget.note_request(tenant)
 
     def dispatch(self, record: RequestRecord, now: float) -> None:
         """Start an attempt of a record in `ROUTING`, or look again later, or give up."""
@@ -64,7 +67,7 @@
             error = faults.deadline_passed(record, self._identity.name, Step.ROUTING)
             self._fail(record, Cause.DEADLINE, error, now)
             return
-        request = self._pinned_request(record)
+        request = attempt_rules.pinned_request(record)
         choice = self._router.choose(request, frozenset(record.excluded), now)
         if choice.is_error() and record.excluded:
             record.excluded.clear()
@@ -76,7 +79,7 @@
         self._start(record, request, choice.ok, Cause.DISPATCHED, now)
 
     def handle_chunk(self, event: AttemptChunk, now: float) -> None:
-        """Take a piece of an answer; one of an unknown attempt is late or foreign."""
+        """Handle a piece of an answer; one of an unknown attempt is late or foreign."""
         record = self._book.owners.get(event.attempt)
         if record is None:
             return
@@ -96,7 +99,7 @@
         self._stream(record, attempt, taken.ok)
 
     def handle_finished(self, event: AttemptFinished, now: float) -> None:
-        """Take the final frame: the answer is whole only if the count agrees."""
+        """Handle the final frame: the answer is whole only if the count agrees."""
         record = self._book.owners.get(event.attempt)
         if record is None:
             return
@@ -109,7 +112,7 @@
         self._attempt_ended(record, attempt, AttemptClass.MAY_HAVE_RUN, detail, now)
 
     def handle_refused(self, event: AttemptRefused, now: float) -> None:
-        """Take a refusal; one after the first token contradicts itself and proves nothing."""
+        """Handle a refusal; one after the first token contradicts itself and proves nothing."""
         record = self._book.owners.get(event.attempt)
         if record is None:
             return
@@ -131,7 +134,7 @@
         )
 
     def handle_failed(self, event: AttemptFailed, now: float) -> None:
-        """Take the end of an attempt without a final frame."""
+        """Handle the end of an attempt without a final frame."""
         record = self._book.owners.get(event.attempt)
         if record is None:
             return
@@ -143,13 +146,11 @@
     def handle_hedge_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
         """Start a second attempt if the first has not answered by now."""
         first = record.attempts.get(timer.attempt) if timer.attempt is not None else None
-        if first is None or first.last_chunk_at is not None or len(record.attempts) > 1:
-            return
-        if record.stream or not record.request.repeatable:
+        if first is None or not attempt_rules.may_hedge_now(record, first):
             return
         excluded = frozenset({*record.excluded, first.engine})
         choice = self._router.choose(record.request, excluded, now)
-        if choice.is_error() or not self.budget.take(record.key.tenant):
+        if choice.is_error() or not self._budget.spend(record.key.tenant):
             return
         self._start(record, record.request, choice.ok, Cause.HEDGED, now)
 
@@ -158,10 +159,10 @@
         attempt = record.attempts.get(timer.attempt) if timer.attempt is not None else None
         if attempt is None or timer.at != attempt.stall_timer_at:
             return
-        if now >= self._silent_until(attempt):
+        if now >= attempt_rules.silent_until(attempt, self._config):
             self._give_up_attempt(record, attempt, "the engine fell silent", now)
             return
-        self._watch_for_silence(record, attempt)
+        self._set_stall_timer(record, attempt)
 
     def cancel_all(self, record: RequestRecord, now: float) -> None:
         """Cancel a record's attempts; they may have run."""
@@ -176,9 +177,9 @@
         cause: Cause,
         now: float,
     ) -> None:
-        if not record.request.repeatable and not self._may_run_once(record):
+        if not attempt_rules.may_start(record):
             raise AssertionError(f"a second execution of {record.key} was about to start")
-        self._restart_if_versions_differ(record, choice)
+        record.held = attempt_rules.resumable_answer(record, choice.version)
         self._number += 1
         attempt = Attempt(
             attempt=AttemptId(f"{self._prefix}.{self._number:x}"),
@@ -207,49 +208,18 @@
             )
         )
 
-    def _may_run_once(self, record: RequestRecord) -> bool:
-        return record.claim_held and not record.may_have_run and not record.attempts
-
-    def _pinned_request(self, record: RequestRecord) -> CompletionRequest:
-        """Pin the version of an answer partly given to a caller who wants no mixed versions."""
-        if record.mixed_versions or record.streamed_tokens == 0:
-            return record.request
-        version = record.held.spans[-1].version
-        return replace(record.request, minimum_version=version, maximum_version=version)
-
-    def _restart_if_versions_differ(self, record: RequestRecord, choice: EngineChoice) -> None:
-        """Drop an unseen part of an answer rather than go on with it under another version."""
-        if record.mixed_versions or record.streamed_tokens > 0 or record.held.token_count == 0:
-            return
-        if record.held.spans[-1].version != choice.version:
-            record.held = HeldAnswer()
-
     def _set_attempt_timers(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
         if not record.request.repeatable:
             return
-        self._watch_for_silence(record, attempt)
-        if self._may_hedge(record):
-            hedge = self._config.hedge
-            delay = max(hedge.minimum_delay_seconds, self._delays.percentile(hedge.percentile))
+        self._set_stall_timer(record, attempt)
+        delay = attempt_rules.hedge_delay(record, self._delays, self._config)
+        if delay is not None:
             self._set_timer(record, TimerKind.HEDGE, now + delay, attempt.attempt)
 
-    def _watch_for_silence(self, record: RequestRecord, attempt: Attempt) -> None:
-        attempt.stall_timer_at = self._silent_until(attempt)
+    def _set_stall_timer(self, record: RequestRecord, attempt: Attempt) -> None:
+        attempt.stall_timer_at = attempt_rules.silent_until(attempt, self._config)
         self._set_timer(record, TimerKind.STALL, attempt.stall_timer_at, attempt.attempt)
 
-    def _may_hedge(self, record: RequestRecord) -> bool:
-        hedge = self._config.hedge
-        if record.stream or len(self._delays) < hedge.minimum_samples:
-            return False
-        if record.attempt_count >= self._config.retry.maximum_attempts:
-            return False
-        return record.request.priority is Priority.INTERACTIVE
-
-    def _silent_until(self, attempt: Attempt) -> float:
-        if attempt.last_chunk_at is None:
-            return attempt.started_at + self._config.first_token_seconds
-        return attempt.last_chunk_at + self._config.stall_seconds
-
     def _set_timer(
         self, record: RequestRecord, kind: TimerKind, at: float, attempt: AttemptId | None = None
     ) -> None:
@@ -261,10 +231,10 @@
         self._admission.note_first_token(record.request.model, delay, now)
         self._router.note_progress(attempt.attempt, now)
         if record.request.repeatable:
-            self._watch_for_silence(record, attempt)
+            self._set_stall_timer(record, attempt)
 
     def _stream(self, record: RequestRecord, attempt: Attempt, taken: list[TokenChunk]) -> None:
-        """Pass on what came, unless a second attempt might answer otherwise."""
+        """Stream what came, unless a second attempt might answer otherwise."""
         if not record.stream or len(record.attempts) > 1:
             return
         if taken[0].offset == record.streamed_tokens:
@@ -300,7 +270,7 @@
         *,
         retry_after_seconds: float | None = None,
     ) -> None:
-        """Take an attempt's end without a whole answer, and go on as its class allows."""
+        """Handle an attempt's end without a whole answer, and go on as its class allows."""
         self._forget(record, attempt)
         if outcome is not AttemptClass.REFUSED:
             self._router.note_failed(attempt.engine, attempt.attempt, now)
@@ -321,33 +291,29 @@
     def _retry_or_fail(
         self, record: RequestRecord, outcome: AttemptClass, error: StagewalkError, now: float
     ) -> None:
-        if not record.request.repeatable and record.may_have_run:
+        if attempt_rules.outcome_is_unknown(record):
             unknown = faults.outcome_unknown(Step.EXECUTION, error.peer, error.detail)
             self._fail(record, Cause.OUTCOME_UNKNOWN, unknown, now)
             return
-        retries = max(0, record.attempt_count - 1)
-        pause = backoff_seconds(self._config.retry, retries, self._generator)
-        exhausted = record.attempt_count >= self._config.retry.maximum_attempts
-        too_late = now + pause >= record.request.deadline
-        if exhausted or too_late or not self.budget.take(record.key.tenant):
+        retry = self._config.retry
+        pause = backoff_seconds(retry, max(0, record.attempt_count - 1), self._generator)
+        may_retry = attempt_rules.may_retry(record, pause, retry, now)
+        if not may_retry or not self._budget.spend(record.key.tenant):
             self._fail(record, Cause.GAVE_UP, error, now)
             return
         self._book.move(record, Cause.RETRIED)
-        if outcome is AttemptClass.MAY_HAVE_RUN or retries > 0:
+        if attempt_rules.retries_at_once(record, outcome):
+            self.dispatch(record, now)
+        else:
             self._set_timer(record, TimerKind.ROUTE, now + pause)
-            return
-        self.dispatch(record, now)
 
     def _wait_for_engine(self, record: RequestRecord, error: StagewalkError, now: float) -> None:
-        """Look again soon, until patience ends; the answer is then given at once."""
+        """Look again soon, or fail with the error of the last attempt, if there was one."""
         if record.no_engine_since is None:
             record.no_engine_since = now
-        retry = self._config.retry
-        waited = now - record.no_engine_since
-        again = now + retry.no_engine_interval_seconds
-        if waited >= retry.no_engine_patience_seconds or again >= record.request.deadline:
-            last = record.last_error
-            final = replace(error if last is None else last, ran=record.ran)
+        again = attempt_rules.next_look_at(record, self._config.retry, now)
+        if again is None:
+            final = replace(record.last_error or error, ran=record.ran)
             self._fail(record, Cause.GAVE_UP, final, now)
             return
         self._set_timer(record, TimerKind.ROUTE, again)
--- a/src/stagewalk/node/requests/book.py
+++ b/src/stagewalk/node/requests/book.py
@@ -1,4 +1,8 @@
-"""All requests in progress at this node, and the only places where one moves or ends."""
+"""All requests in progress at this node, and the only places where one moves or ends.
+
+Owns records, timers, retained outcomes and the outputs not yet drained, and counts the text they
+hold. Relies on `states` for which moves exist.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +41,7 @@
         return self._serial
 
     def add(self, record: RequestRecord) -> None:
-        """Take a new record in."""
+        """Add a new record."""
         self.records[record.key] = record
         self.count_characters(record, len(record.request.prompt))
 
@@ -63,7 +67,7 @@
     def stream_up_to(
         self, record: RequestRecord, text: str, token_count: int, version: WeightVersion
     ) -> None:
-        """Give streaming calls a text, which brings what they have to this many tokens."""
+        """Stream a text to the calls, after which they have this many tokens."""
         piece = TokenChunk(
             sequence=record.next_sequence,
             offset=record.streamed_tokens,
--- a/src/stagewalk/node/requests/claim_gate.py
+++ b/src/stagewalk/node/requests/claim_gate.py
@@ -2,7 +2,8 @@
 
 The claim is a write-once register shared by all nodes. Its value names this process by a nonce
 that only this process's memory holds, so of all submissions of a request, through any nodes,
-at most one process ever believes that it may send it.
+at most one process ever believes that it may send it. Owns the records whose claim is undecided;
+relies on the claims core, through notifications, for the decisions.
 """
 
 from __future__ import annotations
@@ -23,10 +24,11 @@
 from stagewalk.node.requests.timers import TimerKind
 
 NONCE_BITS = 128
+"""Enough that no two processes ever draw the same nonce."""
 
 
 class ClaimGate:
-    """Proposes claims and takes their decisions; a record passes only when its own claim won."""
+    """Proposes claims and handles their decisions; a record passes only when its own claim won."""
 
     def __init__(
         self,
@@ -45,7 +47,7 @@
         return len(self._claiming)
 
     def propose(self, record: RequestRecord) -> None:
-        """Ask for the claim that makes this process the only one to send the request.
+        """Propose the claim that makes this process the only one to send the request.
 
         A record of a request whose earlier submission here never ran has that one's claim:
         it may have been chosen since, and then it is proposed again and wins.
@@ -63,7 +65,7 @@
         self._book.output(ClaimWanted(key, encode_claim(record.claim)))
 
     def decided(self, key: str, value: bytes, won: bool, now: float) -> RequestRecord | None:
-        """Take a decision; return the record if it may be sent from now on.
+        """Handle a decision; return the record if it may be sent from now on.
 
         A decision for a record that no longer waits for one is late and changes nothing.
         """
@@ -92,7 +94,7 @@
     def answer_fetched(
         self, key: RequestKey, result: CompletionResult | None, detail: str, now: float
     ) -> None:
-        """Take what the owner of a lost claim said: its answer, or None and why not."""
+        """Handle the answer of a lost claim's owner, or None and why there is none."""
         record = self._book.records.get(key)
         if record is None or record.state is not RequestState.AWAITING_OWNER:
             return
@@ -103,7 +105,7 @@
         self._book.finish(record, Cause.ANSWER_FETCHED, result, now)
 
     def hand_over(self, key: RequestKey, nonce: str, now: float) -> bool:
-        """Give the claim of a request that never ran here to another node; say if it was given.
+        """Hand over the claim of a request that never ran here; return whether it was.
 
         From then on this process does not hold it, whether or not the other node learns of it:
         of all processes at most one ever believes that it may send the request.
@@ -117,7 +119,7 @@
         return True
 
     def handed_over(self, key: RequestKey, query_id: int) -> RequestRecord | None:
-        """Take the claim from its owner; return the record if it may be sent from now on.
+        """Handle a claim handed over; return the record if it may be sent from now on.
 
         The query id is the record's serial number: a reply to an earlier record's query, late
         or doubled, names a claim that may have gone on to another node since.
@@ -133,7 +135,7 @@
         return record
 
     def forget(self, record: RequestRecord) -> None:
-        """Forget a record that no longer waits; its claim may still be chosen, to no effect."""
+        """Drop a record that no longer waits; its claim may still be chosen, to no effect."""
         if record.state is RequestState.CLAIMING:
             self._claiming.pop(claim_key(record.key), None)
 
@@ -143,7 +145,7 @@
         self._book.fail(record, cause, faults.outcome_unknown(Step.CLAIM, peer, detail), now)
 
     def _lost(self, record: RequestRecord, chosen: ClaimValue | None, now: float) -> None:
-        """Another submission owns the request: it may have run there."""
+        """Fail a request that another submission owns, or ask that one's node for the answer."""
         if chosen is None:
             detail = "the claim is held by an unknown owner"
             self.fail_unknown(record, Cause.OUTCOME_UNKNOWN, detail, now)
--- a/src/stagewalk/node/requests/config.py
+++ b/src/stagewalk/node/requests/config.py
@@ -1,4 +1,7 @@
-"""Parameters of the request state machine."""
+"""Parameters of the request state machine, with units and where the figures come from.
+
+Where no measurement is named, a figure was chosen, not measured.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +17,16 @@
     maximum_attempts
         Attempts of one request, hedges included.
     budget_per_request
-        What each submitted request adds to its tenant's retry budget.
+        What each submitted request adds to its tenant's retry budget: retries add at most a fifth
+        to a tenant's load in the long run, so that they can't multiply an overload.
     budget_capacity
         Most that a tenant's budget holds; it starts full.
     first_backoff_seconds, maximum_backoff_seconds
         Range of the exponential backoff, whose jitter is uniform from 0.
     no_engine_interval_seconds
         How often a request without an eligible engine looks again.
-    no_engine_patience_seconds
-        How long it does so before it fails.
+    no_engine_limit_seconds
+        How long it does so before it fails: twice the time for which an engine's report vouches.
     """
 
     maximum_attempts: int = 8
@@ -31,7 +35,7 @@
     first_backoff_seconds: float = 0.05
     maximum_backoff_seconds: float = 1.0
     no_engine_interval_seconds: float = 0.2
-    no_engine_patience_seconds: float = 5.0
+    no_engine_limit_seconds: float = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +49,7 @@
     minimum_samples, window
         Measured delays needed, and kept.
     minimum_delay_seconds
-        Never hedged sooner.
+        Least delay of a hedge, so that quick engines are not hedged for noise.
     """
 
     percentile: float = 0.95
@@ -56,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryConfig:
-    """Bounds of what is held.
+    """Bounds of what a node keeps in memory for requests.
 
     Attributes
     ----------
@@ -69,7 +73,7 @@
     maximum_answer_characters
         One answer; an engine that sends more is broken.
     maximum_reordered_chunks
-        Chunks of one attempt held because one before them is missing.
+        Chunks of one attempt kept while one before them is missing.
     maximum_retained, maximum_retained_characters
         Outcomes of ended requests, of each kind: repeatable and not.
     """
@@ -90,11 +94,12 @@
     Attributes
     ----------
     fetch_answers
-        Ask the owner of a lost claim for its answer, instead of failing at once.
+        Whether the owner of a lost claim is asked for its answer, instead of failing at once; the
+        node's own configuration sets it.
     fetch_timeout_seconds
         How long that may take.
     stall_seconds
-        A repeatable attempt that has begun to answer is given up after so long a silence.
+        Longest silence of a repeatable attempt that has begun to answer; it is then given up.
     first_token_seconds
         A repeatable attempt without any token is given up after this time.
     """
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -1,8 +1,9 @@
 """The request core: every completion request of this node, from submission to its one answer.
 
-It composes claims, admission and routing: a request that is not repeatable is claimed first,
-then every request passes admission, then attempts are made until one answer is whole or
-nothing more may be tried. `states.TRANSITIONS` and `docs/REQUESTS.md` list all transitions.
+A request that is not repeatable is claimed first, then every request passes admission, then
+attempts are made until one answer is whole or nothing more may be tried. Relies on
+the claim gate, admission, the router and the attempt runner, which it composes.
+`states.TRANSITIONS` and `docs/REQUESTS.md` list all transitions.
 """
 
 from __future__ import annotations
@@ -44,6 +45,8 @@
 AttemptEvent = AttemptChunk | AttemptFinished | AttemptRefused | AttemptFailed
 
 POOL_VIEW_SECONDS = 0.1
+"""Least time between two views of a pool: a fifth of the poll interval. Chosen, not measured."""
+
 CLAIM_STATES = frozenset({RequestState.CLAIMING, RequestState.AWAITING_OWNER})
 
 
@@ -82,14 +85,14 @@
         self._stopping = False
 
     def set_tenants(self, tenants: Iterable[Tenant]) -> None:
-        """Take the tenants in force; requests already submitted keep what was in force then."""
+        """Replace the tenants; requests already submitted keep their parameters."""
         known = tuple(tenants)
         self._tenants = {tenant.name: tenant.parameters for tenant in known}
         self._admission.set_tenants(known)
-        self._runner.budget.retain(frozenset(self._tenants))
+        self._runner.set_tenants(frozenset(self._tenants))
 
     def submit(self, request: CompletionRequest, now: float) -> list[RequestOutput]:
-        """Take a request of a caller or of a trainer's lot.
+        """Start a request of a caller or of a trainer's lot.
 
         The same request submitted again joins the first, or gets its retained answer.
         """
@@ -111,7 +114,7 @@
         return self._book.drain()
 
     def handle(self, event: AttemptEvent, now: float) -> list[RequestOutput]:
-        """Take what became of an attempt."""
+        """Handle what became of an attempt."""
         match event:
             case AttemptChunk():
                 self._runner.handle_chunk(event, now)
@@ -126,7 +129,7 @@
         return self._book.drain()
 
     def claim_decided(self, key: str, value: bytes, won: bool, now: float) -> list[RequestOutput]:
-        """Take a claim's decision: only now, and only if this very claim won, may it be sent."""
+        """Handle a claim's decision: the request may be sent only if this claim won."""
         record = self._gate.decided(key, value, won, now)
         if record is not None:
             self._admit(record, now)
@@ -140,16 +143,16 @@
     def answer_fetched(
         self, key: RequestKey, result: CompletionResult | None, detail: str, now: float
     ) -> list[RequestOutput]:
-        """Take what the owner of a claim said: its answer, or None and why there is none."""
+        """Handle the answer of a claim's owner, or None and why there is none."""
         self._gate.answer_fetched(key, result, detail, now)
         return self._book.drain()
 
     def hand_over_claim(self, key: RequestKey, nonce: str, now: float) -> bool:
-        """Give the claim of a request that never ran here to another node; say if it was given."""
+        """Hand over the claim of a request that never ran here; return whether it was."""
         return self._gate.hand_over(key, nonce, now)
 
     def claim_handed_over(self, key: RequestKey, query_id: int, now: float) -> list[RequestOutput]:
-        """Take a claim that its owner gave to this node in reply to a query."""
+        """Handle a claim that its owner handed to this node in reply to a query."""
         record = self._gate.handed_over(key, query_id)
         if record is not None:
             self._admit(record, now)
@@ -160,7 +163,7 @@
         return self._book.retained.get(key, now)
 
     def in_progress(self, key: RequestKey) -> bool:
-        """Say whether a request is in progress at this node."""
+        """Return whether a request is in progress at this node."""
         return key in self._book.records
 
     def in_flight_count(self) -> int:
@@ -168,7 +171,7 @@
         return len(self._book.records)
 
     def abandon(self, key: RequestKey, now: float) -> list[RequestOutput]:
-        """Take notice that the last call of a request has gone.
+        """Handle that the last call of a request has gone.
 
         One that may not run again, and runs, is kept running so that its answer is retained.
         """
@@ -191,7 +194,7 @@
         return []
 
     def tick(self, now: float) -> list[RequestOutput]:
-        """Do what is due."""
+        """Handle due timers, admit waiting requests and drop what has expired."""
         for timer in self._book.timers.due(now):
             record = self._book.records.get(timer.key)
             if record is not None and record.serial == timer.serial:
@@ -228,7 +231,7 @@
         request: CompletionRequest,
         fingerprint: str,
     ) -> bool:
-        """Answer from a retained outcome; say False if the request is to be run (again)."""
+        """Answer from a retained outcome; return False if the request is to be run (again)."""
         if outcome.fingerprint != fingerprint:
             ran = Ran.UNKNOWN if outcome.may_have_run else Ran.NO
             self._reject(key, faults.duplicate(self._identity.name, ran))
@@ -269,7 +272,7 @@
             self._reject(key, refusal)
             return
         self._book.add(record)
-        self._runner.budget.note_request(key.tenant)
+        self._runner.record_submission(key.tenant)
         self._book.timers.add(request.deadline, TimerKind.DEADLINE, key, record.serial)
         if request.repeatable:
             self._admit(record, now)
@@ -277,7 +280,7 @@
             self._gate.propose(record)
 
     def _refusal(self, record: RequestRecord, now: float) -> StagewalkError | None:
-        """Return why a new request can't be taken in, before anything is done for it."""
+        """Return why a new request is refused before anything is done for it; None if it isn't."""
         node = self._identity.name
         memory = self._config.memory
         if self._stopping:
@@ -347,7 +350,7 @@
         self._book.fail(record, Cause.DEADLINE, error, now)
 
     def _shed(self, record: RequestRecord, now: float) -> None:
-        """Refuse a waiting request as soon as it can't be answered in time any more."""
+        """Fail a waiting request as soon as it can't be answered in time any more."""
         wait = self._admission.expected_wait_seconds(record.request.model, record.request.priority)
         self._admission.withdraw(record.key)
         error = faults.shed(self._identity.name, record.ran, wait)
@@ -358,7 +361,7 @@
             self._refresh_pool(model, now)
 
     def _refresh_pool(self, model: ModelName, now: float) -> None:
-        """Give admission a newer view of a pool, at most once in `POOL_VIEW_SECONDS`."""
+        """Set admission's view of a pool, at most once in `POOL_VIEW_SECONDS`."""
         if now - self._pool_views_at.get(model, -math.inf) < POOL_VIEW_SECONDS:
             return
         self._pool_views_at[model] = now
--- a/src/stagewalk/node/requests/delays.py
+++ b/src/stagewalk/node/requests/delays.py
@@ -1,4 +1,4 @@
-"""Percentile of recent delays, for hedging."""
+"""Percentile of recent delays until the first token, from which hedges are timed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         return len(self._recent)
 
     def add(self, seconds: float) -> None:
-        """Take a delay, dropping the oldest above the window's size."""
+        """Add a delay, dropping the oldest above the window's size."""
         self._recent.append(seconds)
         insort(self._sorted, seconds)
         if len(self._recent) > self._size:
--- a/src/stagewalk/node/requests/faults.py
+++ b/src/stagewalk/node/requests/faults.py
@@ -1,4 +1,7 @@
-"""The errors a request can end with."""
+"""The errors a request can end with.
+
+Owns their texts and their advice when to retry; relies on the record for whether it may have run.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,10 @@
 from stagewalk.node.requests.record import RequestRecord
 
 STOPPING_RETRY_SECONDS = 0.0
+"""Retry-After of a stopping node: another one takes the request at once."""
+
 BUSY_RETRY_SECONDS = 1.0
+"""Least Retry-After of a node or engine without room. Chosen, not measured."""
 
 
 def deadline_passed(record: RequestRecord, node: NodeName, step: Step) -> StagewalkError:
--- a/src/stagewalk/node/requests/notifications.py
+++ b/src/stagewalk/node/requests/notifications.py
@@ -1,4 +1,4 @@
-"""What the request core tells the node's other cores."""
+"""What the request core returns for the node's other cores; the node core dispatches it by type."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/requests/record.py
+++ b/src/stagewalk/node/requests/record.py
@@ -1,4 +1,7 @@
-"""What the core keeps of a request in progress and of its attempts."""
+"""What the core keeps of a request in progress and of its attempts.
+
+Plain data, owned by the book and changed by the core, the gate and the attempt runner.
+"""
 
 from __future__ import annotations
 
@@ -52,9 +55,9 @@
     held
         The longest part of the answer that is certain, to resume from.
     stream
-        Whether a call wants the answer piece by piece.
+        Whether a call streams the answer.
     streamed_tokens, streamed_characters, next_sequence
-        How much of it the calls were given, and in how many pieces.
+        How much of the answer was streamed, and in how many pieces.
     excluded
         Engines that failed or refused it.
     no_engine_since
--- a/src/stagewalk/node/requests/retained.py
+++ b/src/stagewalk/node/requests/retained.py
@@ -1,4 +1,7 @@
-"""Outcomes of ended requests, kept for a while so that the same id gets the same answer."""
+"""Outcomes of ended requests, kept for a while so that the same id gets the same answer.
+
+Owns bounded stores in memory; after a restart only claims protect requests that may not run again.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/requests/retries.py
+++ b/src/stagewalk/node/requests/retries.py
@@ -1,4 +1,8 @@
-"""Retry budget and backoff: retries may not multiply an overload."""
+"""Retry budget and backoff: retries may not multiply an overload.
+
+Owns the tenants' budgets; relies on the core for every submitted request. Budgets are in retries,
+pauses in seconds; the constants are fields of `RetryConfig`.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +25,8 @@
         tokens = self._tokens.get(tenant, capacity) + self._config.budget_per_request
         self._tokens[tenant] = min(capacity, tokens)
 
-    def take(self, tenant: TenantName) -> bool:
-        """Take one retry out of a tenant's budget; say whether there was one."""
+    def spend(self, tenant: TenantName) -> bool:
+        """Spend one retry of a tenant's budget; return whether there was one."""
         tokens = self._tokens.get(tenant, self._config.budget_capacity)
         if tokens < 1.0:
             return False
@@ -30,7 +34,7 @@
         return True
 
     def retain(self, tenants: frozenset[TenantName]) -> None:
-        """Forget tenants that are no more."""
+        """Drop the budgets of all other tenants."""
         for tenant in [name for name in self._tokens if name not in tenants]:
             del self._tokens[tenant]
 
--- a/src/stagewalk/node/requests/tenancy.py
+++ b/src/stagewalk/node/requests/tenancy.py
@@ -1,4 +1,4 @@
-"""What a tenant's parameters make of its requests."""
+"""Applies a tenant's parameters to a request: versions pinned, classes not repeatable."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/requests/timers.py
+++ b/src/stagewalk/node/requests/timers.py
@@ -1,4 +1,7 @@
-"""Timers of requests on a heap: nothing is done for a request until its time comes."""
+"""Timers of requests on a heap: nothing is done for a request until its time comes.
+
+A timer is never removed; the book ignores one whose record has ended.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +13,7 @@
 from stagewalk.common.identities import AttemptId, RequestKey
 
 COMPACT_ABOVE = 1024
+"""Timers kept whatever they are for, besides eight for each live request. Chosen, not measured."""
 
 
 class TimerKind(IntEnum):
@@ -58,7 +62,7 @@
         heapq.heappush(self._heap, Timer(at, self._number, kind, key, serial, attempt))
 
     def due(self, now: float) -> list[Timer]:
-        """Take out and return the timers whose time has come."""
+        """Remove and return the timers whose time has come."""
         due = []
         while self._heap and self._heap[0].at <= now:
             due.append(heapq.heappop(self._heap))
