--- a/examples/leases_example.py
+++ b/examples/leases_example.py
@@ -12,7 +12,8 @@
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.leases.config import LeaseConfig
 from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
-from stagewalk.node.leases.notifications import AppendWanted, LeaseOutput
+from stagewalk.node.leases.notifications import LeaseOutput
+from stagewalk.node.log_client.notifications import AppendToStream
 
 NAMES = ("north", "east", "south")
 DUTY = "rollout/reader"
@@ -55,7 +56,7 @@
     def carry_out(self, name: str, outputs: list[LeaseOutput]) -> None:
         """Append records, and print what a node was told."""
         for output in outputs:
-            if isinstance(output, AppendWanted):
+            if isinstance(output, AppendToStream):
                 self.log.append(output.payload)
             else:
                 print(f"{self.now:4.1f} s  {name}: {output}")
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -21,6 +21,7 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.configuration.fold import ConfigurationFold
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.configuration.records import ChangeParameters, CreateTenant, encode_change
@@ -45,7 +46,7 @@
 from stagewalk.node.node_core import NodeCore
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.core import LotCore
-from stagewalk.node.samples.notifications import ClaimWanted, RequestWanted
+from stagewalk.node.samples.notifications import StartRollout
 from stagewalk.node.samples.settlement import LotOutput
 from stagewalk.node.weights.config import RolloutConfig
 from stagewalk.node.weights.core import RolloutCore
@@ -205,12 +206,12 @@
 
     def _answer(self, output: LotOutput) -> list[LotOutput]:
         match output:
-            case RequestWanted(request):
+            case StartRollout(request):
                 result = CompletionResult("text " * 64, 64, (VersionSpan(VERSION, 64),), "stop")
                 return self._core.request_finished(request.request_id, result, LATER)
             case ScoreSample(sample_id=sample_id):
                 return self._core.handle(SampleScored(sample_id, 1.0), LATER)
-            case ClaimWanted(key=key, value=value):
+            case ProposeClaim(key=key, value=value):
                 return self._core.claim_decided(key, value, True, LATER)
         return []
 
--- a/src/stagewalk/node/answer_exchange.py
+++ b/src/stagewalk/node/answer_exchange.py
@@ -1,8 +1,9 @@
 """Fetches answers of at-most-once requests from the nodes that own their claims.
 
-The caller of a request may come back through another node, after the first one lost or refused
-it. The claim names who may run the request; that process, if it still lives, is asked. If it ran
-the request it sends the answer; if it never ran it and never will, it hands the claim over.
+The caller of a request may submit it again through another node, after the first one lost or
+refused it. The claim names the process that may run the request; if it still lives it is queried.
+If it ran the request it sends the answer; if it never ran it and never will, it hands the claim
+over. Owns the queries that wait for a request in progress here; relies on membership for addresses.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
 from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.outputs import NodeOutput
 from stagewalk.node.requests.core import RequestCore
-from stagewalk.node.requests.notifications import AnswerWanted
+from stagewalk.node.requests.notifications import FetchAnswer
 from stagewalk.node.wire.answers_pb2 import AnswerMessage, AnswerQuery, AnswerReply, AnswerSpan
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 MAXIMUM_WAITING_QUERIES = 1024
-"""Queries for answers still being made; one more is answered as not known."""
+"""Queries kept for requests in progress; one more is answered as not known. Not measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Query:
-    """Another node's question, waiting for the outcome of a request in progress here."""
+    """Another node's query, waiting for the outcome of a request in progress here."""
 
     address: Address
     asker_incarnation: int
@@ -45,7 +46,7 @@
 
 
 class AnswerExchange:
-    """Asks owners for answers, and answers other nodes' queries."""
+    """Queries owners of claims, and answers other nodes' queries."""
 
     def __init__(
         self, identity: NodeIdentity, requests: RequestCore, membership: MembershipCore
@@ -56,30 +57,30 @@
         self._waiting: defaultdict[RequestKey, list[_Query]] = defaultdict(list)
         self._waiting_count = 0
 
-    def answer_wanted(self, wanted: AnswerWanted, now: float) -> list[NodeOutput]:
-        """Ask the owner of a claim, if that very process still lives."""
+    def fetch(self, fetch: FetchAnswer, now: float) -> list[NodeOutput]:
+        """Send a query to the owner of a claim, if that very process still lives."""
         for member in self._membership.members():
-            if member.name != wanted.owner or member.incarnation != wanted.owner_incarnation:
+            if member.name != fetch.owner or member.incarnation != fetch.owner_incarnation:
                 continue
-            message = _message(wanted.key)
+            message = _message(fetch.key)
             message.query.CopyFrom(
                 AnswerQuery(
-                    owner_incarnation=wanted.owner_incarnation,
-                    nonce=wanted.nonce,
-                    query_id=wanted.query_id,
+                    owner_incarnation=fetch.owner_incarnation,
+                    nonce=fetch.nonce,
+                    query_id=fetch.query_id,
                 )
             )
             return [self._send(member.address, message)]
-        detail = f"node {wanted.owner} that ran it is gone"
-        return list(self._requests.answer_fetched(wanted.key, None, detail, now))
+        detail = f"node {fetch.owner} that ran it is gone"
+        return list(self._requests.answer_fetched(fetch.key, None, detail, now))
 
     def handle_message(self, event: PeerMessageReceived, now: float) -> list[NodeOutput]:
-        """Take another node's query or reply."""
+        """Handle another node's query or reply."""
         message = event.envelope.answers
         key = RequestKey(TenantName(message.tenant), RequestId(message.request_id))
         if message.WhichOneof("body") == "query":
             return self._answer_query(key, message.query, event, now)
-        return self._take_reply(key, message.reply, now)
+        return self._handle_reply(key, message.reply, now)
 
     def request_ended(
         self, key: RequestKey, outcome: CompletionResult | StagewalkError, now: float
@@ -89,7 +90,7 @@
         self._waiting_count -= len(queries)
         return [self._reply(key, query, outcome, now) for query in queries]
 
-    def _take_reply(self, key: RequestKey, reply: AnswerReply, now: float) -> list[NodeOutput]:
+    def _handle_reply(self, key: RequestKey, reply: AnswerReply, now: float) -> list[NodeOutput]:
         if not reply.claim_handed_over:
             result = _result(reply) if reply.known else None
             return list(self._requests.answer_fetched(key, result, reply.detail, now))
--- a/src/stagewalk/node/claims/core.py
+++ b/src/stagewalk/node/claims/core.py
@@ -13,7 +13,7 @@
 from stagewalk.common.identities import Address, Incarnation, NodeName
 from stagewalk.node.claims.config import ClaimConfig
 from stagewalk.node.claims.messages import ANSWERS
-from stagewalk.node.claims.notifications import ClaimOutput, PlacementAppendWanted
+from stagewalk.node.claims.notifications import ClaimOutput
 from stagewalk.node.claims.placement import (
     PLACEMENT_STREAM,
     GroupMember,
@@ -32,6 +32,7 @@
     SendPeerMessage,
     Transport,
 )
+from stagewalk.node.log_client.notifications import AppendToStream
 from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimPlacementRequest
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
@@ -174,7 +175,7 @@
         self._report_at = now + REPORT_INTERVAL_SECONDS
         member = MemberRecord(self._member.name, self._member.incarnation)
         payload = encode_record(RecoveryAbandoned(member=member, groups=groups))
-        self._outputs.append(PlacementAppendWanted(PLACEMENT_STREAM, payload))
+        self._outputs.append(AppendToStream(PLACEMENT_STREAM, payload))
 
     def _ask_for_placement(self, now: float) -> None:
         """Ask a peer for the groups while this node knows none: the log may be down."""
--- a/src/stagewalk/node/claims/notifications.py
+++ b/src/stagewalk/node/claims/notifications.py
@@ -1,4 +1,4 @@
-"""What claims tell the other cores of the node."""
+"""What other cores ask of the claims, and what the claims return to them."""
 
 from __future__ import annotations
 
@@ -6,6 +6,22 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.node.core.instructions import LogEvent, SendPeerMessage
+from stagewalk.node.log_client.notifications import AppendToStream
+
+
+@dataclass(frozen=True, slots=True)
+class ProposeClaim:
+    """Propose a value for a write-once key; `ClaimDecided` or `ClaimUndecided` follows."""
+
+    key: str
+    value: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class ReadClaim:
+    """Read a write-once key; only a decided value is reported, absence changes nothing."""
+
+    key: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,14 +73,6 @@
     proposed: bytes | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class PlacementAppendWanted:
-    """A record is to be appended to the log's stream `placement`."""
-
-    stream: str
-    payload: bytes
-
-
 ClaimOutput = (
-    SendPeerMessage | LogEvent | ClaimDecided | ClaimAbsent | ClaimUndecided | PlacementAppendWanted
+    SendPeerMessage | LogEvent | ClaimDecided | ClaimAbsent | ClaimUndecided | AppendToStream
 )
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -11,7 +11,6 @@
 
 from stagewalk.common.identities import Epoch, Incarnation, ModelName, NodeName
 from stagewalk.node.claims.core import ClaimCore
-from stagewalk.node.claims.notifications import PlacementAppendWanted
 from stagewalk.node.claims.placement import PLACEMENT_STREAM, PlacementFold, encode_record
 from stagewalk.node.claims.planner import PlacementCandidate, PlacementPlanner
 from stagewalk.node.claims.types import Peer, Replica
@@ -29,9 +28,9 @@
 from stagewalk.node.core.platform import LogRecord, Machine, MachineKind, MachineState
 from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
 from stagewalk.node.leases.fold import LEASE_STREAM
-from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost
+from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost
 from stagewalk.node.log_client.core import LogClientCore
-from stagewalk.node.log_client.notifications import AppendAbandoned, RecordsRead
+from stagewalk.node.log_client.notifications import AppendAbandoned, AppendToStream, RecordsRead
 from stagewalk.node.membership.core import MembershipCore
 from stagewalk.node.membership.members import MemberIdentity, MemberStatus
 from stagewalk.node.node_config import NodeConfig
@@ -166,14 +165,12 @@
             return [output for record in read.records for output in self.leases.fold(record, now)]
         return self._fold_placement(read.records)
 
-    def append_wanted(
-        self, wanted: AppendWanted | PlacementAppendWanted, now: float
-    ) -> list[NodeOutput]:
+    def append(self, record: AppendToStream, now: float) -> list[NodeOutput]:
         """Append a record for a core."""
-        queued = self.log_client.append(wanted.stream, wanted.payload, now)
+        queued = self.log_client.append(record.stream, record.payload, now)
         if queued.is_ok():
             return list(queued.ok.output)
-        return [LogEvent("append_refused", {"stream": wanted.stream, "detail": str(queued.error)})]
+        return [LogEvent("append_refused", {"stream": record.stream, "detail": str(queued.error)})]
 
     def append_abandoned(self, abandoned: AppendAbandoned, now: float) -> list[NodeOutput]:
         """Say that an append was given up; its core asks again if it still wants it."""
@@ -237,7 +234,7 @@
         if PLACEMENT_DUTY not in self.leases.held():
             return []
         snapshot = self.follower.take_snapshot()
-        return [] if snapshot is None else [AppendWanted(SNAPSHOT_STREAM, snapshot)]
+        return [] if snapshot is None else [AppendToStream(SNAPSHOT_STREAM, snapshot)]
 
     def _fold_placement(self, records: tuple[LogRecord, ...]) -> list[NodeOutput]:
         output: list[NodeOutput] = []
@@ -264,4 +261,4 @@
         change = self._planner.plan(candidates, self._placement.placement, epoch, now)
         if change is None:
             return []
-        return [PlacementAppendWanted(PLACEMENT_STREAM, encode_record(change))]
+        return [AppendToStream(PLACEMENT_STREAM, encode_record(change))]
--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -42,7 +42,7 @@
 from stagewalk.node.routing.engine_table import EngineTable
 from stagewalk.node.routing.router import Router
 from stagewalk.node.samples.core import LotCore
-from stagewalk.node.samples.notifications import RequestUnwanted, RequestWanted
+from stagewalk.node.samples.notifications import CancelRollout, StartRollout
 
 STOPPING_RETRY_SECONDS = 1.0
 """When a caller refused by a stopping node may try another one."""
@@ -223,16 +223,16 @@
 
     # Notifications of the lot core
 
-    def request_wanted(self, wanted: RequestWanted, now: float) -> list[NodeOutput]:
-        """Run a rollout."""
-        key = _key(wanted.request)
+    def start_rollout(self, rollout: StartRollout, now: float) -> list[NodeOutput]:
+        """Submit a rollout's request."""
+        key = _key(rollout.request)
         self._rollouts[key.request_id] = key
         self._submitting = None
-        return list(self.requests.submit(wanted.request, now))
+        return list(self.requests.submit(rollout.request, now))
 
-    def request_unwanted(self, unwanted: RequestUnwanted, now: float) -> list[NodeOutput]:
+    def cancel_rollout(self, rollout: CancelRollout, now: float) -> list[NodeOutput]:
         """Cancel a rollout."""
-        key = self._rollouts.pop(unwanted.request_id, None)
+        key = self._rollouts.pop(rollout.request_id, None)
         return [] if key is None else list(self.requests.abandon(key, now))
 
     # Steps
--- a/src/stagewalk/node/leases/core.py
+++ b/src/stagewalk/node/leases/core.py
@@ -23,7 +23,8 @@
     Release,
     encode_record,
 )
-from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost, LeaseOutput
+from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost, LeaseOutput
+from stagewalk.node.log_client.notifications import AppendToStream
 
 
 @dataclass(frozen=True, slots=True)
@@ -199,14 +200,14 @@
         return outputs
 
     @staticmethod
-    def _release_record(lease: Lease) -> AppendWanted:
+    def _release_record(lease: Lease) -> AppendToStream:
         record = Release(
             duty=lease.duty,
             holder=lease.holder,
             incarnation=lease.incarnation,
             epoch=lease.epoch,
         )
-        return AppendWanted(LEASE_STREAM, encode_record(record))
+        return AppendToStream(LEASE_STREAM, encode_record(record))
 
     def _try(self, duty: str, now: float) -> list[LeaseOutput]:
         """Ask for a duty if it is vacant and this process's turn has come."""
@@ -233,7 +234,7 @@
             incarnation=self._identity.incarnation,
             epoch=self._fold.epoch(duty) + 1,
         )
-        return [AppendWanted(LEASE_STREAM, encode_record(record))]
+        return [AppendToStream(LEASE_STREAM, encode_record(record))]
 
     def _vacancy_delay(self, lease: Lease | None) -> float | None:
         """Return how long a duty must be vacant before the first tries, None if it is held."""
--- a/src/stagewalk/node/leases/notifications.py
+++ b/src/stagewalk/node/leases/notifications.py
@@ -1,10 +1,11 @@
-"""What leases tell the other cores of the node."""
+"""What the lease core returns for the other cores of the node."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from stagewalk.common.identities import Epoch
+from stagewalk.node.log_client.notifications import AppendToStream
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,12 +23,4 @@
     duty: str
 
 
-@dataclass(frozen=True, slots=True)
-class AppendWanted:
-    """A record is to be appended to a stream of the log."""
-
-    stream: str
-    payload: bytes
-
-
-LeaseOutput = LeaseAcquired | LeaseLost | AppendWanted
+LeaseOutput = LeaseAcquired | LeaseLost | AppendToStream
--- a/src/stagewalk/node/log_client/notifications.py
+++ b/src/stagewalk/node/log_client/notifications.py
@@ -1,4 +1,4 @@
-"""What the log client tells the node's other cores."""
+"""What other cores ask of the log client, and what it returns to them."""
 
 from __future__ import annotations
 
@@ -8,6 +8,14 @@
 from stagewalk.node.core.platform import LogRecord
 
 
+@dataclass(frozen=True, slots=True)
+class AppendToStream:
+    """Append a record to a stream of the log."""
+
+    stream: str
+    payload: bytes
+
+
 @dataclass(frozen=True, slots=True)
 class RecordsRead:
     """The next records of a followed stream, in order, without gaps or repeats.
--- a/src/stagewalk/node/membership/notifications.py
+++ b/src/stagewalk/node/membership/notifications.py
@@ -1,4 +1,4 @@
-"""What membership tells the other subsystems."""
+"""What membership returns for the node's other cores."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -17,7 +17,8 @@
     ClaimAbsent,
     ClaimDecided,
     ClaimUndecided,
-    PlacementAppendWanted,
+    ProposeClaim,
+    ReadClaim,
 )
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.control_plane import ControlPlane
@@ -56,8 +57,13 @@
 )
 from stagewalk.node.data_plane import DataPlane
 from stagewalk.node.leases.fold import LEASE_STREAM
-from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost
-from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
+from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost
+from stagewalk.node.log_client.notifications import (
+    AppendAbandoned,
+    AppendSettled,
+    AppendToStream,
+    RecordsRead,
+)
 from stagewalk.node.membership.notifications import IdentitySuperseded, MemberChanged
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
@@ -223,25 +229,23 @@
             RecordsRead: control.records_read,
             AppendSettled: _ignore,
             AppendAbandoned: control.append_abandoned,
-            AppendWanted: control.append_wanted,
-            PlacementAppendWanted: control.append_wanted,
+            AppendToStream: control.append,
             ConfigurationChanged: self._configuration_changed,
             LeaseAcquired: control.lease_acquired,
             LeaseLost: control.lease_lost,
             ClaimDecided: self._claim_decided,
             ClaimUndecided: self._claim_undecided,
             ClaimAbsent: _ignore,
-            requests.ClaimWanted: self._request_claim_wanted,
-            requests.AnswerWanted: self.answers.answer_wanted,
+            ProposeClaim: self._propose_claim,
+            ReadClaim: self._read_claim,
+            requests.FetchAnswer: self.answers.fetch,
             requests.RequestJoined: data.request_joined,
             requests.RequestChunk: data.request_chunk,
             requests.RequestFinished: self._request_finished,
             requests.RequestFailed: self._request_failed,
             requests.SubmissionRejected: data.submission_rejected,
-            samples.RequestWanted: data.request_wanted,
-            samples.RequestUnwanted: data.request_unwanted,
-            samples.ClaimWanted: self._sample_claim_wanted,
-            samples.ClaimReadWanted: self._sample_claim_read_wanted,
+            samples.StartRollout: data.start_rollout,
+            samples.CancelRollout: data.cancel_rollout,
         }
 
     # Events that concern both planes
@@ -336,16 +340,11 @@
         output = self.answers.request_ended(failed.key, failed.error, now)
         return output + self.data.request_failed(failed, now)
 
-    def _request_claim_wanted(self, wanted: requests.ClaimWanted, now: float) -> list[NodeOutput]:
-        return list(self.control.claims.propose(wanted.claim_key, wanted.value, now))
-
-    def _sample_claim_wanted(self, wanted: samples.ClaimWanted, now: float) -> list[NodeOutput]:
-        return list(self.control.claims.propose(wanted.key, wanted.value, now))
+    def _propose_claim(self, proposal: ProposeClaim, now: float) -> list[NodeOutput]:
+        return list(self.control.claims.propose(proposal.key, proposal.value, now))
 
-    def _sample_claim_read_wanted(
-        self, wanted: samples.ClaimReadWanted, now: float
-    ) -> list[NodeOutput]:
-        return list(self.control.claims.read(wanted.key, now))
+    def _read_claim(self, read: ReadClaim, now: float) -> list[NodeOutput]:
+        return list(self.control.claims.read(read.key, now))
 
     def _claim_decided(self, decided: ClaimDecided, now: float) -> list[NodeOutput]:
         if decided.key.startswith(REQUEST_CLAIM_PREFIX):
--- a/src/stagewalk/node/requests/claim_gate.py
+++ b/src/stagewalk/node/requests/claim_gate.py
@@ -13,12 +13,13 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import ProcessIdentity, RequestKey
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import CompletionResult
 from stagewalk.node.requests import faults
 from stagewalk.node.requests.book import RequestBook
 from stagewalk.node.requests.claim_value import ClaimValue, claim_key, decode_claim, encode_claim
 from stagewalk.node.requests.config import RequestConfig
-from stagewalk.node.requests.notifications import AnswerWanted, ClaimWanted
+from stagewalk.node.requests.notifications import FetchAnswer
 from stagewalk.node.requests.record import RequestRecord
 from stagewalk.node.requests.states import Cause, RequestState
 from stagewalk.node.requests.timers import TimerKind
@@ -62,7 +63,7 @@
         key = claim_key(record.key)
         self._claiming[key] = record
         self._book.move(record, Cause.CLAIM_WANTED)
-        self._book.output(ClaimWanted(key, encode_claim(record.claim)))
+        self._book.output(ProposeClaim(key, encode_claim(record.claim)))
 
     def decided(self, key: str, value: bytes, won: bool, now: float) -> RequestRecord | None:
         """Handle a decision; return the record if it may be sent from now on.
@@ -164,5 +165,5 @@
         self._book.timers.add(until, TimerKind.FETCH, record.key, record.serial)
         record.owners_claim = chosen
         self._book.output(
-            AnswerWanted(record.key, chosen.node, chosen.incarnation, chosen.nonce, record.serial)
+            FetchAnswer(record.key, chosen.node, chosen.incarnation, chosen.nonce, record.serial)
         )
--- a/src/stagewalk/node/requests/notifications.py
+++ b/src/stagewalk/node/requests/notifications.py
@@ -6,6 +6,7 @@
 
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import Incarnation, NodeName, RequestKey
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import CompletionResult, TokenChunk
 from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
 
@@ -54,15 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimWanted:
-    """Propose a write-once claim."""
-
-    claim_key: str
-    value: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class AnswerWanted:
+class FetchAnswer:
     """Fetch a request's answer from the node that owns its claim, or the claim if it never ran.
 
     Attributes
@@ -88,6 +81,6 @@
     | RequestFinished
     | RequestFailed
     | SubmissionRejected
-    | ClaimWanted
-    | AnswerWanted
+    | ProposeClaim
+    | FetchAnswer
 )
--- a/src/stagewalk/node/samples/housekeeping.py
+++ b/src/stagewalk/node/samples/housekeeping.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 
 from stagewalk.common.identities import ModelName
+from stagewalk.node.claims.notifications import ReadClaim
 from stagewalk.node.configuration.parameters import Tenant
 from stagewalk.node.core.instructions import LogEvent, LogFields, ReadVersions
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.delivery import Delivery
 from stagewalk.node.samples.lots import Lot, LotKey, SlotPhase
-from stagewalk.node.samples.notifications import ClaimReadWanted
 from stagewalk.node.samples.sample_codec import claim_key
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.settlement import LotOutput
@@ -155,8 +155,8 @@
         lot.next_read_at = now + interval
         return [self._read_claim(lot, index) for index in unfinished]
 
-    def _read_claim(self, lot: Lot, index: int) -> ClaimReadWanted:
+    def _read_claim(self, lot: Lot, index: int) -> ReadClaim:
         slot = lot.slots[index]
         key = claim_key(slot.key, slot.generation, lot.digest)
         self._store.claims[key] = SlotPlace(lot.key, index)
-        return ClaimReadWanted(key)
+        return ReadClaim(key)
--- a/src/stagewalk/node/samples/scheduler.py
+++ b/src/stagewalk/node/samples/scheduler.py
@@ -11,7 +11,7 @@
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.lengths import LengthPredictor
 from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
-from stagewalk.node.samples.notifications import LotNotification, RequestUnwanted, RequestWanted
+from stagewalk.node.samples.notifications import CancelRollout, LotNotification, StartRollout
 from stagewalk.node.samples.staleness import version_slack
 from stagewalk.node.samples.store import LotStore, SlotPlace
 
@@ -104,7 +104,7 @@
         unwanted: list[LotNotification] = []
         for request_id in sorted(slot.requests):
             self._store.requests.pop(request_id, None)
-            unwanted.append(RequestUnwanted(slot.key.tenant, request_id))
+            unwanted.append(CancelRollout(slot.key.tenant, request_id))
         slot.requests.clear()
         if slot.candidate_id is not None:
             self._store.requests.pop(slot.candidate_id, None)
@@ -194,7 +194,7 @@
 
     def _start(
         self, lot: Lot, index: int, minimum: WeightVersion | None, now: float
-    ) -> RequestWanted:
+    ) -> StartRollout:
         slot = lot.slots[index]
         slot.tries += 1
         source = f"{self._node}.{self._incarnation}"
@@ -202,7 +202,7 @@
         slot.requests[request_id] = now
         self._store.requests[request_id] = SlotPlace(lot.key, index)
         parameters = self._store.parameters(lot.key.tenant)
-        return RequestWanted(
+        return StartRollout(
             CompletionRequest(
                 request_id=request_id,
                 tenant=lot.key.tenant,
--- a/src/stagewalk/node/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -6,13 +6,14 @@
 
 from stagewalk.common.errors import ErrorKind, StagewalkError
 from stagewalk.common.identities import RequestId, SlotKey
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import CompletionResult
 from stagewalk.node.core.instructions import Instruction, LogEvent, LogFields, ScoreSample
 from stagewalk.node.core.rollouts import Sample
 from stagewalk.node.samples.backoff import retry_delay
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
-from stagewalk.node.samples.notifications import ClaimWanted, LotNotification
+from stagewalk.node.samples.notifications import LotNotification
 from stagewalk.node.samples.sample_codec import claim_key, decode_sample, encode_sample
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.staleness import Freshness, judge_freshness
@@ -238,11 +239,11 @@
             lot.move(index, SlotPhase.READY, keep_timers=True)
         return []
 
-    def _propose(self, lot: Lot, index: int, sample: Sample) -> ClaimWanted:
+    def _propose(self, lot: Lot, index: int, sample: Sample) -> ProposeClaim:
         slot = lot.slots[index]
         key = claim_key(slot.key, slot.generation, lot.digest)
         self._store.claims[key] = SlotPlace(lot.key, index)
-        return ClaimWanted(key, encode_sample(sample))
+        return ProposeClaim(key, encode_sample(sample))
 
     def _set_timer(self, due: float, kind: TimerKind, lot: Lot, index: int) -> None:
         self._timers.set(due, kind, lot.key, index, lot.slots[index].change)
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -14,6 +14,7 @@
 from stagewalk.common.errors import Ran
 from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
 from stagewalk.history.checker_verdict import Promise
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.configuration.fold import ConfigurationFold
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.outcomes import ChangeRejected, RejectionReason
@@ -36,9 +37,13 @@
 )
 from stagewalk.node.core.instructions import ExitProcess, FailCall, Instruction, StartAttempt
 from stagewalk.node.core.platform import EngineState, MachineState
-from stagewalk.node.node_core import NodeCore, NodeIdentity, NodeStatus
+from stagewalk.node.node_core import (
+    REQUEST_CLAIM_PREFIX,
+    NodeCore,
+    NodeIdentity,
+    NodeStatus,
+)
 from stagewalk.node.outputs import NodeOutput
-from stagewalk.node.requests.notifications import ClaimWanted
 from stagewalk.simulation.node_host import CoreFactory
 
 CONFIGURATION_FROZEN_AT_OFFSET = 2
@@ -197,8 +202,10 @@
 class ClaimsNotAsked(NodeCore):
     """Runs a non-repeatable request without asking whether another node has claimed it."""
 
-    def _request_claim_wanted(self, wanted: ClaimWanted, now: float) -> list[NodeOutput]:
-        decided = self.data.requests.claim_decided(wanted.claim_key, wanted.value, True, now)
+    def _propose_claim(self, proposal: ProposeClaim, now: float) -> list[NodeOutput]:
+        if not proposal.key.startswith(REQUEST_CLAIM_PREFIX):
+            return super()._propose_claim(proposal, now)
+        decided = self.data.requests.claim_decided(proposal.key, proposal.value, True, now)
         return list(decided)
 
 
--- a/tests/node/claims/network.py
+++ b/tests/node/claims/network.py
@@ -14,7 +14,6 @@
     ClaimDecided,
     ClaimOutput,
     ClaimUndecided,
-    PlacementAppendWanted,
 )
 from stagewalk.node.claims.placement import (
     GroupChange,
@@ -27,6 +26,7 @@
 from stagewalk.node.claims.types import Peer, Replica
 from stagewalk.node.core.instructions import SendPeerMessage
 from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.log_client.notifications import AppendToStream
 
 TICK = 0.1
 
@@ -157,7 +157,7 @@
         for output in outputs:
             if isinstance(output, SendPeerMessage):
                 self._send(name, output)
-            elif isinstance(output, PlacementAppendWanted):
+            elif isinstance(output, AppendToStream):
                 self.log.append(output.payload)
             elif isinstance(output, ClaimDecided | ClaimAbsent | ClaimUndecided):
                 self.ended.append((name, output))
--- a/tests/node/leases/test_leases.py
+++ b/tests/node/leases/test_leases.py
@@ -13,7 +13,8 @@
 from stagewalk.node.leases.config import LeaseConfig
 from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
 from stagewalk.node.leases.fold import Acquire, LeaseFold, Release, encode_record
-from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost, LeaseOutput
+from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost, LeaseOutput
+from stagewalk.node.log_client.notifications import AppendToStream
 
 DUTIES = ("placement", "rollout/m")
 TICK = 0.1
@@ -77,7 +78,7 @@
 
     def take(self, name: str, outputs: list[LeaseOutput]) -> None:
         for output in outputs:
-            if isinstance(output, AppendWanted) and not self.log_down:
+            if isinstance(output, AppendToStream) and not self.log_down:
                 self.log.append(output.payload)
             elif isinstance(output, LeaseAcquired):
                 self.acquired.append((name, output.duty, output.epoch))
--- a/tests/node/requests/support.py
+++ b/tests/node/requests/support.py
@@ -20,6 +20,7 @@
 )
 from stagewalk.node.admission.config import AdmissionConfig
 from stagewalk.node.admission.controller import AdmissionController
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.completions import CompletionRequest, Priority, TokenChunk
 from stagewalk.node.core.events import AttemptChunk, AttemptFinished
@@ -34,7 +35,6 @@
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.core import RequestCore
 from stagewalk.node.requests.notifications import (
-    ClaimWanted,
     RequestChunk,
     RequestFailed,
     RequestFinished,
@@ -163,9 +163,9 @@
         return self.take(self.core.handle(event, self.now))  # type: ignore[arg-type]
 
     def decide(self, won: bool = True, value: bytes | None = None) -> list[RequestOutput]:
-        wanted = self.of(ClaimWanted)[-1]
+        wanted = self.of(ProposeClaim)[-1]
         decided = wanted.value if value is None else value
-        return self.take(self.core.claim_decided(wanted.claim_key, decided, won, self.now))
+        return self.take(self.core.claim_decided(wanted.key, decided, won, self.now))
 
     def advance(
         self, seconds: float, engines_report: bool = True, step: float = 0.1
--- a/tests/node/requests/test_hand_over.py
+++ b/tests/node/requests/test_hand_over.py
@@ -5,11 +5,12 @@
 import testtools
 
 from stagewalk.common.identities import Incarnation, NodeName
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.events import AttemptFailed, AttemptRefused
 from stagewalk.node.core.instructions import StartAttempt
 from stagewalk.node.requests.claim_value import decode_claim
 from stagewalk.node.requests.config import RequestConfig
-from stagewalk.node.requests.notifications import AnswerWanted, ClaimWanted
+from stagewalk.node.requests.notifications import FetchAnswer
 from tests.node.requests.support import KEY, Driver, Identity
 
 CONFIG = RequestConfig(fetch_answers=True)
@@ -30,7 +31,7 @@
 
 
 def nonce(driver: Driver) -> str:
-    claim = decode_claim(driver.of(ClaimWanted)[0].value)
+    claim = decode_claim(driver.of(ProposeClaim)[0].value)
     assert claim is not None
     return claim.nonce
 
@@ -40,7 +41,7 @@
     identity = Identity(name=NodeName("n2"), incarnation=Incarnation(7))
     driver = Driver(CONFIG, seed=2, identity=identity)
     driver.submit(repeatable=False, deadline=driver.now + 20.0)
-    driver.decide(False, owners.of(ClaimWanted)[0].value)
+    driver.decide(False, owners.of(ProposeClaim)[0].value)
     return driver
 
 
@@ -53,7 +54,7 @@
 
     def test_the_owner_runs_nothing_after_it_gave_its_claim(self) -> None:
         driver = owner()
-        given = driver.of(ClaimWanted)[0].value
+        given = driver.of(ProposeClaim)[0].value
         driver.core.hand_over_claim(KEY, nonce(driver), driver.now)
         driver.outputs.clear()
         driver.submit(repeatable=False, deadline=driver.now + 20.0)
@@ -67,7 +68,7 @@
 
     def test_the_new_holder_sends_it_once(self) -> None:
         driver = asker(owner())
-        query = driver.of(AnswerWanted)[0].query_id
+        query = driver.of(FetchAnswer)[0].query_id
         for query_id in (query + 1, query, query):
             driver.take(driver.core.claim_handed_over(KEY, query_id, driver.now))
         self.assertEqual(1, len(driver.of(StartAttempt)))
@@ -75,9 +76,9 @@
     def test_a_late_reply_to_an_earlier_query_gives_nothing(self) -> None:
         owners = owner()
         driver = asker(owners)
-        early = driver.of(AnswerWanted)[0].query_id
+        early = driver.of(FetchAnswer)[0].query_id
         driver.advance(CONFIG.fetch_timeout_seconds + 1.0)
         driver.submit(repeatable=False, deadline=driver.now + 20.0)
-        driver.decide(False, owners.of(ClaimWanted)[0].value)
+        driver.decide(False, owners.of(ProposeClaim)[0].value)
         driver.take(driver.core.claim_handed_over(KEY, early, driver.now))
         self.assertEqual([], driver.of(StartAttempt))
--- a/tests/node/requests/test_request_core.py
+++ b/tests/node/requests/test_request_core.py
@@ -6,10 +6,11 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.common.identities import RequestId, RequestKey
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.events import AttemptFailed, AttemptRefused
 from stagewalk.node.core.instructions import StartAttempt
 from stagewalk.node.requests.config import HedgeConfig, MemoryConfig, RequestConfig, RetryConfig
-from stagewalk.node.requests.notifications import ClaimWanted, RequestFailed
+from stagewalk.node.requests.notifications import RequestFailed
 from tests.node.requests.support import TENANT, Driver, chunk, finished
 
 
@@ -58,7 +59,7 @@
     def test_claimed_before_dispatch_and_never_sent_twice(self) -> None:
         driver = Driver()
         driver.submit(repeatable=False)
-        self.assertEqual([ClaimWanted], [type(output) for output in driver.outputs])
+        self.assertEqual([ProposeClaim], [type(output) for output in driver.outputs])
         driver.decide()
         start = driver.last_start()
         driver.handle(AttemptFailed(start.attempt, True, "reset"))
@@ -71,8 +72,8 @@
         driver = Driver()
         driver.submit(repeatable=False)
         error = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "n2,n3", "no majority")
-        wanted = driver.of(ClaimWanted)[0]
-        driver.take(driver.core.claim_undecided(wanted.claim_key, error, driver.now))
+        wanted = driver.of(ProposeClaim)[0]
+        driver.take(driver.core.claim_undecided(wanted.key, error, driver.now))
         self.assertEqual([(ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)], outcomes(driver))
         driver.decide(won=True)
         driver.advance(5.0)
@@ -83,17 +84,17 @@
         driver = Driver()
         driver.submit(repeatable=False)
         error = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "n2,n3", "no majority")
-        first = driver.of(ClaimWanted)[0]
-        driver.take(driver.core.claim_undecided(first.claim_key, error, driver.now))
+        first = driver.of(ProposeClaim)[0]
+        driver.take(driver.core.claim_undecided(first.key, error, driver.now))
         driver.submit(repeatable=False)
-        self.assertEqual(first, driver.of(ClaimWanted)[1])
+        self.assertEqual(first, driver.of(ProposeClaim)[1])
         driver.decide()
         self.assertEqual(1, len(driver.of(StartAttempt)))
 
     def test_class_of_the_tenant_makes_it_not_repeatable(self) -> None:
         driver = Driver(non_repeatable_classes=("misting",))
         driver.submit(request_class="misting")
-        self.assertEqual([ClaimWanted], [type(output) for output in driver.outputs])
+        self.assertEqual([ProposeClaim], [type(output) for output in driver.outputs])
 
 
 class SameIdTest(testtools.TestCase):
--- a/tests/node/requests/test_request_machine.py
+++ b/tests/node/requests/test_request_machine.py
@@ -24,12 +24,12 @@
     WeightVersion,
 )
 from stagewalk.history.answer_text import content_key, render_chunk, true_spans, wholeness_fault
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import TokenChunk
 from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
 from stagewalk.node.requests.config import HedgeConfig, RequestConfig
 from stagewalk.node.requests.notifications import (
-    ClaimWanted,
     RequestChunk,
     RequestFailed,
     RequestFinished,
@@ -96,8 +96,8 @@
         self.now = 0.0
         self.starts = 0
         self.register: dict[str, bytes] = {}
-        self.pending: list[tuple[str, ClaimWanted]] = []
-        self.answered: list[tuple[str, ClaimWanted]] = []
+        self.pending: list[tuple[str, ProposeClaim]] = []
+        self.answered: list[tuple[str, ProposeClaim]] = []
         self.attempts: dict[AttemptId, EngineAttempt] = {}
         self.calls: dict[str, list[Call]] = {node: [] for node in NODES}
         self.nodes = {node: self.new_node(node) for node in NODES}
@@ -121,7 +121,7 @@
                 case CancelAttempt():
                     self.attempts[output.attempt].ended = True
                     self.attempts[output.attempt].executed = True
-                case ClaimWanted():
+                case ProposeClaim():
                     self.pending.append((node, output))
                 case _:
                     self.tell_callers(node, output)
@@ -214,29 +214,29 @@
     def settle_claim(self, index: int, outcome: str) -> None:
         node, wanted = self.pending.pop(index % len(self.pending))
         if outcome != "undecided":
-            self.register.setdefault(wanted.claim_key, wanted.value)
+            self.register.setdefault(wanted.key, wanted.value)
         if outcome == "decide":
             self.decide(node, wanted)
             return
         self.answered.append((node, wanted))
         error = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "n9", "no majority")
         core = self.nodes[node].core
-        self.take(node, core.claim_undecided(wanted.claim_key, error, self.now))
+        self.take(node, core.claim_undecided(wanted.key, error, self.now))
 
     @precondition(lambda self: self.answered)
     @rule(index=INDEX)
     def late_decision(self, index: int) -> None:
         """A claim once undecided turns out decided; it stays in the list, to come doubled."""
         node, wanted = self.answered[index % len(self.answered)]
-        if wanted.claim_key in self.register:
+        if wanted.key in self.register:
             self.decide(node, wanted)
 
-    def decide(self, node: str, wanted: ClaimWanted) -> None:
-        chosen = self.register[wanted.claim_key]
+    def decide(self, node: str, wanted: ProposeClaim) -> None:
+        chosen = self.register[wanted.key]
         core = self.nodes[node].core
         won = chosen == wanted.value
         self.answered.append((node, wanted))
-        self.take(node, core.claim_decided(wanted.claim_key, chosen, won, self.now))
+        self.take(node, core.claim_decided(wanted.key, chosen, won, self.now))
 
     # Engines.
 
--- a/tests/node/requests/test_request_states.py
+++ b/tests/node/requests/test_request_states.py
@@ -10,13 +10,14 @@
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
 from stagewalk.node.admission.config import AdmissionConfig, LimiterConfig
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import CompletionResult
 from stagewalk.node.core.events import AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.node.core.instructions import StartAttempt
 from stagewalk.node.requests import book
 from stagewalk.node.requests.claim_value import ClaimValue, encode_claim
 from stagewalk.node.requests.config import HedgeConfig, RequestConfig, RetryConfig
-from stagewalk.node.requests.notifications import AnswerWanted, ClaimWanted
+from stagewalk.node.requests.notifications import FetchAnswer
 from stagewalk.node.requests.record import fingerprint_of
 from stagewalk.node.requests.states import TRANSITIONS, Cause, RequestState, next_state
 from tests.node.requests.support import KEY, Driver, chunk, finished, request
@@ -81,13 +82,13 @@
 
 def undecided(driver: Driver) -> None:
     error = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "n2,n3", "no majority")
-    for wanted in driver.of(ClaimWanted):
-        driver.take(driver.core.claim_undecided(wanted.claim_key, error, driver.now))
+    for wanted in driver.of(ProposeClaim):
+        driver.take(driver.core.claim_undecided(wanted.key, error, driver.now))
 
 
 def decide_again(driver: Driver) -> None:
-    for wanted in driver.of(ClaimWanted):
-        driver.take(driver.core.claim_decided(wanted.claim_key, wanted.value, True, driver.now))
+    for wanted in driver.of(ProposeClaim):
+        driver.take(driver.core.claim_decided(wanted.key, wanted.value, True, driver.now))
 
 
 def owner_answers(text: str | None) -> Callable[[Driver], None]:
@@ -99,7 +100,7 @@
 
 
 def hand_over(driver: Driver) -> None:
-    for wanted in driver.of(AnswerWanted):
+    for wanted in driver.of(FetchAnswer):
         driver.take(driver.core.claim_handed_over(KEY, wanted.query_id, driver.now))
 
 
@@ -111,8 +112,8 @@
     "claim undecided": undecided,
     "claim decided": decide_again,
     "claim lost": lambda driver: [  # type: ignore[dict-item,return-value]
-        driver.take(driver.core.claim_decided(wanted.claim_key, OTHERS_CLAIM, False, driver.now))
-        for wanted in driver.of(ClaimWanted)
+        driver.take(driver.core.claim_decided(wanted.key, OTHERS_CLAIM, False, driver.now))
+        for wanted in driver.of(ProposeClaim)
     ],
     "owner answers": owner_answers("<0:4>"),
     "owner knows nothing": owner_answers(None),
--- a/tests/node/samples/test_exactly_once.py
+++ b/tests/node/samples/test_exactly_once.py
@@ -22,6 +22,7 @@
 
 from stagewalk.common.errors import ErrorKind, StagewalkError, Step
 from stagewalk.common.identities import CallId, RequestId, SlotKey, WeightVersion
+from stagewalk.node.claims.notifications import ProposeClaim, ReadClaim
 from stagewalk.node.core.completions import CompletionResult, VersionSpan
 from stagewalk.node.core.events import SampleScored, SampleScoringFailed
 from stagewalk.node.core.instructions import (
@@ -33,12 +34,7 @@
 from stagewalk.node.core.rollouts import SampleBatch
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.core import LotCore
-from stagewalk.node.samples.notifications import (
-    ClaimReadWanted,
-    ClaimWanted,
-    RequestUnwanted,
-    RequestWanted,
-)
+from stagewalk.node.samples.notifications import CancelRollout, StartRollout
 from stagewalk.node.samples.settlement import LotOutput
 from tests.node.samples.world import MODEL, make_core, make_lot, make_pull
 
@@ -161,12 +157,12 @@
         name, wanted = item
         core = self.nodes[name].core
         match wanted:
-            case RequestWanted(request):
+            case StartRollout(request):
                 self._take(name, core.request_failed(request.request_id, FAILURE, self.now))
             case ScoreSample(sample_id=sample_id):
                 failed = SampleScoringFailed(sample_id, FAILURE)
                 self._take(name, core.handle(failed, self.now))
-            case ClaimWanted(key=key, value=value):
+            case ProposeClaim(key=key, value=value):
                 if self.generator.random() < 0.5:
                     self.register.setdefault(key, value)
                 self._take(name, core.claim_undecided(key, NO_MAJORITY, self.now))
@@ -281,7 +277,7 @@
     def _end_work(self, name: str, wanted: LotOutput, behind: int, mixed: bool) -> None:
         core = self.nodes[name].core
         match wanted:
-            case RequestWanted(request):
+            case StartRollout(request):
                 version = max(1, self.engine_version - behind)
                 minimum = request.minimum_version or 1
                 if version < minimum and behind == 0:
@@ -296,11 +292,11 @@
                 self._take(name, core.request_finished(request.request_id, result, self.now))
             case ScoreSample(sample_id=sample_id):
                 self._take(name, core.handle(SampleScored(sample_id, 0.5), self.now))
-            case ClaimWanted(key=key, value=value):
+            case ProposeClaim(key=key, value=value):
                 chosen = self.register.setdefault(key, value)
                 decided = core.claim_decided(key, chosen, chosen == value, self.now)
                 self._take(name, decided)
-            case ClaimReadWanted(key=key):
+            case ReadClaim(key=key):
                 if key in self.register:
                     decided = core.claim_decided(key, self.register[key], False, self.now)
                     self._take(name, decided)
@@ -319,9 +315,9 @@
                         newest = WeightVersion(max(self.published))
                         core = self.nodes[name].core
                         self._take(name, core.versions_known(MODEL, newest, self.now))
-                case RequestUnwanted(request_id=request_id):
+                case CancelRollout(request_id=request_id):
                     self.work = [item for item in self.work if _request_id(item[1]) != request_id]
-                case RequestWanted() | ScoreSample() | ClaimWanted() | ClaimReadWanted():
+                case StartRollout() | ScoreSample() | ProposeClaim() | ReadClaim():
                     self.work.append((name, item))
 
     def _call(self) -> CallId:
@@ -330,7 +326,7 @@
 
 
 def _request_id(item: LotOutput) -> RequestId | None:
-    return item.request.request_id if isinstance(item, RequestWanted) else None
+    return item.request.request_id if isinstance(item, StartRollout) else None
 
 
 ExactlyOnceTest = TrainerAndNodes.TestCase
--- a/tests/node/samples/world.py
+++ b/tests/node/samples/world.py
@@ -15,6 +15,7 @@
     TenantName,
     WeightVersion,
 )
+from stagewalk.node.claims.notifications import ProposeClaim, ReadClaim
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, VersionSpan
 from stagewalk.node.core.events import SampleScored
@@ -23,12 +24,7 @@
 from stagewalk.node.node_core import NodeIdentity
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.core import LotCore
-from stagewalk.node.samples.notifications import (
-    ClaimReadWanted,
-    ClaimWanted,
-    RequestUnwanted,
-    RequestWanted,
-)
+from stagewalk.node.samples.notifications import CancelRollout, StartRollout
 from stagewalk.node.samples.settlement import LotOutput
 
 TENANT = TenantName("thornfield")
@@ -83,7 +79,7 @@
         self.running: dict[str, CompletionRequest] = {}
         self.started: list[CompletionRequest] = []
         self.cancelled: list[str] = []
-        self.undecided: list[ClaimWanted] = []
+        self.undecided: list[ProposeClaim] = []
         self.batches: dict[CallId, DeliverSamples] = {}
         self.failures: dict[CallId, FailCall] = {}
         self.events: list[LogEvent] = []
@@ -112,16 +108,16 @@
     def take(self, output: list[LotOutput], now: float) -> None:
         for item in output:
             match item:
-                case RequestWanted(request):
+                case StartRollout(request):
                     self._run(request, now)
-                case RequestUnwanted(request_id=request_id):
+                case CancelRollout(request_id=request_id):
                     self.running.pop(request_id, None)
                     self.cancelled.append(request_id)
                 case ScoreSample(sample_id=sample_id):
                     self.take(self.core.handle(SampleScored(sample_id, 1.0), now), now)
-                case ClaimWanted():
+                case ProposeClaim():
                     self._claim(item, now)
-                case ClaimReadWanted(key):
+                case ReadClaim(key):
                     self._read_claim(key, now)
                 case DeliverSamples(call=call):
                     self.batches[call] = item
@@ -137,7 +133,7 @@
         if result is not None:
             self.finish(request.request_id, result, now)
 
-    def _claim(self, wanted: ClaimWanted, now: float) -> None:
+    def _claim(self, wanted: ProposeClaim, now: float) -> None:
         if not self.claims_open:
             self.undecided.append(wanted)
             return
