--- a/src/stagewalk/node/routing/config.py
+++ b/src/stagewalk/node/routing/config.py
@@ -1,10 +1,15 @@
-"""Parameters of the engine table and the router."""
+"""Parameters of the engine table and the router, with units and where the figures come from.
+
+Where no measurement is named, a figure was chosen, not measured.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 FRESHNESS_MARGIN = 0.75
+"""Part of the polls that evidence's lifetime allows for which engines are taken: one in four may be
+lost."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,13 +29,16 @@
         Budget of polls over all engines; a larger subset is polled more slowly.
     large_polls_per_second, large_deployment_engines
         The budget when more engines than that are listed: the nodes before them are many too,
-        and each has little processor time and bandwidth for control.
+        and each has little processor time and bandwidth for control. Measured: a poll costs 1.6 ms
+        of processor time and 470 bytes, and 18 a second exceed a node's 4 KB/s at 420 nodes
+        (docs/DECISIONS.md, docs/CAPACITY.md).
     poll_timeout_seconds
         A poll unanswered for so long is given up and may be sent again.
     evidence_seconds
-        How long after a poll was sent its report vouches for the engine.
+        How long after a poll was sent its report vouches for the engine: five poll intervals, and
+        more than an idle node's interval.
     local_zone_weight, local_region_weight
-        Weights in rendezvous hashing of engines in this node's zone and region, against 1
+        Weights in rendezvous hashing of engines in this node's zone and region, relative to 1
         for all others.
     refusal_pause_seconds
         Longest time an engine that refused work is spared though a newer report says that it
@@ -95,7 +103,7 @@
     expected_answer_fraction
         Expected answer length as a fraction of `max_tokens`.
     expected_answer_tokens
-        Expected answer length if it is smaller than that fraction.
+        Upper bound of the expected answer length.
     batch_slowdown
         Relative slowdown of a sequence in a full batch against an empty one.
     zone_cost_seconds, region_cost_seconds
@@ -169,8 +177,8 @@
     policy
         Name of the policy, as in `node.routing.policies.POLICIES`.
     choices
-        Engines drawn at random and compared by score; the one with the longest cached
-        prefix is compared with them.
+        Engines drawn at random and compared by score, besides the one with the longest cached
+        prefix: nodes with the same lagging reports must not all take the same engine.
     """
 
     policy: str = "product"
--- a/src/stagewalk/node/routing/engine_record.py
+++ b/src/stagewalk/node/routing/engine_record.py
@@ -1,4 +1,8 @@
-"""What a node knows of one engine: row, report, own attempts since, and recent failures."""
+"""What a node knows of one engine: row, report, own attempts since, and recent failures.
+
+Owns the correction of the report's load by this node's attempts; `evidence` and `outliers` decide
+what changes the rest.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +14,7 @@
 from stagewalk.node.core.platform import EngineReport, EngineState, Machine, MachineState
 
 MAXIMUM_REMEMBERED_ENDS = 256
+"""Ended attempts kept until a report counts them out: bounds memory. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +89,7 @@
         return None if self.report is None else self.report.active_version
 
     def serves(self, now: float) -> bool:
-        """Say whether fresh evidence vouches that the engine takes new work."""
+        """Return whether fresh evidence vouches that the engine takes new work."""
         return (
             self.report is not None
             and now <= self.evidence_until
@@ -100,7 +105,7 @@
         self.added_tokens += load.expected_tokens
 
     def end_attempt(self, attempt: AttemptId, now: float) -> None:
-        """Take an attempt away, from the report's load too if that counts it."""
+        """Remove an attempt, from the report's load too if that counts it."""
         load = self.attempts.pop(attempt, None)
         if load is None:
             return
@@ -109,7 +114,7 @@
         self.ended.append(EndedAttempt(now, load))
         del self.ended[:-MAXIMUM_REMEMBERED_ENDS]
 
-    def take_report(self, report: EngineReport, reported_at: float) -> None:
+    def apply_report(self, report: EngineReport, reported_at: float) -> None:
         """Replace the report by a newer one and count anew what it can't know."""
         self.report = report
         self.reported_at = reported_at
@@ -123,7 +128,7 @@
         if report.running > 0 and report.tokens_per_second > 0:
             self.sequence_rate = report.tokens_per_second / report.running
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Reset all that was known of an older incarnation; its attempts died with it."""
         fresh = EngineRecord(machine=self.machine)
         for name in EngineRecord.__dataclass_fields__:
--- a/src/stagewalk/node/routing/engine_table.py
+++ b/src/stagewalk/node/routing/engine_table.py
@@ -1,28 +1,23 @@
-"""Evidence about engines: which of them may get new work, and how loaded they are.
+"""The engines this node routes over: which may get new work, and how loaded they are.
 
 An engine is eligible only while fresh evidence vouches for it: its own report, read within
 `evidence_seconds`, saying that it serves. Absence of news makes it ineligible, and so does any
-sign of leaving, whichever comes first: its report, the machine list, or a refusal.
+sign of leaving, whichever comes first: its report, the machine list, or a refusal. Owns the
+engines' records; relies on `evidence`, `polling` and `subsets` for the rules.
 """
 
 from __future__ import annotations
 
-import heapq
-import math
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 from stagewalk.common.identities import AttemptId, EngineName, ModelName, ProcessIdentity
 from stagewalk.node.core.instructions import PollEngine
-from stagewalk.node.core.platform import (
-    EngineReport,
-    EngineState,
-    Machine,
-    MachineKind,
-    MachineState,
-)
+from stagewalk.node.core.platform import EngineReport, Machine, MachineKind, MachineState
+from stagewalk.node.routing import evidence
 from stagewalk.node.routing.config import EngineTableConfig
 from stagewalk.node.routing.engine_record import AttemptLoad, EngineRecord
+from stagewalk.node.routing.polling import PollSchedule
 from stagewalk.node.routing.subsets import choose_subset
 
 
@@ -64,13 +59,10 @@
         self._subset: frozenset[str] = frozenset()
         self._routable: list[EngineRecord] = []
         self._attempts: dict[AttemptId, EngineName] = {}
-        self._poll_queue: list[tuple[float, EngineName]] = []
-        self._poll_tokens = config.polls_per_second
-        self._poll_tokens_at: float | None = None
-        self._demand_at = -math.inf
+        self._polls = PollSchedule(config)
 
     def handle_machines(self, machines: Iterable[Machine], now: float) -> None:
-        """Take the platform's machine list, which may lag behind reality.
+        """Apply the platform's machine list, which may lag behind reality.
 
         An engine missing from it is kept while its own reports still vouch for it.
         """
@@ -88,44 +80,25 @@
         self._rebuild(now)
 
     def handle_report(self, engine: EngineName, report: EngineReport, now: float) -> None:
-        """Take an engine's report; a new incarnation resets all that was known of the old."""
+        """Apply an engine's report."""
         record = self._records.get(engine)
-        if record is None:
-            return
-        sent_at = now if record.poll_sent_at is None else record.poll_sent_at
-        record.poll_sent_at = None
-        if report.engine != engine or not self._is_news(record, report):
-            return
-        self._translate_clock(record, report, now)
-        was_serving = record.report is not None and record.report.state is EngineState.SERVING
-        if report.state is EngineState.SERVING and not was_serving:
-            record.serving_since = now
-        reported_at = min(now, report.generated_at + record.clock_offset)
-        record.take_report(report, reported_at)
-        record.evidence_until = min(
-            sent_at + self._config.evidence_seconds,
-            reported_at + self._config.evidence_seconds + self._config.report_lag_seconds,
-        )
-        if reported_at > record.refused_at:
-            record.refused_until = min(record.refused_until, record.spared_until)
+        if record is not None:
+            evidence.apply_report(record, report, self._config, now)
 
     def handle_report_failed(self, engine: EngineName, now: float) -> None:
-        """Note that a poll failed: its evidence goes on expiring."""
+        """Record that a poll failed: the engine's evidence goes on expiring."""
         record = self._records.get(engine)
         if record is not None:
             record.poll_sent_at = None
 
     def note_demand(self, now: float) -> None:
-        """Note that a request asks for an engine: an idle node begins to poll faster."""
-        if now - self._demand_at > self._config.idle_after_seconds:
-            self._poll_queue = [(min(at, now), name) for at, name in self._poll_queue]
-            heapq.heapify(self._poll_queue)
-        self._demand_at = now
+        """Record that a request needs an engine: an idle node begins to poll faster."""
+        self._polls.note_demand(now)
 
     def note_started(
         self, engine: EngineName, attempt: AttemptId, expected_tokens: float, now: float
     ) -> None:
-        """Note that this node sent an attempt to an engine."""
+        """Record that this node sent an attempt to an engine."""
         record = self._records.get(engine)
         if record is None:
             return
@@ -133,13 +106,13 @@
         self._attempts[attempt] = engine
 
     def note_progress(self, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt's engine generates: it is not failing."""
+        """Record that an attempt's engine generates: it is not failing."""
         record = self._record_of(attempt)
         if record is not None:
             record.failures_in_row = 0
 
     def note_ended(self, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt ended, however it did."""
+        """Record that an attempt ended, however it did."""
         record = self._record_of(attempt)
         self._attempts.pop(attempt, None)
         if record is not None:
@@ -148,22 +121,11 @@
     def note_refused(
         self, engine: EngineName, retry_after_seconds: float | None, now: float
     ) -> bool:
-        """Note a refusal: no new work until a report made after it says that it serves.
-
-        Return whether the engine looked full: else it refused for its state, as when it
-        drains or swaps weights, which says nothing about the pool's room.
-        """
+        """Record that an engine refused work; return whether it looked full."""
         record = self._records.get(engine)
-        if record is None or record.report is None:
+        if record is None:
             return False
-        pause = self._config.refusal_pause_seconds
-        if retry_after_seconds is not None:
-            pause = min(pause, retry_after_seconds)
-        record.refused_at = now
-        record.refused_until = math.inf
-        record.spared_until = now + pause
-        report = record.report
-        return report.running + report.waiting + record.added_sequences >= report.batch_limit
+        return evidence.apply_refusal(record, retry_after_seconds, self._config, now)
 
     def record(self, engine: EngineName) -> EngineRecord | None:
         """Return what is known of an engine."""
@@ -196,64 +158,24 @@
 
     def tick(self, now: float) -> list[PollEngine]:
         """Return the polls that are due, within the budget; none is doubled in flight."""
-        self._refill_poll_tokens(now)
-        polls: list[PollEngine] = []
-        idle = now - self._demand_at > self._config.idle_after_seconds
-        interval = (
-            self._config.idle_poll_interval_seconds if idle else self._config.poll_interval_seconds
+        engines = self._polls.due(
+            len(self._machines), lambda engine: self._poll_in_flight(engine, now), now
         )
-        queue = self._poll_queue
-        while queue and queue[0][0] <= now and self._poll_tokens >= 1.0:
-            _, engine = heapq.heappop(queue)
-            record = self._records.get(engine)
-            if record is None:
-                continue
-            heapq.heappush(queue, (now + interval, engine))
-            if self._poll_in_flight(record, now):
-                continue
-            self._poll_tokens -= 1.0
-            record.poll_sent_at = now
-            polls.append(PollEngine(engine, record.machine.address))
-        return polls
+        return [self._start_poll(engine, now) for engine in engines]
 
-    def _poll_in_flight(self, record: EngineRecord, now: float) -> bool:
-        sent_at = record.poll_sent_at
+    def _poll_in_flight(self, engine: EngineName, now: float) -> bool:
+        sent_at = self._records[engine].poll_sent_at
         return sent_at is not None and now - sent_at < self._config.poll_timeout_seconds
 
-    def _refill_poll_tokens(self, now: float) -> None:
-        rate = self._config.poll_budget(len(self._machines))
-        if self._poll_tokens_at is not None:
-            earned = (now - self._poll_tokens_at) * rate
-            self._poll_tokens = min(rate, self._poll_tokens + earned)
-        self._poll_tokens_at = now
+    def _start_poll(self, engine: EngineName, now: float) -> PollEngine:
+        record = self._records[engine]
+        record.poll_sent_at = now
+        return PollEngine(engine, record.machine.address)
 
     def _record_of(self, attempt: AttemptId) -> EngineRecord | None:
         engine = self._attempts.get(attempt)
         return None if engine is None else self._records.get(engine)
 
-    def _is_news(self, record: EngineRecord, report: EngineReport) -> bool:
-        """Drop reports of older incarnations or older than the last; reset at a newer one."""
-        known = record.report
-        if known is None:
-            return True
-        if report.incarnation != known.incarnation:
-            if report.incarnation < known.incarnation:
-                return False
-            record.forget()
-            return True
-        age = known.generated_at - report.generated_at
-        if age > self._config.clock_step_seconds:
-            record.clock_offset = math.inf
-            return True
-        return age <= 0
-
-    def _translate_clock(self, record: EngineRecord, report: EngineReport, now: float) -> None:
-        """Track the least lag seen: `generated_at` is of the engine's clock, not of ours."""
-        offset = now - report.generated_at
-        drifted = (now - record.clock_offset_at) * self._config.clock_drift_fraction
-        record.clock_offset = min(offset, record.clock_offset + drifted)
-        record.clock_offset_at = now
-
     def _rebuild(self, now: float) -> None:
         live = [
             machine for machine in self._machines.values() if machine.state is MachineState.LIVE
@@ -272,8 +194,7 @@
                 record = EngineRecord(machine=machine)
             record.machine = machine
             self._records[name] = record
-        due = {name: at for at, name in sorted(self._poll_queue, reverse=True)}
-        self._poll_queue = sorted((due.get(name, now), name) for name in self._records)
+        self._polls.set_engines(self._records, now)
         self._routable = [
             record for record in self._records.values() if record.machine.name in self._subset
         ]
--- a/src/stagewalk/node/routing/outliers.py
+++ b/src/stagewalk/node/routing/outliers.py
@@ -1,4 +1,9 @@
-"""Engines that fail attempts are set aside for a while, but never most of them at once."""
+"""The rule that sets failing engines aside for a while, but never most of them at once.
+
+Inputs are this node's own attempts: failures in a row without a success eject an engine, for a
+time that doubles with each ejection. If too many would be set aside the fault is likely not theirs,
+and none is. The constants are fields of `OutlierConfig`.
+"""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/src/stagewalk/node/routing/polling.py
@@ -0,0 +1,74 @@
+"""When each engine is polled for its report: a fixed interval, within a budget of polls a second.
+
+Owns the queue of due polls and the budget. Relies on the engine table for the engines to poll and
+for which polls are unanswered. Times in seconds of the node's clock; the constants, with the
+measurement behind the budget, are fields of `EngineTableConfig`.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections.abc import Callable, Iterable
+
+from stagewalk.common.identities import EngineName
+from stagewalk.node.routing.config import EngineTableConfig
+
+
+class PollSchedule:
+    """Due times of polls, one an engine."""
+
+    def __init__(self, config: EngineTableConfig) -> None:
+        self._config = config
+        self._queue: list[tuple[float, EngineName]] = []
+        self._tokens = config.polls_per_second
+        self._tokens_at: float | None = None
+        self._demand_at = -math.inf
+
+    def set_engines(self, engines: Iterable[EngineName], now: float) -> None:
+        """Replace the engines to poll; a new one is due at once."""
+        due = {name: at for at, name in self._queue}
+        self._queue = sorted((due.get(name, now), name) for name in engines)
+
+    def note_demand(self, now: float) -> None:
+        """Record that a request needs an engine: an idle node begins to poll faster."""
+        if self._is_idle(now):
+            self._queue = [(min(at, now), name) for at, name in self._queue]
+            heapq.heapify(self._queue)
+        self._demand_at = now
+
+    def due(
+        self, listed_engines: int, in_flight: Callable[[EngineName], bool], now: float
+    ) -> list[EngineName]:
+        """Return the engines to poll now, within the budget; none with a poll in flight.
+
+        Parameters
+        ----------
+        listed_engines
+            Engines in the machine list, which decide the budget.
+        in_flight
+            Whether an engine's last poll may still be answered.
+        """
+        self._refill(listed_engines, now)
+        interval = self._interval(now)
+        engines: list[EngineName] = []
+        while self._queue and self._queue[0][0] <= now and self._tokens >= 1.0:
+            _, engine = heapq.heapreplace(self._queue, (now + interval, self._queue[0][1]))
+            if not in_flight(engine):
+                self._tokens -= 1.0
+                engines.append(engine)
+        return engines
+
+    def _is_idle(self, now: float) -> bool:
+        return now - self._demand_at > self._config.idle_after_seconds
+
+    def _interval(self, now: float) -> float:
+        if self._is_idle(now):
+            return self._config.idle_poll_interval_seconds
+        return self._config.poll_interval_seconds
+
+    def _refill(self, listed_engines: int, now: float) -> None:
+        rate = self._config.poll_budget(listed_engines)
+        if self._tokens_at is not None:
+            self._tokens = min(rate, self._tokens + (now - self._tokens_at) * rate)
+        self._tokens_at = now
--- a/src/stagewalk/node/routing/prefix_index.py
+++ b/src/stagewalk/node/routing/prefix_index.py
@@ -2,7 +2,8 @@
 
 A prompt is cut into blocks; each block's hash is chained to the one before, so that equal
 hashes mean equal prefixes. Engines publish cache events late and with gaps, so the index is a
-guess that costs time when wrong, never correctness.
+guess that costs time when wrong, never correctness. Relies on the engine's record, which owns the
+blocks; the bounds are fields of `PrefixIndexConfig`.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
         self._tokens_per_block = config.block_characters / config.characters_per_token
 
     def note_sent(self, record: EngineRecord, blocks: PrefixBlocks) -> None:
-        """Note that an engine took in a prompt and holds its blocks now."""
+        """Record that an engine was sent a prompt and caches its blocks now."""
         held = record.cached_blocks
         for block in reversed(blocks):
             held[block] = None
--- a/src/stagewalk/node/routing/router.py
+++ b/src/stagewalk/node/routing/router.py
@@ -1,4 +1,8 @@
-"""Chooses the engine for an attempt."""
+"""Chooses the engine for an attempt, and records what becomes of attempts.
+
+Owns the prefix index and the policy. Relies on the engine table for evidence, on `outliers` for
+which engines are set aside and on `scoring` for the expected completion time.
+"""
 
 from __future__ import annotations
 
@@ -26,6 +30,7 @@
 from stagewalk.node.routing.scoring import CompletionTimeModel, expected_tokens, shape_of
 
 NO_ENGINE_RETRY_SECONDS = 1.0
+"""Retry-After when no engine may take a request: two polls of each engine. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +49,7 @@
 
 
 def version_suits(request: CompletionRequest, version: WeightVersion | None) -> bool:
-    """Say whether a weight version may serve a request."""
+    """Return whether a weight version may serve a request."""
     if version is None:
         return False
     if request.minimum_version is not None and version < request.minimum_version:
@@ -60,7 +65,7 @@
     identity
         This node; its place decides the cost of other zones.
     engine_table
-        Evidence about engines; told by this router of all attempts.
+        Evidence about engines; this router records all attempts in it.
     generator
         Source of random choices.
     """
@@ -104,7 +109,7 @@
     def note_started(
         self, engine: EngineName, attempt: AttemptId, request: CompletionRequest, now: float
     ) -> None:
-        """Note that an attempt was sent."""
+        """Record that an attempt was sent."""
         tokens = expected_tokens(request, self._config.score)
         self._table.note_started(engine, attempt, tokens, now)
         record = self._table.record(engine)
@@ -112,18 +117,18 @@
             self._prefix_index.note_sent(record, self._blocks_of(request.prompt))
 
     def note_progress(self, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt's engine generates."""
+        """Record that an attempt's engine generates."""
         self._table.note_progress(attempt, now)
 
     def note_finished(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt ended whole."""
+        """Record that an attempt ended whole."""
         record = self._table.record(engine)
         self._table.note_ended(attempt, now)
         if record is not None:
             note_success(record)
 
     def note_cancelled(self, attempt: AttemptId, now: float) -> None:
-        """Note that this node cancelled an attempt: no fault of the engine."""
+        """Record that this node cancelled an attempt: no fault of the engine."""
         self._table.note_ended(attempt, now)
 
     def note_refused(
@@ -133,12 +138,12 @@
         retry_after_seconds: float | None,
         now: float,
     ) -> bool:
-        """Note that an engine refused an attempt; return whether it looked full."""
+        """Record that an engine refused an attempt; return whether it looked full."""
         self._table.note_ended(attempt, now)
         return self._table.note_refused(engine, retry_after_seconds, now)
 
     def note_failed(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt failed at an engine or on the way to it."""
+        """Record that an attempt failed at an engine or on the way to it."""
         record = self._table.record(engine)
         self._table.note_ended(attempt, now)
         if record is not None:
--- a/src/stagewalk/node/routing/scoring.py
+++ b/src/stagewalk/node/routing/scoring.py
@@ -1,4 +1,10 @@
-"""Expected completion time of a request at an engine."""
+"""The score of an engine for a request: the expected seconds from dispatch to the last token.
+
+Pure. Sums prefill of what is not cached, queue, decode, pressure on KV memory and distance, and
+raises it for an engine that started lately. Inputs: the engine's report, corrected by this node's
+attempts that it can't count yet. Units are seconds and tokens; the constants are fields of
+`ScoreConfig`.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +17,8 @@
 from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex
 
 KV_PRESSURE_FACTOR = 10.0
+"""How much slower decode counts per unit of KV memory in use above the threshold: a full memory
+doubles it. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/node/routing/subsets.py
+++ b/src/stagewalk/node/routing/subsets.py
@@ -1,4 +1,9 @@
-"""Which engines a node routes over: rendezvous hashing, weighted by zone."""
+"""The rule for which engines a node routes over: rendezvous hashing, weighted by zone and region.
+
+Pure. Bounds what a node polls and holds whatever the size of the pool; a change of one engine
+moves only the nodes that had or will have it. The weights and the size are fields of
+`EngineTableConfig`.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +17,7 @@
 from stagewalk.node.routing.config import EngineTableConfig
 
 HASH_SPAN = float(1 << 64)
+"""Number of values of the 64-bit hash."""
 
 
 def rendezvous_score(node: NodeName, engine: str, weight: float) -> float:
