--- /dev/null
+++ b/src/stagewalk/gateway/assembly.py
@@ -0,0 +1,294 @@
+"""Builds the parts of one gateway process and connects them.
+
+Owns the order in which parts are built, and the only place where one part is bound to another after
+both exist (`_Links`). Relies on `Dependencies` for everything outside the product; starts nothing.
+"""
+
+from __future__ import annotations
+
+import time
+import uuid
+from dataclasses import dataclass
+
+from stagewalk.gateway.batch_services import BatchServices
+from stagewalk.gateway.dialect import Dialect
+from stagewalk.gateway.duty_services import DutyServices
+from stagewalk.gateway.forwarding.forwarder import Forwarder
+from stagewalk.gateway.forwarding.stream_forwarder import StreamForwarder
+from stagewalk.gateway.log_relay.relayed_log import RelayedLog, RelayPeers
+from stagewalk.gateway.metrics import GatewayMetrics
+from stagewalk.gateway.nodes.crash_watch import CrashWatch
+from stagewalk.gateway.nodes.identity import ProcessId
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.partitioned_log.measured_log import MeasuredLog
+from stagewalk.gateway.peer_calls.client import PeerClient
+from stagewalk.gateway.ports.duties import DutyClient
+from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog
+from stagewalk.gateway.ports.workers import WorkerClient
+from stagewalk.gateway.published_records import PublishedRecords
+from stagewalk.gateway.role_keeper import LogReserve, RoleKeeper
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.send_rules import SendRules
+from stagewalk.gateway.settings_reload import LiveSettings
+from stagewalk.gateway.version_rollouts.core import VersionRollouts
+from stagewalk.gateway.workers.table import WorkerTable
+
+NODES = Partition("keyed.nodes", 0)
+"""Compacted partition of the nodes' announcements and of the worker ends that they report."""
+
+
+@dataclass(frozen=True, slots=True)
+class Dependencies:
+    """Everything outside the product, behind its ports."""
+
+    log: PartitionedLog
+    workers: WorkerClient
+    dialect: Dialect
+    duties: DutyClient | None = None
+    """None: the platform has no duties but those at the workers."""
+
+
+@dataclass(frozen=True, slots=True)
+class LogAccess:
+    """The log as this process reaches it.
+
+    Attributes
+    ----------
+    direct
+        Calls the log itself and measures it; serves other nodes' relayed calls.
+    relayed
+        Calls the log, or another node where the log does not answer; used by all services.
+    """
+
+    direct: MeasuredLog
+    relayed: RelayedLog
+    peer_client: PeerClient
+
+
+@dataclass(frozen=True, slots=True)
+class ClusterState:
+    """What this node knows of routes, workers and other nodes, and the rules that use it."""
+
+    routes: RouteTable
+    workers: WorkerTable
+    rules: SendRules
+    rollouts: VersionRollouts
+    nodes: NodeService
+    crashes: CrashWatch
+
+
+@dataclass(frozen=True, slots=True)
+class Forwarders:
+    """Forwarding of callers' requests, by the kind of route."""
+
+    whole: Forwarder
+    streams: StreamForwarder
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayParts:
+    """All parts of a gateway, built and connected, none of them running."""
+
+    log: LogAccess
+    identity: ProcessId
+    cluster: ClusterState
+    batches: BatchServices
+    published: PublishedRecords
+    duties: DutyServices
+    roles: RoleKeeper
+    log_reserve: LogReserve
+    forwarders: Forwarders
+
+
+class _Links:
+    """Calls between parts that need each other, bound once both are built.
+
+    - The log relays through nodes, and nodes are known from the log.
+    - Send rules judge the age of the published records, which update the state of those rules.
+    - A suspect is sent only after the nodes' partition was read again, and that partition's
+      follower hands worker ends to the part that suspects.
+    """
+
+    nodes: NodeService
+    published: PublishedRecords
+
+    def relay_peers(self) -> RelayPeers:
+        return self.nodes.peers()
+
+    def replica_names(self) -> list[str]:
+        return [node.node for node in self.nodes.replicas()]
+
+    async def renew_nodes(self, oldest_seconds: float, timeout_seconds: float) -> bool:
+        return await self.nodes.renew(oldest_seconds, timeout_seconds)
+
+    def view_age(self, now: float) -> float:
+        return self.published.view_age(now)
+
+
+class GatewayAssembly:
+    """Builds one gateway in steps, each from what the steps before it built."""
+
+    def __init__(
+        self, settings: LiveSettings, dependencies: Dependencies, metrics: GatewayMetrics
+    ) -> None:
+        self._live = settings
+        self._settings = settings.current
+        self._dependencies = dependencies
+        self._metrics = metrics
+        self._identity = ProcessId(self._settings.name, time.time_ns() // 1_000_000)
+        self._producer = f"{self._settings.name}-{uuid.uuid4().hex}"
+        self._links = _Links()
+
+    def build(self) -> GatewayParts:
+        """Return all parts, connected."""
+        log = self._log()
+        cluster = self._cluster(log)
+        log_reserve = LogReserve()
+        batches = self._batches(log, cluster, log_reserve)
+        published = self._published(log, cluster)
+        duties = self._duties(log, cluster, batches, published)
+        roles = RoleKeeper(
+            cluster.nodes,
+            batches.store,
+            batches.runner,
+            duties.lease,
+            published,
+            log_reserve=log_reserve,
+        )
+        forwarders = self._forwarders(cluster, duties)
+        self._links.nodes = cluster.nodes
+        self._links.published = published
+        return GatewayParts(
+            log=log,
+            identity=self._identity,
+            cluster=cluster,
+            batches=batches,
+            published=published,
+            duties=duties,
+            roles=roles,
+            log_reserve=log_reserve,
+            forwarders=forwarders,
+        )
+
+    def _log(self) -> LogAccess:
+        direct = MeasuredLog(self._dependencies.log, self._metrics.log_called)
+        peer_client = PeerClient()
+        relayed = RelayedLog(direct, self._links.relay_peers, peer_client)
+        return LogAccess(direct, relayed, peer_client)
+
+    def _cluster(self, log: LogAccess) -> ClusterState:
+        routes = RouteTable(self._settings.name)
+        workers = WorkerTable()
+        rules = SendRules(
+            settings=self._settings,
+            log=log.relayed,
+            producer=self._producer,
+            workers=workers,
+            routes=routes,
+            view_age=self._links.view_age,
+            replicas=self._links.replica_names,
+        )
+        rules.eligibility.on_denied = self._metrics.send_denied
+        rollouts = VersionRollouts(
+            workers,
+            self._settings.policy,
+            lambda: rules.evacuations.zones,
+            lambda service: routes.service(service) is not None,
+        )
+        crashes = self._crashes(log, rules, workers)
+        nodes = self._nodes(log, routes, crashes)
+        return ClusterState(routes, workers, rules, rollouts, nodes, crashes)
+
+    def _crashes(self, log: LogAccess, rules: SendRules, workers: WorkerTable) -> CrashWatch:
+        return CrashWatch(
+            log=log.relayed,
+            partition=NODES,
+            node=self._settings.name,
+            suspects=rules.suspects,
+            workers=workers,
+            probe=self._dependencies.workers.is_listening,
+            renew_view=self._links.renew_nodes,
+        )
+
+    def _nodes(self, log: LogAccess, routes: RouteTable, crashes: CrashWatch) -> NodeService:
+        return NodeService(
+            log=log.relayed,
+            partition=NODES,
+            identity=self._identity,
+            front=self._settings.front,
+            peer=self._settings.peers,
+            placement=self._settings.placement,
+            capacity=self._settings.processor.capacity,
+            policy=self._settings.policy,
+            batch_regions=lambda: routes.batch_regions,
+            worker_ends=crashes,
+        )
+
+    def _batches(
+        self, log: LogAccess, cluster: ClusterState, log_reserve: LogReserve
+    ) -> BatchServices:
+        return BatchServices(
+            settings=lambda: self._live.current,
+            log=log.relayed,
+            identity=self._identity,
+            producer=self._producer,
+            dialect=self._dependencies.dialect,
+            client=self._dependencies.workers,
+            peer_client=log.peer_client,
+            nodes=cluster.nodes,
+            workers=cluster.workers,
+            routes=cluster.routes,
+            rules=cluster.rules,
+            crashes=cluster.crashes,
+            rollouts=cluster.rollouts,
+            starting=lambda: log_reserve.active,
+            on_item_started=self._metrics.item_view_age.observe,
+        )
+
+    def _published(self, log: LogAccess, cluster: ClusterState) -> PublishedRecords:
+        return PublishedRecords(
+            log.relayed,
+            self._dependencies.dialect,
+            cluster.routes,
+            cluster.workers,
+            cluster.rollouts,
+            evacuations=cluster.rules.evacuations,
+            cold=cluster.rules.cold,
+        )
+
+    def _duties(
+        self,
+        log: LogAccess,
+        cluster: ClusterState,
+        batches: BatchServices,
+        published: PublishedRecords,
+    ) -> DutyServices:
+        return DutyServices(
+            settings=self._settings,
+            log=log.relayed,
+            identity=self._identity,
+            producer=self._producer,
+            client=self._dependencies.duties,
+            engines=self._dependencies.workers,
+            rollouts=cluster.rollouts,
+            routes=cluster.routes,
+            workers=cluster.workers,
+            published=published,
+            store=batches.store,
+            evacuations=cluster.rules.evacuations,
+        )
+
+    def _forwarders(self, cluster: ClusterState, duties: DutyServices) -> Forwarders:
+        client, rules = self._dependencies.workers, cluster.rules
+        begun = duties.count_begun
+        return Forwarders(
+            Forwarder(
+                client,
+                rules.eligibility,
+                cluster.routes,
+                cluster.crashes,
+                policy=self._settings.policy,
+                on_begun=begun,
+            ),
+            StreamForwarder(client, rules.eligibility, cluster.routes, cluster.crashes, begun),
+        )
--- a/src/stagewalk/gateway/nodes/crash_watch.py
+++ b/src/stagewalk/gateway/nodes/crash_watch.py
@@ -80,6 +80,8 @@
     ----------
     partition
         Compacted partition that all nodes follow anyway.
+    renew_view
+        Reads that partition again.
     """
 
     def __init__(
@@ -91,6 +93,7 @@
         suspects: CrashSuspects,
         workers: WorkerTable,
         probe: Probe,
+        renew_view: RenewView,
     ) -> None:
         self._log = log
         self._partition = partition
@@ -98,6 +101,7 @@
         self._suspects = suspects
         self._workers = workers
         self._probe = probe
+        self._renew_view = renew_view
         self._losses = LossWatch()
         self._untold: dict[str, list[CrashStrike]] = {}
         self._unsent: dict[str, bytes] = {}
@@ -108,7 +112,6 @@
         self._idle.set()
         self._ended_at: dict[str, float] = {}
         self._expired_at = -math.inf
-        self.renew_view: RenewView = _never_renewed
 
     # What senders ask and tell.
 
@@ -122,7 +125,7 @@
             return None
         if self._suspects.held(content, time.time(), item=item):
             return Denial.CRASHES_WORKERS
-        renewed = await self.renew_view(SUSPECT_VIEW_SECONDS, SUSPECT_READ_SECONDS)
+        renewed = await self._renew_view(SUSPECT_VIEW_SECONDS, SUSPECT_READ_SECONDS)
         if self._suspects.held(content, time.time(), item=item):
             return Denial.CRASHES_WORKERS
         return None if renewed or self._in_first_try(content) else Denial.CRASH_NEWS_TOO_OLD
@@ -323,7 +326,3 @@
                 return False
             self._ended_at[name] = now
         return True
-
-
-async def _never_renewed(_oldest_seconds: float, _timeout_seconds: float) -> bool:
-    return False
--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -24,7 +24,7 @@
 from stagewalk.gateway.nodes.identity import ProcessId, parse_process_id
 from stagewalk.gateway.partitioned_log.follower import KeyedFollower
 from stagewalk.gateway.policy import Policy
-from stagewalk.gateway.ports.keyed_records import KeyedRecords, NoKeyedRecords
+from stagewalk.gateway.ports.keyed_records import KeyedRecords
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
 from stagewalk.gateway.zones.homes import AllowedRegions, allows
 
@@ -63,6 +63,9 @@
     ----------
     batch_regions
         Returns the regions in which batches may be kept and run.
+    worker_ends
+        Handles the reports of worker ends. They stand beside the announcements, which every node
+        reads before it serves, so they cost no reads of their own.
     """
 
     def __init__(
@@ -76,7 +79,8 @@
         placement: Placement,
         capacity: float,
         policy: Policy,
-        batch_regions: Callable[[], AllowedRegions] = lambda: None,
+        batch_regions: Callable[[], AllowedRegions],
+        worker_ends: KeyedRecords,
     ) -> None:
         self._log = log
         self._partition = partition
@@ -113,9 +117,7 @@
         self._calls = CallRate(steady_seconds())
         self._calls_per_second = 0.0
         self._liveness = RunnerLiveness()
-        self.strikes: KeyedRecords = NoKeyedRecords()
-        """Takes what nodes tell of workers that ended: it stands beside their announcements, which
-        every node reads before it serves, so it costs no reads of its own."""
+        self._worker_ends = worker_ends
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start announcing and following."""
@@ -346,11 +348,13 @@
         self._view_at = max(self._view_at, confirmed_at)
 
     def _replace(self, records: tuple[KeyedRecord, ...]) -> None:
-        self.strikes.replace(tuple(record for record in records if self.strikes.owns(record)))
+        self._worker_ends.replace(
+            tuple(record for record in records if self._worker_ends.owns(record))
+        )
         listing = {
             record.offset: announcement
             for record in records
-            if not self.strikes.owns(record) and (announcement := _decode(record)) is not None
+            if not self._worker_ends.owns(record) and (announcement := _decode(record)) is not None
         }
         now = steady_seconds()
         self._table.announced(listing, now)
@@ -364,8 +368,8 @@
         self._known.set()
 
     def _apply(self, record: KeyedRecord) -> None:
-        if self.strikes.owns(record):
-            self.strikes.apply(record)
+        if self._worker_ends.owns(record):
+            self._worker_ends.apply(record)
             return
         announcement = _decode(record)
         if announcement is None:
--- a/src/stagewalk/gateway/ports/keyed_records.py
+++ b/src/stagewalk/gateway/ports/keyed_records.py
@@ -18,17 +18,3 @@
 
     def replace(self, records: tuple[KeyedRecord, ...]) -> None:
         """Take all of them: keys that are not among them are gone."""
-
-
-class NoKeyedRecords:
-    """Owns no keys."""
-
-    def owns(self, _record: KeyedRecord) -> bool:
-        """Whether a record's key is its own: none is."""
-        return False
-
-    def apply(self, _record: KeyedRecord) -> None:
-        """Take nothing."""
-
-    def replace(self, _records: tuple[KeyedRecord, ...]) -> None:
-        """Take nothing."""
--- a/src/stagewalk/gateway/process.py
+++ b/src/stagewalk/gateway/process.py
@@ -13,7 +13,8 @@
 from stagewalk.common.logs.budget import LogBudget
 from stagewalk.common.logs.lines import configure_logs, log_event
 from stagewalk.common.logs.writer import LineWriter
-from stagewalk.gateway.daemon import Dependencies, Gateway
+from stagewalk.gateway.assembly import Dependencies
+from stagewalk.gateway.daemon import Gateway
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.settings_reload import SettingsLoader
 
--- a/src/stagewalk/gateway/role_keeper.py
+++ b/src/stagewalk/gateway/role_keeper.py
@@ -15,6 +15,22 @@
 from stagewalk.gateway.runners.batch_runner import BatchRunner
 
 
+class LogReserve:
+    """A span after the start in which the log's reads are left to runners that resume batches."""
+
+    def __init__(self) -> None:
+        self._ends_at = -math.inf
+
+    def hold_until(self, at: float) -> None:
+        """Reserve the log until a steady time."""
+        self._ends_at = at
+
+    @property
+    def active(self) -> bool:
+        """Whether the log is still reserved."""
+        return steady_seconds() < self._ends_at
+
+
 class RoleKeeper:
     """Takes roles or gives them up, as the nodes known now suggest."""
 
@@ -25,6 +41,8 @@
         runner: BatchRunner,
         duties: DutyLease,
         published: PublishedRecords,
+        *,
+        log_reserve: LogReserve,
     ) -> None:
         self._nodes = nodes
         self._store = store
@@ -32,7 +50,7 @@
         self._duties = duties
         self._published = published
         self._replica = ReplicaRole()
-        self._follow_from = -math.inf
+        self._log_reserve = log_reserve
         self._pace = LISTED_PACE
 
     @property
@@ -40,15 +58,6 @@
         """Return how often this node reads now."""
         return self._pace
 
-    def follow_from(self, at: float) -> None:
-        """Leave the batches to others until a steady time."""
-        self._follow_from = at
-
-    @property
-    def starting(self) -> bool:
-        """Whether the log is left to those that look for open batches."""
-        return steady_seconds() < self._follow_from
-
     def update(self, stopping: bool, now: float) -> None:
         """Compare the roles this node has with those it should have."""
         roles = self._nodes.wanted_roles()
@@ -61,7 +70,7 @@
         attentive = self._replica.following(now)
         if attentive != self._duties.following:
             self._duties.set_following(attentive)
-        following = attentive and now >= self._follow_from
+        following = attentive and not self._log_reserve.active
         if following != self._store.following:
             self._store.set_following(following)
         self._set_pace(read_pace(following, self._nodes.listed))
--- a/src/stagewalk/gateway/settings_reload.py
+++ b/src/stagewalk/gateway/settings_reload.py
@@ -15,6 +15,30 @@
 """Reads the settings again."""
 
 
+class LiveSettings:
+    """The settings in force, which a running gateway may read again.
+
+    Parameters
+    ----------
+    load_again
+        None: settings stay as they are.
+    """
+
+    def __init__(self, settings: GatewaySettings, load_again: SettingsLoader | None) -> None:
+        self._settings = settings
+        self._load_again = load_again
+
+    @property
+    def current(self) -> GatewaySettings:
+        """Return the settings in force now."""
+        return self._settings
+
+    def reload(self) -> None:
+        """Read the settings again and put in force what may change while the process runs."""
+        if self._load_again is not None:
+            self._settings = reload_settings(self._settings, self._load_again())
+
+
 def reload_settings(
     before: GatewaySettings, loaded: Result[GatewaySettings, StagewalkError]
 ) -> GatewaySettings:
--- a/tests/gateway/batch_service/test_ended_batches.py
+++ b/tests/gateway/batch_service/test_ended_batches.py
@@ -22,11 +22,11 @@
 import msgspec
 import testtools
 
+from stagewalk.gateway.assembly import NODES
 from stagewalk.gateway.batch_service.batch_store import FOLLOWED_SECONDS, TOPIC
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.records import BatchEnded, BatchHeader, decode_record, encode_record
 from stagewalk.gateway.batches.takeover import affinity
-from stagewalk.gateway.daemon import NODES
 from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk.gateway.runners.runner_messages import (
--- a/tests/gateway/nodes/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -37,6 +37,7 @@
             suspects=self.suspects,
             workers=self.table,
             probe=mock.AsyncMock(return_value=False),
+            renew_view=mock.AsyncMock(return_value=False),
         )
 
     async def end(self, worker: str, content: RequestContent = CONTENT) -> None:
--- a/tests/gateway/nodes/test_node_service.py
+++ b/tests/gateway/nodes/test_node_service.py
@@ -60,6 +60,7 @@
         capacity=0.5,
         policy=ALL_ON,
         batch_regions=lambda: regions,
+        worker_ends=mock.Mock(owns=lambda _record: False),
     )
 
 
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -12,8 +12,9 @@
 import msgspec
 
 from stagewalk.common.identities import Address, Placement
+from stagewalk.gateway.assembly import Dependencies
 from stagewalk.gateway.batches.records import BatchItem, ScoreCall
-from stagewalk.gateway.daemon import Dependencies, Gateway
+from stagewalk.gateway.daemon import Gateway
 from stagewalk.gateway.dialect import NamedVersion
 from stagewalk.gateway.routes.route import (
     BackEnd,
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -8,7 +8,8 @@
 from expression import Error, Ok
 
 from stagewalk.common.settings.addresses import settings_error
-from stagewalk.gateway.daemon import Dependencies, Gateway
+from stagewalk.gateway.assembly import Dependencies
+from stagewalk.gateway.daemon import Gateway
 from stagewalk.gateway.settings import Timing
 from stagewalk_standins.memory_workers import MemoryWorkers
 from stagewalk_standins.partitioned_log import MemoryLog
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -9,7 +9,8 @@
 import testtools
 
 from stagewalk.gateway.batches.records import BatchEnded
-from stagewalk.gateway.settings import GatewaySettings, Timing
+from stagewalk.gateway.settings import Timing
+from stagewalk.gateway.settings_reload import LiveSettings
 from tests.gateway.support import Running, Site, run
 
 GRACE_SECONDS = 5.0
@@ -22,7 +23,7 @@
         async def scenario(site: Site) -> None:
             with mock.patch("stagewalk.gateway.daemon.LEAVE_SECONDS", 0.1):
                 node = await site.start("n1")
-                node.gateway.settings = _with_grace(node)
+                node.gateway._live_settings = _with_grace(node)
                 for worker in site.workers.workers.values():
                     worker.answer_seconds = 1.9
                 node.log.faults.down = True
@@ -40,7 +41,7 @@
         async def scenario(site: Site) -> None:
             with mock.patch("stagewalk.gateway.daemon.LEAVE_SECONDS", 0.1):
                 node = await site.start("n1")
-                node.gateway.settings = _with_grace(node)
+                node.gateway._live_settings = _with_grace(node)
                 node.log.faults.down = True
                 node.gateway.store.post("b1", BatchEnded("b1"))
                 async with anyio.create_task_group() as tasks:
@@ -59,6 +60,6 @@
                 await anyio.sleep(0.2)
 
 
-def _with_grace(node: Running) -> GatewaySettings:
+def _with_grace(node: Running) -> LiveSettings:
     timing = Timing(lease_quiet=0.2, stop_grace=GRACE_SECONDS)
-    return dataclasses.replace(node.gateway.settings, timing=timing)
+    return LiveSettings(dataclasses.replace(node.gateway.settings, timing=timing), None)
