--- a/src/stagewalk/gateway/batches/placement.py
+++ b/src/stagewalk/gateway/batches/placement.py
@@ -5,21 +5,20 @@
 from collections.abc import Collection, Sequence
 
 from stagewalk.gateway.policy import ALL_ON, Policy
-from stagewalk.gateway.workers.selection import fastest_latency, slowness
+from stagewalk.gateway.workers.placement_costs import (
+    ENGINE_SLOWNESS_COST,
+    FAILED_HERE_COST,
+    FULL_OCCUPANCY,
+    PROMPT_HELD_CREDIT,
+    ROOM_OCCUPANCY,
+    URGENT_ROOM_OCCUPANCY,
+    distance_cost,
+    fastest_latency,
+    slowness,
+)
 from stagewalk.gateway.workers.worker import Worker
 from stagewalk.gateway.zones.distance import Proximity
 
-FULL_OCCUPANCY = 1.2
-"""An engine with this many requests per slot gets no more: the rest waits here, where it can
-still go to whichever engine is free first."""
-
-SIBLING_BONUS = 0.15
-"""What it is worth, in parts of a full engine, that the group's prompt is there already."""
-
-PACE_WEIGHT = 2.5
-"""What it costs, in parts of a full engine, to take twice as long for an event: a batch of
-requests slows an engine little, so a slow engine is worth using only once others are full."""
-
 MOVE_SECONDS = 0.15
 """What going on at another engine takes."""
 
@@ -33,12 +32,6 @@
 LEAST_GAIN_SECONDS = 1.0
 """Moves that gain less than this are not worth their price."""
 
-ROOM_OCCUPANCY = 0.8
-URGENT_ROOM_OCCUPANCY = 1.0
-"""An engine takes an item from a slower one while it is less occupied; an urgent one wherever a
-slot is free: with a bound of 0.8 a long item stayed at an engine half as fast for 6 s, since each
-of the others had seven of its eight slots taken."""
-
 
 def choose_engine(
     engines: Sequence[Worker],
@@ -69,11 +62,11 @@
 
     def cost(engine: Worker) -> float:
         name = engine.announcement.worker
-        shared = SIBLING_BONUS if policy.siblings and name in siblings else 0.0
+        shared = PROMPT_HELD_CREDIT if policy.siblings and name in siblings else 0.0
         near_first = policy.zone_preference
-        distance = proximity.penalty(engine.announcement.zone) if near_first else 0.0
-        failed_here = 0.5 if name == avoid else 0.0
-        pace = PACE_WEIGHT * slowness(engine, fastest, now) if policy.pace else 0.0
+        distance = distance_cost(proximity, engine) if near_first else 0.0
+        failed_here = FAILED_HERE_COST if name == avoid else 0.0
+        pace = ENGINE_SLOWNESS_COST * slowness(engine, fastest, now) if policy.pace else 0.0
         return engine.occupancy(now) + distance + failed_here + pace - shared
 
     return min(free, key=cost)
--- a/src/stagewalk/gateway/zones/distance.py
+++ b/src/stagewalk/gateway/zones/distance.py
@@ -1,4 +1,7 @@
-"""How far a zone is from this node, and what that costs a choice. Pure."""
+"""How far a zone is from this node. Pure.
+
+Owns the map of zones to regions. What a distance costs a choice is in `workers.placement_costs`.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +20,6 @@
     """In another region."""
 
 
-DISTANCE_PENALTY: Mapping[Distance, float] = {
-    Distance.SAME_ZONE: 0.0,
-    Distance.SAME_REGION: 0.05,
-    Distance.BEYOND: 0.3,
-}
-"""What a worker there costs, in parts of a full worker. Zones of a region are 0.5 to 1.4 ms apart,
-regions 12 to 20 ms: a look-up of 38 ms takes 60% longer beyond, and still goes there rather than
-wait behind two more requests at a worker of six slots."""
-
-
 class Proximity:
     """Where this node is among the zones.
 
@@ -57,7 +50,3 @@
             return Distance.SAME_ZONE
         known = self._regions.get(zone, self._own.region)
         return Distance.SAME_REGION if known == self._own.region else Distance.BEYOND
-
-    def penalty(self, zone: str) -> float:
-        """Return what a worker of a zone costs a choice, in parts of a full worker."""
-        return DISTANCE_PENALTY[self.distance(zone)]
--- a/tests/gateway/zones/test_regions.py
+++ b/tests/gateway/zones/test_regions.py
@@ -5,9 +5,10 @@
 import testtools
 
 from stagewalk.common.identities import Placement
+from stagewalk.gateway.workers.placement_costs import DISTANCE_COST, distance_cost
 from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
-from stagewalk.gateway.zones.distance import DISTANCE_PENALTY, Distance, Proximity
+from stagewalk.gateway.zones.distance import Distance, Proximity
 from stagewalk.gateway.zones.homes import allowed_regions, allows
 from tests.gateway.eligibility.support import NEAR_Z1
 from tests.gateway.workers.support import announcement
@@ -17,8 +18,9 @@
     def test_zone_region_beyond(self) -> None:
         distances = [NEAR_Z1.distance(zone) for zone in ("z1", "z2", "z3")]
         self.assertEqual([Distance.SAME_ZONE, Distance.SAME_REGION, Distance.BEYOND], distances)
-        penalties = [NEAR_Z1.penalty(zone) for zone in ("z1", "z2", "z3")]
-        self.assertEqual(sorted(DISTANCE_PENALTY.values()), penalties)
+        workers = [Worker(announcement("w", zone=zone), 0.0) for zone in ("z1", "z2", "z3")]
+        costs = [distance_cost(NEAR_Z1, worker) for worker in workers]
+        self.assertEqual(sorted(DISTANCE_COST.values()), costs)
 
     def test_a_zone_that_the_settings_do_not_name(self) -> None:
         alone = Proximity(Placement("r1", "z1"), {})
