--- /dev/null
+++ b/src/stagewalk/gateway/forwarding/attempts.py
@@ -0,0 +1,233 @@
+"""One attempt of a forwarded request: choice of the worker, what is sent, records of how it ended.
+
+Owns what `Forwarder` and `StreamForwarder` do alike at each attempt. They own what differs: how a
+request is sent, and which answer reaches the caller.
+Relies on `ForwardedRequest` for what is allowed, on `Eligibility` for where a request may go, on
+`choose_worker` for which of these it goes to, and on `CrashReports` for what crashed workers.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from stagewalk.common.logs.lines import log_event
+from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
+from stagewalk.gateway.forwarding.inbound import InboundRequest
+from stagewalk.gateway.forwarding.policy import ForwardedRequest, evidence_of
+from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, OutboundRequest
+from stagewalk.gateway.quarantine.crash_reports import CrashReports, SentRequest
+from stagewalk.gateway.routes.route import RouteKind
+from stagewalk.gateway.workers.selection import choose_worker
+from stagewalk.gateway.workers.worker import Worker
+
+BegunListener = Callable[[str | None, float], None]
+"""Called when a worker began to run a request: its tenant, and the time of the steady clock."""
+
+
+def ignore_begun(_tenant: str | None, _began: float) -> None:
+    """Do nothing."""
+
+
+GOOD_OUTCOMES = frozenset({"answered_200", "stream_200"})
+
+
+@dataclass(frozen=True, slots=True)
+class Attempt:
+    """One send of a request to one worker; its permit is asked for as it is to go.
+
+    Attributes
+    ----------
+    known_level
+        Worker ends in a row that were known of its content as it began.
+    began_at
+        Steady time.
+    """
+
+    request: InboundRequest
+    state: ForwardedRequest
+    worker: Worker
+    known_level: int
+    began_at: float
+    outbound: OutboundRequest
+
+    @property
+    def scope(self) -> RequestScope:
+        """Return what decides where it may run."""
+        return self.request.scope(self.state.route)
+
+
+class Attempts:
+    """Chooses workers for attempts, prepares attempts, and records how they ended.
+
+    Parameters
+    ----------
+    prefer_warm
+        Whether workers to which a connection is kept are preferred for requests that may use one.
+    """
+
+    def __init__(
+        self, eligibility: Eligibility, crashes: CrashReports, *, prefer_warm: bool
+    ) -> None:
+        self._eligibility = eligibility
+        self._crashes = crashes
+        self._prefer_warm = prefer_warm
+
+    async def next_worker(
+        self, request: InboundRequest, service: str, state: ForwardedRequest
+    ) -> Worker | None:
+        """Return the worker of the next attempt, None if there is to be no other attempt."""
+        state.withheld = await self._crashes.denial(request.content)
+        if state.withheld is not None:
+            return None
+        worker = self.choose(request, service, state)
+        return worker if state.may_try_again(steady_seconds()) else None
+
+    def choose(
+        self, request: InboundRequest, service: str, state: ForwardedRequest
+    ) -> Worker | None:
+        """Return the best worker that the request may be sent to and was not sent to yet."""
+        now = steady_seconds()
+        found = self._eligibility.candidates(service, request.scope(state.route), now)
+        self._eligibility.want(found, now)
+        state.denied = found.denied
+        # Only repeatable requests may go over a kept connection.
+        repeatable = state.route.kind is RouteKind.REPEATABLE
+        return choose_worker(
+            found.workers,
+            now,
+            self._eligibility.proximity,
+            state.tried,
+            prefer_warm=repeatable and self._prefer_warm,
+        )
+
+    @staticmethod
+    def start(state: ForwardedRequest, worker: Worker) -> None:
+        """Count an attempt at a worker."""
+        now = steady_seconds()
+        state.started(worker.announcement.worker, evidence_of(worker, now))
+        worker.note_sent()
+
+    def prepare(
+        self,
+        request: InboundRequest,
+        state: ForwardedRequest,
+        worker: Worker,
+        resume_after: int | None = None,
+    ) -> Attempt:
+        """Return a started attempt as it is to be sent.
+
+        Parameters
+        ----------
+        resume_after
+            As in `OutboundRequest`.
+        """
+        now = steady_seconds()
+        outbound = OutboundRequest(
+            request_id=request.request_id,
+            method=request.method,
+            target=request.target,
+            headers=request.headers,
+            body=request.body,
+            deadline_seconds=state.worker_seconds(now),
+            repeatable=state.route.repeatable,
+            resume_after=resume_after,
+            tenant=request.tenant,
+            priority=request.priority,
+        )
+        known_level = self._crashes.known_level(request.content)
+        return Attempt(request, state, worker, known_level, now, outbound)
+
+    async def record_unanswered(self, attempt: Attempt, failure: AttemptFailure) -> None:
+        """Record a sent attempt that got no answer, and find out whether its worker ended."""
+        request = attempt.request
+        sent = SentRequest(
+            request.request_id,
+            request.content,
+            attempt.worker,
+            attempt.state.route.name,
+            attempt.known_level,
+            attempt.began_at,
+        )
+        await self._crashes.lost(sent, failure)
+        record_failure(attempt, failure)
+
+    def record_answered(self, attempt: Attempt) -> None:
+        """Record an attempt that its worker ran to a whole answer."""
+        self._crashes.answered(attempt.request.content)
+        attempt.state.under_way -= 1
+
+
+def record_denied(attempt: Attempt, denial: Denial) -> None:
+    """Record an attempt that was denied its permit: nothing of it was sent."""
+    attempt.worker.note_ended()
+    record_failure(attempt, AttemptFailure(AttemptFault.WITHHELD, denial.value))
+
+
+def record_failure(attempt: Attempt, failure: AttemptFailure) -> None:
+    """Count a failed attempt, and log it; avoid its worker for a while.
+
+    A worker that refused the request, or was not even tried, is not avoided.
+    """
+    request, state, worker = attempt.request, attempt.state, attempt.worker
+    now = steady_seconds()
+    state.failed(failure)
+    worker.note_load(failure.load, now)
+    if failure.fault not in (AttemptFault.NOT_RUN, AttemptFault.WITHHELD):
+        worker.note_failure(now)
+    log_event(
+        "attempt_failed",
+        "warning",
+        request=request.request_id,
+        worker=worker.announcement.worker,
+        fault=failure.fault,
+        detail=failure.detail,
+        occupancy=worker.occupancy(now),
+        attempts=state.spent,
+        **_loss_fields(request, failure),
+    )
+
+
+def log_request_end(
+    request: InboundRequest, state: ForwardedRequest, configuration: int, outcome: str
+) -> None:
+    """Log how a forwarded request ended, which workers it went to and what chose them.
+
+    Parameters
+    ----------
+    configuration
+        Version of the configuration in force.
+    """
+    good = outcome in GOOD_OUTCOMES
+    content = {} if good or not state.may_have_run else {"content": request.content.digest}
+    log_event(
+        "request_ended",
+        "info" if good else "warning",
+        request=request.request_id,
+        route=state.route.name,
+        configuration=configuration,
+        outcome=outcome,
+        workers=",".join(state.tried),
+        occupancies=",".join(format(e.occupancy, ".2f") for e in state.evidence),
+        load_ages=",".join(format(e.load_age, ".2f") for e in state.evidence),
+        attempts=state.spent,
+        denied=_count_denials(state),
+        seconds=steady_seconds() - state.began_at,
+        **content,
+    )
+
+
+def _loss_fields(request: InboundRequest, failure: AttemptFailure) -> dict[str, str]:
+    """Return the fields that show whether one content loses its workers again and again."""
+    if failure.contact_loss is None:
+        return {}
+    return {"contact_loss": failure.contact_loss.value, "content": request.content.digest}
+
+
+def _count_denials(state: ForwardedRequest) -> str:
+    """Return the number of workers that the request was denied, by reason."""
+    counts = Counter(denial.value for denial in state.denied.values())
+    return ",".join(f"{reason}:{count}" for reason, count in sorted(counts.items()))
--- a/src/stagewalk/gateway/forwarding/forwarder.py
+++ b/src/stagewalk/gateway/forwarding/forwarder.py
@@ -1,49 +1,46 @@
-"""Carries forwarded requests out: one task an attempt, the first whole answer wins."""
+"""Forwards whole requests: one task an attempt, the first whole answer wins.
+
+Owns the order of a request's attempts, the second attempt beside a slow one, and which answer its
+caller gets. Relies on `forwarding.policy` for every decision, on `forwarding.attempts` for what
+each attempt does, and on the `WorkerClient` to send.
+"""
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
+from functools import partial
 
 import anyio
 import anyio.abc
 from expression import Error, Ok, Result
 
-from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.eligibility.core import Eligibility
-from stagewalk.gateway.forwarding.attempt_failures import note_failed_attempt, note_withheld_attempt
-from stagewalk.gateway.forwarding.inbound import InboundRequest
-from stagewalk.gateway.forwarding.policy import (
-    ForwardedRequest,
-    Unanswered,
-    evidence_of,
-    is_success,
+from stagewalk.gateway.forwarding.attempts import (
+    Attempt,
+    Attempts,
+    BegunListener,
+    ignore_begun,
+    log_request_end,
+    record_denied,
+    record_failure,
 )
+from stagewalk.gateway.forwarding.inbound import InboundRequest
+from stagewalk.gateway.forwarding.policy import ForwardedRequest, Unanswered, is_success
 from stagewalk.gateway.policy import ALL_ON, Policy
 from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
-    OutboundRequest,
     WorkerAnswer,
     WorkerClient,
 )
-from stagewalk.gateway.quarantine.crash_reports import CrashReports, SentRequest
-from stagewalk.gateway.routes.route import Route, RouteKind
+from stagewalk.gateway.quarantine.crash_reports import CrashReports
+from stagewalk.gateway.routes.route import Route
 from stagewalk.gateway.routes.table import RouteTable
-from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
 
-BegunListener = Callable[[str | None, float], None]
-"""Takes that a request of a tenant began to run at a worker at a time of the steady clock."""
-
-
-def ignore_begun(_tenant: str | None, _began: float) -> None:
-    """Take no notice."""
-
-
-GOOD_OUTCOMES = frozenset({"answered_200", "stream_200"})
+_Send = Callable[[], Awaitable[Result[WorkerAnswer, AttemptFailure]]]
 
 
 @dataclass(slots=True)
@@ -70,8 +67,8 @@
         self._eligibility = eligibility
         self._crashes = crashes
         self._routes = routes
-        self._policy = policy
         self._on_begun = on_begun
+        self._attempts = Attempts(eligibility, crashes, prefer_warm=policy.warm_connections)
 
     async def forward(
         self, request: InboundRequest, route: Route, deadline_at: float
@@ -79,6 +76,11 @@
         """Return a worker's answer, or how the request ended without one.
 
         Cancelling this call closes the connections of all its attempts.
+
+        Parameters
+        ----------
+        deadline_at
+            Steady time.
         """
         state = ForwardedRequest(route, deadline_at, steady_seconds())
         service = self._routes.choose_back_end(route).service
@@ -109,11 +111,8 @@
         settled: _Settled,
     ) -> None:
         while settled.answer is None:
-            state.withheld = await self._crashes.denial(request.content)
-            if state.withheld is not None:
-                return
-            worker = self._choose(request, service, state)
-            if worker is None or not state.may_try_again(steady_seconds()):
+            worker = await self._attempts.next_worker(request, service, state)
+            if worker is None:
                 return
             await self._attempt_with_hedge(request, state, service, worker, settled)
 
@@ -135,39 +134,15 @@
 
             now = steady_seconds()
             delay = state.hedge_after(worker.recent_latency(now))
-            self._start(state, worker)
+            self._attempts.start(state, worker)
             tasks.start_soon(attempt, worker)
             await anyio.sleep(delay)
             state.suspected = self._crashes.known_level(request.content) > 0
-            second = self._choose(request, service, state)
+            second = self._attempts.choose(request, service, state)
             if second is not None and state.may_hedge(steady_seconds()):
-                self._start(state, second)
+                self._attempts.start(state, second)
                 tasks.start_soon(attempt, second)
 
-    def _choose(
-        self, request: InboundRequest, service: str, state: ForwardedRequest
-    ) -> Worker | None:
-        now = steady_seconds()
-        scope = request.scope(state.route)
-        found = self._eligibility.candidates(service, scope, now)
-        self._eligibility.want(found, now)
-        state.denied = found.denied
-        # Only repeatable requests may go over a kept connection.
-        repeatable = state.route.kind is RouteKind.REPEATABLE
-        return choose_worker(
-            found.workers,
-            now,
-            self._eligibility.proximity,
-            state.tried,
-            prefer_warm=repeatable and self._policy.warm_connections,
-        )
-
-    @staticmethod
-    def _start(state: ForwardedRequest, worker: Worker) -> None:
-        now = steady_seconds()
-        state.started(worker.announcement.worker, evidence_of(worker, now))
-        worker.note_sent()
-
     async def _attempt(
         self,
         request: InboundRequest,
@@ -175,79 +150,41 @@
         worker: Worker,
         settled: _Settled,
     ) -> None:
-        began = steady_seconds()
-        known_level = self._crashes.known_level(request.content)
-        scope = request.scope(state.route)
-        permit = self._eligibility.permit(worker, scope, began, state.late)
+        attempt = self._attempts.prepare(request, state, worker)
+        permit = self._eligibility.permit(worker, attempt.scope, attempt.began_at, state.late)
         if permit.is_error():
-            note_withheld_attempt(request, state, worker, permit.error)
+            record_denied(attempt, permit.error)
             return
-        outbound = OutboundRequest(
-            request_id=request.request_id,
-            method=request.method,
-            target=request.target,
-            headers=request.headers,
-            body=request.body,
-            deadline_seconds=state.worker_seconds(began),
-            repeatable=state.route.kind is RouteKind.REPEATABLE,
-            tenant=request.tenant,
-            priority=request.priority,
-        )
-        proves_not_run = False
-        try:
-            result = await self._client.send(permit.ok, outbound)
-            proves_not_run = result.is_error() and result.error.fault.proves_not_run
-        finally:
-            worker.note_ended()
-            if not proves_not_run:
-                state.note_unanswered(began)
-        now = steady_seconds()
+        result = await _run(attempt, partial(self._client.send, permit.ok, attempt.outbound))
         if result.is_error():
-            sent = SentRequest(
-                request.request_id, request.content, worker, state.route.name, known_level, began
-            )
-            await self._crashes.lost(sent, result.error)
-            note_failed_attempt(request, state, worker, result.error)
-            return
-        answer = result.ok
-        state.note_run(began)
+            await self._attempts.record_unanswered(attempt, result.error)
+        else:
+            self._handle_answer(attempt, result.ok, settled)
+
+    def _handle_answer(self, attempt: Attempt, answer: WorkerAnswer, settled: _Settled) -> None:
+        state, worker = attempt.state, attempt.worker
+        now = steady_seconds()
+        state.note_run(attempt.began_at)
         worker.note_load(answer.load, now)
-        worker.note_connection(outbound.repeatable and not answer.leaving, now)
+        worker.note_connection(attempt.outbound.repeatable and not answer.leaving, now)
         if is_success(answer.status) and not answer.genuine:
             damaged = AttemptFailure(AttemptFault.MAY_HAVE_RUN, "an answer without signature")
-            note_failed_attempt(request, state, worker, damaged)
+            record_failure(attempt, damaged)
             return
-        worker.note_success(now - began, now)
-        self._crashes.answered(request.content)
-        state.under_way -= 1
+        worker.note_success(now - attempt.began_at, now)
+        self._attempts.record_answered(attempt)
         if state.accepts(answer, now):
             settled.answer = answer
 
 
-def log_request_end(
-    request: InboundRequest, state: ForwardedRequest, configuration: int, outcome: str
-) -> None:
-    """Log how a forwarded request ended, which workers it went to and what chose them."""
-    good = outcome in GOOD_OUTCOMES
-    content = {} if good or not state.may_have_run else {"content": request.content.digest}
-    log_event(
-        "request_ended",
-        "info" if good else "warning",
-        request=request.request_id,
-        route=state.route.name,
-        configuration=configuration,
-        outcome=outcome,
-        workers=",".join(state.tried),
-        occupancies=",".join(format(e.occupancy, ".2f") for e in state.evidence),
-        load_ages=",".join(format(e.load_age, ".2f") for e in state.evidence),
-        attempts=state.spent,
-        denied=_count_denials(state),
-        seconds=steady_seconds() - state.began_at,
-        **content,
-    )
-
-
-def _count_denials(state: ForwardedRequest) -> str:
-    """Return how many workers might not get a request, by reason."""
-    counts = Counter(denial.value for denial in state.denied.values())
-    return ",".join(f"{reason}:{count}" for reason, count in sorted(counts.items()))
+async def _run(attempt: Attempt, send: _Send) -> Result[WorkerAnswer, AttemptFailure]:
+    """Send an attempt; record its end, and whether it may have run, also if it is cancelled."""
+    proves_not_run = False
+    try:
+        result = await send()
+        proves_not_run = result.is_error() and result.error.fault.proves_not_run
+    finally:
+        attempt.worker.note_ended()
+        if not proves_not_run:
+            attempt.state.note_unanswered(attempt.began_at)
+    return result
--- a/src/stagewalk/gateway/forwarding/stream_forwarder.py
+++ b/src/stagewalk/gateway/forwarding/stream_forwarder.py
@@ -1,39 +1,46 @@
-"""Forwards streams of events as they arrive; where allowed, goes on at another worker."""
+"""Forwards streams of events as they arrive; where allowed, goes on at another worker.
+
+Owns what a stream's caller has got, the order of its events, and streams that move away from a zone
+that is being evacuated. Relies on `forwarding.policy` for every decision, on `forwarding.attempts`
+for what each attempt does, and on the `WorkerClient` to send.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
+from functools import partial
 
 import anyio
 from expression import Error, Ok, Result
 
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.eligibility.core import Eligibility
-from stagewalk.gateway.forwarding.attempt_failures import note_failed_attempt, note_withheld_attempt
-from stagewalk.gateway.forwarding.forwarder import (
+from stagewalk.gateway.forwarding.attempts import (
+    Attempt,
+    Attempts,
     BegunListener,
     ignore_begun,
     log_request_end,
+    record_denied,
 )
 from stagewalk.gateway.forwarding.inbound import InboundRequest
-from stagewalk.gateway.forwarding.policy import Ending, ForwardedRequest, Unanswered, evidence_of
+from stagewalk.gateway.forwarding.policy import Ending, ForwardedRequest, Unanswered
 from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
-    OutboundRequest,
     StreamEnd,
     StreamHead,
     StreamPart,
     WorkerClient,
 )
-from stagewalk.gateway.quarantine.crash_reports import CrashReports, SentRequest
+from stagewalk.gateway.quarantine.crash_reports import CrashReports
 from stagewalk.gateway.routes.route import Route
 from stagewalk.gateway.routes.table import RouteTable
-from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
 
 SUCCESS = 200
+_Stream = Callable[[], Awaitable[Result[StreamEnd, AttemptFailure]]]
 StreamConsumer = Callable[[StreamPart], Awaitable[None]]
 
 
@@ -53,7 +60,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Attempt:
+class _OpenStream:
     """A stream under way at a worker; `moved` is cancelled to have it go on at another one."""
 
     worker: Worker
@@ -75,12 +82,13 @@
         crashes: CrashReports,
         on_begun: BegunListener = ignore_begun,
     ) -> None:
-        self._on_begun = on_begun
         self._client = client
-        self._crashes = crashes
         self._eligibility = eligibility
+        self._crashes = crashes
         self._routes = routes
-        self._under_way: dict[_Attempt, None] = {}
+        self._on_begun = on_begun
+        self._attempts = Attempts(eligibility, crashes, prefer_warm=False)
+        self._open: dict[_OpenStream, None] = {}
         eligibility.evacuations.listen(self._zone_evacuated, lambda _zone, _now: None)
 
     async def forward(
@@ -102,9 +110,8 @@
         try:
             with anyio.move_on_at(anyio.current_time() + max(0.0, deadline_at - steady_seconds())):
                 while ended is None:
-                    state.withheld = await self._crashes.denial(request.content)
-                    worker = self._choose(request, service, state)
-                    if worker is None or not state.may_try_again(steady_seconds()):
+                    worker = await self._attempts.next_worker(request, service, state)
+                    if worker is None:
                         break
                     ended = await self._attempt(request, state, worker, progress, consume)
         finally:
@@ -120,17 +127,6 @@
         log_request_end(request, state, self._routes.version, ending.value)
         return Error(state.unanswered(ending))
 
-    def _choose(
-        self, request: InboundRequest, service: str, state: ForwardedRequest
-    ) -> Worker | None:
-        if state.withheld is not None:
-            return None
-        now = steady_seconds()
-        found = self._eligibility.candidates(service, request.scope(state.route), now)
-        self._eligibility.want(found, now)
-        state.denied = found.denied
-        return choose_worker(found.workers, now, self._eligibility.proximity, state.tried)
-
     async def _attempt(
         self,
         request: InboundRequest,
@@ -139,58 +135,44 @@
         progress: _Progress,
         consume: StreamConsumer,
     ) -> StreamEnd | None:
-        state.started(worker.announcement.worker, evidence_of(worker, steady_seconds()))
-        worker.note_sent()
+        self._attempts.start(state, worker)
+        attempt = self._attempts.prepare(request, state, worker, progress.last_event or None)
+        permit = self._eligibility.permit(worker, attempt.scope, attempt.began_at, state.late)
+        if permit.is_error():
+            record_denied(attempt, permit.error)
+            return None
 
         async def deliver(part: StreamPart) -> None:
             await self._pass_on(part, worker, progress, consume, request.tenant)
 
-        now = steady_seconds()
-        known_level = self._crashes.known_level(request.content)
-        scope = request.scope(state.route)
-        permit = self._eligibility.permit(worker, scope, now, state.late)
-        if permit.is_error():
-            note_withheld_attempt(request, state, worker, permit.error)
-            return None
-        outbound = OutboundRequest(
-            request_id=request.request_id,
-            method=request.method,
-            target=request.target,
-            headers=request.headers,
-            body=request.body,
-            deadline_seconds=state.worker_seconds(now),
-            repeatable=state.route.repeatable,
-            resume_after=progress.last_event or None,
-            tenant=request.tenant,
-            priority=request.priority,
-        )
-        attempt = _Attempt(worker, state)
-        self._under_way[attempt] = None
+        stream = partial(self._client.stream, permit.ok, attempt.outbound, deliver)
+        result = await self._run(attempt, stream)
+        if result.is_ok():
+            self._attempts.record_answered(attempt)
+            return result.ok
+        await self._attempts.record_unanswered(attempt, result.error)
+        return None
+
+    async def _run(self, attempt: Attempt, stream: _Stream) -> Result[StreamEnd, AttemptFailure]:
+        """Run a stream until it ends, or is moved to another worker."""
+        opened = _OpenStream(attempt.worker, attempt.state)
+        self._open[opened] = None
         result: Result[StreamEnd, AttemptFailure] = Error(_MOVED)
         try:
-            with attempt.moved:
-                result = await self._client.stream(permit.ok, outbound, deliver)
+            with opened.moved:
+                result = await stream()
         except OutOfOrderError as error:
             result = Error(AttemptFailure(AttemptFault.MAY_HAVE_RUN, str(error)))
         finally:
-            del self._under_way[attempt]
-            worker.note_ended()
-        if result.is_ok():
-            state.under_way -= 1
-            self._crashes.answered(request.content)
-            return result.ok
-        sent = SentRequest(
-            request.request_id, request.content, worker, state.route.name, known_level, now
-        )
-        await self._crashes.lost(sent, result.error)
-        note_failed_attempt(request, state, worker, result.error)
-        return None
+            del self._open[opened]
+            attempt.worker.note_ended()
+        return result
 
     def _zone_evacuated(self, zone: str, now: float) -> None:
-        """Have streams go on elsewhere whose worker's zone is being evacuated, where they may."""
-        for attempt in list(self._under_way):
-            if attempt.worker.announcement.zone == zone and attempt.state.may_move(now):
-                attempt.moved.cancel()
+        """Move the streams of a zone's workers to other workers, where their routes allow it."""
+        for stream in list(self._open):
+            if stream.worker.announcement.zone == zone and stream.state.may_move(now):
+                stream.moved.cancel()
 
     async def _pass_on(
         self,
