--- a/src/stagewalk/gateway/batch_service/ledger_calls.py
+++ b/src/stagewalk/gateway/batch_service/ledger_calls.py
@@ -17,7 +17,7 @@
 )
 from stagewalk.gateway.batch_service.ledger_reads import END_SECONDS, LedgerReads
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 from stagewalk.gateway.peer_calls.client import PeerClient
 from stagewalk.gateway.zones.distance import Proximity
 
@@ -81,7 +81,7 @@
                 status=0 if answer is None else answer.status,
             )
         if unsure is None and not self._may_hold():
-            return refusal(503, "no node that may hold the batch answers", COME_BACK_SECONDS)
+            return refusal(503, "no node that may hold the batch answers", RETRY_AFTER_SECONDS)
         return unsure or await self._local.carry_out(call)
 
     def _nearest(self) -> list[NodeAnnouncement]:
--- a/src/stagewalk/gateway/batch_service/ledger_messages.py
+++ b/src/stagewalk/gateway/batch_service/ledger_messages.py
@@ -46,14 +46,14 @@
         The body.
     content_type
         Its type.
-    come_back_seconds
+    retry_after_seconds
         When asking again may help, None if it won't.
     """
 
     status: int
     content: bytes
     content_type: str = "application/json"
-    come_back_seconds: float | None = None
+    retry_after_seconds: float | None = None
 
     @property
     def unsure(self) -> bool:
@@ -86,7 +86,7 @@
         return None
 
 
-def refusal(status: int, detail: str, come_back_seconds: float | None = None) -> LedgerAnswer:
+def refusal(status: int, detail: str, retry_after_seconds: float | None = None) -> LedgerAnswer:
     """Return an answer that says why there is no other."""
     content = msgspec.json.encode({"error": detail})
-    return LedgerAnswer(status, content, come_back_seconds=come_back_seconds)
+    return LedgerAnswer(status, content, retry_after_seconds=retry_after_seconds)
--- a/src/stagewalk/gateway/batch_service/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_reads.py
@@ -25,7 +25,7 @@
 from stagewalk.gateway.batches.ledger import Batch
 from stagewalk.gateway.batches.records import ItemFinished
 from stagewalk.gateway.dialect import Dialect
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome
 
 END_SECONDS = 2.0
@@ -124,14 +124,14 @@
         if isinstance(batch, LedgerAnswer):
             return batch
         if not await self._positions_known(batch):
-            return refusal(503, "the batch's records are no longer all kept", COME_BACK_SECONDS)
+            return refusal(503, "the batch's records are no longer all kept", RETRY_AFTER_SECONDS)
         if not await self._shows(batch, call.position, oldest_seconds):
-            return refusal(503, "the view is too old", COME_BACK_SECONDS)
+            return refusal(503, "the view is too old", RETRY_AFTER_SECONDS)
         await self._wait_for_results(batch, call)
         page = _page(batch, call.position)
         if not page and self._stale(call.batch, oldest_seconds):
             # The view grew old while news was waited for: there may be results by now.
-            return refusal(503, "the view is too old", COME_BACK_SECONDS)
+            return refusal(503, "the view is too old", RETRY_AFTER_SECONDS)
         log_event(
             "results_shown",
             batch=call.batch,
@@ -158,7 +158,7 @@
             await anyio.sleep(EARLY_READ_SECONDS)
             batch = await self._find_early(call.batch) or batch
         if call.position > len(batch.results):
-            return refusal(503, "the view is too old", COME_BACK_SECONDS)
+            return refusal(503, "the view is too old", RETRY_AFTER_SECONDS)
         page = _page(batch, call.position)
         log_event(
             "results_shown",
@@ -215,12 +215,12 @@
                 first_offset=self._store.first_offset(call.batch, began),
             )
             if not marked:
-                return refusal(503, "the log did not answer", COME_BACK_SECONDS)
+                return refusal(503, "the log did not answer", RETRY_AFTER_SECONDS)
             left = max(0.0, END_SECONDS - (steady_seconds() - began))
             outcome = await self._store.end(call.batch, left)
             if outcome.is_error():
                 status = 503 if outcome.error is AppendOutcome.NOT_APPENDED else 504
-                return refusal(status, "the log did not answer", COME_BACK_SECONDS)
+                return refusal(status, "the log did not answer", RETRY_AFTER_SECONDS)
             log_event(
                 "batch_ended",
                 batch=call.batch,
@@ -247,15 +247,15 @@
         if batch is not None:
             return batch
         if self._starting():
-            return refusal(503, "the log is being read", COME_BACK_SECONDS)
+            return refusal(503, "the log is being read", RETRY_AFTER_SECONDS)
         current = await self._store.catch_up(name)
         batch = self._store.ledger.get(name)
         if batch is not None:
             return batch
         if not current:
-            return refusal(503, "the view is too old", COME_BACK_SECONDS)
+            return refusal(503, "the view is too old", RETRY_AFTER_SECONDS)
         if not await self._certain(name):
-            return refusal(503, "the batch's records are no longer all kept", COME_BACK_SECONDS)
+            return refusal(503, "the batch's records are no longer all kept", RETRY_AFTER_SECONDS)
         return refusal(404, "there is no such batch")
 
     async def _certain(self, name: str) -> bool:
--- a/src/stagewalk/gateway/eligibility/retry_after.py
+++ b/src/stagewalk/gateway/eligibility/retry_after.py
@@ -1,4 +1,10 @@
-"""When a caller may usefully send a request again that no worker may get now. Pure."""
+"""When a caller may usefully send a request again: what its answer's `Retry-After` says. Pure.
+
+Owns every such time, in seconds. A refused request has spent one of its caller's few attempts, so a
+time that is too short uses them up before anything changes, and one that is too long wastes time
+in which it could run.
+Relies on `ports.denials` for the reasons why a request went to no worker.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +12,11 @@
 
 from stagewalk.gateway.ports.denials import Denial
 
-COME_BACK_AFTER: Mapping[Denial, float] = {
+RETRY_AFTER_SECONDS = 0.25
+"""For refusals that say nothing about their end: no worker is free, the log does not answer, a view
+is too old. Most of these are over within a few hundred milliseconds. Chosen, not measured."""
+
+RETRY_AFTER_DENIAL: Mapping[Denial, float] = {
     Denial.ZONE_EVACUATED: 1.0,
     Denial.REGION_NOT_ALLOWED: 1.0,
     Denial.CRASHES_WORKERS: 15.0,
@@ -14,18 +24,21 @@
     Denial.COLD_WITHOUT_LEASE: 0.5,
     Denial.COLD_RATE_REACHED: 0.5,
 }
-"""An evacuation or the loss of a region lasts for seconds at least: a caller that came back four
-times a second would use up its tries before anything changes. A request that is held back is run
-once more after 15 s at the earliest. Half of a span over which a cold
-worker's requests count is over in 0.5 s, and a lease on one is won in 0.3 s."""
+"""Seconds by the reason why no worker might get the request. An evacuation or the loss of a region
+lasts for seconds at least: a caller that retried four times a second would use up its attempts
+before anything changes. A request that is held back is run once more after 15 s at the earliest
+(`quarantine.core.FIRST_HOLD_SECONDS`). Half of the span over which a cold worker's requests count
+is over in 0.5 s, and a lease on one is won in 0.3 s."""
 
 
-def come_back_seconds(denials: Collection[Denial], otherwise: float) -> float:
-    """Return when something may have changed, given why each worker was denied.
+def retry_after_seconds(
+    denials: Collection[Denial], otherwise: float = RETRY_AFTER_SECONDS
+) -> float:
+    """Return after how many seconds something may have changed, given why each worker was denied.
 
     Parameters
     ----------
     otherwise
-        What counts if nothing was denied, or something that is over sooner.
+        Seconds if nothing was denied, or for something that is over sooner.
     """
-    return min((COME_BACK_AFTER.get(denial, otherwise) for denial in denials), default=otherwise)
+    return min((RETRY_AFTER_DENIAL.get(denial, otherwise) for denial in denials), default=otherwise)
--- a/src/stagewalk/gateway/entry/app.py
+++ b/src/stagewalk/gateway/entry/app.py
@@ -15,6 +15,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.directory.caller_subset import CallerPlace
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 from stagewalk.gateway.entry.batch_calls import BatchCalls
 from stagewalk.gateway.entry.caller_gate import Caller, CallerGate
 from stagewalk.gateway.entry.exchange import OpaqueExchange
@@ -22,7 +23,7 @@
 from stagewalk.gateway.entry.replies import reply_empty, reply_error, reply_json
 from stagewalk.gateway.forwarding.forwarder import Forwarder
 from stagewalk.gateway.forwarding.inbound import InboundRequest
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS, Ending, Unanswered
+from stagewalk.gateway.forwarding.policy import Ending, Unanswered
 from stagewalk.gateway.forwarding.stream_forwarder import StreamForwarder
 from stagewalk.gateway.metrics import GatewayMetrics
 from stagewalk.gateway.nodes.node_service import NodeService
@@ -148,7 +149,7 @@
             return
         await self._refresh()
         if self._routes.configuration is None:
-            await reply_error(exchange, 503, "no configuration is known yet", COME_BACK_SECONDS)
+            await reply_error(exchange, 503, "no configuration is known yet", RETRY_AFTER_SECONDS)
         elif exchange.path.startswith(self._batch_prefixes):
             caller = await self._gate.admit_to_batches(exchange)
             if caller is not None:
@@ -246,7 +247,7 @@
             exchange,
             UNANSWERED_STATUS[ending],
             UNANSWERED_DETAIL[ending],
-            unanswered.come_back_seconds,
+            unanswered.retry_after_seconds,
         )
 
     def _allowed_seconds(self, exchange: OpaqueExchange, route: Route) -> float:
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -16,11 +16,10 @@
 )
 from stagewalk.gateway.batch_service.ledger_reads import LONGEST_WAIT_SECONDS
 from stagewalk.gateway.dialect import Dialect, Submission
-from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_DENIAL, RETRY_AFTER_SECONDS
 from stagewalk.gateway.entry.caller_gate import Caller
 from stagewalk.gateway.entry.exchange import OpaqueExchange
 from stagewalk.gateway.entry.replies import RETRY_AFTER_HEADER, reply_empty, reply_error
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
@@ -70,19 +69,19 @@
             # A configuration that is not here yet may have the route: nothing is taken, nothing
             # runs, and the trainer may come back.
             log_event("batch_refused", "warning", batch=batch, cause=str(unroutable))
-            await reply_error(exchange, 503, str(unroutable), COME_BACK_SECONDS)
+            await reply_error(exchange, 503, str(unroutable), RETRY_AFTER_SECONDS)
             return
         stalled_since = self._store.appends_stalled(batch)
         if stalled_since is not None and steady_seconds() - stalled_since > STALLED_SECONDS:
             log_event("batch_refused", "warning", batch=batch, cause="log takes no appends")
-            await reply_error(exchange, 503, "the log takes no appends", COME_BACK_SECONDS)
+            await reply_error(exchange, 503, "the log takes no appends", RETRY_AFTER_SECONDS)
             return
         header = msgspec.structs.replace(submission.ok.header, tenant=caller.tenant)
         runner = await self._runners.choose(header)
         if runner is None:
             log_event("batch_refused", "warning", batch=batch, cause="no node in its regions")
-            come_back = COME_BACK_AFTER[Denial.REGION_NOT_ALLOWED]
-            await reply_error(exchange, 503, "no node may run the batch", come_back)
+            retry_after = RETRY_AFTER_DENIAL[Denial.REGION_NOT_ALLOWED]
+            await reply_error(exchange, 503, "no node may run the batch", retry_after)
             return
         taken = Submission(header, submission.ok.items)
         outcome = await self._store.submit(taken, runner, SUBMIT_SECONDS)
@@ -101,7 +100,7 @@
             await self._runners.tell(runner, header, outcome.ok)
             await reply_empty(exchange, 202)
         elif outcome.error is AppendOutcome.NOT_APPENDED:
-            await reply_error(exchange, 503, "the log takes no appends", COME_BACK_SECONDS)
+            await reply_error(exchange, 503, "the log takes no appends", RETRY_AFTER_SECONDS)
         else:
             await reply_error(exchange, 504, "the log did not answer")
 
@@ -137,7 +136,7 @@
         place = await self._runners.known_place(batch)
         if place.is_error():
             log_event("batch_refused", "warning", batch=batch, cause="log does not answer")
-            await reply_error(exchange, 503, "the log does not answer", COME_BACK_SECONDS)
+            await reply_error(exchange, 503, "the log does not answer", RETRY_AFTER_SECONDS)
             return True
         if place.ok is None:
             return False
@@ -155,8 +154,8 @@
     async def _reply(self, exchange: OpaqueExchange, call: LedgerCall) -> None:
         answer = await self._ledger.call(call)
         headers = []
-        if answer.come_back_seconds is not None:
-            headers.append((RETRY_AFTER_HEADER, f"{answer.come_back_seconds:g}"))
+        if answer.retry_after_seconds is not None:
+            headers.append((RETRY_AFTER_HEADER, f"{answer.retry_after_seconds:g}"))
         await exchange.respond(answer.status, answer.content_type, answer.content, headers)
 
 
--- a/src/stagewalk/gateway/entry/caller_gate.py
+++ b/src/stagewalk/gateway/entry/caller_gate.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from stagewalk.common.logs.lines import log_event
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 from stagewalk.gateway.entry.exchange import OpaqueExchange
 from stagewalk.gateway.entry.replies import reply_error
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.routes.route import Route
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.tenants.key_table import AUTHORIZATION_HEADER
@@ -108,7 +108,7 @@
         )
         if not current:
             detail = "the view of the configuration is too old"
-            await reply_error(exchange, UNAVAILABLE, detail, COME_BACK_SECONDS)
+            await reply_error(exchange, UNAVAILABLE, detail, RETRY_AFTER_SECONDS)
         elif status == UNAUTHORIZED:
             await reply_error(exchange, status, "the key is not known", headers=(CHALLENGE,))
         else:
--- a/src/stagewalk/gateway/entry/replies.py
+++ b/src/stagewalk/gateway/entry/replies.py
@@ -26,12 +26,12 @@
     exchange: OpaqueExchange,
     status: int,
     detail: str,
-    come_back_seconds: float | None = None,
+    retry_after_seconds: float | None = None,
     headers: Iterable[tuple[str, str]] = (),
 ) -> None:
-    """Answer with an error, and when to come back if that may help."""
+    """Answer with an error, and with a `Retry-After` in seconds if a retry may help."""
     headers = list(headers)
-    if come_back_seconds is not None:
-        headers.append((RETRY_AFTER_HEADER, f"{come_back_seconds:g}"))
+    if retry_after_seconds is not None:
+        headers.append((RETRY_AFTER_HEADER, f"{retry_after_seconds:g}"))
     content = msgspec.json.encode({"error": detail})
     await exchange.respond(status, JSON_CONTENT, content, headers)
--- a/src/stagewalk/gateway/forwarding/policy.py
+++ b/src/stagewalk/gateway/forwarding/policy.py
@@ -1,7 +1,11 @@
 """Decides the attempts of one forwarded request: a pure state machine.
 
-What has provably not run may go to another worker; what may have run goes on only if it may be
-repeated. A second worker is tried beside a slow one when that is allowed.
+Owns the rules by which a request is retried, hedged, moved and given up, all methods of
+`ForwardedRequest`: what has provably not run may go to another worker; what may have run is sent
+again only if its route lets it run more than once. Inputs are the route, the deadline, and how each
+attempt ended; times are seconds of the steady clock.
+Relies on `forwarding.hedging` for when a worker is late, on `eligibility.retry_after` for when the
+caller may retry. Where an attempt goes is `workers.selection`.
 """
 
 from __future__ import annotations
@@ -10,7 +14,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from stagewalk.gateway.eligibility.come_back import come_back_seconds
+from stagewalk.gateway.eligibility.retry_after import retry_after_seconds
+from stagewalk.gateway.forwarding.hedging import hedge_delay
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer
 from stagewalk.gateway.routes.route import Route
@@ -20,18 +25,12 @@
 SUCCESS_FROM = 200
 SUCCESS_BELOW = 300
 
-HEDGE_LATENCIES = 4.0
-"""A worker this many usual latencies late gets a second one beside it."""
-
-HEDGE_MINIMUM_SECONDS = 0.05
-HEDGE_TARGET_SHARE = 0.45
-"""The second attempt starts at the latest after this part of the latency target."""
-
-COME_BACK_SECONDS = 0.25
-"""When a caller whose request did not run may usefully send it again."""
-
 DEADLINE_RESERVE_SECONDS = 0.02
-"""Taken off the time a worker gets: its answer has to travel back."""
+"""Taken off the time that a worker gets, since its answer has to travel back; no attempt begins
+later. Chosen, not measured; regions are 12 to 20 ms apart."""
+
+LEAST_WORKER_SECONDS = 0.001
+"""Least time that a worker is given: keeps the deadline that it is sent positive."""
 
 
 class Ending(StrEnum):
@@ -51,19 +50,25 @@
 
     Attributes
     ----------
-    come_back_seconds
-        When its caller may usefully send it again; None: nothing is known that speaks for that.
+    retry_after_seconds
+        After how many seconds its caller may usefully send it again; None: nothing is known that
+        speaks for a retry.
     """
 
     ending: Ending
-    come_back_seconds: float | None = None
+    retry_after_seconds: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What a worker was chosen by: its occupancy, and the age in seconds of the load it told.
+    """What a worker was chosen by.
 
-    The age is infinite where only this node's own count was known.
+    Attributes
+    ----------
+    occupancy
+        Requests per slot.
+    load_age
+        Age in seconds of the load that the worker reported last, infinite if it reported none.
     """
 
     occupancy: float
@@ -71,7 +76,7 @@
 
 
 def evidence_of(worker: Worker, now: float) -> Evidence:
-    """Return what speaks for or against a worker now."""
+    """Return what a worker is chosen by now."""
     return Evidence(worker.occupancy(now), now - worker.load_at)
 
 
@@ -105,37 +110,35 @@
     ran_from: float | None = None
     """Start of the first attempt that a worker answered, as far as is known."""
     may_have_run_from: float | None = None
-    """Likewise of those whose worker did not say whether it ran them."""
-    last_failure: AttemptFailure | None = None
+    """Start of the first attempt whose worker did not say whether it ran it."""
     denied: Mapping[str, Denial] = field(default_factory=dict)
-    """By worker that it might not be sent to when one was chosen last, why."""
+    """Why it was denied each worker that it was denied, by worker, as one was chosen last."""
     withheld: Denial | None = None
     """Why it must not be sent to any worker at all."""
     suspected: bool = False
     """Whether workers ended under its content: it is sent to one worker at a time then."""
 
     def started(self, worker: str, evidence: Evidence) -> None:
-        """Note that an attempt began at a worker that was chosen by some evidence."""
+        """Count an attempt that begins at a worker."""
         self.tried.append(worker)
         self.evidence.append(evidence)
         self.spent += 1
         self.under_way += 1
 
     def failed(self, failure: AttemptFailure) -> None:
-        """Note that an attempt ended without an answer."""
+        """Record an attempt that ended without an answer."""
         self.under_way -= 1
-        self.last_failure = failure
         if failure.fault in (AttemptFault.NOT_SENT, AttemptFault.WITHHELD):
             self.spent -= 1
         if not failure.fault.proves_not_run:
             self.may_have_run = True
 
     def note_run(self, began: float) -> None:
-        """Note that a worker answered an attempt that began at a time."""
+        """Record that a worker answered an attempt that began at a time."""
         self.ran_from = began if self.ran_from is None else min(self.ran_from, began)
 
     def note_unanswered(self, began: float) -> None:
-        """Note that an attempt that began at a time may have run."""
+        """Record that an attempt that began at a time may have run."""
         if self.may_have_run_from is None:
             self.may_have_run_from = began
 
@@ -180,7 +183,7 @@
 
     def worker_seconds(self, now: float) -> float:
         """Return how long a worker may still work on it."""
-        return max(0.001, self.deadline_at - now - DEADLINE_RESERVE_SECONDS)
+        return max(LEAST_WORKER_SECONDS, self.deadline_at - now - DEADLINE_RESERVE_SECONDS)
 
     def ending(self, now: float) -> Ending:
         """Return how it ends if no worker answers any more."""
@@ -190,22 +193,14 @@
         return Ending.OUT_OF_TIME if over else Ending.UNKNOWN
 
     def unanswered(self, ending: Ending) -> Unanswered:
-        """Return how it ended, and when its caller should come back."""
+        """Return how it ended, and when its caller may send it again."""
         if ending is not Ending.NOT_RUN:
             return Unanswered(ending)
         if self.withheld is not None:
             denials = {self.withheld}
         else:
             denials = set() if self.tried else set(self.denied.values())
-        return Unanswered(ending, come_back_seconds(denials, COME_BACK_SECONDS))
-
-
-def hedge_delay(route: Route, usual_latency: float | None) -> float:
-    """Return after how many seconds a worker is late that usually takes so many."""
-    latest = HEDGE_TARGET_SHARE * route.target_seconds
-    if usual_latency is None:
-        return latest
-    return min(latest, max(HEDGE_MINIMUM_SECONDS, HEDGE_LATENCIES * usual_latency))
+        return Unanswered(ending, retry_after_seconds(denials))
 
 
 def is_success(status: int) -> bool:
--- a/src/stagewalk/gateway/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -13,7 +13,8 @@
 
 from stagewalk.gateway.batches.records import ScoreCall
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
-from stagewalk.gateway.forwarding.policy import SERVER_ERROR, hedge_delay, is_success
+from stagewalk.gateway.forwarding.hedging import hedge_delay
+from stagewalk.gateway.forwarding.policy import SERVER_ERROR, is_success
 from stagewalk.gateway.policy import ALL_ON, Policy
 from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk.gateway.quarantine.content import RequestContent
--- a/tests/gateway/batch_service/test_early_views.py
+++ b/tests/gateway/batch_service/test_early_views.py
@@ -147,7 +147,7 @@
             await self.append(submitted(item("x"), batch="old"), BatchEnded("old"))
             answer = await self.reads.carry_out(ResultsCall("old", 0, 0.0))
             self.assertEqual(503, answer.status)
-            self.assertIsNotNone(answer.come_back_seconds)
+            self.assertIsNotNone(answer.retry_after_seconds)
 
         anyio.run(scenario)
 
--- a/tests/gateway/eligibility/test_core.py
+++ b/tests/gateway/eligibility/test_core.py
@@ -8,8 +8,8 @@
 
 import testtools
 
-from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER, come_back_seconds
 from stagewalk.gateway.eligibility.core import RequestScope
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_DENIAL, retry_after_seconds
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.quarantine.records import CrashStrike
@@ -185,10 +185,12 @@
 class ComeBackTests(testtools.TestCase):
     def test_the_soonest_change_counts(self) -> None:
         both = {Denial.ZONE_EVACUATED, Denial.COLD_RATE_REACHED}
-        self.assertEqual(COME_BACK_AFTER[Denial.COLD_RATE_REACHED], come_back_seconds(both, 9.0))
-        self.assertEqual(0.25, come_back_seconds((), 0.25))
+        self.assertEqual(
+            RETRY_AFTER_DENIAL[Denial.COLD_RATE_REACHED], retry_after_seconds(both, 9.0)
+        )
+        self.assertEqual(0.25, retry_after_seconds((), 0.25))
         leaving = {Denial.WORKER_LEAVING, Denial.ZONE_EVACUATED}
-        self.assertEqual(0.25, come_back_seconds(leaving, 0.25))
+        self.assertEqual(0.25, retry_after_seconds(leaving, 0.25))
 
 
 class SingleGateTests(testtools.TestCase):
--- a/tests/gateway/forwarding/test_policy.py
+++ b/tests/gateway/forwarding/test_policy.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_DENIAL
 from stagewalk.gateway.forwarding.policy import Ending, Evidence, ForwardedRequest
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer
@@ -60,10 +60,10 @@
         state.withheld = Denial.CRASHES_WORKERS
         self.assertIs(Ending.NOT_RUN, state.ending(0.1))
         told = state.unanswered(Ending.NOT_RUN)
-        self.assertEqual(COME_BACK_AFTER[Denial.CRASHES_WORKERS], told.come_back_seconds)
+        self.assertEqual(RETRY_AFTER_DENIAL[Denial.CRASHES_WORKERS], told.retry_after_seconds)
         ran = self.after(state, AttemptFault.MAY_HAVE_RUN)
         self.assertIs(Ending.UNKNOWN, ran.ending(0.1))
-        self.assertIsNone(ran.unanswered(Ending.UNKNOWN).come_back_seconds)
+        self.assertIsNone(ran.unanswered(Ending.UNKNOWN).retry_after_seconds)
 
     def test_nothing_starts_when_time_is_over(self) -> None:
         state = self.after(request(), AttemptFault.NOT_RUN)
