--- a/src/stagewalk/common/http/exchange.py
+++ b/src/stagewalk/common/http/exchange.py
@@ -56,6 +56,7 @@
         *,
         last: Callable[[], bool],
     ) -> None:
+        self._scope = scope
         self.method: str = scope["method"]
         self.path: str = scope["path"]
         self.query: dict[str, str] = dict(parse_qsl(scope["query_string"].decode("latin-1")))
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -18,9 +18,11 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.assembly import Dependencies, GatewayAssembly
-from stagewalk.gateway.entry.app import GatewayApp
-from stagewalk.gateway.entry.caller_gate import CallerGate
-from stagewalk.gateway.entry.held_requests import HeldRequests
+from stagewalk.gateway.entry.app import Endpoints, GatewayApp
+from stagewalk.gateway.entry.caller_authentication import CallerAuthenticator
+from stagewalk.gateway.entry.directory_calls import DirectoryCalls
+from stagewalk.gateway.entry.forwarded_calls import ForwardedCalls
+from stagewalk.gateway.entry.quarantine_calls import QuarantineCalls
 from stagewalk.gateway.log_relay.relayed_log import RELAY_PATH
 from stagewalk.gateway.log_relay.server import LogRelay
 from stagewalk.gateway.metrics import GatewayMetrics, GatewayState
@@ -51,9 +53,6 @@
 EXIT_RESERVE_SECONDS = 0.5
 """Part of the stop's grace left for the process to end, once it no longer waits for the log."""
 
-BUFFERED_BODY_BYTES = 96 * 1024 * 1024
-"""Bodies of requests held in memory at once, of all callers."""
-
 
 class Gateway:
     """One gateway process."""
@@ -136,26 +135,36 @@
         return list(dict.fromkeys(addresses))
 
     def _build_app(self) -> GatewayApp:
-        metrics = self.settings.metrics
+        spelling = self._dialect.callers
         return GatewayApp(
             routes=self._routes,
-            forwarder=self._parts.forwarders.whole,
-            streams=self._parts.forwarders.streams,
-            batches=self._batches.calls,
-            nodes=self._nodes,
-            dialect=self._dialect,
-            buffered_body_bytes=BUFFERED_BODY_BYTES,
+            endpoints=self._build_endpoints(),
+            authenticator=CallerAuthenticator(
+                self._routes, self._published.renew_configuration, spelling.request_id
+            ),
             metrics=self._metrics,
+            spelling=spelling,
             ready=self._ready,
             stopping=lambda: self._stopping,
             refresh=self._refresh_views,
-            gate=CallerGate(
+        )
+
+    def _build_endpoints(self) -> Endpoints:
+        forwarders, metrics_address = self._parts.forwarders, self.settings.metrics
+        evacuations = self._rules.evacuations
+        return Endpoints(
+            forwarded=ForwardedCalls(
                 self._routes,
-                self._published.renew_configuration,
-                self._dialect.callers.request_id,
+                forwarders.whole,
+                forwarders.streams,
+                self._metrics,
+                self._dialect.callers,
+            ),
+            batches=self._batches.calls,
+            directory=DirectoryCalls(self._nodes, self._routes, evacuations, self._dialect),
+            quarantine=QuarantineCalls(
+                self._crashes, None if metrics_address is None else metrics_address.port
             ),
-            evacuations=self._rules.evacuations,
-            held=HeldRequests(self._crashes, None if metrics is None else metrics.port),
         )
 
     def _build_peer_app(self) -> PeerApp:
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -1,7 +1,13 @@
-"""The calls by which trainers hand in batches, read results and end batches."""
+"""The calls by which trainers submit batches, read results and end batches.
+
+Owns when a submission is refused and how long it waits for the log. Relies on the batch store for
+appending, on the choice of a runner, and on the ledger calls for everything else.
+"""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import msgspec
 
 from stagewalk.common.logs.lines import log_event
@@ -17,7 +23,7 @@
 from stagewalk.gateway.batch_service.ledger_reads import LONGEST_WAIT_SECONDS
 from stagewalk.gateway.dialect import Dialect, Submission
 from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER
-from stagewalk.gateway.entry.caller_gate import Caller
+from stagewalk.gateway.entry.caller_authentication import Caller
 from stagewalk.gateway.entry.exchange import OpaqueExchange
 from stagewalk.gateway.entry.replies import RETRY_AFTER_HEADER, reply_empty, reply_error
 from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
@@ -28,10 +34,38 @@
 from stagewalk.gateway.scoring.submission import find_unroutable_score
 
 SUBMIT_SECONDS = 3.0
-"""How long a submission may wait for the log."""
+"""How long a submission may wait for the log. Chosen, not measured."""
 
 STALLED_SECONDS = 1.5
-"""A log that has taken nothing for this long is not waited for."""
+"""A log that has accepted no append for this long is not waited for: half of `SUBMIT_SECONDS`."""
+
+
+LOG_STALLED = "the log takes no appends"
+
+
+@dataclass(frozen=True, slots=True)
+class _Refusal:
+    """Why a batch was not accepted: nothing of it runs, and its trainer may submit it again.
+
+    Attributes
+    ----------
+    cause
+        As logged.
+    detail
+        As replied.
+    """
+
+    cause: str
+    detail: str
+    retry_after_seconds: float = COME_BACK_SECONDS
+
+
+NO_LOG = _Refusal("log does not answer", "the log does not answer")
+NO_RUNNER = _Refusal(
+    "no node in its regions",
+    "no node may run the batch",
+    COME_BACK_AFTER[Denial.REGION_NOT_ALLOWED],
+)
 
 
 class BatchCalls:
@@ -53,7 +87,7 @@
         self._route_of = route_of
 
     async def submit(self, exchange: OpaqueExchange, caller: Caller) -> None:
-        """Take a batch: accepted only once it is in the log."""
+        """Accept a batch, once it is in the log."""
         batch = exchange.header(self._spelling.request_id) or ""
         body = await exchange.body()
         if body.is_error():
@@ -61,38 +95,43 @@
             return
         if await self._replied_known(exchange, batch, caller):
             return
-        submission = self._dialect.submission(batch, exchange.host, exchange.path, body.ok)
-        if submission.is_error():
-            await reply_error(exchange, 400, str(submission.error))
+        decoded = self._dialect.submission(batch, exchange.host, exchange.path, body.ok)
+        if decoded.is_error():
+            await reply_error(exchange, 400, str(decoded.error))
             return
-        unroutable = find_unroutable_score(submission.ok.items, self._route_of)
-        if unroutable is not None:
-            # A configuration that is not here yet may have the route: nothing is taken, nothing
-            # runs, and the trainer may come back.
-            log_event("batch_refused", "warning", batch=batch, cause=str(unroutable))
-            await reply_error(exchange, 503, str(unroutable), COME_BACK_SECONDS)
-            return
-        stalled_since = self._store.appends_stalled(batch)
-        if stalled_since is not None and steady_seconds() - stalled_since > STALLED_SECONDS:
-            log_event("batch_refused", "warning", batch=batch, cause="log takes no appends")
-            await reply_error(exchange, 503, "the log takes no appends", COME_BACK_SECONDS)
+        refusal = self._refusal(batch, decoded.ok)
+        if refusal is not None:
+            await self._refuse(exchange, batch, refusal)
             return
-        header = msgspec.structs.replace(submission.ok.header, tenant=caller.tenant)
+        header = msgspec.structs.replace(decoded.ok.header, tenant=caller.tenant)
         runner = await self._runners.choose(header)
         if runner is None:
-            log_event("batch_refused", "warning", batch=batch, cause="no node in its regions")
-            come_back = COME_BACK_AFTER[Denial.REGION_NOT_ALLOWED]
-            await reply_error(exchange, 503, "no node may run the batch", come_back)
+            await self._refuse(exchange, batch, NO_RUNNER)
             return
-        taken = Submission(header, submission.ok.items)
-        outcome = await self._store.submit(taken, runner, SUBMIT_SECONDS)
+        await self._append(exchange, Submission(header, decoded.ok.items), runner)
+
+    def _refusal(self, batch: str, submission: Submission) -> _Refusal | None:
+        """Return why a batch can't be accepted now; its trainer may submit it again."""
+        unroutable = find_unroutable_score(submission.items, self._route_of)
+        if unroutable is not None:
+            # A configuration that was not read here yet may have the route.
+            return _Refusal(str(unroutable), str(unroutable))
+        stalled_since = self._store.appends_stalled(batch)
+        if stalled_since is not None and steady_seconds() - stalled_since > STALLED_SECONDS:
+            return _Refusal("log takes no appends", LOG_STALLED)
+        return None
+
+    async def _append(self, exchange: OpaqueExchange, batch: Submission, runner: str) -> None:
+        """Append a batch to the log, notify its runner, and reply what became of it."""
+        header = batch.header
+        outcome = await self._store.submit(batch, runner, SUBMIT_SECONDS)
         log_event(
             "batch_submitted",
             "info" if outcome.is_ok() else "warning",
-            batch=batch,
+            batch=header.batch,
             step=header.step,
             tenant=header.tenant,
-            items=len(taken.items),
+            items=len(batch.items),
             runner=runner,
             offset=outcome.ok if outcome.is_ok() else -1,
             outcome="appended" if outcome.is_ok() else outcome.error.value,
@@ -101,31 +140,36 @@
             await self._runners.tell(runner, header, outcome.ok)
             await reply_empty(exchange, 202)
         elif outcome.error is AppendOutcome.NOT_APPENDED:
-            await reply_error(exchange, 503, "the log takes no appends", COME_BACK_SECONDS)
+            await reply_error(exchange, 503, LOG_STALLED, COME_BACK_SECONDS)
         else:
             await reply_error(exchange, 504, "the log did not answer")
 
+    @staticmethod
+    async def _refuse(exchange: OpaqueExchange, batch: str, refusal: _Refusal) -> None:
+        log_event("batch_refused", "warning", batch=batch, cause=refusal.cause)
+        await reply_error(exchange, 503, refusal.detail, refusal.retry_after_seconds)
+
     async def results(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
-        """Show a batch's results from a position on."""
+        """Reply with a batch's results from a position on."""
         position = _number(exchange.query.get(self._spelling.position_parameter, "0"))
         wait = _number(exchange.header(self._spelling.wait_milliseconds) or "0") / 1000.0
         wait = min(LONGEST_WAIT_SECONDS, wait)
         await self._reply(exchange, ResultsCall(name, position, wait, caller.tenant))
 
     async def item(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
-        """Show the body of an item."""
+        """Reply with the body of an item."""
         item = exchange.query.get(self._spelling.item_parameter, "")
         await self._reply(exchange, ItemCall(name, item, caller.tenant))
 
     async def end(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
-        """End a batch: nobody waits for the rest."""
+        """End a batch: what is left of it is not run."""
         await self._reply(exchange, EndCall(name, caller.tenant))
 
     async def _replied_known(self, exchange: OpaqueExchange, batch: str, caller: Caller) -> bool:
-        """Answer a batch that was handed in before, if it was; return whether it is answered.
+        """Reply to a batch that was submitted before; return whether it was.
 
-        A node whose own view isn't current looks up whether another node took it: it may even have
-        ended since.
+        A node whose own view isn't current looks up whether another node accepted it: it may even
+        have ended since.
         """
         known = self._store.ledger.get(batch)
         if known is not None:
@@ -136,8 +180,7 @@
             return False
         place = await self._runners.known_place(batch)
         if place.is_error():
-            log_event("batch_refused", "warning", batch=batch, cause="log does not answer")
-            await reply_error(exchange, 503, "the log does not answer", COME_BACK_SECONDS)
+            await self._refuse(exchange, batch, NO_LOG)
             return True
         if place.ok is None:
             return False
@@ -146,7 +189,7 @@
 
     @staticmethod
     async def _reply_known(exchange: OpaqueExchange, own: bool) -> None:
-        """Answer a batch that is here already: taken, unless it is another tenant's."""
+        """Reply to a batch that is here already: accepted, unless it is another tenant's."""
         if own:
             await reply_empty(exchange, 202)
         else:
--- a/src/stagewalk/gateway/entry/caller_gate.py
+++ b/src/stagewalk/gateway/entry/caller_authentication.py
@@ -1,4 +1,8 @@
-"""Tells whose a call is, and refuses calls whose key no tenant holds."""
+"""Decides who makes a call and by which route, and rejects calls that match none.
+
+Owns the rule of rejection (see `CallerAuthenticator`) and its two time bounds. Relies on the routes
+and keys of the configuration in force, and on a way to renew the view of it.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +20,27 @@
 
 UNAUTHORIZED = 401
 CHALLENGE = ("www-authenticate", "Bearer")
-"""Goes with each 401 (RFC 9110, 11.6.1): which kind of credentials is asked for."""
+"""Sent with each 401 (RFC 9110, 11.6.1): the kind of credentials asked for."""
 
 NOT_FOUND = 404
 UNAVAILABLE = 503
 
-Renew = Callable[[], Awaitable[bool]]
-"""Brings the view of the configuration up to now; returns whether it is."""
+REJECTION_VIEW_SECONDS = 0.25
+"""Callers are rejected by a view at most this old: a twelfth of the time in which a configuration
+must be in force (3 s), and a storm of wrong keys costs four reads a second."""
+
+REJECTION_READ_SECONDS = 0.7
+"""How long a caller waits for that view: time for a read through another node where the log is
+silent, and well below the 1.5 s that callers of short requests wait."""
+
+RenewView = Callable[[float, float], Awaitable[bool]]
+"""Returns whether the view of the configuration is at most as old as the first time says, in
+seconds; reads, within the second time, if it isn't."""
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Whose call it is.
+    """Who makes a call.
 
     Attributes
     ----------
@@ -38,12 +51,15 @@
     tenant: str | None
 
 
-class CallerGate:
+class CallerAuthenticator:
     """Decides from the configuration in force who calls, and by which route.
 
     What the view knows is served. What it does not know may have been published since the last
-    read, so nobody is turned away (401, 404) before the view is known to be current; where it can't
-    be brought up to now, the answer is 503: the call did not run, and may succeed elsewhere.
+    read, so nobody is rejected before the view is at most `REJECTION_VIEW_SECONDS` old:
+
+    - 401: no tenant holds the key, and the route is not public.
+    - 404: the key is known, and no route matches.
+    - 503: the view could not be renewed; the call did not run, and may succeed elsewhere.
 
     Parameters
     ----------
@@ -51,13 +67,13 @@
         Names the header with a request's id, for the log.
     """
 
-    def __init__(self, routes: RouteTable, renew: Renew, request_header: str) -> None:
+    def __init__(self, routes: RouteTable, renew_view: RenewView, request_header: str) -> None:
         self._routes = routes
-        self._renew = renew
+        self._renew_view = renew_view
         self._request_header = request_header
 
     async def admit_to_route(self, exchange: OpaqueExchange) -> tuple[Caller, Route] | None:
-        """Return who calls and the route of the call; None if it was turned away."""
+        """Return who calls and the route of the call; None if it was rejected."""
         known = self._look_up(exchange)
         if known is not None:
             return known
@@ -67,20 +83,23 @@
             route = self._routes.find(exchange.host, exchange.path)
             unknown_caller = self._identify(exchange, route is not None and route.public) is None
             status = UNAUTHORIZED if unknown_caller else NOT_FOUND
-            await self._turn_away(exchange, status, current)
+            await self._reject(exchange, status, current)
         return known
 
     async def admit_to_batches(self, exchange: OpaqueExchange) -> Caller | None:
-        """Return who makes a call about a batch; None if it was turned away."""
+        """Return who makes a call about a batch; None if it was rejected."""
         caller = self._identify(exchange, self._routes.takes_public_batches(exchange.host))
         if caller is not None:
             return caller
         current = await self._renew()
         caller = self._identify(exchange, self._routes.takes_public_batches(exchange.host))
         if caller is None:
-            await self._turn_away(exchange, UNAUTHORIZED, current)
+            await self._reject(exchange, UNAUTHORIZED, current)
         return caller
 
+    async def _renew(self) -> bool:
+        return await self._renew_view(REJECTION_VIEW_SECONDS, REJECTION_READ_SECONDS)
+
     def _look_up(self, exchange: OpaqueExchange) -> tuple[Caller, Route] | None:
         route = self._routes.find(exchange.host, exchange.path)
         caller = None if route is None else self._identify(exchange, route.public)
@@ -95,8 +114,8 @@
             return Caller(tenant.name)
         return Caller(ANONYMOUS) if public else None
 
-    async def _turn_away(self, exchange: OpaqueExchange, status: int, current: bool) -> None:
-        """Say that the key or the route is not known, or that nobody can tell here now."""
+    async def _reject(self, exchange: OpaqueExchange, status: int, current: bool) -> None:
+        """Reply that the key or the route is unknown, or that this node can't decide now."""
         log_event(
             "caller_denied",
             "info" if current else "warning",
--- /dev/null
+++ b/src/stagewalk/gateway/entry/directory_calls.py
@@ -0,0 +1,56 @@
+"""Answers directory look-ups: the addresses of the nodes a caller should connect to.
+
+Relies on `directory.caller_subset` for the choice; the node's view is renewed first if it is old.
+"""
+
+from __future__ import annotations
+
+from stagewalk.common.logs.lines import log_event
+from stagewalk.gateway.dialect import Dialect
+from stagewalk.gateway.directory.caller_subset import CallerPlace
+from stagewalk.gateway.entry.exchange import OpaqueExchange
+from stagewalk.gateway.entry.replies import reply_error, reply_json
+from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.zones.evacuations import Evacuations
+
+MOST_ADDRESSES = 64
+"""Addresses in one answer at most. Chosen, not measured."""
+
+SECONDS_TO_LIVE = 1.0
+"""How long callers may keep the directory's answer; the drain delay of a stop (`LEAVE_SECONDS`) is
+derived from it."""
+
+
+class DirectoryCalls:
+    """Endpoint of look-ups."""
+
+    def __init__(
+        self, nodes: NodeService, routes: RouteTable, evacuations: Evacuations, dialect: Dialect
+    ) -> None:
+        self._nodes = nodes
+        self._routes = routes
+        self._evacuations = evacuations
+        self._dialect = dialect
+
+    async def resolve(self, exchange: OpaqueExchange) -> None:
+        """Return the addresses for a caller's region and zone; 503 if no node is known to serve."""
+        caller = CallerPlace(
+            exchange.query.get("region", ""),
+            exchange.query.get("zone", ""),
+            self._evacuations.zones,
+            self._routes.homes_of(exchange.query.get("name", "")),
+        )
+        await self._nodes.refresh()
+        addresses = self._nodes.serving_nodes(caller, MOST_ADDRESSES)
+        if addresses:
+            await reply_json(exchange, self._dialect.addresses(addresses, SECONDS_TO_LIVE))
+            return
+        log_event(
+            "lookup_refused",
+            "warning",
+            region=caller.region,
+            zone=caller.zone,
+            nodes_known=self._nodes.known,
+        )
+        await reply_error(exchange, 503, "no node is known to serve")
--- a/src/stagewalk/gateway/entry/exchange.py
+++ b/src/stagewalk/gateway/entry/exchange.py
@@ -1,19 +1,20 @@
-"""An exchange with a caller whose request is opaque: kept to the byte."""
+"""An exchange with a caller whose request is opaque: kept to the byte.
 
-from __future__ import annotations
+Owns which headers concern one connection only, in both directions. Relies on
+`common.http.exchange` for the body, its limits and the response.
+"""
 
-from collections.abc import Callable, Iterable
+from __future__ import annotations
 
-from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope
+from collections.abc import Iterable
+from functools import cached_property
 
-from stagewalk.common.http.body_budget import BodyBudget
 from stagewalk.common.http.exchange import Exchange
-from stagewalk.common.settings.fields import Limits
 from stagewalk.gateway.ports.workers import HeaderList
 
 STREAM_STATUS = 200
 LINE_BYTES = 4
-"""What a header's line takes beside its name and value."""
+"""What a header's line has beside its name and value: ": " and the line's end."""
 
 HOP_HEADERS = frozenset(
     {
@@ -36,23 +37,25 @@
 class OpaqueExchange(Exchange):
     """Knows the request's target and headers exactly as they came."""
 
-    def __init__(
-        self,
-        scope: HTTPScope,
-        receive: ASGIReceiveCallable,
-        send: ASGISendCallable,
-        limits: Limits,
-        budget: BodyBudget,
-        *,
-        last: Callable[[], bool],
-    ) -> None:
-        super().__init__(scope, receive, send, limits, budget, last=last)
-        self.target = _target(scope)
-        server = scope.get("server")
-        self.port: int | None = None if server is None else server[1]
-        """Of the listener that it came to."""
-        self.header_list: HeaderList = tuple(
-            (name.decode("latin-1"), value.decode("latin-1")) for name, value in scope["headers"]
+    @cached_property
+    def target(self) -> str:
+        """Return the request's path and query as the caller spelled them."""
+        path = self._scope["raw_path"].decode("latin-1")
+        query = self._scope["query_string"].decode("latin-1")
+        return f"{path}?{query}" if query else path
+
+    @property
+    def port(self) -> int | None:
+        """Return the port of the listener that the request came to."""
+        server = self._scope.get("server")
+        return None if server is None else server[1]
+
+    @cached_property
+    def header_list(self) -> HeaderList:
+        """Return the headers in their order, with names as the caller spelled them."""
+        return tuple(
+            (name.decode("latin-1"), value.decode("latin-1"))
+            for name, value in self._scope["headers"]
         )
 
     @property
@@ -67,7 +70,7 @@
         return (self.header("host") or "").split(":")[0]
 
     def end_to_end_headers(self) -> HeaderList:
-        """Return the headers that are meant for whoever answers, the host among them."""
+        """Return the end-to-end headers, the host among them."""
         named = {
             token.strip().lower() for token in (self.header("connection") or "").split(",") if token
         }
@@ -75,19 +78,13 @@
         return tuple(pair for pair in self.header_list if pair[0].lower() not in dropped)
 
     async def relay(self, status: int, headers: Iterable[tuple[str, str]], body: bytes) -> None:
-        """Send a whole answer whose headers are given, the content's type among them."""
+        """Send a whole response with given headers, its content type among them."""
         kept = [pair for pair in headers if pair[0].lower() not in HOP_HEADERS]
         await self.begin(status, (*kept, ("content-length", str(len(body)))))
         await self.write(body, last=True)
 
     async def begin_stream(self, headers: Iterable[tuple[str, str]]) -> None:
-        """Send the head of a stream, whose length nobody knows yet."""
+        """Send the head of a stream of unknown length."""
         await self.begin(
             STREAM_STATUS, tuple(pair for pair in headers if pair[0].lower() not in HOP_HEADERS)
         )
-
-
-def _target(scope: HTTPScope) -> str:
-    path = scope["raw_path"].decode("latin-1")
-    query = scope["query_string"].decode("latin-1")
-    return f"{path}?{query}" if query else path
--- /dev/null
+++ b/src/stagewalk/gateway/entry/forwarded_calls.py
@@ -0,0 +1,146 @@
+"""Forwards callers' requests to workers and answers the callers.
+
+Owns the deadline of a forwarded request and the status of one that got no answer. Relies on
+`forwarding` for attempts and retries, and on the exchange for the caller's side.
+"""
+
+from __future__ import annotations
+
+from stagewalk.common.http.asgi import BrokenResponseError
+from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.dialect import CallerInterface
+from stagewalk.gateway.entry.caller_authentication import Caller
+from stagewalk.gateway.entry.exchange import OpaqueExchange
+from stagewalk.gateway.entry.replies import reply_error
+from stagewalk.gateway.forwarding.forwarder import Forwarder
+from stagewalk.gateway.forwarding.inbound import InboundRequest
+from stagewalk.gateway.forwarding.policy import Ending, Unanswered
+from stagewalk.gateway.forwarding.stream_forwarder import StreamForwarder
+from stagewalk.gateway.metrics import GatewayMetrics
+from stagewalk.gateway.ports.workers import StreamHead, StreamPart
+from stagewalk.gateway.routes.route import Route
+from stagewalk.gateway.routes.table import RouteTable
+
+UNANSWERED_STATUS = {
+    Ending.NOT_RUN: 503,
+    Ending.UNKNOWN: 502,
+    Ending.OUT_OF_TIME: 504,
+}
+UNANSWERED_DETAIL = {
+    Ending.NOT_RUN: "no worker ran the request",
+    Ending.UNKNOWN: "a worker may have run the request",
+    Ending.OUT_OF_TIME: "the request's time is over",
+}
+
+
+class ForwardedCalls:
+    """Endpoints of routes whose requests workers answer, whole or as a stream."""
+
+    def __init__(
+        self,
+        routes: RouteTable,
+        forwarder: Forwarder,
+        streams: StreamForwarder,
+        metrics: GatewayMetrics,
+        spelling: CallerInterface,
+    ) -> None:
+        self._routes = routes
+        self._forwarder = forwarder
+        self._streams = streams
+        self._metrics = metrics
+        self._spelling = spelling
+
+    async def forward(self, exchange: OpaqueExchange, caller: Caller, route: Route) -> None:
+        """Forward a request and relay its whole answer."""
+        began = steady_seconds()
+        request = await self._read_request(exchange, caller)
+        if request is None:
+            return
+        deadline_at = began + self._allowed_seconds(exchange, route)
+        outcome = await self._forwarder.forward(request, route, deadline_at)
+        if outcome.is_error():
+            await self._reply_unanswered(exchange, route, outcome.error, began)
+            return
+        answer = outcome.ok
+        self._metrics.request_ended(route.kind.value, str(answer.status), began)
+        await exchange.relay(answer.status, answer.headers, answer.body)
+
+    async def forward_stream(self, exchange: OpaqueExchange, caller: Caller, route: Route) -> None:
+        """Forward a request and relay its answer as it arrives.
+
+        Raises
+        ------
+        BrokenResponseError
+            The stream began and can't be completed.
+        """
+        began = steady_seconds()
+        request = await self._read_request(exchange, caller)
+        if request is None:
+            return
+
+        async def relay_part(part: StreamPart) -> None:
+            if isinstance(part, StreamHead):
+                await exchange.begin_stream(part.headers)
+            else:
+                await exchange.write(part.raw)
+
+        outcome = await self._streams.forward(
+            request,
+            route,
+            began + self._allowed_seconds(exchange, route),
+            self._last_event(exchange),
+            relay_part,
+        )
+        if outcome.is_error():
+            if exchange.started:
+                raise BrokenResponseError(route.name)
+            await self._reply_unanswered(exchange, route, outcome.error, began)
+            return
+        ended = outcome.ok
+        self._metrics.request_ended(route.kind.value, str(ended.status), began)
+        if exchange.started:
+            await exchange.write(b"", last=True)
+        else:
+            await exchange.relay(ended.status, ended.headers, ended.body)
+
+    async def _read_request(
+        self, exchange: OpaqueExchange, caller: Caller
+    ) -> InboundRequest | None:
+        """Return the whole request; None if its body was refused and the caller answered."""
+        body = await exchange.body()
+        if body.is_error():
+            await reply_error(exchange, 413, body.error.detail)
+            return None
+        return InboundRequest(
+            request_id=exchange.header(self._spelling.request_id) or "",
+            method=exchange.method,
+            target=exchange.target,
+            headers=exchange.end_to_end_headers(),
+            body=body.ok,
+            tenant=caller.tenant,
+            priority=self._routes.priority_of(caller.tenant),
+        )
+
+    def _last_event(self, exchange: OpaqueExchange) -> int:
+        """Return the number of the event that a stream resumes after, 0 for a new stream."""
+        resumed = exchange.header(self._spelling.last_event) or ""
+        return int(resumed) if resumed.isdecimal() else 0
+
+    def _allowed_seconds(self, exchange: OpaqueExchange, route: Route) -> float:
+        """Return the route's timeout, or the caller's deadline if that is sooner."""
+        text = exchange.header(self._spelling.deadline_milliseconds) or ""
+        if text.isdecimal():
+            return min(route.timeout_seconds, int(text) / 1000.0)
+        return route.timeout_seconds
+
+    async def _reply_unanswered(
+        self, exchange: OpaqueExchange, route: Route, unanswered: Unanswered, began: float
+    ) -> None:
+        ending = unanswered.ending
+        self._metrics.request_ended(route.kind.value, ending.value, began)
+        await reply_error(
+            exchange,
+            UNANSWERED_STATUS[ending],
+            UNANSWERED_DETAIL[ending],
+            unanswered.come_back_seconds,
+        )
--- a/src/stagewalk/gateway/entry/held_requests.py
+++ b/src/stagewalk/gateway/entry/quarantine_calls.py
@@ -1,4 +1,7 @@
-"""Operators' look at requests that are held back: listed, and lifted, at the metrics' address."""
+"""Operators' calls about quarantined requests: list them, or release one, at the metrics' address.
+
+Relies on `nodes.crash_watch` for the state; paths keep the name `held-requests`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 HELD_PATH = "/held-requests"
 
 
-class HeldRequests:
+class QuarantineCalls:
     """Serves `GET /held-requests` and `DELETE /held-requests/CONTENT`.
 
     Parameters
@@ -25,14 +28,14 @@
         self._crashes = crashes
         self._port = port
 
-    def takes(self, exchange: OpaqueExchange) -> bool:
-        """Whether an exchange is for this: callers' paths of the same name are theirs."""
+    def serves(self, exchange: OpaqueExchange) -> bool:
+        """Whether an exchange came to the operators' listener; on others the path is callers'."""
         path = exchange.path
-        mine = path == HELD_PATH or path.startswith(f"{HELD_PATH}/")
-        return mine and exchange.port is not None and exchange.port == self._port
+        named = path == HELD_PATH or path.startswith(f"{HELD_PATH}/")
+        return named and exchange.port is not None and exchange.port == self._port
 
     async def serve(self, exchange: OpaqueExchange) -> None:
-        """Answer an exchange."""
+        """Handle an exchange that `serves` accepted."""
         content = exchange.path.removeprefix(HELD_PATH).removeprefix("/")
         if exchange.method == "GET" and not content:
             await reply_json(exchange, msgspec.json.encode(self._crashes.held_contents()))
--- a/src/stagewalk/gateway/entry/replies.py
+++ b/src/stagewalk/gateway/entry/replies.py
@@ -1,4 +1,4 @@
-"""Answers the gateway gives itself."""
+"""Replies of the gateway itself, all JSON. Relies on the exchange to send them."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 async def reply_json(exchange: OpaqueExchange, content: bytes, status: int = 200) -> None:
-    """Answer with JSON."""
+    """Reply with JSON."""
     await exchange.respond(status, JSON_CONTENT, content)
 
 
 async def reply_empty(exchange: OpaqueExchange, status: int) -> None:
-    """Answer with an empty JSON object."""
+    """Reply with an empty JSON object."""
     await exchange.respond(status, JSON_CONTENT, b"{}")
 
 
@@ -26,12 +26,12 @@
     exchange: OpaqueExchange,
     status: int,
     detail: str,
-    come_back_seconds: float | None = None,
+    retry_after_seconds: float | None = None,
     headers: Iterable[tuple[str, str]] = (),
 ) -> None:
-    """Answer with an error, and when to come back if that may help."""
+    """Reply with an error, and after how many seconds a retry may help."""
     headers = list(headers)
-    if come_back_seconds is not None:
-        headers.append((RETRY_AFTER_HEADER, f"{come_back_seconds:g}"))
+    if retry_after_seconds is not None:
+        headers.append((RETRY_AFTER_HEADER, f"{retry_after_seconds:g}"))
     content = msgspec.json.encode({"error": detail})
     await exchange.respond(status, JSON_CONTENT, content, headers)
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -28,15 +28,6 @@
 from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement
 from stagewalk.gateway.zones.evacuations import Evacuations
 
-DENIAL_VIEW_SECONDS = 0.25
-"""Callers are turned away by a view at most so old: a twelfth of the time in which a configuration
-must be in force (3 s), and a storm of wrong keys costs four reads a second."""
-
-DENIAL_WAIT_SECONDS = 0.7
-"""How long they wait for that: time for a read through another node where the log is silent, and
-well below the 1.5 s that callers of short requests wait."""
-
-
 OLDEST_PUBLISHED_SECONDS = 2.0
 """A view of what operators publish that is older is read again before a request is served: reads
 of it end every second. Without that a machine that slept served its first second of requests by the
@@ -121,9 +112,9 @@
         await self._workers_follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_SECONDS)
         await self._operators_follower.refresh(OLDEST_PUBLISHED_SECONDS, REFRESH_SECONDS)
 
-    async def renew_configuration(self) -> bool:
-        """Return whether the view of what operators publish is current; read if it isn't."""
-        return await self._operators_follower.renew(DENIAL_VIEW_SECONDS, DENIAL_WAIT_SECONDS)
+    async def renew_configuration(self, oldest_seconds: float, timeout_seconds: float) -> bool:
+        """Return whether what operators published so long ago is known; read if it isn't."""
+        return await self._operators_follower.renew(oldest_seconds, timeout_seconds)
 
     def view_age(self, now: float) -> float:
         """Return the age of the older one of the views, in seconds."""
--- a/src/stagewalk/node/edge/app.py
+++ b/src/stagewalk/node/edge/app.py
@@ -2,19 +2,17 @@
 
 from __future__ import annotations
 
-import traceback
 from collections.abc import Awaitable, Callable
+from functools import partial
 
-import anyio
 from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope, Scope
 
 from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.http.asgi import run_exchange, serve_connection
 from stagewalk.common.http.body_budget import BodyBudget
 from stagewalk.common.http.exchange import PROBLEM_CONTENT, Exchange
-from stagewalk.common.http.lifespan import serve_lifespan
 from stagewalk.common.http.peer_names import EDGE_PEER
 from stagewalk.common.http.problems import render_problem
-from stagewalk.common.logs.lines import log_event
 from stagewalk.common.settings.fields import Limits
 from stagewalk.node.edge.completions import CompletionEndpoints
 from stagewalk.node.edge.operators import OperatorEndpoints
@@ -56,26 +54,15 @@
         self, scope: Scope, receive: ASGIReceiveCallable, send: ASGISendCallable
     ) -> None:
         """Serve one ASGI connection."""
-        if scope["type"] == "lifespan":
-            await serve_lifespan(receive, send)
-        elif scope["type"] == "http":
-            await self._serve_exchange(scope, receive, send)
-        else:
-            await send({"type": "websocket.close", "code": 1008, "reason": None})
+        await serve_connection(scope, receive, send, self._serve_exchange)
 
     async def _serve_exchange(
         self, scope: HTTPScope, receive: ASGIReceiveCallable, send: ASGISendCallable
     ) -> None:
         exchange = Exchange(scope, receive, send, self._limits, self._budget, last=self._stopping)
-        async with anyio.create_task_group() as tasks:
-            tasks.start_soon(exchange.watch)
-            try:
-                await self._route(exchange)
-            except Exception as error:
-                await _report_crash(exchange, error)
-            finally:
-                exchange.release_body()
-            tasks.cancel_scope.cancel()
+        await run_exchange(
+            exchange, partial(self._route, exchange), partial(_respond_crashed, exchange)
+        )
 
     async def _route(self, exchange: Exchange) -> None:
         if exchange.path.startswith(RETAINED_ANSWER_PREFIX):
@@ -103,11 +90,7 @@
     await exchange.respond(status, PROBLEM_CONTENT, render_problem(invalid("", detail), status))
 
 
-async def _report_crash(exchange: Exchange, error: Exception) -> None:
-    trace = "".join(traceback.format_exception(error))
-    log_event("exchange_failed", "error", path=exchange.path, trace=trace)
-    if exchange.started:
-        return
+async def _respond_crashed(exchange: Exchange) -> None:
     failure = StagewalkError(
         ErrorKind.OUTCOME_UNKNOWN, Step.DELIVERY, EDGE_PEER, "internal error", Ran.UNKNOWN
     )
--- a/tests/gateway/entry/test_requests.py
+++ b/tests/gateway/entry/test_requests.py
@@ -179,7 +179,7 @@
         def note(event: str, _level: str = "info", **_fields: object) -> None:
             events.append(event)
 
-        with mock.patch("stagewalk.gateway.entry.app.log_event", note):
+        with mock.patch("stagewalk.gateway.entry.directory_calls.log_event", note):
             run(scenario)
         self.assertIn("lookup_refused", events)
 
