--- a/tests/gateway/batch_service/test_dropped_history.py
+++ b/tests/gateway/batch_service/test_dropped_history.py
@@ -17,9 +17,9 @@
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
 from stagewalk.gateway.batches.records import BatchRecord, ItemFinished, encode_record
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
-from stagewalk_standins.partitioned_log import MemoryLog
-from stagewalk_standins.plain_dialect import PlainDialect
 from tests.gateway.batches.support import item, submitted
+from tests.gateway.memory_log import MemoryLog
+from tests.gateway.plain_dialect import PlainDialect
 from tests.gateway.support import Site, run, until
 
 ONLY = Partition(TOPIC, 0)
--- a/tests/gateway/batch_service/test_early_views.py
+++ b/tests/gateway/batch_service/test_early_views.py
@@ -24,9 +24,9 @@
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.runners.runner_messages import RunBatch
-from stagewalk_standins.partitioned_log import MemoryLog
-from stagewalk_standins.plain_dialect import PlainDialect
 from tests.gateway.batches.support import item, submitted
+from tests.gateway.memory_log import MemoryLog
+from tests.gateway.plain_dialect import PlainDialect
 
 TOPIC = "batches"
 PLACE = Partition(TOPIC, 0)
--- a/tests/gateway/batch_service/test_ledger_reads.py
+++ b/tests/gateway/batch_service/test_ledger_reads.py
@@ -19,9 +19,9 @@
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.ledger import BatchLedger
 from stagewalk.gateway.batches.records import ItemFinished
-from stagewalk_standins.partitioned_log import MemoryLog
-from stagewalk_standins.plain_dialect import PlainDialect
 from tests.gateway.batches.support import item, submitted
+from tests.gateway.memory_log import MemoryLog
+from tests.gateway.plain_dialect import PlainDialect
 
 GROUPS = 5
 ITEMS_OF_A_GROUP = 8
--- a/tests/gateway/batch_service/test_open_batches.py
+++ b/tests/gateway/batch_service/test_open_batches.py
@@ -7,7 +7,7 @@
 import testtools
 
 from stagewalk.gateway.batch_service.open_batches import OPEN_BATCHES, BatchPlace, OpenBatches
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 
 
 class OpenBatchesTests(testtools.TestCase):
--- a/tests/gateway/batch_service/test_second_submissions.py
+++ b/tests/gateway/batch_service/test_second_submissions.py
@@ -22,8 +22,6 @@
 )
 from stagewalk.gateway.batches.takeover import affinity
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
-from stagewalk_standins.partitioned_log import MemoryLog
-from stagewalk_standins.plain_dialect import PlainDialect
 from tests.gateway.batch_service.test_ended_batches import (
     BOUND_SECONDS,
     MANY,
@@ -32,6 +30,8 @@
 )
 from tests.gateway.batches.support import item, submitted
 from tests.gateway.hindered_logs import SlowHistoryLog, append, write_history
+from tests.gateway.memory_log import MemoryLog
+from tests.gateway.plain_dialect import PlainDialect
 from tests.gateway.support import Site, run, until
 
 LONGER_SECONDS = 4.0
--- a/tests/gateway/duties/test_usage_views.py
+++ b/tests/gateway/duties/test_usage_views.py
@@ -20,8 +20,8 @@
 from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk.gateway.usage.meter import window_of
 from stagewalk.gateway.usage.records import UsageCounted, encode_counts
-from stagewalk_standins.memory_duties import MemoryDuties
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_duties import MemoryDuties
+from tests.gateway.memory_log import MemoryLog
 from tests.gateway.support import until
 
 OLD = new_holder("n1", "old")
--- a/tests/gateway/hindered_logs.py
+++ b/tests/gateway/hindered_logs.py
@@ -13,7 +13,7 @@
     ProducerSequence,
     RecordPage,
 )
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
 SLOW_RECORDS = 100
 """So many of a partition's first records come one by one."""
--- a/tests/gateway/log_relay/test_both_ways.py
+++ b/tests/gateway/log_relay/test_both_ways.py
@@ -15,7 +15,7 @@
 from stagewalk.gateway.partitioned_log.follower import PartitionFollower
 from stagewalk.gateway.peer_calls.client import PeerClient, PeerFault
 from stagewalk.gateway.ports.partitioned_log import LogFault, Partition, ProducerSequence
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 
 PLACE = Partition("t", 0)
 PEER = Address("10.0.0.1", 1)
--- a/tests/gateway/log_relay/test_lost_answers.py
+++ b/tests/gateway/log_relay/test_lost_answers.py
@@ -18,7 +18,7 @@
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
 from stagewalk.gateway.peer_calls.client import PeerFault
 from stagewalk.gateway.ports.partitioned_log import LogFault, Partition, ProducerSequence
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
 PLACE = Partition("t", 0)
 PEER = Address("10.0.0.1", 1)
--- a/tests/gateway/log_relay/test_relayed_log.py
+++ b/tests/gateway/log_relay/test_relayed_log.py
@@ -14,7 +14,7 @@
 from stagewalk.gateway.log_relay.relayed_log import SILENCE_SECONDS, RelayedLog, RelayPeers
 from stagewalk.gateway.log_relay.server import CUT_OFF, LogRelay
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 
 PLACE = Partition("keyed.t", 0)
 TIMEOUT_SECONDS = 2.0
--- a/tests/gateway/nodes/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -15,7 +15,7 @@
 from stagewalk.gateway.quarantine.core import MOST_STRIKES, CrashSuspects
 from stagewalk.gateway.quarantine.crash_reports import SentRequest
 from stagewalk.gateway.workers.table import WorkerTable
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 from tests.gateway.workers.support import announcement
 
 NODES = Partition("keyed.nodes", 0)
--- a/tests/gateway/nodes/test_node_service.py
+++ b/tests/gateway/nodes/test_node_service.py
@@ -16,7 +16,7 @@
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.policy import ALL_ON
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 from tests.gateway.support import until
 
 NODES = Partition("keyed.nodes", 0)
--- a/tests/gateway/partitioned_log/test_appender.py
+++ b/tests/gateway/partitioned_log/test_appender.py
@@ -9,7 +9,7 @@
 
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
 PLACE = Partition("t", 0)
 LONG = 5.0
--- a/tests/gateway/partitioned_log/test_follower.py
+++ b/tests/gateway/partitioned_log/test_follower.py
@@ -19,7 +19,7 @@
     PartitionRecord,
     RecordPage,
 )
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
 PLACE = Partition("t", 0)
 LONGEST_LAG_SECONDS = 0.5
--- a/tests/gateway/runners/test_lease_views.py
+++ b/tests/gateway/runners/test_lease_views.py
@@ -13,7 +13,7 @@
 from stagewalk.gateway.duties.duty_lease import DUTIES_PARTITION, TOPIC, DutyLease
 from stagewalk.gateway.leases.log_lease import LEASE_SECONDS, LogLease, new_holder
 from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault, Partition, RecordPage
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
 LEASES = Partition(TOPIC, DUTIES_PARTITION)
 QUIET_SECONDS = 0.3
--- a/tests/gateway/runners/test_run_views.py
+++ b/tests/gateway/runners/test_run_views.py
@@ -31,9 +31,9 @@
 from stagewalk.gateway.runners.score_sender import ScoreSender
 from stagewalk.gateway.scoring.messages import ScoreEvent, SendScore
 from stagewalk.gateway.workers.table import WorkerTable
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
 from tests.gateway.batches.support import batch_route, item, submitted
 from tests.gateway.eligibility.support import unrestricted
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 from tests.gateway.quarantine.support import NoCrashes
 from tests.gateway.workers.support import announcement
 
--- a/tests/gateway/runners/test_runner_choice.py
+++ b/tests/gateway/runners/test_runner_choice.py
@@ -22,7 +22,7 @@
     decode_call,
     encode_message,
 )
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 
 TRAINER = BatchHeader("b1", "h.example", "/run/b1", 1, "m", 0, 4)
 
--- a/tests/gateway/runners/test_scores.py
+++ b/tests/gateway/runners/test_scores.py
@@ -6,7 +6,7 @@
 import testtools
 
 from stagewalk.gateway.ports.workers import AttemptFault
-from stagewalk_standins.memory_workers import MemoryWorker
+from tests.gateway.memory_workers import MemoryWorker
 from tests.gateway.support import ROUTES, Running, Site, route, run, until
 
 TEXT, SCORE = 4, 6
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -25,10 +25,10 @@
 )
 from stagewalk.gateway.settings import GatewaySettings, LogLimits, Timing
 from stagewalk.gateway.tenants.tenant import Tenant
-from stagewalk_standins.memory_duties import MemoryDuties
-from stagewalk_standins.memory_workers import MemoryWorker, MemoryWorkers
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
-from stagewalk_standins.plain_dialect import EVACUATION_PREFIX, PlainDialect, SubmittedBatch
+from tests.gateway.memory_duties import MemoryDuties
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_workers import MemoryWorker, MemoryWorkers
+from tests.gateway.plain_dialect import EVACUATION_PREFIX, PlainDialect, SubmittedBatch
 from tests.gateway.workers.support import announcement
 from tests.node.running_node import free_address
 
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -8,7 +8,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.cold_lease_service import COLD_STARTS
 from stagewalk.gateway.routes.route import Service
-from stagewalk_standins.memory_workers import Arrival
+from tests.gateway.memory_workers import Arrival
 from tests.gateway.support import Running, Site, run, until
 
 RATE = 4.0
--- a/tests/gateway/test_evacuation.py
+++ b/tests/gateway/test_evacuation.py
@@ -9,7 +9,7 @@
 
 from stagewalk.common.identities import Placement
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk_standins.memory_workers import MemoryWorker
+from tests.gateway.memory_workers import MemoryWorker
 from tests.gateway.support import ROUTES, Running, Site, run, until
 
 IN_FORCE_SECONDS = 3.0
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -10,9 +10,9 @@
 from stagewalk.common.settings.addresses import settings_error
 from stagewalk.gateway.daemon import Dependencies, Gateway
 from stagewalk.gateway.settings import Timing
-from stagewalk_standins.memory_workers import MemoryWorkers
-from stagewalk_standins.partitioned_log import MemoryLog
-from stagewalk_standins.plain_dialect import PlainDialect
+from tests.gateway.memory_log import MemoryLog
+from tests.gateway.memory_workers import MemoryWorkers
+from tests.gateway.plain_dialect import PlainDialect
 from tests.gateway.support import gateway_settings
 
 
--- a/tests/soak/crashes.py
+++ b/tests/soak/crashes.py
@@ -16,7 +16,7 @@
 
 from stagewalk.common.identities import Address
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 from tests.soak.touch import TouchRecord
 
 ANNOUNCEMENTS = Partition("keyed.servers", 0)
--- a/tests/soak/foreign.py
+++ b/tests/soak/foreign.py
@@ -12,7 +12,7 @@
 
 from stagewalk.common.identities import Address
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 
 ANNOUNCEMENTS = Partition("keyed.servers", 0)
 SERVICES = ("app", "engines", "scorers", "frail")
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -14,7 +14,7 @@
     Partition,
     ProducerSequence,
 )
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 from tests.soak.asgi import Call, LostAnswer, Reply, Send
 
 KEYED = "keyed."
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -14,7 +14,7 @@
 
 from stagewalk.common.identities import Address
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 from tests.soak.asgi import Call, Reply, Send, start_answer
 from tests.soak.senders import Connection
 from tests.soak.zones import ZoneRules
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -20,7 +20,7 @@
 from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk_standins.forwarder import Forwarder, ForwarderLinks, StreamLink
 from stagewalk_standins.forwarder_faults import LinkFaults
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 from tests.soak.asgi import application, serve
 from tests.soak.checker import Checker
 from tests.soak.crashes import FRAIL_ROUTE, FRAIL_SERVICE
--- a/tests/soak/zones.py
+++ b/tests/soak/zones.py
@@ -11,7 +11,7 @@
 import anyio
 
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 from tests.soak.senders import Connection
 from tests.soak.touch import TouchRecord
 
