--- a/src/stagewalk/cli/explain.py
+++ b/src/stagewalk/cli/explain.py
@@ -1,39 +1,33 @@
-"""`stagewalk explain`: tell from logs what became of a request, a batch or an item."""
+"""`stagewalk explain`: print from logs what became of a request, a batch or an item.
+
+Owns the text that is printed; relies on `gateway.explain.story` for events and first failure.
+"""
 
 from __future__ import annotations
 
 import argparse
 import sys
 from datetime import UTC, datetime
-from pathlib import Path
 
-from stagewalk.gateway.explain.log_line import LogLine, parse_lines
+from stagewalk.cli.log_files import add_log_arguments, read_logs
 from stagewalk.gateway.explain.story import Story, find_story
 
 EXIT_TOLD = 0
 EXIT_UNKNOWN_ID = 1
 EXIT_BAD_ARGUMENTS = 2
-STANDARD_INPUT = "-"
 
 
 def add_flags(parser: argparse.ArgumentParser) -> None:
     """Define the subcommand's flags."""
     parser.add_argument("id", help="a request's, batch's or item's id")
-    parser.add_argument(
-        "logs", nargs="*", default=[STANDARD_INPUT], help="logs of nodes, - for standard input"
-    )
+    add_log_arguments(parser)
 
 
 def run(arguments: argparse.Namespace) -> int:
     """Print the story and return the exit code (1: no line names the id)."""
-    lines: list[LogLine] = []
-    for name in arguments.logs:
-        try:
-            text = sys.stdin.read() if name == STANDARD_INPUT else Path(name).read_text()
-        except (OSError, UnicodeDecodeError) as error:
-            print(f"{name}: {error}", file=sys.stderr)
-            return EXIT_BAD_ARGUMENTS
-        lines += parse_lines(text.splitlines(), source=Path(name).stem)
+    lines = read_logs(arguments.logs)
+    if lines is None:
+        return EXIT_BAD_ARGUMENTS
     story = find_story(arguments.id, lines)
     if story is None:
         nodes = ", ".join(sorted({line.node for line in lines})) or "none"
--- a/src/stagewalk/cli/steps.py
+++ b/src/stagewalk/cli/steps.py
@@ -1,25 +1,24 @@
-"""`stagewalk steps`: take trainers' steps and recoveries apart, from the logs of all nodes."""
+"""`stagewalk steps`: print where the time of trainers' steps and recoveries went.
+
+Owns the text that is printed; relies on `gateway.explain.steps`, which draws the accounts from the
+logs of all nodes.
+"""
 
 from __future__ import annotations
 
 import argparse
-import sys
-from pathlib import Path
 
-from stagewalk.gateway.explain.log_line import LogLine, parse_lines
+from stagewalk.cli.log_files import add_log_arguments, read_logs
 from stagewalk.gateway.explain.steps import StepAccount, account_steps, find_recoveries
 
 EXIT_TOLD = 0
 EXIT_BAD_ARGUMENTS = 2
-STANDARD_INPUT = "-"
 LAST_ITEMS = 5
 
 
 def add_flags(parser: argparse.ArgumentParser) -> None:
     """Define the subcommand's flags."""
-    parser.add_argument(
-        "logs", nargs="*", default=[STANDARD_INPUT], help="logs of nodes, - for standard input"
-    )
+    add_log_arguments(parser)
     parser.add_argument(
         "--last", type=int, default=LAST_ITEMS, help="how many of a step's last items to show"
     )
@@ -27,14 +26,9 @@
 
 def run(arguments: argparse.Namespace) -> int:
     """Print the accounts and return the exit code."""
-    lines: list[LogLine] = []
-    for name in arguments.logs:
-        try:
-            text = sys.stdin.read() if name == STANDARD_INPUT else Path(name).read_text()
-        except (OSError, UnicodeDecodeError) as error:
-            print(f"{name}: {error}", file=sys.stderr)
-            return EXIT_BAD_ARGUMENTS
-        lines += parse_lines(text.splitlines(), source=Path(name).stem)
+    lines = read_logs(arguments.logs)
+    if lines is None:
+        return EXIT_BAD_ARGUMENTS
     began = min((line.at for line in lines), default=0.0)
     for account in account_steps(lines):
         print("\n".join(render_step(account, began, arguments.last)))
