--- a/src/stagewalk/gateway/batch_service/batch_lookup.py
+++ b/src/stagewalk/gateway/batch_service/batch_lookup.py
@@ -18,7 +18,7 @@
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.batch import Batch
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 
 NO_SUCH_BATCH = "there is no such batch"
 RECORDS_DROPPED = "the batch's records are no longer all kept"
@@ -91,15 +91,15 @@
         if batch is not None:
             return Ok(batch)
         if self._starting():
-            return Error(refusal(503, "the log is being read", COME_BACK_SECONDS))
+            return Error(refusal(503, "the log is being read", RETRY_AFTER_SECONDS))
         current = await self._store.catch_up(name)
         batch = self._store.ledger.get(name)
         if batch is not None:
             return Ok(batch)
         if not current:
-            return Error(refusal(503, VIEW_TOO_OLD, COME_BACK_SECONDS))
+            return Error(refusal(503, VIEW_TOO_OLD, RETRY_AFTER_SECONDS))
         if not await self._is_absent(name):
-            return Error(refusal(503, RECORDS_DROPPED, COME_BACK_SECONDS))
+            return Error(refusal(503, RECORDS_DROPPED, RETRY_AFTER_SECONDS))
         return Error(refusal(404, NO_SUCH_BATCH))
 
     async def _is_absent(self, name: str) -> bool:
--- a/src/stagewalk/gateway/batch_service/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_reads.py
@@ -32,7 +32,7 @@
 from stagewalk.gateway.batch_service.result_reads import ResultReads
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.dialect import Dialect
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome
 
 END_SECONDS = 2.0
@@ -135,12 +135,12 @@
             first_offset=self._store.first_offset(name, began),
         )
         if not marked:
-            return refusal(503, LOG_SILENT, COME_BACK_SECONDS)
+            return refusal(503, LOG_SILENT, RETRY_AFTER_SECONDS)
         left = max(0.0, END_SECONDS - (steady_seconds() - began))
         outcome = await self._store.end(name, left)
         if outcome.is_error():
             status = 503 if outcome.error is AppendOutcome.NOT_APPENDED else 504
-            return refusal(status, LOG_SILENT, COME_BACK_SECONDS)
+            return refusal(status, LOG_SILENT, RETRY_AFTER_SECONDS)
         log_event(
             "batch_ended",
             batch=name,
--- a/src/stagewalk/gateway/batch_service/result_reads.py
+++ b/src/stagewalk/gateway/batch_service/result_reads.py
@@ -30,7 +30,7 @@
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.records import ItemFinished
 from stagewalk.gateway.dialect import Dialect
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 
 
 class ResultReads:
@@ -75,14 +75,14 @@
             return found.error
         batch = found.ok
         if not await self._lookup.has_final_positions(batch):
-            return refusal(503, RECORDS_DROPPED, COME_BACK_SECONDS)
+            return refusal(503, RECORDS_DROPPED, RETRY_AFTER_SECONDS)
         if not await self._shows(batch, call.position, oldest_seconds):
-            return refusal(503, VIEW_TOO_OLD, COME_BACK_SECONDS)
+            return refusal(503, VIEW_TOO_OLD, RETRY_AFTER_SECONDS)
         await self._wait(batch, call)
         page = select_page(batch, call.position)
         if not page and self._is_stale(call.batch, oldest_seconds):
             # The view grew old while news was waited for: there may be results by now.
-            return refusal(503, VIEW_TOO_OLD, COME_BACK_SECONDS)
+            return refusal(503, VIEW_TOO_OLD, RETRY_AFTER_SECONDS)
         view_age = self._store.view_age(call.batch, steady_seconds())
         return self._answer(batch, call, page, view_age)
 
@@ -95,7 +95,7 @@
             await anyio.sleep(OPEN_READ_SECONDS)
             batch = await self._lookup.find_open(call.batch) or batch
         if call.position > len(batch.results):
-            return refusal(503, VIEW_TOO_OLD, COME_BACK_SECONDS)
+            return refusal(503, VIEW_TOO_OLD, RETRY_AFTER_SECONDS)
         return self._answer(batch, call, select_page(batch, call.position), view_age=0.0)
 
     def _answer(
--- a/src/stagewalk/gateway/scoring/retry_rules.py
+++ b/src/stagewalk/gateway/scoring/retry_rules.py
@@ -1,7 +1,7 @@
 """Decides when a score call is tried again, beside a late attempt or after one, and given up. Pure.
 
 Owns the bounds of attempts at one call. Relies on the route of the call for `maximum_attempts` and
-on `forwarding.policy.hedge_delay` for when an attempt counts as late.
+on `forwarding.hedging.hedge_delay` for when an attempt counts as late.
 
 A call may be repeated, so it goes to another worker at once where one is late. Only what a worker
 itself answers with 500 counts against the sample: after so many it has no score.
