--- a/src/stagewalk/gateway/batches/attempt_watch.py
+++ b/src/stagewalk/gateway/batches/attempt_watch.py
@@ -1,4 +1,9 @@
-"""Watches attempts under way: which to leave because their engine is silent or slow."""
+"""Decides which attempts under way to leave: silent, in an evacuated zone, or slow. Pure.
+
+Owns the bounds of silence and when an item is urgent. Inputs, in seconds: when the attempt's last
+event came, the engine's time for an event, the route's `due_seconds`. Relies on `placement` for
+room and speed elsewhere, and on `eligibility` for the engines that an item may go to.
+"""
 
 from __future__ import annotations
 
@@ -12,24 +17,27 @@
 from stagewalk.gateway.workers.worker import Worker
 
 SILENCE_SECONDS = 1.6
-"""A worker that brings no event of an item for this long is left."""
+"""An engine that brings no event of an item for this long is left. Chosen, not measured."""
 
 SHORT_SILENCE_SECONDS = 0.7
 SHORT_SILENCE_EVENTS = 8.0
-"""With room at another worker it is left after this many times what an event takes there."""
+"""With room at another engine it is left after this many times what an event takes at it, but not
+before `SHORT_SILENCE_SECONDS`. Chosen, not measured."""
 
 MOVE_PAUSE_SECONDS = 1.5
-"""An item that was moved stays where it is for this long."""
+"""An item that was moved stays where it is for this long. Chosen, not measured."""
 
 URGENT_SHARE = 0.6
-"""An item is urgent that is expected to end after this part of the time its batch has."""
+"""An item is urgent that is expected to end after this part of the time its batch has. Chosen, not
+measured."""
 
 FIRST_EVENT_SECONDS = 3.0
-"""The same before the first event, when the item may still wait for its place."""
+"""Longest silence before the first event, when the item may still wait for its slot. Chosen, not
+measured."""
 
 
 class AttemptWatch:
-    """Judges attempts by what their engines have shown."""
+    """Judges attempts under way by what their engines have shown."""
 
     def __init__(
         self,
@@ -51,7 +59,7 @@
         Parameters
         ----------
         request_leases
-            Whether the item waits for a worker: cold ones that it could take are wanted then.
+            Whether to ask for leases on cold workers that could run it: it waits for a worker.
         """
         route = self._route_of(batch.header.host, item.spec.path)
         if route is None:
@@ -81,11 +89,10 @@
         silence = now - since
         if len(item.events) == attempt.events_before:
             # An engine that is listed no more, and brought nothing yet, is not worth the wait.
-            patience = SHORT_SILENCE_SECONDS if worker is None else FIRST_EVENT_SECONDS
-            return silence > patience
+            return silence > (SHORT_SILENCE_SECONDS if worker is None else FIRST_EVENT_SECONDS)
         pace = None if worker is None else worker.recent_latency(now)
-        impatient = max(SHORT_SILENCE_SECONDS, SHORT_SILENCE_EVENTS * (pace or 0.0))
-        if silence <= min(impatient, SILENCE_SECONDS):
+        short = max(SHORT_SILENCE_SECONDS, SHORT_SILENCE_EVENTS * (pace or 0.0))
+        if silence <= min(short, SILENCE_SECONDS):
             return False
         candidates = self.candidates(batch, item, now)
         return silence > SILENCE_SECONDS or has_room_elsewhere(
@@ -111,7 +118,7 @@
         return has_room_elsewhere(current, candidates, item.spec.model, now)
 
     def faster_elsewhere(self, batch: Batch, item: ItemRun, now: float) -> bool:
-        """Whether an item would be done well before at another engine; asked now and then."""
+        """Whether an item would be done well before at another engine."""
         assert item.running is not None
         if now - item.moved_at < MOVE_PAUSE_SECONDS:
             return False
--- a/src/stagewalk/gateway/batches/batch_run.py
+++ b/src/stagewalk/gateway/batches/batch_run.py
@@ -1,4 +1,7 @@
-"""One batch being run: what is left of its items."""
+"""One batch being run, and the instructions that record what becomes of its items.
+
+Owns the items that have no result in the log yet. Relies on `item_run` for each item's state.
+"""
 
 from __future__ import annotations
 
@@ -24,15 +27,15 @@
 
     @property
     def unpublished(self) -> Iterable[ItemRun]:
-        """Return the items of which the log lacks something one could go on from."""
+        """Return the items of which the log lacks text or tries that a later run goes on from."""
         return (item for item in self.items.values() if item.unpublished and not item.recording)
 
     def progress(self, item: ItemRun) -> RecordItem:
-        """Have the log told what was made of an item."""
+        """Record what has been made of an item so far."""
         return RecordItem(item.publish_progress(self.name))
 
     def fail(self, item: ItemRun) -> RecordItem:
-        """Give an item up."""
+        """Record that an item failed."""
         item.recording = True
         return RecordItem(item.failure(self.name))
 
--- a/src/stagewalk/gateway/batches/evidence.py
+++ b/src/stagewalk/gateway/batches/evidence.py
@@ -1,4 +1,8 @@
-"""What attempts at items teach of the engines they ran at."""
+"""Updates what is known of engines by how attempts at items went. Pure.
+
+Owns nothing; the state is the worker's (`workers.worker`). Inputs: failures, and gaps between
+events.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +11,12 @@
 from stagewalk.gateway.workers.worker import Worker
 
 REFUSAL_PAUSE_SECONDS = 0.25
+"""How long an engine that refused with slots free counts as loading weights. Chosen, not
+measured."""
 
 
 def note_refusal(engine: Worker, model: str, failure: AttemptFailure, now: float) -> None:
-    """Avoid an engine that failed; one that refuses with places free loads weights."""
+    """Record a failed attempt: an engine that refuses with slots free is loading weights."""
     if failure.fault is AttemptFault.WITHHELD:
         return
     engine.note_load(failure.load, now)
@@ -21,7 +27,7 @@
 
 
 def note_pace(engine: Worker, attempt: RunningAttempt, events: int, now: float) -> None:
-    """Learn an engine's time per event; the first one comes with the head and tells none.
+    """Record an engine's time per event; the first one comes with the head and gives none.
 
     Parameters
     ----------
--- a/src/stagewalk/gateway/batches/item_run.py
+++ b/src/stagewalk/gateway/batches/item_run.py
@@ -1,4 +1,8 @@
-"""One item on its way to a result, across attempts at several workers."""
+"""The state of one item between its start and its result, across attempts at several engines.
+
+Owns the events held, the versions that made them, and what of it the log holds. Relies on the
+scheduler to change it and on `records` for the stored forms.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 
 def item_content(host: str, item: BatchItem) -> RequestContent:
-    """Return what decides how a worker runs an item: the same in any batch of its route's host."""
+    """Return what an engine's run of an item depends on: the same in any batch of the host."""
     return RequestContent(ITEM_METHOD, host, item.path, item.body)
 
 
@@ -37,7 +41,7 @@
     gaps: deque[float] = field(default_factory=lambda: deque(maxlen=PACE_GAPS))
 
     def pace(self, gap: float) -> float | None:
-        """Take the time since the last event; return the middle one of the last few.
+        """Add the time since the last event; return the middle one of the last few.
 
         One pause (weights that load, a prompt that is read) says nothing of the pace.
         """
@@ -68,7 +72,7 @@
     published_score_failures
         What of that the log holds; None while the log does not hold the whole text.
     known_events
-        How many events were made of it in an earlier batch, at least; 0: it did not come back.
+        Events made of it in an earlier batch, at least; 0 for an item that is new.
     """
 
     spec: BatchItem
@@ -104,13 +108,13 @@
 
     @property
     def unpublished(self) -> bool:
-        """Whether the log lacks something that whoever takes over could go on from."""
+        """Whether the log lacks text or tries that a node which takes over would go on from."""
         if self.scoring:
             return self.published_score_failures != self.score_failures
         return len(self.events) > self.published_events
 
     def add_event(self, data: str) -> None:
-        """Take the next event, made under the version its attempt is at."""
+        """Append the next event, made under the version its attempt is at."""
         assert self.running is not None
         self.events.append(data)
         version = self.running.version
@@ -119,7 +123,7 @@
             self.versions.sort()
 
     def restart(self) -> None:
-        """Throw away what was made."""
+        """Drop the text made so far."""
         self.events = []
         self.versions = []
 
@@ -130,7 +134,7 @@
         self.published_events = len(self.events)
 
     def publish_progress(self, batch: str) -> ItemProgress:
-        """Return what has been made so far, to be told in the log."""
+        """Return the record of what has been made so far; it counts as published."""
         self.published_events = len(self.events)
         if self.scoring:
             self.published_score_failures = self.score_failures
--- a/src/stagewalk/gateway/batches/item_scores.py
+++ b/src/stagewalk/gateway/batches/item_scores.py
@@ -1,4 +1,9 @@
-"""Has items scored whose text is whole; their text and score become one result."""
+"""Scores items whose text is whole; text and score become one result. Pure.
+
+Owns no state: calls are `scoring.core`'s and items the scheduler's. Text and score are one record,
+or a result would stand in the log without its score, or at a position that changes
+(docs/design/0110).
+"""
 
 from __future__ import annotations
 
@@ -11,8 +16,9 @@
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, StopScore
 
 PUBLISH_UNSCORED_SECONDS = 0.3
-"""A whole text that waits longer than this for its score is told to the log: whoever takes over
-needs only the score. Most scores come sooner, and then text and score are told once."""
+"""A whole text that waits longer than this for its score is recorded by itself: a node that takes
+over needs only the score. Most scores come sooner (95% within 0.092 s, docs/WORTH.md), and then
+text and score are recorded once."""
 
 
 class ItemScores:
@@ -41,7 +47,7 @@
     def text_whole(
         self, run: BatchRun, item: ItemRun, now: float, score: str = ""
     ) -> list[SchedulerInstruction]:
-        """Record an item whose text is whole, or have it scored first.
+        """Record an item whose text is whole, or begin to score it.
 
         Parameters
         ----------
@@ -65,7 +71,7 @@
         return self.due(now)
 
     def drop(self, batch: str, item: str, reason: str) -> list[StopScore]:
-        """Wait for an item's score no more."""
+        """Stop waiting for an item's score."""
         return self._calls.drop(batch, item, reason)
 
     def due(self, now: float) -> list[SchedulerInstruction]:
@@ -73,7 +79,7 @@
         return [*self._calls.due(now)]
 
     def handle(self, event: ScoreAnswered | ScoreBroken, now: float) -> list[SchedulerInstruction]:
-        """Take what became of an attempt at a call."""
+        """Handle the end of an attempt at a call."""
         if isinstance(event, ScoreBroken):
             self._calls.broken(event, now)
             return self.due(now)
@@ -90,7 +96,7 @@
         return [*instructions, *self.due(now)]
 
     def publish_overdue(self, now: float) -> list[RecordItem]:
-        """Tell the log of whole texts that wait long for their score."""
+        """Record whole texts that wait long for their score."""
         if not self.pending:
             return []
         return [
--- a/src/stagewalk/gateway/batches/length_estimate.py
+++ b/src/stagewalk/gateway/batches/length_estimate.py
@@ -1,7 +1,8 @@
-"""How many events an item still has to come.
+"""Estimates how many events an item still has to come. Pure.
 
 Callers guess lengths in tokens, right in the median but often far off; how many tokens an event
-carries is learnt from items that are done.
+carries is learnt from items that are done. Owns that ratio; relies on `item_run` for events and
+guesses.
 """
 
 from __future__ import annotations
@@ -9,11 +10,11 @@
 from stagewalk.gateway.batches.item_run import ItemRun
 
 MEMORY_ITEMS = 200
-"""How many items' worth of past is remembered."""
+"""How many items the ratio remembers: older ones fade. Chosen, not measured."""
 
 LONG_TAIL_SHARE = 0.5
 """An item that has outrun its guess is expected to go on for this part of what it has made:
-the longer one has run, the longer it is likely to go on."""
+the longer one has run, the longer it is likely to go on. Chosen, not measured."""
 
 
 class LengthEstimate:
@@ -24,7 +25,7 @@
         self._guessed = 0.0
 
     def learn(self, item: ItemRun) -> None:
-        """Take the length of an item that is done."""
+        """Update the ratio with an item that is done."""
         if item.spec.expected_length <= 0:
             return
         keep = 1.0 - 1.0 / MEMORY_ITEMS
--- a/src/stagewalk/gateway/batches/messages.py
+++ b/src/stagewalk/gateway/batches/messages.py
@@ -1,4 +1,8 @@
-"""What the scheduler is told, and what it tells the shell to do."""
+"""Events and instructions of the scheduler.
+
+Owns the types that the pure scheduler and the shell (`runners.scheduler_loop`) exchange. Relies on
+the ports of workers for heads, events and failures.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/gateway/batches/placement.py
+++ b/src/stagewalk/gateway/batches/placement.py
@@ -1,4 +1,9 @@
-"""Which engine an item goes to, and when moving it to another one pays."""
+"""Decides which engine an item goes to, and when moving it to another one pays. Pure.
+
+Inputs: the engines that may run the item, their occupancy (parts of their slots), their seconds for
+an event, and the number of events expected to come. Owns the bounds of moves. Relies on
+`workers.placement_costs` for the costs, which are parts of a full engine.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +25,8 @@
 from stagewalk.gateway.zones.distance import Proximity
 
 MOVE_SECONDS = 0.15
-"""What going on at another engine takes."""
+"""What going on at another engine takes: reading the prompt and the text so far again. Chosen,
+not measured."""
 
 FASTER_SHARE = 0.85
 """An engine counts as faster if an event takes at most this part of the time there. An engine's
@@ -30,7 +36,7 @@
 
 LEAST_URGENT_GAIN_SECONDS = 0.25
 LEAST_GAIN_SECONDS = 1.0
-"""Moves that gain less than this are not worth their price."""
+"""Moves that gain less than this are not worth their price. Chosen, not measured."""
 
 
 def choose_engine(
--- a/src/stagewalk/gateway/batches/records.py
+++ b/src/stagewalk/gateway/batches/records.py
@@ -1,6 +1,7 @@
-"""Records of batch jobs in the log.
+"""The stored records of batches, and how large ones are split. Pure.
 
-Encoded with `msgspec`, whose tagged types are the types the fold works on.
+Owns the forms in the log: fields keep their order and tags their names, so that records of earlier
+releases stay readable. Encoded with `msgspec`, whose tagged types are those the fold works on.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class BatchHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a batch as a whole.
+    """What holds for a batch as a whole.
 
     Attributes
     ----------
@@ -64,7 +65,7 @@
 
     @property
     def trainer(self) -> str:
-        """Return what tells its trainer's batches from those of others."""
+        """Return the key that its trainer's batches share."""
         return f"{self.host}/{self.model}"
 
     def belongs_to(self, tenant: str | None) -> bool:
@@ -111,7 +112,7 @@
 class ItemFinishedPart(msgspec.Struct, frozen=True, array_like=True, tag="finished_part"):
     """A part of a result that is larger than the log's records.
 
-    The result stands at the place of its last part; `result` tells parts of several apart.
+    The result stands at the place of its last part; `result` is the id that its parts share.
     """
 
     batch: str
@@ -125,7 +126,7 @@
 
 
 class ItemProgress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
-    """Text made so far, for whoever runs the item next.
+    """Text made so far, for the node that runs the item next.
 
     Attributes
     ----------
@@ -178,6 +179,7 @@
 _DECODER: msgspec.msgpack.Decoder[BatchRecord] = msgspec.msgpack.Decoder(BatchRecord)
 
 RECORD_HEADROOM_BYTES = 4_096
+"""Left in a record for all but its items or text. Chosen, not measured."""
 
 
 def encode_record(record: BatchRecord) -> bytes:
--- a/src/stagewalk/gateway/batches/runner_liveness.py
+++ b/src/stagewalk/gateway/batches/runner_liveness.py
@@ -1,7 +1,8 @@
-"""What direct questions tell of the processes that run batches. Pure.
+"""Decides from probes whether the process that runs a batch is gone or replaced. Pure.
 
-The list of nodes tells of a dead process only seconds later. Nodes that would take a batch over
-ask its runner now and then: one that stops answering is gone well before that.
+Owns the last answers and failures of each process probed. The list of nodes shows a dead process
+only after 3 s of silence; nodes that would take a batch over probe its runner every 0.4 s
+(`runners.runner_probes`), so that one that stops answering is known to be gone well before that.
 """
 
 from __future__ import annotations
@@ -10,10 +11,11 @@
 
 FAILURES = 2
 LEAST_SPAN_SECONDS = 0.35
-"""A process is gone that failed to answer so often in a row, over so long a time at least."""
+"""A process is gone that failed to answer so often in a row, over so long a time at least: two
+probes are 0.4 s apart. Chosen, not measured."""
 
 EVIDENCE_SECONDS = 2.0
-"""Answers and failures older than this tell nothing."""
+"""Answers and failures older than this are ignored: five probes. Chosen, not measured."""
 
 
 @dataclass(slots=True)
@@ -26,17 +28,17 @@
 
 
 class RunnerLiveness:
-    """Keeps what the last questions to each process brought. Times are of the steady clock."""
+    """The last probes of each process. Times are of the steady clock, in seconds."""
 
     def __init__(self) -> None:
         self._evidence: dict[str, _Evidence] = {}
 
     def note_answer(self, process: str, answered_as: str, now: float) -> None:
-        """Note that a process's machine answered, and as which process."""
+        """Record that a process's machine answered, and as which process."""
         self._evidence[process] = _Evidence(answered_as, now)
 
     def note_failure(self, process: str, now: float) -> None:
-        """Note that a process's machine did not answer."""
+        """Record that a process's machine did not answer."""
         known = self._evidence.setdefault(process, _Evidence())
         if now - known.failed_at > EVIDENCE_SECONDS:
             known.failures, known.failing_since = 0, now
@@ -44,7 +46,7 @@
         known.failed_at = now
 
     def gone(self, process: str, now: float) -> bool:
-        """Whether a process is gone for all that its machine's silence tells."""
+        """Whether a process counts as gone, by the silence of its machine."""
         known = self._evidence.get(process)
         if known is None or now - known.failed_at > EVIDENCE_SECONDS:
             return False
--- a/src/stagewalk/gateway/batches/takeover.py
+++ b/src/stagewalk/gateway/batches/takeover.py
@@ -1,7 +1,9 @@
 """Decides which batches this node takes over, and when. Pure.
 
-Anyone may claim a batch whose runner is gone: the log takes one claim, and a second run of an item
-harms nothing. So who is likely to go on soonest claims first, and the others wait in turn.
+Any node may claim a batch whose runner is gone: the log accepts one claim an epoch, and a second
+run of an item harms nothing. So the node that is likely to go on soonest claims first, and the
+others wait in the order of `affinity`. Owns since when batches are seen without a runner. Relies on
+the list of nodes and `runner_liveness` for the state of each runner.
 """
 
 from __future__ import annotations
@@ -13,17 +15,23 @@
 import xxhash
 
 RANK_SECONDS = 0.3
-"""How much longer each next node waits before it claims: a claim is read back sooner."""
+"""How much longer each next node waits before it claims: a claim is read back sooner. Chosen, not
+measured."""
 
 RETURNED_SECONDS = 0.6
-"""How long others leave a batch to the restarted process of its runner's machine."""
+"""How long others leave a batch to the restarted process of its runner's machine, which claims it
+at once (docs/design/0110). Chosen, not measured."""
 
 CLAIM_REPEAT_SECONDS = 2.0
+"""How long a claim may take to be read back before it is made again. Chosen, not measured."""
+
 MAXIMUM_VIEW_AGE_SECONDS = 3.0
+"""From an older view nothing is claimed: the batch may have ended, or another node may run it.
+Chosen, not measured."""
 
 
 class RunnerState(IntEnum):
-    """What is believed of the process that is to run a batch."""
+    """Liveness of a batch's runner."""
 
     RUNS = 0
     MINE_BEFORE = 1
@@ -49,7 +57,7 @@
 
 
 class Takeovers:
-    """Keeps since when batches are seen without a runner.
+    """Batches seen without a runner, and the claims made to them.
 
     Parameters
     ----------
--- a/src/stagewalk/gateway/batches/view_lease.py
+++ b/src/stagewalk/gateway/batches/view_lease.py
@@ -1,8 +1,10 @@
-"""Until when a view that shows a batch as open allows its items to start. Pure.
+"""Decides how old a view may be from which items of a batch are started or sent. Pure.
 
-An end is a promise in time: some seconds after it was acknowledged, nothing of the batch reaches a
-worker. A node that doesn't hear of ends, since its log is silent or its view is still being read,
-can't know whether a batch has ended; so the view is a lease, which each reading renews.
+An end is a promise in time: `timing.batch_end` seconds after it was acknowledged, nothing of the
+batch reaches a worker. A node that doesn't receive ends, since its log is silent or its view is
+still being read, can't know whether a batch has ended; so its view is a lease, renewed by each
+read. Inputs: `timing.batch_end` in seconds. Relies on `ports.workers.SEND_SECONDS`, the longest
+time from a start to the first byte.
 """
 
 from __future__ import annotations
