--- a/src/stagewalk/gateway/batch_service/batch_lookup.py
+++ b/src/stagewalk/gateway/batch_service/batch_lookup.py
@@ -1,4 +1,4 @@
-"""Finds the batch that a call is about in this node's view, or why it can't be told.
+"""Finds the batch that a call is about in this node's view, or why it can't be known.
 
 Owns which batches' results are known to stand at their final positions. Relies on the batch
 store's view, on the places of open batches where records were lost unread, and on
@@ -53,7 +53,7 @@
         """By batch whose results are known to be whole, the last loss of records at that time."""
 
     async def find(self, call: LedgerCall) -> Result[Batch, LedgerAnswer]:
-        """Return a call's batch, or the answer if its tenant has none or that can't be told."""
+        """Return a call's batch, or the answer if its tenant has none or that can't be known."""
         found = await self._look_up(call.batch)
         if found.is_ok() and not found.ok.header.belongs_to(call.tenant):
             return Error(deny(call))
--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -1,4 +1,9 @@
-"""This node's view of all batches, and appending to it: the ledger behind the log's partitions."""
+"""This node's view of all batches, and appends to their partitions.
+
+Owns the ledger, one follower and one appender a partition, and when records were lost unread.
+Relies on `partitioned_log` for reading and appending, and on `batches.ledger` for what records
+mean.
+"""
 
 from __future__ import annotations
 
@@ -39,10 +44,17 @@
 
 TOPIC = "batches"
 PARTITIONS = 6
+"""Partitions in use, fewer if the log is set up with fewer. A batch's partition follows from its
+name: the same on every node."""
+
 CATCH_UP_SECONDS = 0.8
+"""How long a call may wait for the log to bring a view up to date. Chosen, not measured."""
+
 FOLLOWED_SECONDS = 1.5
+"""A followed view younger than this counts as current. Chosen, not measured."""
+
 READ_PAUSE_SECONDS = 0.05
-"""How long records gather between two reads of a partition."""
+"""How long records gather between two reads of a partition. Chosen, not measured."""
 
 
 class BatchStore:
@@ -148,7 +160,7 @@
         return await self._appender(header.batch).append(payloads, timeout_seconds)
 
     async def end(self, batch: str, timeout_seconds: float) -> Result[int, AppendOutcome]:
-        """Append that nobody waits for a batch any more."""
+        """Append the end of a batch."""
         payload = encode_record(BatchEnded(batch))
         return await self._appender(batch).append([payload], timeout_seconds)
 
@@ -207,7 +219,7 @@
         self.ledger.lose([name for name in self.ledger.names if self.partition(name) == partition])
 
     def note_ended(self, batch: str) -> None:
-        """Take a batch for ended whose end is noted, but was dropped from the log unread."""
+        """Apply the end of a batch that is marked as ended, but was dropped from the log unread."""
         self.ledger.apply(BatchEnded(batch), steady_seconds())
 
     def first_offset(self, batch: str, now: float) -> int | None:
--- a/src/stagewalk/gateway/batch_service/ledger_calls.py
+++ b/src/stagewalk/gateway/batch_service/ledger_calls.py
@@ -1,4 +1,8 @@
-"""Sends calls about batches to where a replica of the ledger is: here, or at another node."""
+"""Sends calls about batches to where a replica of the ledger is: here, or at another node.
+
+Owns which replicas to avoid for a while. Relies on the list of nodes for the replicas, on
+`peer_calls` for the way there, and on `ledger_reads` where this node answers itself.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +30,10 @@
 """How long another node may take beyond the time a call offers to wait."""
 
 REPLICAS_TRIED = 2
+"""Replicas asked before the node reads the log itself, or refuses."""
+
 AVOID_SECONDS = 2.0
-"""A replica that did not answer is asked last for this long."""
+"""A replica that did not answer is asked last for this long. Chosen, not measured."""
 
 
 class LedgerCalls:
--- a/src/stagewalk/gateway/batch_service/ledger_messages.py
+++ b/src/stagewalk/gateway/batch_service/ledger_messages.py
@@ -1,4 +1,7 @@
-"""Calls about batches as nodes pass them on to each other, and their answers."""
+"""Calls about batches as nodes relay them to each other, and their answers.
+
+Owns their forms on the wire: fields keep their order, tags their names.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/gateway/batch_service/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_reads.py
@@ -112,7 +112,7 @@
         return LedgerAnswer(200, spec.body, OPAQUE_CONTENT)
 
     async def _end(self, call: EndCall) -> LedgerAnswer:
-        """End a batch: nobody waits for the rest."""
+        """End a batch: its trainer needs no more of it."""
         found = await self._lookup.find(call)
         if found.is_error():
             return found.error
--- a/src/stagewalk/gateway/batch_service/open_batch_views.py
+++ b/src/stagewalk/gateway/batch_service/open_batch_views.py
@@ -1,7 +1,8 @@
 """Finds open batches before the whole log is read: from where each one's records begin.
 
-After a restart of all nodes, everyone reads the whole log at once, which takes seconds. An open
-batch needs only that batch's records.
+After a restart of all nodes, every node reads the whole log at once, which takes seconds (six
+replicas: 7 s, `daemon.RESTART_SECONDS`). An open batch needs only that batch's records. Owns
+partial ledgers by partition. Relies on `open_batches` for the places, and on the log.
 """
 
 from __future__ import annotations
@@ -28,7 +29,8 @@
 records of its first run would stand there, some 25 a second in each partition."""
 
 LIST_SECONDS = 0.3
-"""How often the places of open batches are listed again for a batch that is not among them."""
+"""How often the places of open batches are listed again for a batch that is not among them. Chosen,
+not measured."""
 
 
 class PartialLedger:
@@ -37,7 +39,7 @@
     Parameters
     ----------
     on_change
-        Told of what each record changes, see `BatchLedger`.
+        Called with what each record changes, see `BatchLedger`.
     """
 
     def __init__(
@@ -109,7 +111,7 @@
         self._partials: dict[int, PartialLedger] = {}
 
     async def find(self, name: str) -> Batch | None:
-        """Return an open batch with all its results so far; None if it can't be told.
+        """Return an open batch with all its results so far; None if they can't be known.
 
         Only a certain place will do: results may lie before any other one.
         """
--- a/src/stagewalk/gateway/batch_service/open_batches.py
+++ b/src/stagewalk/gateway/batch_service/open_batches.py
@@ -1,7 +1,8 @@
 """Where the records of each batch begin, and whether it has ended, in a small topic of its own.
 
-A process that starts lists it first: what it ran before goes on without the whole log being read.
-Whoever has not read the whole log also learns here that a batch was handed in, or ended, before.
+A process that starts lists it first, and resumes what it ran before without reading the whole log.
+A node that has not read the whole log also learns here that a batch was handed in, or ended,
+before. Owns the stored places. Relies on the log's keyed topics.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 OPEN_BATCHES = Partition("keyed.batches", 0)
 NOTE_SECONDS = 0.2
-"""How long whoever notes a batch waits for the log: a note that is late is worth less."""
+"""How long a note may wait for the log: a late one is worth less. Chosen, not measured."""
 
 MARK_RETRY_SECONDS = 0.1
 """Between two tries to mark an end, as between two of an append."""
@@ -36,7 +37,7 @@
     offset
         Of its first record; no end of the batch lies before it, unless `ended` says so.
     ended
-        Whether the batch's end was asked for: its place tells nothing then.
+        Whether the batch's end was asked for: its place means nothing then.
     tenant
         Whose batch it is, see `BatchHeader`.
     certain
@@ -62,9 +63,9 @@
 
     A view that begins at a noted place must show the batch's end, or the batch would be run again
     after it. So places are noted in an order that proves that no end lies before them: a batch is
-    marked as ended before its end is appended, and whoever submits it looks for the mark after its
-    own submission was appended. Without a mark by then, the end comes after that submission. A note
-    that lands late may replace a mark, but its place lies before the end.
+    marked as ended before its end is appended, and the node that submits it looks for the mark
+    after its own submission was appended. Without a mark by then, the end comes after that
+    submission. A note that lands late may replace a mark, but its place lies before the end.
     """
 
     def __init__(self, log: PartitionedLog) -> None:
@@ -83,12 +84,12 @@
         *,
         first_offset: int | None = None,
     ) -> bool:
-        """Note that a batch's end is about to be appended; return whether that is certain.
+        """Mark a batch as ended before its end is appended; return whether that is certain.
 
         Parameters
         ----------
         first_offset
-            Of the batch's first record, None if this node's view can't tell.
+            Of the batch's first record, None if this node's view doesn't show it.
         """
         certain = first_offset is not None
         place = BatchPlace(partition, first_offset or 0, NOBODY, True, tenant, certain)
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -64,7 +64,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether this process takes no more batches."""
+        """Whether this process is stopping and accepts no more batches."""
         return self._stopping
 
     def runs(self, batch: str) -> bool:
@@ -96,7 +96,7 @@
         return self._scheduler.scoring
 
     def hand_over(self) -> None:
-        """Stop running: tell the log what was made so far and that others may go on."""
+        """Stop running: record what was made so far, and release the batches to other nodes."""
         self._stopping = True
         for batch in sorted(self._scheduler.batches):
             self._loop.carry_out(self._scheduler.progress(batch))
@@ -141,7 +141,7 @@
         self._tasks.start_soon(check)
 
     def ahead_changed(self, batch: Batch, change: LedgerChange) -> None:
-        """Take what a partial view tells of a batch that was begun ahead of this node's view."""
+        """Apply what changed in a batch that was begun ahead, by its partial view."""
         name = batch.header.batch
         epoch = self._views.ahead_epoch(name)
         if epoch is None:
@@ -160,13 +160,13 @@
         self._close(batch, ENDED)
 
     def _lose(self, batch: str) -> None:
-        """Leave a batch that may have ended unread to those who know."""
+        """Release a batch that may have ended unread, for a node whose view is whole."""
         if self.runs(batch):
             self._close(batch, "history lost")
             self._store.post(batch, BatchReleased(batch, self._process))
 
     def _yield(self, batch: Batch) -> None:
-        """Leave a batch to the process that took it over."""
+        """Stop running a batch that another process took over."""
         name = batch.header.batch
         if self.runs(name):
             log_event("batch_taken_over", batch=name, runner=batch.runner, epoch=batch.epoch)
@@ -176,12 +176,12 @@
         self._begin(batch, self._store.ledger.reusable_text)
 
     def begin_ahead(self, batch: Batch, partial: PartialLedger, epoch: int) -> None:
-        """Run a batch that this node's view does not tell of yet.
+        """Run a batch that this node's own view does not show yet.
 
         Parameters
         ----------
         batch, partial
-            The batch as another view tells it, and that view.
+            The batch as a partial view shows it, and that view.
         epoch
             The epoch of this process's claim to it, 0 if it was given the batch.
         """
@@ -194,9 +194,10 @@
         self._tasks.start_soon(self._views.follow, name, self._lose)
 
     def _left(self, name: str, epoch: int) -> bool:
-        """Whether this node's own view tells that a batch isn't this process's to run.
+        """Whether this node's own view shows that a batch isn't this process's to run.
 
-        It may be ahead of the partial view: what changed before the run begins is told to nobody.
+        It may be ahead of the partial view, and changes before the run begins are reported to
+        nobody.
         """
         known = self._store.ledger.get(name)
         if known is None:
--- a/src/stagewalk/gateway/runners/batch_views.py
+++ b/src/stagewalk/gateway/runners/batch_views.py
@@ -1,4 +1,8 @@
-"""The views of the log by which the batches that are run here are known to be open."""
+"""How old the news of each batch run here is, and whether its items may start or be sent.
+
+Owns the partial views of batches begun ahead of this node's own view, and since when a batch is
+suspended. Relies on `batches.view_lease` for the bounds, and on the batch store for the own view.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +20,7 @@
 from stagewalk.gateway.ports.denials import Denial
 
 FOLLOW_SECONDS = 0.25
-"""How often the partition of a batch is read that was begun ahead of this node's view, as often as
-a follower reads where records come."""
+"""How often a partial view is read on, as often as a follower reads where records come."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,12 +30,12 @@
 
 
 class BatchViews:
-    """Tells how old the news of each batch is, and whether its items may start.
+    """The views by which batches run here are known to be open.
 
     Parameters
     ----------
     batch_end_seconds
-        Tells how long after a batch's end was acknowledged its items may still reach workers.
+        Returns how long after a batch's end was acknowledged its items may still reach workers.
     """
 
     def __init__(self, store: BatchStore, batch_end_seconds: Callable[[], float]) -> None:
@@ -42,7 +45,7 @@
         self._suspended_at: dict[str, float] = {}
 
     def begin_ahead(self, batch: str, partial: PartialLedger, epoch: int) -> None:
-        """Note that a batch is run that a partial view told of, and under which epoch."""
+        """Add a batch that is run by a partial view, ahead of this node's own, and its epoch."""
         self._ahead[batch] = _Ahead(partial, epoch)
 
     def drop(self, batch: str) -> None:
@@ -56,7 +59,7 @@
         return None if ahead is None else ahead.epoch
 
     def read_from(self, batch: str) -> int:
-        """Return the offset from which the view was read that told of a batch."""
+        """Return the offset from which the view was read by which a batch was opened."""
         ahead = self._ahead.get(batch)
         return 0 if ahead is None else ahead.partial.first_offset
 
@@ -86,7 +89,7 @@
         Parameters
         ----------
         on_lost
-            Told of the batch if neither view will ever tell of it again: the partial one missed
+            Called with the batch if neither view will ever show it again: the partial one missed
             records that the log dropped, and the own one doesn't know the batch.
         """
         ahead = self._ahead.get(batch)
--- a/src/stagewalk/gateway/runners/runner_messages.py
+++ b/src/stagewalk/gateway/runners/runner_messages.py
@@ -1,4 +1,7 @@
-"""Calls between nodes about who runs batches."""
+"""Messages between nodes about who runs batches.
+
+Owns their forms on the wire: fields keep their order, tags their names.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +14,14 @@
     Attributes
     ----------
     trainer
-        Whose batch it would be; empty if it is only asked whether it runs.
+        Whose batch it would be; empty in a probe.
     """
 
     trainer: str = ""
 
 
 class RunBatch(msgspec.Struct, frozen=True, array_like=True, tag="run"):
-    """Tell a node that a batch it is to run is in the log, and where.
+    """Notify a node that a batch it is to run is in the log, and where.
 
     Attributes
     ----------
@@ -44,7 +47,7 @@
     other_items
         Attempts at items of other trainers that it has under way.
     noted
-        Whether it has noted the place of the batch that it was told of.
+        Whether it has noted the place of the batch in the call.
     """
 
     process: str
--- a/src/stagewalk/gateway/runners/runner_probes.py
+++ b/src/stagewalk/gateway/runners/runner_probes.py
@@ -1,4 +1,8 @@
-"""Asks the runners of open batches whether they still run, where this node would take over."""
+"""Probes the runners of open batches that this node would take over first.
+
+Owns the probes' pace. Relies on `runner_calls` for the call, and on `batches.runner_liveness` for
+what answers and failures mean.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +18,16 @@
 from stagewalk.gateway.runners.runner_calls import RunnerCalls
 
 PROBE_SECONDS = 0.4
+"""Between two probes of one runner (docs/design/0110). Chosen, not measured."""
 
 
 class RunnerProbes:
-    """Asks again and again.
+    """Probes runners, one round after the other.
 
     Parameters
     ----------
     targets
-        Tells the processes to ask now, and where each one's machine listens.
+        Returns the processes to probe now, and where each one's machine listens.
     wait_until_active
         Returns once this node follows the batches.
     """
@@ -40,7 +45,7 @@
         self._wait_until_active = wait_until_active
 
     async def run(self) -> None:
-        """Ask for ever."""
+        """Probe for ever."""
         while True:
             await anyio.sleep(PROBE_SECONDS)
             await self._wait_until_active()
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -1,4 +1,8 @@
-"""Takes batches over whose runner is gone, and goes on with those this machine ran before."""
+"""Takes over batches whose runner is gone, and resumes those this machine ran before a restart.
+
+Owns the pace of both, and whom to probe. Relies on `batches.takeover` for which batches to claim
+and when, on the batch store for the open ones, and on the runner to run them.
+"""
 
 from __future__ import annotations
 
@@ -20,19 +24,23 @@
 from stagewalk.gateway.runners.batch_runner import BatchRunner
 
 SUPERVISE_SECONDS = 0.1
+"""How often orphaned batches are looked for: below the step between two ranks (0.3 s). Chosen, not
+measured."""
+
 IDLE_SECONDS = 1.0
 """The same for a node that doesn't follow the batches, and only forgets old ones."""
 
 READ_ATTEMPTS = 10
 READ_RETRY_SECONDS = 0.1
-"""How often a log that refuses is asked for a batch that was run here; then its view must do."""
+"""How often a log that refuses is read for a batch that was run here; after that the node waits for
+its own view. Chosen, not measured."""
 
 PROBERS = 2
-"""So many of the nodes that would take a batch over first ask its runner whether it still runs."""
+"""This many of the nodes that would take a batch over first probe its runner (docs/design/0110)."""
 
 
 class TakeoverService:
-    """Looks after the open batches of all runners."""
+    """Claims orphaned batches, and forgets those that ended long ago."""
 
     def __init__(
         self,
@@ -59,7 +67,7 @@
         tasks.start_soon(self._supervise)
 
     async def _supervise(self) -> None:
-        """Take over what is without a runner, for ever."""
+        """Claim batches without a runner, for ever."""
         while True:
             await anyio.sleep(SUPERVISE_SECONDS if self._store.following else IDLE_SECONDS)
             now = steady_seconds()
@@ -77,7 +85,7 @@
                 self._tasks.start_soon(self._open_batches.drop, name)
 
     async def resume_own(self) -> bool:
-        """Go on with the batches of this machine's last process, before the whole log is read.
+        """Resume the batches of this machine's last process, before the whole log is read.
 
         Returns
         -------
@@ -111,7 +119,7 @@
         return targets
 
     async def _resume(self, name: str, place: BatchPlace) -> None:
-        """Go on with a batch from its place; of others that lie there, an end may lie before."""
+        """Resume a batch from its place; an end of others that lie there may lie before it."""
         partial = self._store.read_from(place, self._runner.ahead_changed)
         for _ in range(READ_ATTEMPTS):
             if await partial.read():
