--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -97,7 +97,12 @@
             may_hold=lambda: nodes.may_hold_batches,
         )
         self.calls = BatchCalls(
-            self.store, self._running.choice, ledger, dialect, access.routes.find
+            self.store,
+            runners=self._running.choice,
+            assignments=self._running.assignments,
+            ledger=ledger,
+            dialect=dialect,
+            route_of=access.routes.find,
         )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -29,6 +29,7 @@
 from stagewalk.gateway.entry.replies import RETRY_AFTER_HEADER, reply_empty, reply_error
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome
 from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.runners.batch_assignments import BatchAssignments
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.scoring.core import RouteOf
 
@@ -72,13 +73,16 @@
     def __init__(
         self,
         store: BatchStore,
+        *,
         runners: RunnerChoice,
+        assignments: BatchAssignments,
         ledger: LedgerCalls,
         dialect: Dialect,
         route_of: RouteOf,
     ) -> None:
         self._store = store
         self._runners = runners
+        self._assignments = assignments
         self._ledger = ledger
         self._dialect = dialect
         self._spelling = dialect.callers
@@ -135,7 +139,7 @@
             outcome="appended" if outcome.is_ok() else outcome.error.value,
         )
         if outcome.is_ok():
-            await self._runners.notify(runner, header, outcome.ok)
+            await self._assignments.notify(runner, header, outcome.ok)
             await reply_empty(exchange, 202)
         elif outcome.error is AppendOutcome.NOT_APPENDED:
             await reply_error(exchange, 503, LOG_STALLED, RETRY_AFTER_SECONDS)
@@ -176,7 +180,7 @@
         now = steady_seconds()
         if self._store.followed(batch, now) and not self._store.lacks_history(batch, now):
             return False
-        place = await self._runners.known_place(batch)
+        place = await self._assignments.known_place(batch)
         if place.is_error():
             await self._refuse(exchange, batch, NO_LOG)
             return True
--- a/src/stagewalk/gateway/runners/runner_service.py
+++ b/src/stagewalk/gateway/runners/runner_service.py
@@ -1,4 +1,5 @@
-"""Assembles what runs batches on one gateway: the runner, its choice, takeover and probes.
+"""Assembles what runs batches on one gateway: the runner, its choice, assignments, takeover and
+probes.
 
 Owns these services and their start. Relies on the batch store, the places of open batches and the
 list of nodes, and on `WorkerAccess` for everything between this node and the workers.
@@ -22,10 +23,11 @@
 from stagewalk.gateway.ports.workers import WorkerClient
 from stagewalk.gateway.quarantine.crash_reports import CrashReports
 from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.runners.batch_assignments import BatchAssignments
 from stagewalk.gateway.runners.batch_runner import BatchRunner
 from stagewalk.gateway.runners.batch_views import BatchViews
 from stagewalk.gateway.runners.checked_sends import CheckedSends
-from stagewalk.gateway.runners.runner_calls import RUNNER_PATH
+from stagewalk.gateway.runners.runner_calls import RUNNER_PATH, RunnerCallHandler, RunnerCalls
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.runners.runner_probes import RunnerProbes
 from stagewalk.gateway.runners.scheduler_loop import SchedulerLoop
@@ -84,12 +86,16 @@
             views=views,
             places=places,
         )
+        calls = RunnerCalls(peer_client)
         self.choice = RunnerChoice(
+            identity=identity, nodes=nodes, runner=self.runner, calls=calls, policy=policy
+        )
+        self.assignments = BatchAssignments(
             identity=identity,
             nodes=nodes,
             store=store,
             runner=self.runner,
-            client=peer_client,
+            calls=calls,
             open_batches=places,
             policy=policy,
         )
@@ -102,7 +108,7 @@
             policy=policy,
         )
         self._probes = RunnerProbes(
-            self.choice.calls,
+            calls,
             nodes.liveness,
             self.takeovers.probe_targets,
             store.wait_until_following,
@@ -111,14 +117,15 @@
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start all of them."""
         self.runner.start(tasks)
-        self.choice.start(tasks)
+        self.assignments.start(tasks)
         self.takeovers.start(tasks)
         tasks.start_soon(self._probes.run)
 
     @property
     def peer_handlers(self) -> dict[str, PeerHandler]:
         """Return by path what answers other nodes' calls about runners."""
-        return {RUNNER_PATH: self.choice.calls.handle}
+        handler = RunnerCallHandler(self.choice.describe, self.assignments.accept)
+        return {RUNNER_PATH: handler.handle}
 
 
 def _build_scheduler(access: WorkerAccess, policy: Policy, views: BatchViews) -> BatchScheduler:
--- a/tests/gateway/batch_service/test_open_batch_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -26,7 +26,7 @@
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.policy import ALL_ON
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
-from stagewalk.gateway.runners.runner_choice import RunnerChoice
+from stagewalk.gateway.runners.batch_assignments import BatchAssignments
 from stagewalk.gateway.runners.runner_messages import RunBatch
 from tests.gateway.batches.support import item, submitted
 from tests.gateway.memory_log import MemoryLog
@@ -175,19 +175,19 @@
                 view_age=lambda _batch, _now: 0.0,
                 read_from=lambda place, _changed: PartialLedger(self.client, PLACE, place.offset),
             )
-            choice = RunnerChoice(
+            assignments = BatchAssignments(
                 identity=ProcessId("n", 1),
                 nodes=mock.Mock(known=True),
                 store=store,
                 runner=runner,
-                client=mock.Mock(),
+                calls=mock.Mock(),
                 open_batches=self.places,
                 policy=ALL_ON,
             )
-            await choice._accept(RunBatch("b", 0, offset))
+            await assignments.accept(RunBatch("b", 0, offset))
             runner.begin_ahead.assert_called_once()
             runner.begin_ahead.reset_mock()
-            await choice._accept(RunBatch("b", 0, 0))
+            await assignments.accept(RunBatch("b", 0, 0))
             runner.begin_ahead.assert_not_called()
 
         anyio.run(scenario)
--- a/tests/gateway/runners/test_runner_choice.py
+++ b/tests/gateway/runners/test_runner_choice.py
@@ -14,6 +14,8 @@
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.runners.batch_assignments import BatchAssignments
+from stagewalk.gateway.runners.runner_calls import RunnerCalls
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.runners.runner_messages import (
     AskRunner,
@@ -68,10 +70,8 @@
     choice = RunnerChoice(
         identity=ProcessId("own", 1),
         nodes=mock.Mock(replicas=lambda: list(replicas), may_hold_batches=may_hold),
-        store=mock.Mock(),
         runner=mock.Mock(stopping=False),
-        client=peers,  # type: ignore[arg-type]
-        open_batches=mock.Mock(),
+        calls=RunnerCalls(peers),  # type: ignore[arg-type]
         policy=policy,
     )
     return anyio.run(choice.choose, TRAINER)
@@ -138,20 +138,20 @@
         self.client = MemoryLog().client()
         self.places = OpenBatches(self.client)
         self.peers = ToldRunners()
-        self.choice = RunnerChoice(
+        self.assignments = BatchAssignments(
             identity=ProcessId("own", 1),
             nodes=mock.Mock(peer_of=lambda _process: Address("10.0.0.1", 1)),
             store=mock.Mock(partition=lambda _batch: 2),
             runner=mock.Mock(stopping=False),
-            client=self.peers,  # type: ignore[arg-type]
+            calls=RunnerCalls(self.peers),  # type: ignore[arg-type]
             open_batches=self.places,
             policy=ALL_ON,
         )
 
     async def submit(self, offset: int) -> None:
         async with anyio.create_task_group() as tasks:
-            self.choice.start(tasks)
-            await self.choice.notify("n1#1", TRAINER, offset)
+            self.assignments.start(tasks)
+            await self.assignments.notify("n1#1", TRAINER, offset)
 
     def test_the_first_submission_is_noted_and_told(self) -> None:
         async def scenario() -> None:
@@ -183,8 +183,8 @@
                 )
                 batch = mock.Mock(header=TRAINER, runner="n1#1", ended=False)
                 store.ledger.get = lambda _name: batch
-                self.choice._store = store
-                noted = await self.choice._accept(RunBatch("b2", 2, 7))
+                self.assignments._store = store
+                noted = await self.assignments.accept(RunBatch("b2", 2, 7))
                 self.assertEqual(offset is not None, noted)
                 place = (await self.places.find("b2")).ok
                 certain = BatchPlace(2, 3, "n1#1", certain=True)
