--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -18,8 +18,8 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
 from stagewalk.gateway.batch_service.open_batches import BatchPlace
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.ledger import (
     FORGET_AFTER_SECONDS,
@@ -27,14 +27,13 @@
     ChangeListener,
     LedgerChange,
 )
+from stagewalk.gateway.batches.record_parts import split_result, split_submission
 from stagewalk.gateway.batches.records import (
     BatchEnded,
     BatchRecord,
     ItemFinished,
     decode_record,
     encode_record,
-    split_result,
-    split_submission,
 )
 from stagewalk.gateway.dialect import Submission
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
--- a/src/stagewalk/gateway/batch_service/open_batch_views.py
+++ b/src/stagewalk/gateway/batch_service/open_batch_views.py
@@ -7,22 +7,13 @@
 
 from __future__ import annotations
 
-import math
 from collections.abc import Mapping
 
-import anyio
-
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
-from stagewalk.gateway.batches.ledger import BatchLedger, ChangeListener
-from stagewalk.gateway.batches.records import BatchSubmitted, decode_record
-from stagewalk.gateway.ports.partitioned_log import (
-    LogFault,
-    Partition,
-    PartitionedLog,
-    PartitionRecord,
-)
+from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog
 
 MARGIN_RECORDS = 100
 """So many records before the noted place of a batch are read as well: were it handed in twice, the
@@ -33,66 +24,6 @@
 not measured."""
 
 
-class PartialLedger:
-    """The batches of a partition whose records begin at an offset or later.
-
-    Parameters
-    ----------
-    on_change
-        Called with what each record changes, see `BatchLedger`.
-    """
-
-    def __init__(
-        self,
-        log: PartitionedLog,
-        partition: Partition,
-        offset: int,
-        on_change: ChangeListener = lambda _batch, _change: None,
-    ) -> None:
-        self._log = log
-        self._partition = partition
-        self._next_offset = offset
-        self._began_before: set[str] = set()
-        """Batches with records of which the submission was not seen: it lies further back."""
-        self._reading = anyio.Lock()
-        self.first_offset = offset
-        self.confirmed_at = -math.inf
-        """When it was last known to hold all records up to the partition's end (steady clock)."""
-        self.lost = False
-        """Whether records were dropped before they were read here: it can't be read on."""
-        self.ledger = BatchLedger(on_change)
-
-    async def read(self) -> bool:
-        """Read to the partition's end; return whether the log answered."""
-        async with self._reading:
-            while True:
-                asked_at = steady_seconds()
-                answer = await self._log.read(self._partition, self._next_offset, 0.0)
-                if answer.is_error():
-                    self.lost = self.lost or answer.error.fault is LogFault.DROPPED
-                    return False
-                page = answer.ok
-                for record in page.records:
-                    if record.offset >= self._next_offset:
-                        self._apply(record)
-                self._next_offset = max(self._next_offset, page.next_offset)
-                if page.next_offset >= page.end:
-                    self.confirmed_at = asked_at
-                    return True
-
-    def _apply(self, record: PartitionRecord) -> None:
-        decoded = decode_record(record.payload)
-        if decoded is None:
-            return
-        if not isinstance(decoded, BatchSubmitted) and self.ledger.get(decoded.batch) is None:
-            self._began_before.add(decoded.batch)
-        self.ledger.apply(decoded, steady_seconds(), record.offset)
-
-    def whole(self, name: str) -> Batch | None:
-        """Return a batch of which all records were read, None if there is none."""
-        return None if name in self._began_before else self.ledger.get(name)
-
-
 class OpenBatchViews:
     """Open batches as of now, for as long as the whole log has not been read.
 
--- a/src/stagewalk/gateway/batches/record_parts.py
+++ b/src/stagewalk/gateway/batches/record_parts.py
@@ -1,21 +1,27 @@
-"""Joins records that were split because they are larger than the log's records.
+"""Splits records that are larger than the log's records, and joins their parts again. Pure.
 
-Owns the parts read so far. Relies on `records` for the split: a submission and a result are each
-told apart by an id of their own, and stand at the place of their last part.
+Owns the parts read so far. A submission and a result have an id that their parts share, and stand
+at the place of their last part. Relies on `records` for the stored forms.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection
+from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
 
 from stagewalk.gateway.batches.records import (
+    BatchHeader,
     BatchItem,
     BatchSubmitted,
     ItemFinished,
     ItemFinishedPart,
+    encode_record,
+    encoded_size,
 )
 
+RECORD_HEADROOM_BYTES = 4_096
+"""Left in a record for all but its items or text. Chosen, not measured."""
+
 
 @dataclass(frozen=True, slots=True)
 class WholeSubmission:
@@ -71,3 +77,51 @@
         """Drop the parts of batches of which records are missing."""
         self._submissions = {k: s for k, s in self._submissions.items() if k[0] not in batches}
         self._results = {k: p for k, p in self._results.items() if k[0] not in batches}
+
+
+def split_result(record: ItemFinished, result: str, record_bytes: int) -> list[bytes]:
+    """Return a result's records, none larger than the log takes."""
+    whole = encode_record(record)
+    if len(whole) <= record_bytes:
+        return [whole]
+    # A character takes four bytes at most.
+    length = (record_bytes - RECORD_HEADROOM_BYTES) // 4
+    texts = [record.text[start : start + length] for start in range(0, len(record.text), length)]
+    return [
+        encode_record(
+            ItemFinishedPart(
+                record.batch,
+                record.item,
+                result,
+                number,
+                len(texts),
+                text,
+                record.versions,
+                record.score,
+            )
+        )
+        for number, text in enumerate(texts)
+    ]
+
+
+def split_submission(
+    header: BatchHeader,
+    items: Sequence[BatchItem],
+    submission: str,
+    runner: str,
+    record_bytes: int,
+) -> list[bytes]:
+    """Return a submission's records, none larger than the log takes."""
+    parts: list[list[BatchItem]] = [[]]
+    size = 0
+    for item in items:
+        item_size = encoded_size(item)
+        if parts[-1] and size + item_size > record_bytes - RECORD_HEADROOM_BYTES:
+            parts.append([])
+            size = 0
+        parts[-1].append(item)
+        size += item_size
+    return [
+        encode_record(BatchSubmitted(header, submission, number, len(parts), runner, tuple(part)))
+        for number, part in enumerate(parts)
+    ]
--- a/src/stagewalk/gateway/batches/records.py
+++ b/src/stagewalk/gateway/batches/records.py
@@ -1,4 +1,4 @@
-"""The stored records of batches, and how large ones are split. Pure.
+"""The stored records of batches. Pure.
 
 Owns the forms in the log: fields keep their order and tags their names, so that records of earlier
 releases stay readable. Encoded with `msgspec`, whose tagged types are those the fold works on.
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-
 import msgspec
 
 from stagewalk.gateway.scoring.records import ScoreCall
@@ -178,66 +176,20 @@
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER: msgspec.msgpack.Decoder[BatchRecord] = msgspec.msgpack.Decoder(BatchRecord)
 
-RECORD_HEADROOM_BYTES = 4_096
-"""Left in a record for all but its items or text. Chosen, not measured."""
-
 
 def encode_record(record: BatchRecord) -> bytes:
     """Return a record's payload."""
     return _ENCODER.encode(record)
 
 
+def encoded_size(item: BatchItem) -> int:
+    """Return how many bytes an item takes in a record."""
+    return len(_ENCODER.encode(item))
+
+
 def decode_record(payload: bytes) -> BatchRecord | None:
     """Return a payload's record, None if it is none."""
     try:
         return _DECODER.decode(payload)
     except msgspec.DecodeError:
         return None
-
-
-def split_result(record: ItemFinished, result: str, record_bytes: int) -> list[bytes]:
-    """Return a result's records, none larger than the log takes."""
-    whole = encode_record(record)
-    if len(whole) <= record_bytes:
-        return [whole]
-    # A character takes four bytes at most.
-    length = (record_bytes - RECORD_HEADROOM_BYTES) // 4
-    texts = [record.text[start : start + length] for start in range(0, len(record.text), length)]
-    return [
-        encode_record(
-            ItemFinishedPart(
-                record.batch,
-                record.item,
-                result,
-                number,
-                len(texts),
-                text,
-                record.versions,
-                record.score,
-            )
-        )
-        for number, text in enumerate(texts)
-    ]
-
-
-def split_submission(
-    header: BatchHeader,
-    items: Sequence[BatchItem],
-    submission: str,
-    runner: str,
-    record_bytes: int,
-) -> list[bytes]:
-    """Return a submission's records, none larger than the log takes."""
-    parts: list[list[BatchItem]] = [[]]
-    size = 0
-    for item in items:
-        item_size = len(_ENCODER.encode(item))
-        if parts[-1] and size + item_size > record_bytes - RECORD_HEADROOM_BYTES:
-            parts.append([])
-            size = 0
-        parts[-1].append(item)
-        size += item_size
-    return [
-        encode_record(BatchSubmitted(header, submission, number, len(parts), runner, tuple(part)))
-        for number, part in enumerate(parts)
-    ]
--- a/src/stagewalk/gateway/batches/takeover.py
+++ b/src/stagewalk/gateway/batches/takeover.py
@@ -102,8 +102,8 @@
         self._forget_others(orphans)
         return claims
 
-    def place(self, batch: str, runner: str, replicas: Sequence[str]) -> int:
-        """Return this node's place among those that would take a batch over, its runner aside."""
+    def rank(self, batch: str, runner: str, replicas: Sequence[str]) -> int:
+        """Return this node's rank among those that would take a batch over, its runner aside."""
         others = [node for node in replicas if not runner.startswith(f"{node}#")]
         return self._rank(batch, others)
 
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -14,8 +14,8 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.ledger import LedgerChange
 from stagewalk.gateway.batches.records import BatchItem, BatchReleased
@@ -119,26 +119,22 @@
         elif batch.epoch < (self._views.ahead_epoch(name) or 0):
             return
         elif mine and self._store.lacks_history(name, steady_seconds()):
-            self._open_unless_ended(batch)
+            assert self._tasks is not None
+            self._tasks.start_soon(self._open_unless_ended, batch)
         elif mine:
             self._open(batch)
         else:
             self._yield(batch)
 
-    def _open_unless_ended(self, batch: Batch) -> None:
+    async def _open_unless_ended(self, batch: Batch) -> None:
         """Run a batch whose end may lie in records that the log dropped before they were read."""
-
-        async def check() -> None:
-            name = batch.header.batch
-            while (place := await self._places.find(name)).is_error():
-                await anyio.sleep(LOOK_UP_RETRY_SECONDS)
-            if place.ok is not None and place.ok.ended:
-                self._store.note_ended(name)
-            elif batch.runner == self._process and not self._stopping:
-                self._open(batch)
-
-        assert self._tasks is not None
-        self._tasks.start_soon(check)
+        name = batch.header.batch
+        while (place := await self._places.find(name)).is_error():
+            await anyio.sleep(LOOK_UP_RETRY_SECONDS)
+        if place.ok is not None and place.ok.ended:
+            self._store.note_ended(name)
+        elif batch.runner == self._process and not self._stopping:
+            self._open(batch)
 
     def ahead_changed(self, batch: Batch, change: LedgerChange) -> None:
         """Apply what changed in a batch that was begun ahead, by its partial view."""
--- a/src/stagewalk/gateway/runners/batch_views.py
+++ b/src/stagewalk/gateway/runners/batch_views.py
@@ -15,7 +15,7 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.view_lease import longest_view_age, longest_view_age_at_send
 from stagewalk.gateway.ports.denials import Denial
 
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -59,7 +59,7 @@
         self._open_batches = open_batches
         self._policy = policy
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._acceptovers = Takeovers(identity.node, nodes.runner_state)
+        self._takeovers = Takeovers(identity.node, nodes.runner_state)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start looking after batches."""
@@ -81,7 +81,7 @@
         assert self._tasks is not None
         replicas = self._replicas()
         for name in self._store.ledger.forget(now):
-            if self._acceptovers.place(name, NOBODY, replicas) == 0:
+            if self._takeovers.rank(name, NOBODY, replicas) == 0:
                 self._tasks.start_soon(self._open_batches.drop, name)
 
     async def resume_own(self) -> bool:
@@ -112,9 +112,9 @@
         for batch in self._store.ledger.open_batches():
             peer = self._nodes.peer_of(batch.runner)
             state = self._nodes.runner_state(batch.runner)
-            place = self._acceptovers.place(batch.header.batch, batch.runner, replicas)
+            rank = self._takeovers.rank(batch.header.batch, batch.runner, replicas)
             own = batch.runner == str(self._identity) or state is RunnerState.MINE_BEFORE
-            if peer is not None and not own and place < PROBERS:
+            if peer is not None and not own and rank < PROBERS:
                 targets[batch.runner] = peer
         return targets
 
@@ -145,7 +145,7 @@
             for name, batch in batches.items()
             if not self._runner.runs(name)
         ]
-        for name in self._acceptovers.decide(seen, self._replicas(), now):
+        for name in self._takeovers.decide(seen, self._replicas(), now):
             self._claim(batches[name], self._nodes.runner_state(batches[name].runner))
 
     def _claim(self, batch: Batch, state: RunnerState, place: BatchPlace | None = None) -> None:
--- a/tests/gateway/batch_service/test_open_batch_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -11,12 +11,9 @@
 
 from stagewalk.gateway.batch_service.ledger_messages import EndCall, ItemCall, ResultsCall
 from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
-from stagewalk.gateway.batch_service.open_batch_views import (
-    MARGIN_RECORDS,
-    OpenBatchViews,
-    PartialLedger,
-)
+from stagewalk.gateway.batch_service.open_batch_views import MARGIN_RECORDS, OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.records import (
     BatchEnded,
     BatchRecord,
--- a/tests/gateway/batches/test_ledger.py
+++ b/tests/gateway/batches/test_ledger.py
@@ -11,6 +11,7 @@
 
 from stagewalk.gateway.batches.batch import NOBODY
 from stagewalk.gateway.batches.ledger import BatchLedger, LedgerChange
+from stagewalk.gateway.batches.record_parts import split_result, split_submission
 from stagewalk.gateway.batches.records import (
     BatchClaimed,
     BatchEnded,
@@ -20,8 +21,6 @@
     ItemProgress,
     decode_record,
     encode_record,
-    split_result,
-    split_submission,
 )
 from stagewalk.gateway.batches.reusable_texts import ReusableText
 from tests.gateway.batches.support import RecordingLedger, header, item, scored_item, submitted
--- a/tests/gateway/runners/test_batch_views.py
+++ b/tests/gateway/runners/test_batch_views.py
@@ -10,7 +10,7 @@
 from expression import Result
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.evidence import note_refusal
 from stagewalk.gateway.batches.messages import StartItem
 from stagewalk.gateway.batches.records import BatchEnded, encode_record
