--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -110,9 +110,9 @@
             routes=self._routes,
             view_age=self._view_age,
             replicas=self._replica_names,
+            on_denied=self._metrics.send_denied,
         )
         eligibility, evacuations = self._rules.eligibility, self._rules.evacuations
-        eligibility.on_denied = self._metrics.send_denied
         self._rollouts = VersionRollouts(
             self._workers,
             policy,
--- a/src/stagewalk/gateway/eligibility/core.py
+++ b/src/stagewalk/gateway/eligibility/core.py
@@ -49,7 +49,15 @@
 
 
 HoldCheck = Callable[[RequestContent, bool], bool]
-"""Whether a request is held back now, as workers ended under it; told whether it is an item."""
+"""Return whether a content is held back now since it crashes workers; True for an item of a
+batch."""
+
+DenialListener = Callable[[Denial], None]
+"""Called for each request that was denied a permit, or denied as it was to be sent."""
+
+
+def ignore_denial(_denial: Denial) -> None:
+    """Do nothing."""
 
 
 class Eligibility:
@@ -64,8 +72,10 @@
         cold: ColdStarts,
         *,
         held: HoldCheck,
+        on_denied: DenialListener = ignore_denial,
     ) -> None:
         self._held = held
+        self._on_denied = on_denied
         self._workers = workers
         self._routes = routes
         self._proximity = proximity
@@ -73,8 +83,6 @@
         self._cold = cold
         self._found: dict[tuple[str, str, frozenset[str], str | None], Candidates] = {}
         self._found_at = -math.inf
-        self.on_denied: Callable[[Denial], None] = lambda _denial: None
-        """Told of each request that was denied a permit, or denied as it was to be sent."""
         evacuations.listen(lambda _zone, _now: None, self._zone_restored)
 
     @property
@@ -132,21 +140,21 @@
             Why whoever sends it no longer wants it sent at a time; asked as it is to go.
         """
         if scope is None:
-            self.on_denied(Denial.NO_ROUTE)
+            self._on_denied(Denial.NO_ROUTE)
             return Error(Denial.NO_ROUTE)
         service = self._routes.service(worker.announcement.service)
         denial = self._judge(worker, service, self._allowed(scope), now)
         if denial is None and self._is_held(scope):
             denial = Denial.CRASHES_WORKERS
         if denial is not None:
-            self.on_denied(denial)
+            self._on_denied(denial)
             return Error(denial)
         reserved_at = None if service is None else self._cold.reserve(worker, service, now)
 
         def confirm(at: float) -> Denial | None:
             reason = withheld(at)
             if reason is not None:
-                self.on_denied(reason)
+                self._on_denied(reason)
                 return reason
             return self._confirm(worker, scope, reserved_at, at)
 
@@ -188,7 +196,7 @@
     ) -> Denial | None:
         denial = self._judge_again(worker, scope, reserved_at, now)
         if denial is not None:
-            self.on_denied(denial)
+            self._on_denied(denial)
         return denial
 
     def _judge_again(
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -24,7 +24,7 @@
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, PartitionedLog
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
-from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.table import WorkerChange, WorkerTable
 from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement
 from stagewalk.gateway.zones.evacuations import Evacuations
 
@@ -66,7 +66,6 @@
         evacuations.listen(_log_zone_evacuated, _log_zone_restored)
         self._routes = routes
         self._workers = workers
-        self._workers.on_change = self._log_worker_change
         self._pace = LISTED_PACE
         self._listing = False
         self._unreadable: set[str] = set()
@@ -85,7 +84,7 @@
             self._apply_worker,
             pause_seconds=LISTED_PACE.workers_pause,
         )
-        workers.on_cold = self._worker_cold
+        workers.listen(self)
         for follower in (self._operators_follower, self._workers_follower):
             follower.freshness.on_confirm = _GapWatch(cold.views_renewed)
 
@@ -192,21 +191,23 @@
     def _disturbed_at(self) -> float:
         return self._workers_follower.freshness.disturbed_at
 
-    def _worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
-        """Take that a worker's entry says that it is cold."""
+    def worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
+        """Mark a worker cold whose entry says so."""
         service = self._routes.service(worker.announcement.service)
         if service is not None and service.cold_rate > 0.0:
             log_event("worker_cold", worker=worker.announcement.worker, seconds=seconds)
         self._cold.mark_cold(worker, seconds, now)
 
-    def _log_worker_change(self, worker: str, change: str) -> None:
-        """Log a change of belief, where requests may hang on it.
+    def worker_changed(self, worker: str, change: WorkerChange) -> None:
+        """Log a change of belief, where requests may depend on it.
 
         Were each resting node to tell of each worker, that would be most of all lines: what such
         a node reads once callers come, and whole lists, are told in one line.
         """
         unused = self._listing or self._pace is RESTING_PACE
-        log_event("worker_changed", "debug" if unused else "info", worker=worker, change=change)
+        log_event(
+            "worker_changed", "debug" if unused else "info", worker=worker, change=change.value
+        )
 
 
 class _GapWatch:
--- a/src/stagewalk/gateway/send_rules.py
+++ b/src/stagewalk/gateway/send_rules.py
@@ -8,7 +8,7 @@
 from stagewalk.gateway.cold_lease_service import ColdLeaseService
 from stagewalk.gateway.cold_starts.core import ColdStarts
 from stagewalk.gateway.cold_starts.leases import ColdLeases
-from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.eligibility.core import DenialListener, Eligibility
 from stagewalk.gateway.leases.log_lease import new_holder
 from stagewalk.gateway.ports.partitioned_log import PartitionedLog
 from stagewalk.gateway.quarantine.content import RequestContent
@@ -43,6 +43,7 @@
         routes: RouteTable,
         view_age: Callable[[float], float],
         replicas: Callable[[], list[str]],
+        on_denied: DenialListener,
     ) -> None:
         self._workers = workers
         self._leases = ColdLeases(new_holder(settings.name, producer))
@@ -51,7 +52,13 @@
         self.proximity = Proximity(settings.placement, settings.zones)
         self.suspects = CrashSuspects(settings.name)
         self.eligibility = Eligibility(
-            workers, routes, self.proximity, self.evacuations, self.cold, held=self._held
+            workers,
+            routes,
+            self.proximity,
+            self.evacuations,
+            self.cold,
+            held=self._held,
+            on_denied=on_denied,
         )
         self.cold_lease_service = ColdLeaseService(
             log=log, node=settings.name, cold=self.cold, leases=self._leases, replicas=replicas
--- a/src/stagewalk/gateway/workers/table.py
+++ b/src/stagewalk/gateway/workers/table.py
@@ -1,22 +1,61 @@
-"""All listed workers, by service."""
+"""All listed workers, by service. Pure.
+
+Owns which workers are believed to serve: what an entry that is missing, late, unreadable or of an
+earlier start says of its worker. Inputs are the entries of the platform's list (as published), and
+when reading the list was disturbed last.
+Relies on `workers.worker` for what is known of one worker.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Container, Iterable
+from collections.abc import Container, Iterable
 from dataclasses import replace
+from enum import StrEnum
+from typing import Protocol
 
 from stagewalk.gateway.ports.send_permits import WorkerTarget
 from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement
 
-DOUBT_SECONDS = 2.2
-"""How long after trouble with the list a missing entry is doubted rather than believed: entries
-that lapsed meanwhile are back about two seconds after its end, if their workers live."""
+STALE_SECONDS = 2.2
+"""How long after trouble with the list a worker whose entry is missing counts as stale rather than
+gone: entries that lapsed meanwhile are back about two seconds after its end, if their workers
+live."""
 
 EARLIER_START_SECONDS = 3.6
-"""An entry of an earlier start is believed again after three heartbeats without the later one."""
+"""An entry of an earlier start is believed again after three heartbeats (of 1.2 s) without one of
+the later start."""
 
 LEFT_MEMORY_SECONDS = 300.0
-"""How long it is remembered which workers said that they leave."""
+"""How long it is remembered which workers said that they leave: entries written before, and read
+late, change nothing meanwhile. Chosen, not measured."""
+
+
+class WorkerChange(StrEnum):
+    """What changed in the belief about a worker; the values are logged."""
+
+    JOINED = "joined"
+    DRAINING = "draining"
+    STALE = "doubted"
+    """Its entry is missing, perhaps only because reading the list was disturbed."""
+    GONE = "gone"
+
+
+class WorkerListener(Protocol):
+    """Called by the table as it applies entries."""
+
+    def worker_changed(self, worker: str, change: WorkerChange) -> None:
+        """Handle a change of belief about a worker."""
+
+    def worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
+        """Handle an entry, read at `now`, that says that its worker is cold for `seconds` more."""
+
+
+class _NoListener:
+    def worker_changed(self, worker: str, change: WorkerChange) -> None:
+        pass
+
+    def worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
+        pass
 
 
 class WorkerTable:
@@ -24,28 +63,27 @@
     work.
 
     Entries also vanish while the list's store is down, of workers that serve on. So a worker
-    whose entry vanished around an outage stays usable for a moment, as a last resort, until
+    whose entry vanished around an outage is stale: usable for a moment, as a last resort, until
     its next heartbeat would have brought it back.
 
-    A worker that said it leaves never takes that back: an entry of before, written late, changes
-    nothing. A worker may start again under its name. That is another worker then, and the one
-    before is gone; an entry of an earlier start, written late, changes nothing while the later one
-    is heard of.
+    A worker that said that it leaves keeps leaving: an older entry, written late, changes nothing.
+    A worker may start again under its name. That is another worker then, and the one before is
+    gone; an entry of an earlier start, written late, changes nothing while the later one is seen.
     """
 
     def __init__(self) -> None:
         self._workers: dict[str, Worker] = {}
         self._start_of: dict[str, str] = {}
         """By the name that an entry is listed under, its start."""
-        self._doubted_until: dict[str, float] = {}
+        self._stale_until: dict[str, float] = {}
         self._by_service: dict[str, list[Worker]] = {}
-        self._starts_told = False
+        self._starts_stated = False
         self._left_at: dict[str, float] = {}
-        self.on_change: Callable[[str, str], None] = lambda _worker, _change: None
-        """Told of each change of belief: the worker and a word for the change."""
-        self.on_cold: Callable[[Worker, float, float], None] = lambda _worker, _seconds, _now: None
-        """Told of each entry that says that its worker is cold: the worker, for how many seconds
-        more, and when the entry was read."""
+        self._listener: WorkerListener = _NoListener()
+
+    def listen(self, listener: WorkerListener) -> None:
+        """Set the listener: the reader of entries, which is itself given this table."""
+        self._listener = listener
 
     def replace(
         self,
@@ -54,7 +92,13 @@
         disturbed_at: float,
         unreadable: Iterable[str] = (),
     ) -> None:
-        """Take a whole list, and the names of entries in it that can't be read."""
+        """Apply a whole list, and the names of entries in it that can't be read.
+
+        Parameters
+        ----------
+        disturbed_at
+            Steady time at which reading the list was disturbed last.
+        """
         listed = {announcement.listed_as: announcement for announcement in announcements}
         for name in unreadable:
             self.discard(name)
@@ -65,7 +109,7 @@
             self.announce(announcement, now)
 
     def announce(self, announcement: WorkerAnnouncement, now: float) -> None:
-        """Take a worker's entry."""
+        """Apply a worker's entry."""
         if self._replaced_by_later(announcement, now):
             return
         if announcement.draining:
@@ -76,48 +120,48 @@
         if earlier is not None and earlier != announcement.worker:
             self._drop(earlier)
         known = self._workers.get(announcement.worker)
-        self._doubted_until.pop(announcement.worker, None)
+        self._stale_until.pop(announcement.worker, None)
         if known is None:
             worker = Worker(announcement, now, versions=dict(announcement.versions))
             self._workers[announcement.worker] = worker
             self._start_of[announcement.listed_as] = announcement.worker
             self._index()
-            self.on_change(announcement.worker, "joined")
+            self._listener.worker_changed(announcement.worker, WorkerChange.JOINED)
             self._note_cold(worker, now)
             return
         if announcement.draining and not known.announcement.draining:
-            self.on_change(announcement.worker, "draining")
+            self._listener.worker_changed(announcement.worker, WorkerChange.DRAINING)
         if announcement.versions != known.announcement.versions:
             known.versions.update(announcement.versions)
         known.announcement = announcement
-        known.heard_at = now
+        known.last_seen_at = now
         self._note_cold(known, now)
 
     def remove(self, name: str, now: float, disturbed_at: float) -> None:
-        """Take the news that the entry under a name is gone."""
+        """Apply that the entry under a name is gone."""
         known = self._workers.get(self._start_of.get(name, ""))
         if known is None:
             return
         start = known.announcement.worker
-        believed_at = disturbed_at + DOUBT_SECONDS
-        if now < believed_at and not known.announcement.draining:
-            self._doubted_until.setdefault(start, believed_at)
-            self.on_change(start, "doubted")
+        gone_at = disturbed_at + STALE_SECONDS
+        if now < gone_at and not known.announcement.draining:
+            self._stale_until.setdefault(start, gone_at)
+            self._listener.worker_changed(start, WorkerChange.STALE)
             return
         self._drop(start)
 
     def discard(self, name: str) -> None:
-        """Take that the entry under a name names no worker to use: nothing speaks for one."""
+        """Drop the worker listed under a name, whose entry can't be read."""
         start = self._start_of.get(name)
         if start is not None:
             self._drop(start)
 
     def expire(self, now: float) -> None:
-        """Drop doubted workers that did not come back; forget who left long ago."""
+        """Drop stale workers that were not listed again; forget who left long ago."""
         for worker, left_at in list(self._left_at.items()):
             if now - left_at > LEFT_MEMORY_SECONDS:
                 del self._left_at[worker]
-        for worker, until in list(self._doubted_until.items()):
+        for worker, until in list(self._stale_until.items()):
             if now >= until:
                 self._drop(worker)
 
@@ -130,13 +174,13 @@
         return name in self._start_of
 
     def serving(self, service: str) -> list[Worker]:
-        """Return a service's workers that are listed and don't leave, doubted ones too."""
+        """Return a service's workers that are listed and don't leave, stale ones too."""
         return [worker for worker in self._by_service.get(service, ()) if self._serves(worker)]
 
     def usable(self, service: str, excluded: Container[str] = ()) -> list[Worker]:
-        """Return a service's workers that may get new work; doubted ones only if alone."""
+        """Return a service's workers that may get new work; stale ones as a last resort."""
         workers = [w for w in self.serving(service) if w.announcement.worker not in excluded]
-        sure = [w for w in workers if w.announcement.worker not in self._doubted_until]
+        sure = [w for w in workers if w.announcement.worker not in self._stale_until]
         return sure or workers
 
     def __contains__(self, name: object) -> bool:
@@ -154,10 +198,10 @@
         return WorkerTarget(announcement.listed_as, announcement.address, announcement.worker)
 
     def _replaced_by_later(self, announcement: WorkerAnnouncement, now: float) -> bool:
-        """Whether an entry is of a start before the one that is known, which is still heard of.
+        """Whether an entry is of a start before the one that is known, which is still seen.
 
         A worker's time of day may step back between two starts: the later one is then believed once
-        nothing was heard of the other for longer than its heartbeats last.
+        the other was not seen for longer than its heartbeats last.
         """
         known = self._workers.get(self._start_of.get(announcement.listed_as, ""))
         if known is None:
@@ -166,30 +210,30 @@
         if known_born is None:
             return False
         earlier = born is None or born < known_born
-        return earlier and now - known.heard_at < EARLIER_START_SECONDS
+        return earlier and now - known.last_seen_at < EARLIER_START_SECONDS
 
     def _trusted(self, worker: Worker) -> bool:
-        """Whether an entry says when its worker started, where most entries do.
+        """Whether an entry says when its worker started, if most entries do.
 
-        Another writer's entry may lack it. By the most, since one such entry must not discredit the
-        workers of a deployment where none says it.
+        Another writer's entry may lack it. The majority decides, since one such entry must not
+        discredit the workers of a deployment where none says it.
         """
-        return worker.announcement.born_milliseconds is not None or not self._starts_told
+        return worker.announcement.born_milliseconds is not None or not self._starts_stated
 
     def _serves(self, worker: Worker) -> bool:
         return not worker.announcement.draining and self._trusted(worker)
 
     def _note_cold(self, worker: Worker, now: float) -> None:
         if worker.announcement.cold_seconds > 0.0:
-            self.on_cold(worker, worker.announcement.cold_seconds, now)
+            self._listener.worker_cold(worker, worker.announcement.cold_seconds, now)
 
     def _drop(self, worker: str) -> None:
         dropped = self._workers.pop(worker, None)
-        self._doubted_until.pop(worker, None)
+        self._stale_until.pop(worker, None)
         if dropped is not None:
             self._start_of.pop(dropped.announcement.listed_as, None)
         self._index()
-        self.on_change(worker, "gone")
+        self._listener.worker_changed(worker, WorkerChange.GONE)
 
     def _index(self) -> None:
         by_service: dict[str, list[Worker]] = {}
@@ -197,4 +241,4 @@
             by_service.setdefault(worker.announcement.service, []).append(worker)
         self._by_service = by_service
         born = sum(w.announcement.born_milliseconds is not None for w in self._workers.values())
-        self._starts_told = 2 * born > len(self._workers)
+        self._starts_stated = 2 * born > len(self._workers)
--- a/src/stagewalk/gateway/workers/worker.py
+++ b/src/stagewalk/gateway/workers/worker.py
@@ -75,7 +75,7 @@
     """A listed worker with what this node has seen of it. Times are of the steady clock."""
 
     announcement: WorkerAnnouncement
-    heard_at: float
+    last_seen_at: float
     in_flight: int = 0
     failures: int = 0
     suspect_until: float = -math.inf
--- a/tests/gateway/eligibility/support.py
+++ b/tests/gateway/eligibility/support.py
@@ -8,6 +8,7 @@
 from stagewalk.gateway.cold_starts.core import ColdStarts
 from stagewalk.gateway.cold_starts.leases import ColdLeases
 from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.ports.send_permits import SendPermit, WorkerTarget
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.quarantine.core import CrashSuspects
@@ -17,6 +18,7 @@
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.zones.distance import Proximity
 from stagewalk.gateway.zones.evacuations import Evacuations
+from tests.gateway.workers.support import RecordingListener
 
 ZONES = {"z1": "r1", "z2": "r1", "z3": "r2"}
 NEAR_Z1 = Proximity(Placement("r1", "z1"), ZONES)
@@ -38,12 +40,19 @@
         self.leases = ColdLeases("own#1")
         self.view_age = 0.0
         self.cold = ColdStarts(self.leases, lambda _now: self.view_age)
-        workers.on_cold = self.cold.mark_cold
+        workers.listen(RecordingListener(self.cold.mark_cold))
+        self.denials: list[Denial] = []
         proximity = Proximity(Placement("r1", "z1"), zones)
         self.suspects = CrashSuspects("own")
         self.unix_seconds = 0.0
         self.eligibility = Eligibility(
-            workers, self.routes, proximity, self.evacuations, self.cold, held=self._held
+            workers,
+            self.routes,
+            proximity,
+            self.evacuations,
+            self.cold,
+            held=self._held,
+            on_denied=self.denials.append,
         )
         self.publish(routes, services, tenants)
 
--- a/tests/gateway/eligibility/test_core.py
+++ b/tests/gateway/eligibility/test_core.py
@@ -165,8 +165,6 @@
         self.assertEqual(["a", "b", "c"], self.found())
 
     def test_each_denial_is_told(self) -> None:
-        told: list[Denial] = []
-        self.rules.eligibility.on_denied = told.append
         permit = self.permit("a").ok
         self.rules.evacuations.replace({"z1"}, 9.0)
         permit.confirm(9.1)
@@ -174,7 +172,8 @@
         known = self.table.worker("a")
         assert known is not None
         self.rules.eligibility.permit(known, None, 9.3)
-        self.assertEqual([Denial.ZONE_EVACUATED, Denial.ZONE_EVACUATED, Denial.NO_ROUTE], told)
+        denials = [Denial.ZONE_EVACUATED, Denial.ZONE_EVACUATED, Denial.NO_ROUTE]
+        self.assertEqual(denials, self.rules.denials)
 
     def test_a_route_that_is_gone_permits_nothing(self) -> None:
         self.assertIsNone(self.rules.eligibility.scope("/other/", CONTENT, None))
--- a/tests/gateway/workers/support.py
+++ b/tests/gateway/workers/support.py
@@ -2,8 +2,27 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 from stagewalk.common.identities import Address
-from stagewalk.gateway.workers.worker import WorkerAnnouncement, start_identity
+from stagewalk.gateway.workers.table import WorkerChange
+from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement, start_identity
+
+
+class RecordingListener:
+    """Keeps the changes of a table, and passes cold workers on."""
+
+    def __init__(
+        self, on_cold: Callable[[Worker, float, float], None] = lambda _worker, _seconds, _now: None
+    ) -> None:
+        self.changes: list[tuple[str, WorkerChange]] = []
+        self._on_cold = on_cold
+
+    def worker_changed(self, worker: str, change: WorkerChange) -> None:
+        self.changes.append((worker, change))
+
+    def worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
+        self._on_cold(worker, seconds, now)
 
 
 def announcement(
--- a/tests/gateway/workers/test_table.py
+++ b/tests/gateway/workers/test_table.py
@@ -8,10 +8,10 @@
 
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.selection import choose_worker
-from stagewalk.gateway.workers.table import DOUBT_SECONDS, EARLIER_START_SECONDS, WorkerTable
+from stagewalk.gateway.workers.table import EARLIER_START_SECONDS, STALE_SECONDS, WorkerTable
 from stagewalk.gateway.workers.worker import WARM_SECONDS, Worker
 from tests.gateway.eligibility.support import NEAR_Z1
-from tests.gateway.workers.support import announcement
+from tests.gateway.workers.support import RecordingListener, announcement
 
 CALM = -math.inf
 
@@ -37,8 +37,8 @@
         self.assertEqual({"a", "b"}, self.listed_as())
 
     def test_nothing_that_is_kept_of_a_worker_outlasts_its_start(self) -> None:
-        changes: list[tuple[str, str]] = []
-        self.table.on_change = lambda *change: changes.append(change)
+        listener = RecordingListener()
+        self.table.listen(listener)
         self.table.announce(announcement("c", born=1_000, versions={"m": 7}), 1.0)
         before = self.table.worker("c@1000")
         assert before is not None
@@ -51,7 +51,8 @@
         self.assertIsNone(self.table.worker("c@1000"))
         kept = (after.in_flight, after.failures, after.versions, after.loading_until)
         self.assertEqual((0, 0, {"m": 1}, {}), kept)
-        self.assertEqual([("c@1000", "joined"), ("c@1000", "gone"), ("c@5000", "joined")], changes)
+        changes = [("c@1000", "joined"), ("c@1000", "gone"), ("c@5000", "joined")]
+        self.assertEqual(changes, listener.changes)
 
     def test_an_entry_of_an_earlier_start_written_late_changes_nothing(self) -> None:
         self.table.announce(announcement("c", born=5_000), 5.0)
@@ -104,7 +105,7 @@
         self.assertEqual({"b"}, names(self.table))
         self.table.remove("b", 10.0, 9.0)
         self.assertEqual({"a", "b"}, names(self.table))
-        self.table.expire(10.0 + DOUBT_SECONDS)
+        self.table.expire(10.0 + STALE_SECONDS)
         self.assertEqual(set(), names(self.table))
 
     def test_a_draining_worker_that_vanishes_in_an_outage_is_gone(self) -> None:
@@ -119,9 +120,9 @@
         self.table.expire(9.9 + 1.9)
         self.assertEqual({"a", "b"}, names(self.table))
         self.table.announce(announcement("b"), 11.8)
-        self.table.expire(9.9 + DOUBT_SECONDS)
+        self.table.expire(9.9 + STALE_SECONDS)
         self.assertEqual({"b"}, names(self.table))
-        self.table.remove("b", 9.9 + DOUBT_SECONDS, 9.9)
+        self.table.remove("b", 9.9 + STALE_SECONDS, 9.9)
         self.assertEqual(set(), names(self.table))
 
     def test_a_worker_that_said_it_leaves_is_gone_for_good_whatever_comes_late(self) -> None:
