--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -188,8 +188,8 @@
             routes=routes,
             view_age=self._links.view_age,
             replicas=self._links.replica_names,
+            on_denied=self._metrics.send_denied,
         )
-        rules.eligibility.on_denied = self._metrics.send_denied
         rollouts = VersionRollouts(
             workers,
             self._settings.policy,
--- a/src/stagewalk/gateway/runners/checked_sends.py
+++ b/src/stagewalk/gateway/runners/checked_sends.py
@@ -25,7 +25,11 @@
     WorkerClient,
 )
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.crash_reports import FIRST_TOLD_LEVEL, CrashReports, SentRequest
+from stagewalk.gateway.quarantine.crash_reports import (
+    PUBLISH_FROM_CRASHES,
+    CrashReports,
+    SentRequest,
+)
 from stagewalk.gateway.runners.batch_views import BatchViews
 from stagewalk.gateway.workers.table import WorkerTable
 
@@ -96,10 +100,10 @@
         if permit.is_error():
             return Error(AttemptFailure(AttemptFault.WITHHELD, permit.error.value))
         route = "" if scope is None else scope.route.name
-        known_level = self._crashes.known_level(content)
+        known_crashes = self._crashes.known_crashes(content)
         return Ok(
             CheckedSend(
-                SentRequest(planned.request_id, content, worker, route, known_level, now),
+                SentRequest(planned.request_id, content, worker, route, known_crashes, now),
                 partial(self._client.send, permit.ok),
                 partial(self._client.stream, permit.ok),
             )
@@ -111,5 +115,5 @@
 
     async def note_loss(self, sent: SentRequest, failure: AttemptFailure) -> None:
         """Record that contact with a worker may have been lost, for other nodes too."""
-        await self._crashes.lost(sent, failure)
-        self._crashes.tell(sent.content, FIRST_TOLD_LEVEL)
+        await self._crashes.connection_lost(sent, failure)
+        self._crashes.publish(sent.content, PUBLISH_FROM_CRASHES)
