--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -26,7 +26,7 @@
 from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog
 from stagewalk.gateway.ports.workers import WorkerClient
 from stagewalk.gateway.published_records import PublishedRecords
-from stagewalk.gateway.role_keeper import LogReserve, RoleKeeper
+from stagewalk.gateway.role_controller import LogReserve, RoleController
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings_reload import LiveSettings
@@ -95,7 +95,7 @@
     batches: BatchServices
     published: PublishedRecords
     duties: DutyServices
-    roles: RoleKeeper
+    roles: RoleController
     log_reserve: LogReserve
     forwarders: Forwarders
 
@@ -147,7 +147,7 @@
         batches = self._batches(log, cluster, log_reserve)
         published = self._published(log, cluster)
         duties = self._duties(log, cluster, batches, published)
-        roles = RoleKeeper(
+        roles = RoleController(
             cluster.nodes,
             batches.store,
             batches.runner,
--- a/src/stagewalk/gateway/deferred_imports.py
+++ b/src/stagewalk/gateway/deferred_imports.py
@@ -1,4 +1,4 @@
-"""Leaves parts of libraries unimported until something asks for them.
+"""Defers the import of library parts that a gateway does not use at its start.
 
 A gateway speaks HTTP/1.1 to callers, yet importing the server also brings its HTTP/2 and WebSocket
 protocols, and importing the client its command line: a fifth of the time that a process takes from
@@ -16,7 +16,7 @@
 from typing import Any
 
 _CLIENT_COMMAND_LINE = "httpx._main"
-"""The client falls back to a message where this can't be imported."""
+"""The client prints a message instead where this can't be imported."""
 
 _ANNOTATIONS_ONLY = ("h2", "h2.events")
 """The server names these in annotations, which are never evaluated."""
@@ -25,11 +25,11 @@
     "hypercorn.protocol.h2": "H2Protocol",
     "hypercorn.protocol.ws_stream": "WSStream",
 }
-"""The one class that other parts of the server take from each module."""
+"""The one class that other parts of the server import from each module."""
 
 
 def defer_unused_parts() -> None:
-    """Put placeholders where unused parts of libraries would be imported."""
+    """Install placeholder modules for the unused parts."""
     if _CLIENT_COMMAND_LINE not in sys.modules:
         sys.modules[_CLIENT_COMMAND_LINE] = None  # type: ignore[assignment]
     if "hypercorn" in sys.modules or "h2" in sys.modules:
--- a/src/stagewalk/gateway/dialect.py
+++ b/src/stagewalk/gateway/dialect.py
@@ -1,4 +1,8 @@
-"""Port of the surroundings' spelling: what their records, headers and calls are named."""
+"""Port of the platform's spelling: names and encodings of its records, headers and calls.
+
+Owns the product's types for what operators, trainers and callers send. The adapter implements
+`Dialect`; nothing else knows the platform's names.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneEvacuation:
-    """An operator evacuates a zone, or takes that back.
+    """An operator evacuates a zone, or ends its evacuation.
 
     Attributes
     ----------
@@ -69,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A batch as its trainer hands it in."""
+    """A batch as its trainer submitted it."""
 
     header: BatchHeader
     items: tuple[BatchItem, ...]
 
 
 class Dialect(Protocol):
-    """Translates between the surroundings' spelling and the product's types."""
+    """Translates between the platform's spelling and the product's types."""
 
     @property
     def callers(self) -> CallerInterface:
--- a/src/stagewalk/gateway/directory/node_table.py
+++ b/src/stagewalk/gateway/directory/node_table.py
@@ -20,9 +20,6 @@
 
 RenewalSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=LONGEST_RENEWAL_SECONDS)]
 
-STALE_VIEW_SECONDS = 2.0
-"""With a view older than this nothing new is concluded."""
-
 STALE_ROUNDS = 8
 """A node that did not announce itself while the others did so this often is believed dead."""
 
--- a/src/stagewalk/gateway/duties/autoscale_service.py
+++ b/src/stagewalk/gateway/duties/autoscale_service.py
@@ -1,4 +1,8 @@
-"""Orders workers of the platform while this process holds the lease on duties."""
+"""Orders workers from the platform while this process holds the lease on duties.
+
+Relies on `autoscaling` for the counts. Each order is written down under the fence before it is
+sent, so that the next holder continues from it.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +27,14 @@
 
 PLAN_PREFIX = "workers"
 STEP_SECONDS = 0.25
+"""Between two decisions on what to order. Chosen, not measured."""
+
 CURRENT_SECONDS = 1.5
-"""With an older view of the workers none are ordered: what looks lost may be there."""
+"""With an older view of the workers none are ordered: what looks lost may be there. Chosen, not
+measured."""
 
 OpenBatches = Callable[[], list[Batch]]
-"""Returns the batches of which something is left to run."""
+"""Returns the batches that have unfinished items."""
 
 
 class AutoscaleService:
@@ -55,7 +62,7 @@
         self._workers_view = workers_view
         self._open_batches = open_batches
         self._evacuations = evacuations
-        duties.listen(PLAN_PREFIX, self._planned)
+        duties.listen_to_plans(PLAN_PREFIX, self._planned)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start."""
@@ -83,7 +90,7 @@
                 tasks.start_soon(self._send, order, open_items[order.group.service])
 
     def _open_items(self) -> Counter[str]:
-        """Return by service how many items run or wait to."""
+        """Return, by service, how many items of open batches are unfinished."""
         counts: Counter[str] = Counter()
         for batch in self._open_batches():
             route = self._routes.find(batch.header.host, batch.header.path)
--- a/src/stagewalk/gateway/duties/duty_lease.py
+++ b/src/stagewalk/gateway/duties/duty_lease.py
@@ -1,4 +1,8 @@
-"""Competes for the lease on duties, and writes down what its holder decides."""
+"""Competes for the lease on duties, renews it while held, and writes down its holder's plans.
+
+Owns the partition of the lease: one follower and one appender. Relies on `leases.log_lease` for the
+decisions; services of duties ask `may_act` before each call they make.
+"""
 
 from __future__ import annotations
 
@@ -26,21 +30,34 @@
 TOPIC = "leases"
 DUTIES_PARTITION = 0
 STEP_SECONDS = 0.1
+"""Between two decisions on the lease: a fifth of the time between renewals."""
+
 CURRENT_SECONDS = 1.0
+"""The lease is competed for only with a view of its records at most this old. Chosen, not
+measured."""
+
 APPEND_SECONDS = 3.0
+"""How long a renewal or a plan may wait for the log. Chosen, not measured."""
+
 CATCH_UP_SECONDS = 0.5
+"""How long reading all records may take before a decision. Chosen, not measured."""
+
+READ_PAUSE_SECONDS = 0.02
+"""Between two reads of the records. Chosen, not measured."""
+
 READ_BACK_SECONDS = 0.02
 """Between two looks whether a renewal was read back, as often as the records are read."""
 
+OrderListener = Callable[[DutyRecord], None]
 PlanListener = Callable[[str, bytes], None]
-"""Takes a valid plan: its subject and its content."""
+"""Handles a valid plan: its subject and its content."""
 
 
 class DutyLease:
-    """Follows the records of the lease, competes for it, and keeps it while it is held.
+    """Competes for the lease on duties and, while holding it, renews it.
 
-    All duties go together: who orders engines also reports usage and orders workers. Each duty's
-    service asks `may_act` before whatever it does, with the fence under which it decided.
+    All duties go together: the node that orders engines also reports usage and orders workers. Each
+    duty's service asks `may_act` before each call, with the fence under which it decided.
     """
 
     def __init__(
@@ -59,21 +76,20 @@
             log,
             partition,
             self._apply,
-            pause_seconds=0.02,
+            pause_seconds=READ_PAUSE_SECONDS,
             on_gap=lambda: lease.note_gap(steady_seconds()),
         )
         self._appender = PartitionAppender(log, partition, producer, call_bytes)
         self._followed = anyio.Event()
         self._plan_listeners: dict[str, PlanListener] = {}
-        self.on_order: Callable[[DutyRecord], None] = lambda _record: None
-        """Told of each order that a holder announced."""
+        self._order_listeners: list[OrderListener] = []
         self._tasks: anyio.abc.TaskGroup | None = None
         self._stopping = False
         self._follower.pause()
 
     @property
     def held(self) -> bool:
-        """Whether this process holds the lease, or held it last and nobody took it."""
+        """Whether this process holds the lease, or held it last and nobody acquired it since."""
         return self._lease.held
 
     @property
@@ -92,11 +108,15 @@
         return same and self._lease.may_act(steady_seconds())
 
     def overtaken(self, fence: int) -> None:
-        """Note that someone obeyed a higher fence than this one."""
+        """Handle that a receiver has seen a higher fence than this one."""
         self._lease.overtaken(fence)
 
-    def listen(self, prefix: str, listener: PlanListener) -> None:
-        """Have plans told whose subject begins with a word and a slash."""
+    def listen_to_orders(self, listener: OrderListener) -> None:
+        """Call a listener with each order to an engine that a holder announced."""
+        self._order_listeners.append(listener)
+
+    def listen_to_plans(self, prefix: str, listener: PlanListener) -> None:
+        """Call a listener with plans whose subject begins with a prefix and a slash."""
         self._plan_listeners[prefix] = listener
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -107,7 +127,7 @@
         tasks.start_soon(self._run)
 
     def set_following(self, following: bool) -> None:
-        """Follow the lease's records from now on, or no more."""
+        """Start or stop following the lease's records and competing for it."""
         if following:
             self._follower.resume()
             self._followed.set()
@@ -121,11 +141,11 @@
         return self._followed.is_set()
 
     def set_quiet(self, seconds: float) -> None:
-        """Change how long nobody acts between two holders."""
+        """Set how long nobody acts between two holders, in seconds."""
         self._lease.set_quiet(seconds)
 
     def stop(self) -> None:
-        """Give the lease up and compete for it no more."""
+        """Release the lease and compete for it no more."""
         self._stopping = True
         released = self._lease.release()
         if released is not None:
@@ -133,7 +153,7 @@
             log_event("lease_released", fence=self._lease.fence)
 
     def announce(self, record: DutyRecord) -> None:
-        """Tell the other processes what is about to be ordered."""
+        """Announce to the other processes what is about to be ordered."""
         self._appender.post([record.encode()])
 
     async def wait_until_active(self) -> None:
@@ -143,8 +163,8 @@
     async def write(self, subject: str, content: bytes, fence: int) -> bool:
         """Write a plan down under a fence; return whether it stands.
 
-        It stands if the log took it and, as read back beyond its place, nobody else had won the
-        lease by then.
+        It stands if the log accepted it and, as read back beyond its place, nobody else had
+        acquired the lease by then.
         """
         record = PlanRecord(fence, subject, content)
         answer = await self._appender.append([record.encode()], APPEND_SECONDS)
@@ -182,16 +202,16 @@
         )
         await self._follower.catch_up(CATCH_UP_SECONDS)
         if answer.is_ok():
-            self._lease.renewal_taken(sent_at, answer.ok)
+            self._lease.record_accepted(sent_at, answer.ok)
 
     async def _renew(self, step: Renew) -> None:
         sent_at = steady_seconds()
         answer = await self._appender.append([step.record.encode()], APPEND_SECONDS)
         if answer.is_ok() and await self._has_read(answer.ok):
-            self._lease.renewal_taken(sent_at, step.record.fence)
+            self._lease.record_accepted(sent_at, step.record.fence)
 
     async def _has_read(self, offset: int) -> bool:
-        """Wait until the records up to an offset were read: another's win may lie before it."""
+        """Wait until the records up to an offset were read: another holder may stand before it."""
         with anyio.move_on_after(LEASE_SECONDS):
             while self._follower.next_offset <= offset:
                 await anyio.sleep(READ_BACK_SECONDS)
@@ -203,15 +223,16 @@
         self._lease.skip(record.offset + 1)
         match decoded:
             case DutyRecord():
-                self.on_order(decoded)
+                for listener in self._order_listeners:
+                    listener(decoded)
             case PlanRecord():
-                self._take_plan(decoded)
+                self._apply_plan(decoded)
             case LeaseRecord():
                 self._lease.apply(record.offset, decoded, steady_seconds())
                 if self._lease.holder != before:
                     log_event("lease_held", holder=self._lease.holder, fence=self._lease.fence)
 
-    def _take_plan(self, plan: PlanRecord) -> None:
+    def _apply_plan(self, plan: PlanRecord) -> None:
         prefix = plan.subject.partition("/")[0]
         listener = self._plan_listeners.get(prefix)
         if plan.fence != self._lease.fence:
--- a/src/stagewalk/gateway/duties/order_service.py
+++ b/src/stagewalk/gateway/duties/order_service.py
@@ -1,4 +1,7 @@
-"""Brings named weight versions to the engines, while this process holds the lease on orders."""
+"""Sends load commands to engines while this process holds the lease on duties.
+
+Relies on `version_rollouts` for which engine is ordered and when, and on the lease for the fence.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +22,7 @@
 from stagewalk.gateway.workers.table import WorkerTable
 
 STEP_SECONDS = 0.1
+"""Between two decisions on what to order. Chosen, not measured."""
 
 
 class OrderService:
@@ -41,7 +45,7 @@
         self._workers = workers
         self._client = client
         self._tasks: anyio.abc.TaskGroup | None = None
-        duties.on_order = self._order_announced
+        duties.listen_to_orders(self._order_announced)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start."""
@@ -60,7 +64,7 @@
                     self._tasks.start_soon(self._send, order)
 
     def _open_items(self) -> Counter[str]:
-        """Return by model how many items run or wait to."""
+        """Return, by model, how many items of open batches are unfinished."""
         counts: Counter[str] = Counter()
         for batch in self._open_batches():
             counts[batch.header.model] += len(batch.items) - len(batch.listed)
--- a/src/stagewalk/gateway/duties/usage_service.py
+++ b/src/stagewalk/gateway/duties/usage_service.py
@@ -1,4 +1,7 @@
-"""Counts what begins to run here, and reports the usage of all nodes while the lease is held."""
+"""Counts requests that begin to run here; reports all nodes' usage while the lease is held.
+
+Owns the log's topic of counts. Relies on `usage` for sums and for when a window is reported.
+"""
 
 from __future__ import annotations
 
@@ -24,14 +27,19 @@
 
 USAGE = Partition("usage", 0)
 PLAN_PREFIX = "usage"
-TELL_SECONDS = 0.25
-"""How long counts gather before they are told to the log: what a killed process loses, a
+APPEND_PAUSE_SECONDS = 0.25
+"""How long counts gather before they are appended to the log: what a killed process loses, a
 twentieth of a window of 5 s."""
 
 STEP_SECONDS = 0.25
+"""Between two decisions on what to report. Chosen, not measured."""
+
 READ_PAUSE_SECONDS = 0.5
+"""Between two reads of the counts. Chosen, not measured."""
+
 SETTLE_SECONDS = 1.5
-"""After trouble with the log the counts of others may still be on their way for this long."""
+"""After a failed read or an outage of the log, other nodes' counts may still be on their way for
+this long. Chosen, not measured."""
 
 
 class UsageService:
@@ -61,14 +69,14 @@
         self._appender = PartitionAppender(log, USAGE, producer, call_bytes)
         self._counted = anyio.Event()
         self._tasks: anyio.abc.TaskGroup | None = None
-        duties.listen(PLAN_PREFIX, self._written)
+        duties.listen_to_plans(PLAN_PREFIX, self._written)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start."""
         self._tasks = tasks
         tasks.start_soon(self._appender.run)
         tasks.start_soon(self._follower.run)
-        tasks.start_soon(self._tell)
+        tasks.start_soon(self._append_counts)
         tasks.start_soon(self._report)
 
     @property
@@ -86,10 +94,10 @@
         """Compare the time of day with the steady clock."""
         self._clock.sample(time.time(), steady_seconds())
 
-    async def _tell(self) -> None:
+    async def _append_counts(self) -> None:
         while True:
             await self._counted.wait()
-            await anyio.sleep(TELL_SECONDS)
+            await anyio.sleep(APPEND_PAUSE_SECONDS)
             self._counted = anyio.Event()
             self._appender.post([record.encode() for record in self._meter.take_records()])
 
@@ -105,7 +113,7 @@
             if held_since is None:
                 held_since = steady_seconds()
                 self._follower.resume()
-            # Counts that were told before this process held the lease are read first.
+            # Counts that were appended before this process held the lease are read first.
             read = self._follower.freshness.confirmed_at >= held_since
             if read and self._duties.may_act():
                 await self._step()
--- a/src/stagewalk/gateway/duty_services.py
+++ b/src/stagewalk/gateway/duty_services.py
@@ -1,4 +1,7 @@
-"""All that one node at a time does for the whole system, under one lease."""
+"""The duties that one node at a time carries out for the whole system, under one lease.
+
+Owns which duties run, from the settings. Relies on `duties` for each of them.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from stagewalk.gateway.duties.duty_lease import DutyLease
 from stagewalk.gateway.duties.order_service import OrderService
 from stagewalk.gateway.duties.usage_service import UsageService
-from stagewalk.gateway.leases.log_lease import LogLease, new_holder
+from stagewalk.gateway.leases.log_lease import LogLease, acquire_jitter_seconds, new_holder
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.ports.duties import DutyClient
 from stagewalk.gateway.ports.partitioned_log import PartitionedLog
@@ -24,11 +27,6 @@
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.zones.evacuations import Evacuations
 
-JITTER_STEPS = 8
-JITTER_SECONDS = 0.15
-"""A process waits up to so many steps longer than the lease asks before it competes for it, so
-that replicas seldom append at once; a step is far longer than an append (some 10 ms)."""
-
 
 class DutyServices:
     """The lease, and what its holder does: weight orders, usage reports, orders for workers.
@@ -52,16 +50,7 @@
         store: BatchStore,
         evacuations: Evacuations,
     ) -> None:
-        jitter = JITTER_SECONDS * (uuid.uuid4().int % JITTER_STEPS)
-        call_bytes = settings.log_limits.call_bytes
-        self.lease = DutyLease(
-            log=log,
-            lease=LogLease(
-                new_holder(settings.name, producer), settings.timing.lease_quiet, jitter
-            ),
-            producer=producer,
-            call_bytes=call_bytes,
-        )
+        self.lease = _duty_lease(settings, log, producer)
         self._orders = OrderService(
             identity=identity,
             duties=self.lease,
@@ -72,19 +61,18 @@
         )
         self._usage: UsageService | None = None
         self._autoscale: AutoscaleService | None = None
-        duties = settings.duties
-        if client is None or duties is None:
+        if client is None or settings.duties is None:
             return
-        if duties.usage_window is not None:
+        if settings.duties.usage_window is not None:
             self._usage = UsageService(
                 log=log,
                 identity=identity,
                 duties=self.lease,
                 client=client,
                 producer=producer,
-                call_bytes=call_bytes,
-                window_seconds=duties.usage_window,
-                due_seconds=duties.usage_due,
+                call_bytes=settings.log_limits.call_bytes,
+                window_seconds=settings.duties.usage_window,
+                due_seconds=settings.duties.usage_due,
             )
         self._autoscale = AutoscaleService(
             identity=identity,
@@ -123,6 +111,17 @@
             self._usage.sample_clock()
 
 
+def _duty_lease(settings: GatewaySettings, log: PartitionedLog, producer: str) -> DutyLease:
+    holder = new_holder(settings.name, producer)
+    jitter = acquire_jitter_seconds(uuid.uuid4().int)
+    return DutyLease(
+        log=log,
+        lease=LogLease(holder, settings.timing.lease_quiet, jitter),
+        producer=producer,
+        call_bytes=settings.log_limits.call_bytes,
+    )
+
+
 def _scaling_policy(settings: Autoscaling) -> ScalingPolicy:
     places = settings.places_per_item if settings.mode == "demand" else 0.0
     return ScalingPolicy(settings.mode != "off", places, settings.spot)
--- a/src/stagewalk/gateway/leases/log_lease.py
+++ b/src/stagewalk/gateway/leases/log_lease.py
@@ -1,8 +1,9 @@
-"""A lease kept as records of a log partition, won by conditional append.
+"""A lease kept as records of a log partition, acquired by conditional append. Pure.
 
-Pure. The fence is the offset of the record that won, so it only grows. Times are of each
-process's own steady clock: the holder counts from before it sent a renewal, the others from
-when they read it, so the holder always stops first.
+Owns the rule of who may act as the holder, and when others may acquire the lease. The fence is the
+offset of the acquiring record, so it only grows. Times are in seconds of each process's own steady
+clock: the holder counts from before it sent a renewal, the others from when they read it, so the
+holder always stops first.
 """
 
 from __future__ import annotations
@@ -13,16 +14,30 @@
 import msgspec
 
 LEASE_SECONDS = 1.6
-"""How long a holder may act after it sent a renewal that was taken."""
+"""How long a holder may act after it sent a renewal that the log accepted: three renewals and
+0.1 s. Chosen, not measured."""
 
 RENEW_SECONDS = 0.5
+"""Between two renewals: two may be lost before the lease expires. Chosen, not measured."""
+
 EXPIRY_MARGIN_SECONDS = 0.4
-"""How much longer others wait before one of them tries to win the lease."""
+"""How much longer others wait before one of them competes for the lease. Chosen, not measured."""
+
+JITTER_STEPS = 8
+JITTER_STEP_SECONDS = 0.15
+"""Acquire jitter: a process waits a random number of steps, fewer than `JITTER_STEPS`, beyond the
+expiry before it competes, so that replicas seldom append at once. A step is far longer than an
+append (some 10 ms)."""
 
 NO_FENCE = -1
 MACHINE_SEPARATOR = "#"
 
 
+def acquire_jitter_seconds(random_number: int) -> float:
+    """Return the acquire jitter of one start of a process, drawn from a random number."""
+    return JITTER_STEP_SECONDS * (random_number % JITTER_STEPS)
+
+
 def new_holder(machine: str, nonce: str) -> str:
     """Return the identity of one start of the only process of its kind on a machine."""
     return f"{machine}{MACHINE_SEPARATOR}{nonce}"
@@ -36,7 +51,7 @@
 class LeaseRecord(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
     """A step of a lease's history.
 
-    `fence` is `NO_FENCE` in a record that wins the lease; a renewal or release names the one
+    `fence` is `NO_FENCE` in a record that acquires the lease; a renewal or release names the one
     it belongs to, and is void under any other.
     """
 
@@ -50,7 +65,7 @@
 
 
 class DutyRecord(msgspec.Struct, frozen=True, array_like=True, tag="duty"):
-    """What the holder is about to do, told so that other processes expect its effects.
+    """What the holder is about to do, announced so that other processes expect its effects.
 
     Attributes
     ----------
@@ -72,15 +87,15 @@
 class PlanRecord(msgspec.Struct, frozen=True, array_like=True, tag="plan"):
     """What a holder decided, written down before it is carried out.
 
-    Void unless `fence` is in force at its place in the log: of two holders' plans everyone takes
-    the same one.
+    Void unless `fence` is in force at its place in the log: of two holders' plans all processes
+    apply the same one.
 
     Attributes
     ----------
     subject
         What it is about.
     content
-        The decision, as whoever carries the duty out encodes it.
+        The decision, encoded by the service of the duty.
     """
 
     fence: int
@@ -106,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Append a winning record if the partition ends at `end`."""
+    """Append an acquiring record if the partition ends at `end`."""
 
     end: int
     record: LeaseRecord
@@ -129,7 +144,7 @@
     quiet_seconds
         How long nobody may act between two holders.
     jitter_seconds
-        How much longer than the others this process waits: it keeps all from trying at once.
+        Acquire jitter, see `acquire_jitter_seconds`.
     """
 
     def __init__(self, holder: str, quiet_seconds: float, jitter_seconds: float) -> None:
@@ -139,9 +154,8 @@
         self._end = 0
         self._holder = ""
         self._fence = NO_FENCE
-        self._heard_at = -math.inf
+        self._renewal_read_at = -math.inf
         self._released = True
-        self._first_seen_at: float | None = None
         self._valid_until = -math.inf
         self._may_act_from = math.inf
         self._renewed_at = -math.inf
@@ -159,11 +173,11 @@
 
     @property
     def held(self) -> bool:
-        """Whether this process is the holder and has not given the lease up."""
+        """Whether this process is the holder and has not released the lease."""
         return self._holder == self._own and not self._released
 
     def set_quiet(self, seconds: float) -> None:
-        """Change how long nobody may act between two holders, from the next one on."""
+        """Set how long nobody may act between two holders, from the next one on."""
         self._quiet = seconds
 
     def may_act(self, now: float) -> bool:
@@ -171,29 +185,29 @@
         return self.held and self._may_act_from <= now < self._valid_until
 
     def apply(self, offset: int, record: LeaseRecord, now: float) -> None:
-        """Fold a record in."""
+        """Apply a record."""
         self._end = offset + 1
         if record.fence == NO_FENCE:
-            self._won(offset, record, now)
+            self._apply_acquired(offset, record, now)
         elif record.fence == self._fence:
-            self._heard_at = now
+            self._renewal_read_at = now
             self._released = self._released or record.released
         elif record.fence > self._fence:
-            self._adopt(record, now)
+            self._apply_unseen_holder(record, now)
 
     def skip(self, next_offset: int) -> None:
-        """Note that the partition ends further on."""
+        """Record that the partition ends further on."""
         self._end = max(self._end, next_offset)
 
     def note_gap(self, now: float) -> None:
-        """Note that records were dropped before they were read: somebody may hold the lease.
+        """Record that records were dropped before they were read: somebody may hold the lease.
 
-        Its renewals tell who, if it lives.
+        A holder that lives is known by its next renewal.
         """
         self._gap_at = now
 
     def decide(self, now: float, current: bool) -> Acquire | Renew | None:
-        """Return what to append now; `current` says that all records were read just now."""
+        """Return what to append now; `current`: whether all records were read just now."""
         if self.held:
             if now - self._renewed_at < RENEW_SECONDS:
                 return None
@@ -203,32 +217,34 @@
             return None
         return Acquire(self._end, LeaseRecord(self._own, NO_FENCE))
 
-    def renewal_taken(self, sent_at: float, fence: int) -> None:
-        """Note that the log took a renewal (or the winning record) sent at a time."""
+    def record_accepted(self, sent_at: float, fence: int) -> None:
+        """Extend the lease: the log accepted a renewal, or the acquiring record, sent at a time."""
         if fence == self._fence and self._holder == self._own:
             self._valid_until = max(self._valid_until, sent_at + LEASE_SECONDS)
 
     def overtaken(self, fence: int) -> None:
-        """Note that someone obeyed a higher fence: this process acts no more under this one.
+        """Stop acting under a fence, since a receiver has seen a higher one.
 
-        The log told that holder's win after this process read it last, so it reads again and,
-        if the lease is free then, wins it anew under a fence that is higher still.
+        The record by which that holder acquired the lease came after this process's last read, so
+        it reads again and, if the lease is free then, acquires it under a fence higher still.
         """
         if fence == self._fence and self._holder == self._own:
             self._released = True
             self._valid_until = -math.inf
 
     def release(self) -> Renew | None:
-        """Give the lease up; return the record that says so, None if it isn't held."""
+        """Release the lease; return the record of it, None if it isn't held."""
         if not self.held:
             return None
         self._released = True
         return Renew(LeaseRecord(self._own, self._fence, released=True))
 
-    def _won(self, offset: int, record: LeaseRecord, now: float) -> None:
-        """Take a new holder: nobody acts until the last one's orders are long past."""
-        quiet_from = self._heard_at if self._released else self._heard_at + LEASE_SECONDS
-        # Whoever won in records that were not read may have renewed until they were dropped.
+    def _apply_acquired(self, offset: int, record: LeaseRecord, now: float) -> None:
+        """Apply a new holder: nobody acts until the last one's orders are long past."""
+        quiet_from = (
+            self._renewal_read_at if self._released else self._renewal_read_at + LEASE_SECONDS
+        )
+        # A holder in records that were not read may have renewed until they were dropped.
         quiet_from = max(quiet_from, self._gap_at + LEASE_SECONDS)
         certain = self._gap_at == -math.inf
         first = self._holder == ""
@@ -239,17 +255,17 @@
         self._gap_at = -math.inf
         self._holder = record.holder
         self._fence = offset
-        self._heard_at = now
+        self._renewal_read_at = now
         self._released = False
         self._valid_until = -math.inf
         self._renewed_at = -math.inf
 
-    def _adopt(self, record: LeaseRecord, now: float) -> None:
-        """Take a holder whose win was not read: only who has won renews under its fence."""
+    def _apply_unseen_holder(self, record: LeaseRecord, now: float) -> None:
+        """Apply a holder whose acquisition was not read: only the holder renews under its fence."""
         self._gap_at = -math.inf
         self._holder = record.holder
         self._fence = record.fence
-        self._heard_at = now
+        self._renewal_read_at = now
         self._released = record.released
         self._valid_until = -math.inf
 
@@ -261,4 +277,4 @@
         if self._holder == "" or machine_of(self._holder) == machine_of(self._own):
             return -math.inf
         expires = 0.0 if self._released else LEASE_SECONDS + EXPIRY_MARGIN_SECONDS
-        return self._heard_at + expires + self._acquire_jitter
+        return self._renewal_read_at + expires + self._acquire_jitter
--- a/src/stagewalk/gateway/metrics.py
+++ b/src/stagewalk/gateway/metrics.py
@@ -1,4 +1,7 @@
-"""Metrics of the gateway, on a registry of its own. Units are in the names."""
+"""Metrics of the gateway, on a registry of its own. Units are in the names.
+
+Owns names, help texts and buckets. Gauges are read from `GatewayState` when they are scraped.
+"""
 
 from __future__ import annotations
 
@@ -20,16 +23,18 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.ports.denials import Denial
 
+_omit_creation_times: Callable[[], None] = disable_created_metrics
+
+# Upper bounds of histogram buckets, in seconds; chosen, not measured.
 _LAG_BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0)
 _CALL_BUCKETS = (0.002, 0.005, 0.01, 0.03, 0.1, 0.3, 1.0)
 _VIEW_AGE_BUCKETS = (0.1, 0.3, 0.6, 1.0, 1.5, 2.0, 3.0, 6.0)
 _LATENCY_BUCKETS = (0.01, 0.03, 0.06, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0)
-_omit_creation_times: Callable[[], None] = disable_created_metrics
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayState:
-    """What a gateway is at this moment, for its gauges.
+    """State of a gateway at one moment, for its gauges.
 
     Attributes
     ----------
@@ -54,7 +59,7 @@
 
 
 class _StateCollector(Collector):
-    """Reads gauges and events when they are asked for: nothing is kept up to date meanwhile."""
+    """Reads gauges and event counts when they are scraped; nothing is updated in between."""
 
     def __init__(self, state: Callable[[], GatewayState], budget: LogBudget) -> None:
         self._state = state
@@ -125,21 +130,18 @@
             buckets=_LATENCY_BUCKETS,
             registry=self._registry,
         )
-
         self._denials = Counter(
             "stagewalk_send_denials",
             "Requests that might not be sent to the worker chosen for them, by reason.",
             ["reason"],
             registry=self._registry,
         )
-
         self.loop_lag = Histogram(
             "stagewalk_loop_lag_seconds",
             "How late the process's event loop came back to a task that slept.",
             buckets=_LAG_BUCKETS,
             registry=self._registry,
         )
-
         self.item_view_age = Histogram(
             "stagewalk_item_view_age_seconds",
             "Age of the view by which a batch was open, as its items were started.",
--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -194,7 +194,7 @@
         known = None if identity is None else self._table.known(identity.node)
         return None if known is None else known.peer_address
 
-    def wanted_roles(self) -> Roles:
+    def target_roles(self) -> Roles:
         """Return the roles that this node should have, as far as it knows the others.
 
         Ranking all nodes takes its time, so that is done once for each view of them.
--- a/src/stagewalk/gateway/process.py
+++ b/src/stagewalk/gateway/process.py
@@ -1,4 +1,7 @@
-"""Runs a gateway as a process: logs, garbage collection, exit code."""
+"""Runs a gateway as a process.
+
+Owns the process's logs, garbage collection and exit code. Relies on the daemon for the rest.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
 
 
 def _soon(call: Callable[[], None]) -> None:
-    """Have a call made in the next turn of the event loop, at once where none runs."""
+    """Make a call in the next turn of the event loop; at once where none runs."""
     try:
         asyncio.get_running_loop().call_soon(call)
     except RuntimeError:
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -1,4 +1,8 @@
-"""Follows what operators, trainers and workers publish, and puts it in force here."""
+"""Follows what operators, trainers and workers publish, and applies it to this node's state.
+
+Owns two followers, their pace and the age of their views. Relies on the dialect to decode records
+and on routes, workers, rollouts, evacuations and cold starts to hold the state.
+"""
 
 from __future__ import annotations
 
@@ -29,16 +33,17 @@
 from stagewalk.gateway.zones.evacuations import Evacuations
 
 OLDEST_PUBLISHED_SECONDS = 2.0
-"""A view of what operators publish that is older is read again before a request is served: reads
-of it end every second. Without that a machine that slept served its first second of requests by the
-routes, keys and evacuations of before."""
+"""A view of what operators publish that is older is read again before a request is served: twice
+the time between the ends of its reads (1 s). Without that a machine that slept served its first
+second of requests by the routes, keys and evacuations of before."""
 
-MOST_UNREADABLE = 256
-"""Keys of entries that were told as unusable; beyond that each read of one tells it."""
+MOST_LOGGED_UNUSABLE = 256
+"""Keys of unusable entries that are logged once each; beyond that every read of one is logged.
+Chosen, not measured: it bounds memory."""
 
 
 class PublishedRecords:
-    """Keeps routes, workers, named versions and evacuations as the newest records tell them."""
+    """Keeps routes, workers, named versions and evacuations as the newest records have them."""
 
     def __init__(
         self,
@@ -60,7 +65,7 @@
         self._workers.on_change = self._log_worker_change
         self._pace = LISTED_PACE
         self._listing = False
-        self._unreadable: set[str] = set()
+        self._logged_unusable: set[str] = set()
         self._rollouts = rollouts
         self._operators_follower = KeyedFollower(
             log,
@@ -97,18 +102,20 @@
 
     @property
     def workers_known(self) -> bool:
-        """Whether the workers were listed once."""
+        """Whether the workers were listed at least once."""
         return self._workers_follower.freshness.ever_confirmed
 
     def set_pace(self, pace: ReadPace) -> None:
-        """Read as often as a pace says from now on."""
+        """Set the pace of reading."""
         self._pace = pace
         self._workers_follower.pause_seconds = pace.workers_pause
         self._operators_follower.wait_seconds = pace.configuration_wait
 
     async def refresh(self) -> None:
-        """Read once more what is too old to serve a request from: entries of workers, and what
-        operators publish, which only a process that did not run can find so old."""
+        """Renew views that are too old to serve a request from.
+
+        The view of operators' records gets so old only in a process that was suspended.
+        """
         await self._workers_follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_SECONDS)
         await self._operators_follower.refresh(OLDEST_PUBLISHED_SECONDS, REFRESH_SECONDS)
 
@@ -159,13 +166,13 @@
         log_event("workers_listed", count=len(announcements), unreadable=len(unreadable))
 
     def _worker_entry(self, record: KeyedRecord) -> WorkerAnnouncement | None:
-        """Decode a worker's entry; one that names no worker to use is told once for each key."""
+        """Decode a worker's entry; an unusable one is logged once for each key."""
         entry = self._dialect.worker_announcement(record)
         if entry is not None:
-            self._unreadable.discard(record.key)
-        elif record.value is not None and record.key not in self._unreadable:
-            if len(self._unreadable) < MOST_UNREADABLE:
-                self._unreadable.add(record.key)
+            self._logged_unusable.discard(record.key)
+        elif record.value is not None and record.key not in self._logged_unusable:
+            if len(self._logged_unusable) < MOST_LOGGED_UNUSABLE:
+                self._logged_unusable.add(record.key)
             log_event("worker_entry_unusable", "warning", key=record.key, offset=record.offset)
         return entry
 
@@ -184,31 +191,31 @@
         return self._workers_follower.freshness.disturbed_at
 
     def _worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
-        """Take that a worker's entry says that it is cold."""
+        """Handle an entry that says its worker is cold for so many seconds more."""
         service = self._routes.service(worker.announcement.service)
         if service is not None and service.cold_rate > 0.0:
             log_event("worker_cold", worker=worker.announcement.worker, seconds=seconds)
         self._cold.mark_cold(worker, seconds, now)
 
     def _log_worker_change(self, worker: str, change: str) -> None:
-        """Log a change of belief, where requests may hang on it.
+        """Log a change of a worker's state; at level debug where no request can depend on it.
 
-        Were each resting node to tell of each worker, that would be most of all lines: what such
-        a node reads once callers come, and whole lists, are told in one line.
+        Most of all lines would be those of resting nodes on each worker: what such a node reads,
+        and whole listings, are logged in one line.
         """
         unused = self._listing or self._pace is RESTING_PACE
         log_event("worker_changed", "debug" if unused else "info", worker=worker, change=change)
 
 
 class _GapWatch:
-    """Tells when a view is current again, or for the first time, after a gap in its news."""
+    """Detects that a view is complete again after a gap, or for the first time."""
 
     def __init__(self, on_renewed: Callable[[float], None]) -> None:
         self._on_renewed = on_renewed
         self._confirmed_at = -math.inf
 
     def __call__(self, confirmed_at: float) -> None:
-        """Take the time as of which the view is complete."""
+        """Handle a confirmation: the time as of which the view is complete."""
         gap = confirmed_at - self._confirmed_at
         self._confirmed_at = confirmed_at
         if gap > OLDEST_WARM_VIEW_SECONDS:
--- a/src/stagewalk/gateway/role_keeper.py
+++ b/src/stagewalk/gateway/role_controller.py
@@ -1,4 +1,8 @@
-"""Gives this node its roles, and has it read as often as they need."""
+"""Applies the roles that this node should have, and the pace of reading that they need.
+
+Owns the transitions: replica of the batch ledger, candidate for the lease on duties, listed to
+callers. Relies on `directory` for the rules that choose them.
+"""
 
 from __future__ import annotations
 
@@ -31,8 +35,8 @@
         return steady_seconds() < self._ends_at
 
 
-class RoleKeeper:
-    """Takes roles or gives them up, as the nodes known now suggest."""
+class RoleController:
+    """Changes this node's roles as the nodes known now require."""
 
     def __init__(
         self,
@@ -55,22 +59,22 @@
 
     @property
     def pace(self) -> ReadPace:
-        """Return how often this node reads now."""
+        """Return the pace of reading in force."""
         return self._pace
 
     def update(self, stopping: bool, now: float) -> None:
-        """Compare the roles this node has with those it should have."""
-        roles = self._nodes.wanted_roles()
+        """Apply the roles that this node should have now."""
+        roles = self._nodes.target_roles()
         self._nodes.set_listed(roles.listed and not stopping)
         busy = self._runner.busy or self._duties.held
         if self._replica.update(roles.replica and not stopping, busy, now):
             serving = len(self._nodes.serving())
             log_event("replica_role", holds=self._replica.announced, serving=serving)
             self._nodes.set_replica(self._replica.announced)
-        attentive = self._replica.following(now)
-        if attentive != self._duties.following:
-            self._duties.set_following(attentive)
-        following = attentive and not self._log_reserve.active
+        follows_lease = self._replica.following(now)
+        if follows_lease != self._duties.following:
+            self._duties.set_following(follows_lease)
+        following = follows_lease and not self._log_reserve.active
         if following != self._store.following:
             self._store.set_following(following)
         self._set_pace(read_pace(following, self._nodes.listed))
--- a/src/stagewalk/gateway/settings.py
+++ b/src/stagewalk/gateway/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a gateway: a TOML file, checked as a whole before anything starts."""
+"""Settings of a gateway: a TOML file, checked as a whole before anything starts.
+
+Owns names, defaults and bounds of the file's fields; docs/GATEWAY.md lists them.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 class Timing(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Bounds the surroundings set, in seconds.
+    """Time bounds that the platform sets, in seconds.
 
     Attributes
     ----------
@@ -41,14 +44,14 @@
 
 
 class Processor(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What this process gets of the machine: a share of a core, and how fast that core is."""
+    """This process's share of a core, and the core's speed relative to the usual one."""
 
     share: Positive = 1.0
     speed: Positive = 1.0
 
     @property
     def capacity(self) -> float:
-        """Return the cores of the usual speed that it gets."""
+        """Return the capacity, in cores of the usual speed."""
         return self.share * self.speed
 
 
@@ -56,7 +59,7 @@
 
 
 class LogLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What the log takes: bytes a record, bytes a call, and partitions a topic has."""
+    """Limits of the log: bytes a record, bytes a call, and partitions a topic has."""
 
     record_bytes: PositiveInteger = 262_144
     call_bytes: PositiveInteger = 2_097_152
@@ -70,11 +73,12 @@
     ----------
     mode
         `off`: none are ordered. `restore`: as many as were found when the service was first seen.
-        `demand`: besides, enough that each item of the open batches has a place at once.
+        `demand`: in addition, enough that each item of the open batches has a place at once.
     places_per_item
-        Places ordered for each item that was open at a time lately; 1.0: none waits.
+        Places ordered for each item of the recent peak of open items; 1.0: none waits.
     spot
-        Whether what is ordered beyond those found is of the cheaper kind, which may be taken away.
+        Whether workers ordered beyond those found are of the cheaper kind, which the platform may
+        reclaim.
     """
 
     mode: Literal["off", "restore", "demand"] = "demand"
@@ -87,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutySettings:
-    """Where the platform takes the calls that one node at a time makes.
+    """Where the platform serves the calls that one node at a time makes.
 
     Attributes
     ----------
@@ -109,13 +113,13 @@
     Attributes
     ----------
     front, readiness, directory
-        Where callers, readiness checks and askers for addresses connect.
+        Where callers, readiness checks and directory look-ups connect.
     peers
         Where other nodes connect; None: they can't.
     processor
-        Faster nodes rather than slower ones run batches.
+        Share and speed of the processor: faster nodes are preferred for running batches.
     metrics
-        Where metrics are served besides.
+        A further listener of the same application, for metrics and operators.
     log
         The platform's partitioned log.
     policy
--- a/src/stagewalk/gateway/settings_reload.py
+++ b/src/stagewalk/gateway/settings_reload.py
@@ -1,4 +1,7 @@
-"""Settings read again while a gateway runs."""
+"""Settings read again while a gateway runs.
+
+Owns which settings may change without a restart: the section `timing` and no other.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/gateway/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -84,14 +84,12 @@
         self._demand = ModelDemand()
         self._set_sizes: dict[tuple[str, ...], SetSizes] = {}
         """By the models that engines hold."""
-        self.on_named: Callable[[str, int], None] = lambda _model, _version: None
 
     def name_version(self, model: str, version: int) -> bool:
         """Take a named version; return whether it is the newest."""
         if version <= self._named.get(model, 0):
             return False
         self._named[model] = version
-        self.on_named(model, version)
         return True
 
     def named(self, model: str) -> int:
--- a/tests/gateway/leases/test_log_lease.py
+++ b/tests/gateway/leases/test_log_lease.py
@@ -59,11 +59,11 @@
             if self.chooser.random() < 0.7:
                 process.lease.apply(offset, step.record, self.now)
                 process.read_to = offset + 1
-                process.lease.renewal_taken(self.now, offset)
+                process.lease.record_accepted(self.now, offset)
         elif isinstance(step, Renew):
             self.append(step.record.encode())
             if self.chooser.random() < 0.8:
-                process.lease.renewal_taken(self.now, step.record.fence)
+                process.lease.record_accepted(self.now, step.record.fence)
         if process.lease.may_act(self.now):
             process.acted.append(self.now)
 
@@ -106,7 +106,7 @@
         lease = LogLease("a#1", QUIET, 0.0)
         step = lease.decide(0.0, current=True)
         lease.apply(0, step.record, 0.0)
-        lease.renewal_taken(0.0, 0)
+        lease.record_accepted(0.0, 0)
         self.assertTrue(lease.may_act(LEASE_SECONDS - 0.1))
         self.assertFalse(lease.may_act(LEASE_SECONDS + 0.1))
 
@@ -130,7 +130,7 @@
         step = restarted.decide(5.1, current=True)
         self.assertIsInstance(step, Acquire)
         restarted.apply(1, step.record, 5.2)
-        restarted.renewal_taken(5.1, 1)
+        restarted.record_accepted(5.1, 1)
         self.assertTrue(restarted.may_act(5.3))
         self.assertEqual(1, restarted.fence)
 
@@ -144,30 +144,30 @@
         step = next_lease.decide(1.1, current=True)
         self.assertIsInstance(step, Acquire)
         next_lease.apply(2, step.record, 1.1)
-        next_lease.renewal_taken(1.1, 2)
+        next_lease.record_accepted(1.1, 2)
         self.assertFalse(next_lease.may_act(1.2))
-        next_lease.renewal_taken(3.9, 2)
+        next_lease.record_accepted(3.9, 2)
         self.assertTrue(next_lease.may_act(4.2))
 
     def test_a_holder_whose_fence_was_overtaken_acts_no_more_under_it(self) -> None:
         lease = LogLease("a#1", QUIET, 0.0)
         lease.apply(0, lease.decide(0.0, current=True).record, 0.0)
-        lease.renewal_taken(0.0, 0)
+        lease.record_accepted(0.0, 0)
         self.assertTrue(lease.may_act(0.1))
         lease.overtaken(fence=0)
         self.assertFalse(lease.may_act(0.1))
-        lease.renewal_taken(0.1, 0)
+        lease.record_accepted(0.1, 0)
         self.assertFalse(lease.may_act(0.2))
         step = lease.decide(0.2, current=True)
         self.assertIsInstance(step, Acquire)
         lease.apply(1, step.record, 0.2)
-        lease.renewal_taken(0.2, 1)
+        lease.record_accepted(0.2, 1)
         self.assertEqual(1, lease.fence)
         self.assertTrue(lease.may_act(0.3))
 
     def test_news_of_an_overtaken_fence_that_is_not_the_one_held_changes_nothing(self) -> None:
         lease = LogLease("a#1", QUIET, 0.0)
         lease.apply(5, lease.decide(0.0, current=True).record, 0.0)
-        lease.renewal_taken(0.0, 5)
+        lease.record_accepted(0.0, 5)
         lease.overtaken(fence=3)
         self.assertTrue(lease.may_act(0.1))
--- a/tests/gateway/nodes/test_node_service.py
+++ b/tests/gateway/nodes/test_node_service.py
@@ -90,7 +90,7 @@
             async def scenario(
                 nodes: NodeService = nodes, replica: bool = replica, hosts: set[str] = hosts
             ) -> None:
-                self.assertEqual(replica, nodes.wanted_roles().replica)
+                self.assertEqual(replica, nodes.target_roles().replica)
                 self.assertEqual(replica, nodes.may_hold_batches)
                 peers = nodes.peers()
                 self.assertEqual(hosts, {peer.host for peer in (*peers.near, *peers.beyond)})
@@ -123,7 +123,7 @@
         nodes = service(self.log)
 
         async def scenario() -> None:
-            roles = nodes.wanted_roles()
+            roles = nodes.target_roles()
             self.assertFalse(roles.replica or roles.listed)
             nodes.set_serving(True)
 
@@ -145,7 +145,7 @@
 
         async def scenario() -> None:
             client.faults.down = True
-            nodes.wanted_roles()
+            nodes.target_roles()
             nodes.set_serving(True)
             await anyio.sleep(0.2)
             client.faults.down = False
@@ -165,7 +165,7 @@
         nodes = service(self.log)
 
         async def scenario() -> None:
-            nodes.wanted_roles()
+            nodes.target_roles()
             nodes.set_listed(True)
 
             async def told() -> bool:
--- a/tests/gateway/usage/test_reporting.py
+++ b/tests/gateway/usage/test_reporting.py
@@ -212,7 +212,7 @@
         offset = len(self.records) - 1
         self._read(process)
         fence = offset if isinstance(step, Acquire) else step.record.fence
-        process.lease.renewal_taken(self.now, fence)
+        process.lease.record_accepted(self.now, fence)
 
     def _report(self, process: Process) -> None:
         fence = process.lease.fence
--- a/tests/node/leases/test_lease_gap.py
+++ b/tests/node/leases/test_lease_gap.py
@@ -25,11 +25,11 @@
         while not isinstance(lease.decide(now, current=True), Acquire):
             now += 0.1
         lease.apply(50, LeaseRecord(OWN, NO_FENCE), now)
-        lease.renewal_taken(now, 50)
+        lease.record_accepted(now, 50)
         self.assertTrue(lease.held)
         quiet_until = GAP_AT + LEASE_SECONDS + QUIET_SECONDS
         while now < quiet_until - 0.1:
-            lease.renewal_taken(now, 50)
+            lease.record_accepted(now, 50)
             self.assertFalse(lease.may_act(now), f"{now - GAP_AT:.1f} s after the gap")
             now += 0.1
 
