--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -170,7 +170,7 @@
 
     def appends_stalled(self, batch: str) -> float | None:
         """Return since when the batch's partition takes no appends, None if it does."""
-        return self._appender(batch).struggling_since
+        return self._appender(batch).failing_since
 
     async def wait_for_news(self, batch: str, timeout_seconds: float) -> None:
         """Wait until something of a batch changes."""
--- a/src/stagewalk/gateway/log_relay/messages.py
+++ b/src/stagewalk/gateway/log_relay/messages.py
@@ -1,6 +1,7 @@
 """Calls of the log as nodes send them to each other, and their answers.
 
-Encoded with `msgspec`, which takes the port's own types as they are.
+Owns the wire format between nodes: `msgspec` encodes the port's own types, so the names of their
+fields are part of it.
 """
 
 from __future__ import annotations
@@ -84,7 +85,7 @@
 
 
 def decode_call(content: bytes) -> LogCall | None:
-    """Return the call that bytes spell, None if they spell none."""
+    """Return the call that bytes encode, None if they encode none."""
     try:
         return _CALLS.decode(content)
     except msgspec.DecodeError:
@@ -92,7 +93,7 @@
 
 
 def decode_answer(content: bytes) -> LogAnswer | None:
-    """Return the answer that bytes spell, None if they spell none."""
+    """Return the answer that bytes encode, None if they encode none."""
     try:
         return _ANSWERS.decode(content)
     except msgspec.DecodeError:
--- a/src/stagewalk/gateway/log_relay/path_choice.py
+++ b/src/stagewalk/gateway/log_relay/path_choice.py
@@ -1,4 +1,8 @@
-"""Decides whether a call of the log goes straight or through another node. Pure."""
+"""Decides whether a call of the log goes to it directly or through another node. Pure.
+
+Inputs: outcomes of earlier calls by either path, and the time. Rule: directly, unless that failed
+last and a relay has worked since; then through the relay, with the direct path probed beside it.
+"""
 
 from __future__ import annotations
 
@@ -7,34 +11,34 @@
 from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault
 
 PROBE_SECONDS = 1.0
-"""How often the straight way is tried while calls go through another node."""
+"""Between two probes of the direct path while calls are relayed. Chosen, not measured."""
 
 SETTLED = frozenset(
     {LogFault.CONFLICT, LogFault.OUT_OF_SEQUENCE, LogFault.DROPPED, LogFault.REJECTED}
 )
-"""Failures that are the log's own answer: another way would bring the same."""
+"""Failures that are the log's own answer: the other path would bring the same."""
 
 
 class PathChoice:
-    """Remembers which way last worked. Times are of the steady clock, in seconds."""
+    """Remembers which path last worked. Times are of the steady clock, in seconds."""
 
     def __init__(self) -> None:
-        self._straight_failed_at = -math.inf
+        self._direct_failed_at = -math.inf
         self._relay_worked_at = -math.inf
         self._probed_at = -math.inf
 
     @property
-    def straight_fails(self) -> bool:
-        """Whether the straight way did not work when it was last tried."""
-        return self._straight_failed_at > -math.inf
+    def direct_fails(self) -> bool:
+        """Whether the direct path did not work when it was last tried."""
+        return self._direct_failed_at > -math.inf
 
     @property
     def relaying(self) -> bool:
-        """Whether another node's way works and the straight one doesn't."""
-        return self._relay_worked_at > self._straight_failed_at > -math.inf
+        """Whether the relay works and the direct path doesn't."""
+        return self._relay_worked_at > self._direct_failed_at > -math.inf
 
-    def straight_first(self, now: float) -> bool:
-        """Whether to begin with the straight way; now and then it is tried again."""
+    def direct_first(self, now: float) -> bool:
+        """Whether to try the direct path first; while relaying, once every `PROBE_SECONDS`."""
         if not self.relaying:
             return True
         if now - self._probed_at < PROBE_SECONDS:
@@ -42,15 +46,15 @@
         self._probed_at = now
         return True
 
-    def note_straight(self, failure: LogFailure | None, now: float) -> bool:
-        """Take the outcome of a straight call; return whether it settles the call."""
+    def record_direct(self, failure: LogFailure | None, now: float) -> bool:
+        """Record the outcome of a direct call; return whether it settles the call."""
         if failure is None or failure.fault in SETTLED:
-            self._straight_failed_at = -math.inf
+            self._direct_failed_at = -math.inf
             return True
         if not self.relaying:
-            self._straight_failed_at = now
+            self._direct_failed_at = now
         return False
 
-    def note_relay(self, worked: bool, now: float) -> None:
-        """Take the outcome of a call through another node."""
+    def record_relay(self, worked: bool, now: float) -> None:
+        """Record the outcome of a relayed call."""
         self._relay_worked_at = now if worked else -math.inf
--- a/src/stagewalk/gateway/log_relay/relayed_log.py
+++ b/src/stagewalk/gateway/log_relay/relayed_log.py
@@ -1,4 +1,8 @@
-"""The log as a node sees it that may be cut off from it: straight, or through another node."""
+"""The log for a node that may be cut off from it: called directly, or through another node.
+
+Owns the race of the two paths and which outcome counts. Relies on `path_choice` for the path, on
+the peers' client for relayed calls.
+"""
 
 from __future__ import annotations
 
@@ -42,15 +46,16 @@
 
 RELAY_PATH = "/log"
 ANSWER_SECONDS = 1.5
-"""How long another node may take beyond the time a read offers to wait."""
+"""How long another node's answer may take beyond the time a read offers to wait. Chosen, not
+measured."""
 
 SILENCE_SECONDS = 0.4
-"""A call that the log has not answered so long after it should have goes through another node as
-well: a hundred times what the log takes, and well below the time-out of a call (1.2 s), after which
-a node would learn of a configuration too late."""
+"""A call that the log has not answered so long after it should have is relayed as well: a hundred
+times what the log takes, and well below the time-out of a call (1.2 s), after which a node would
+learn of a configuration too late."""
 
 PEERS_ASKED = 3
-"""Nodes asked in a row that say at once that they are cut off too."""
+"""Nodes asked in turn while each replies that it is cut off too. Chosen, not measured."""
 
 _NO_ANSWER = LogFailure(LogFault.UNKNOWN, "no answer yet")
 _NOT_TAKEN = LogFailure(LogFault.REFUSED, "the asked node takes no connection")
@@ -58,26 +63,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPeers:
-    """Where other nodes take relayed calls: in this node's region, and in others."""
+    """Where other nodes serve relayed calls: in this node's region, and in others."""
 
     near: Sequence[Address] = ()
     beyond: Sequence[Address] = ()
 
 
 Peers = Callable[[], RelayPeers]
-"""Returns the nodes that take relayed calls now."""
+"""Returns the nodes that serve relayed calls now."""
 
 
 class RelayedLog:
-    """Tries the log itself, then another node, and remembers which way works.
+    """Calls the log directly, or through another node, and remembers which path works.
 
-    Only calls that may be done twice are sent a second way: appends carry their sequence, keyed
-    ones set the same value. An `append_at` without an answer is left to its caller, who reads.
-    While another node's way works, the straight one is tried beside it now and then.
+    Only calls that may be carried out twice are sent by both paths: appends carry their sequence,
+    keyed ones set the same value. An `append_at` without an answer is left to its caller, who
+    reads. While the relay works, the direct path is probed beside it.
     """
 
-    def __init__(self, straight: PartitionedLog, peers: Peers, client: PeerClient) -> None:
-        self._straight = straight
+    def __init__(self, direct: PartitionedLog, peers: Peers, client: PeerClient) -> None:
+        self._direct = direct
         self._peers = peers
         self._client = client
         self._choice = PathChoice()
@@ -88,7 +93,7 @@
     ) -> Result[int, LogFailure]:
         """Append all records or none, once."""
         return await self._either(
-            lambda: self._straight.append(partition, payloads, sequence),
+            lambda: self._direct.append(partition, payloads, sequence),
             AppendCall(partition, list(payloads), sequence),
             lambda answer: answer.offset,
         )
@@ -100,14 +105,14 @@
         if self._choice.relaying:
             call = AppendAtCall(partition, payload, end)
             return await self._relay(call, lambda answer: answer.offset, 0.0)
-        return await self._straight.append_at(partition, payload, end)
+        return await self._direct.append_at(partition, payload, end)
 
     async def append_keyed(
         self, partition: Partition, key: str, value: bytes
     ) -> Result[int, LogFailure]:
         """Set a key of a compacted topic."""
         return await self._either(
-            lambda: self._straight.append_keyed(partition, key, value),
+            lambda: self._direct.append_keyed(partition, key, value),
             AppendKeyedCall(partition, key, value),
             lambda answer: answer.offset,
         )
@@ -117,7 +122,7 @@
     ) -> Result[RecordPage, LogFailure]:
         """Read from an offset on."""
         return await self._either(
-            lambda: self._straight.read(partition, offset, wait_seconds),
+            lambda: self._direct.read(partition, offset, wait_seconds),
             ReadCall(partition, offset, wait_seconds),
             lambda answer: answer.page,
             wait_seconds,
@@ -128,7 +133,7 @@
     ) -> Result[KeyedPage, LogFailure]:
         """Read changes of a compacted topic."""
         return await self._either(
-            lambda: self._straight.read_keyed(partition, offset, wait_seconds),
+            lambda: self._direct.read_keyed(partition, offset, wait_seconds),
             ReadKeyedCall(partition, offset, wait_seconds),
             lambda answer: answer.keyed,
             wait_seconds,
@@ -137,38 +142,36 @@
     async def newest(self, partition: Partition) -> Result[KeyedPage, LogFailure]:
         """Read the newest record of each key."""
         return await self._either(
-            lambda: self._straight.newest(partition),
+            lambda: self._direct.newest(partition),
             NewestCall(partition),
             lambda answer: answer.keyed,
         )
 
     async def _either(
         self,
-        straight: Callable[[], Awaitable[Result[Value, LogFailure]]],
+        direct: Callable[[], Awaitable[Result[Value, LogFailure]]],
         call: LogCall,
         pick: Callable[[LogAnswer], Value | None],
         wait_seconds: float = 0.0,
     ) -> Result[Value, LogFailure]:
         relaying = self._choice.relaying
-        if not self._choice.straight_first(steady_seconds()):
+        if not self._choice.direct_first(steady_seconds()):
             relayed = await self._relay(call, pick, wait_seconds)
             if relayed.is_ok():
                 return relayed
-            answer = await straight()
-            self._choice.note_straight(_error_of(answer), steady_seconds())
+            answer = await direct()
+            self._choice.record_direct(_error_of(answer), steady_seconds())
             return _outcome(answer, relayed)
         relay_after = 0.0 if relaying else wait_seconds + SILENCE_SECONDS
-        return await self._race(
-            straight, lambda: self._relay(call, pick, wait_seconds), relay_after
-        )
+        return await self._race(direct, lambda: self._relay(call, pick, wait_seconds), relay_after)
 
     async def _race(
         self,
-        straight: Callable[[], Awaitable[Result[Value, LogFailure]]],
+        direct: Callable[[], Awaitable[Result[Value, LogFailure]]],
         relay: Callable[[], Awaitable[Result[Value, LogFailure]]],
         relay_after: float,
     ) -> Result[Value, LogFailure]:
-        """Call straight, and through another node once that failed or was silent for a time.
+        """Call directly, and through another node once that failed or was silent for a time.
 
         The first success counts; without any, see `_outcome`.
         """
@@ -177,25 +180,25 @@
         failed = anyio.Event()
         async with anyio.create_task_group() as tasks:
 
-            async def go_straight() -> None:
-                answer = await straight()
+            async def call_direct() -> None:
+                answer = await direct()
                 answers.insert(0, answer)
-                if self._choice.note_straight(_error_of(answer), steady_seconds()):
+                if self._choice.record_direct(_error_of(answer), steady_seconds()):
                     tasks.cancel_scope.cancel()
                 failed.set()
 
-            async def go_around() -> None:
+            async def call_relay() -> None:
                 with anyio.move_on_after(relay_after):
                     await failed.wait()
                 if not failed.is_set():
-                    self._choice.note_straight(_NO_ANSWER, steady_seconds())
+                    self._choice.record_direct(_NO_ANSWER, steady_seconds())
                 answer = await relay()
                 relayed.append(answer)
                 if answer.is_ok():
                     tasks.cancel_scope.cancel()
 
-            tasks.start_soon(go_straight)
-            tasks.start_soon(go_around)
+            tasks.start_soon(call_direct)
+            tasks.start_soon(call_relay)
         if not relayed:
             return answers[0]
         return _outcome(answers[0], relayed[0]) if answers else relayed[0]
@@ -205,12 +208,12 @@
     ) -> Result[Value, LogFailure]:
         """Send a call through another node, always the same one while it answers."""
         before = self._choice.relaying
-        peer, answer = await self._ask_around(call, wait_seconds + ANSWER_SECONDS)
+        peer, answer = await self._ask_peers(call, wait_seconds + ANSWER_SECONDS)
         if peer is None:
             return Error(LogFailure(LogFault.REFUSED, "no other node is known"))
         failure = _failure_of(answer)
         worked = answer is not None and (failure is None or failure.fault not in _UNSETTLED)
-        self._choice.note_relay(worked, steady_seconds())
+        self._choice.record_relay(worked, steady_seconds())
         self._peer = peer if worked else None
         if worked and not before:
             log_event("log_relayed", through=str(peer))
@@ -221,10 +224,10 @@
             return Error(LogFailure(LogFault.UNKNOWN, f"a wrong answer through {peer}"))
         return Ok(value)
 
-    async def _ask_around(
+    async def _ask_peers(
         self, call: LogCall, seconds: float
     ) -> tuple[Address | None, LogAnswer | None]:
-        """Return the node that was asked last and its answer, of a few that may be cut off too."""
+        """Return the node that was asked last and its answer: a few are asked while cut off too."""
         peer: Address | None = None
         answer: LogAnswer | None = None
         for candidate in self._candidates():
@@ -248,8 +251,8 @@
 
     @property
     def cut_off(self) -> bool:
-        """Whether the straight way to the log did not work when it was last tried."""
-        return self._choice.straight_fails
+        """Whether the direct path to the log did not work when it was last tried."""
+        return self._choice.direct_fails
 
     async def _send(self, peer: Address, call: LogCall, seconds: float) -> LogAnswer | None:
         message = encode_message(call)
@@ -263,16 +266,16 @@
 
 
 def _outcome(
-    straight: Result[Value, LogFailure], relayed: Result[Value, LogFailure]
+    direct: Result[Value, LogFailure], relayed: Result[Value, LogFailure]
 ) -> Result[Value, LogFailure]:
-    """Return what became of a call that went both ways: what tells most of it.
+    """Return the outcome of a call that was sent by both paths: the one that proves most.
 
-    A success, else what the log said of the call by either way, such as that records are gone.
-    Another node that did not answer may have passed the call on: a refusal of the straight way
-    proves nothing then, and a caller who took it for certain would tell that what is in the log is
-    not, and use its sequence for something else.
+    A success, else the log's own failure by either path, such as that records are gone. Another
+    node that did not answer may have passed the call on: a refusal of the direct path proves
+    nothing then, and a caller that relied on it would report that what is in the log is not, and
+    use its sequence for something else.
     """
-    return min(straight, relayed, key=_certainty)
+    return min(direct, relayed, key=_certainty)
 
 
 def _certainty(answer: Result[Value, LogFailure]) -> int:
--- a/src/stagewalk/gateway/log_relay/server.py
+++ b/src/stagewalk/gateway/log_relay/server.py
@@ -1,4 +1,7 @@
-"""Serves other nodes' calls of the log with this node's straight way to it."""
+"""Serves other nodes' calls of the log, by this node's direct path to it.
+
+Relies on `messages` for the encoding; a call is never relayed twice.
+"""
 
 from __future__ import annotations
 
@@ -29,16 +32,16 @@
     Parameters
     ----------
     cut_off
-        Whether this node's own calls of the log fail: then it says so at once, and the caller asks
-        another node.
+        Whether this node's own calls of the log fail: then it replies so at once, and the caller
+        asks another node.
     """
 
-    def __init__(self, straight: PartitionedLog, cut_off: Callable[[], bool]) -> None:
-        self._straight = straight
+    def __init__(self, direct: PartitionedLog, cut_off: Callable[[], bool]) -> None:
+        self._direct = direct
         self._cut_off = cut_off
 
     async def handle(self, content: bytes) -> bytes | None:
-        """Carry a call out; None if the bytes spell none."""
+        """Carry out a call and return the encoded answer; None if the bytes are no call."""
         call = decode_call(content)
         if call is None:
             return None
@@ -47,7 +50,7 @@
         return encode_message(await self._carry_out(call))
 
     async def _carry_out(self, call: LogCall) -> LogAnswer:
-        log = self._straight
+        log = self._direct
         match call:
             case AppendCall():
                 appended = await log.append(call.partition, call.payloads, call.sequence)
--- a/src/stagewalk/gateway/partitioned_log/appender.py
+++ b/src/stagewalk/gateway/partitioned_log/appender.py
@@ -1,8 +1,8 @@
 """Appends to one partition exactly once, several callers' records in one call.
 
 An append whose answer was lost is sent again under the same sequence until the log has settled
-it; only then does the next one go. So a record is never doubled, and never overtaken by a later
-one of the same process.
+it; only then is the next one sent. So a record is never doubled, and never overtaken by a later
+one of the same process. Owns the queue, the producer's epoch and sequence, and the retries.
 """
 
 from __future__ import annotations
@@ -27,7 +27,11 @@
 RETRY_SECONDS = 0.1
 SLOW_RETRY_SECONDS = 0.3
 QUICK_RETRIES = 5
+"""Pauses before a failed append is sent again: of the first retries, and once so many failed in a
+row. Chosen, not measured."""
+
 RECORD_OVERHEAD_BYTES = 4
+"""Bytes of a call beside each record: its length."""
 
 
 class AppendOutcome(StrEnum):
@@ -67,8 +71,8 @@
         self._sequence = 0
         self._queue: deque[_Pending] = deque()
         self._arrived = anyio.Event()
-        self.struggling_since: float | None = None
-        """Since when (steady clock) the log has not taken what was sent; None: it does."""
+        self.failing_since: float | None = None
+        """Since when (steady clock) the log has accepted no append; None: it accepts them."""
 
     async def append(
         self, payloads: Sequence[bytes], timeout_seconds: float
@@ -174,13 +178,13 @@
             pending.settled.set()
 
     def _note_success(self) -> None:
-        if self.struggling_since is not None:
+        if self.failing_since is not None:
             log_event("appends_resumed", partition=str(self._partition))
-        self.struggling_since = None
+        self.failing_since = None
 
     def _note_failure(self, fault: LogFault, detail: str, failures: int) -> None:
-        if self.struggling_since is None:
-            self.struggling_since = steady_seconds()
+        if self.failing_since is None:
+            self.failing_since = steady_seconds()
         if failures == QUICK_RETRIES:
             log_event(
                 "appends_stalled",
--- a/src/stagewalk/gateway/partitioned_log/measured_log.py
+++ b/src/stagewalk/gateway/partitioned_log/measured_log.py
@@ -1,4 +1,7 @@
-"""The log with each call counted and timed."""
+"""The log with each call counted and timed, for metrics.
+
+Owns what is timed: a call's seconds without the wait that a read offers.
+"""
 
 from __future__ import annotations
 
@@ -22,11 +25,11 @@
 ANSWERED = "answered"
 
 CallObserver = Callable[[str, str, float], None]
-"""Takes a call's operation, its outcome (`ANSWERED` or a fault) and its seconds."""
+"""Receives a call's operation, its outcome (`ANSWERED` or a fault) and its seconds."""
 
 
 class MeasuredLog:
-    """Passes calls on; the time of a read leaves out how long it offered to wait."""
+    """Forwards calls to a log and times them; a read's offered wait is subtracted."""
 
     def __init__(self, log: PartitionedLog, observe: CallObserver) -> None:
         self._log = log
--- a/src/stagewalk/gateway/peer_calls/client.py
+++ b/src/stagewalk/gateway/peer_calls/client.py
@@ -1,4 +1,7 @@
-"""Calls other nodes over pooled connections."""
+"""Calls other nodes over pooled connections.
+
+Owns the bounds of connections, and what the lack of an answer proves (`PeerFault`).
+"""
 
 from __future__ import annotations
 
@@ -14,13 +17,16 @@
 from stagewalk.common.logs.lines import log_event
 
 CONNECT_SECONDS = 0.3
-"""A node that takes no connection within this time is gone or cut off."""
+"""A node that accepts no connection within this time is gone or cut off. Chosen, not measured."""
 
 MAXIMUM_POOLS = 32
 PEER_CONNECTIONS = 16
 PEER_IDLE = 4
-KEEPALIVE_SECONDS = 10.0
+"""Nodes with pooled connections at once, connections to one node, and idle ones of these that are
+kept. Chosen, not measured."""
 
+KEEPALIVE_SECONDS = 10.0
+"""How long an idle connection is kept. Chosen, not measured."""
 
 _NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
@@ -29,7 +35,7 @@
     """Why a call of another node brought no answer."""
 
     NOT_SENT = "not_sent"
-    """The node took no connection: it got no byte of the call."""
+    """The node accepted no connection: it received no byte of the call."""
     UNKNOWN = "unknown"
     """It may have carried the call out."""
 
@@ -50,7 +56,7 @@
     async def exchange(
         self, peer: Address, path: str, content: bytes, answer_seconds: float
     ) -> Result[bytes, PeerFault]:
-        """Return the answer's bytes, or what its lack proves.
+        """Return the answer's bytes, or what its absence proves.
 
         Parameters
         ----------
--- a/src/stagewalk/gateway/peer_calls/server.py
+++ b/src/stagewalk/gateway/peer_calls/server.py
@@ -1,4 +1,7 @@
-"""Serves the calls of other nodes: one handler for each path."""
+"""Serves the calls of other nodes: one handler for each path.
+
+Owns the bounds of a call's size and of calls under way.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,13 @@
 from stagewalk.common.http.lifespan import serve_lifespan
 
 MAXIMUM_CALL_BYTES = 8 * 1024 * 1024
+"""Above what the log accepts in one call (2 MiB). Chosen, not measured."""
+
 MAXIMUM_CALLS = 256
-"""Calls under way for other nodes; further ones are refused."""
+"""Calls under way for other nodes; further ones are refused. Chosen, not measured."""
 
 PeerHandler = Callable[[bytes], Awaitable[bytes | None]]
-"""Answers a call; None says that the call can't be read."""
+"""Handles a call and returns its answer; None if the call can't be decoded."""
 
 
 class PeerApp:
--- a/src/stagewalk/gateway/ports/duties.py
+++ b/src/stagewalk/gateway/ports/duties.py
@@ -61,7 +61,7 @@
 
 
 class DutyClient(Protocol):
-    """What the product tells the platform as the holder of a duty."""
+    """Calls of the platform by the holder of a duty."""
 
     async def report_usage(self, holder: DutyHolder, report: UsageReport) -> DutyOutcome:
         """Report a window's usage; an exact repeat changes nothing."""
--- a/src/stagewalk/gateway/ports/partitioned_log.py
+++ b/src/stagewalk/gateway/ports/partitioned_log.py
@@ -1,4 +1,8 @@
-"""Port of the platform's partitioned log: ordered records, conditional and idempotent appends."""
+"""Port of the platform's partitioned log: ordered records, conditional and idempotent appends.
+
+Owns the types of calls and failures. Nodes send them to each other, so their fields' names are on
+the wire.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +28,7 @@
     DROPPED = "dropped"
     """The records asked for are gone; see `LogFailure.first_offset`."""
     REJECTED = "rejected"
-    """The log can't take such a call at all."""
+    """The log never accepts such a call."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +81,7 @@
 class KeyedPage:
     """Keyed records in offset order; `next_offset` follows the last of them, `end` the partition's.
 
-    An `end` of 0 was not told: then there are no more records.
+    An `end` of 0 is unknown: then there are no more records.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -87,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProducerSequence:
-    """Makes an append idempotent: the log takes each sequence of a producer's epoch once."""
+    """Makes an append idempotent: the log accepts each sequence of a producer's epoch once."""
 
     producer: str
     epoch: int
