--- a/src/stagewalk/gateway/peer_calls/client.py
+++ b/src/stagewalk/gateway/peer_calls/client.py
@@ -11,7 +11,7 @@
 import httpx
 from expression import Error, Ok, Result
 
-from stagewalk.common.http.calls import describe, process_url
+from stagewalk.common.http.calls import NOT_SENT_ERRORS, describe, process_url
 from stagewalk.common.http.connection_pools import ConnectionPools
 from stagewalk.common.identities import Address
 from stagewalk.common.logs.lines import log_event
@@ -28,8 +28,6 @@
 KEEPALIVE_SECONDS = 10.0
 """How long an idle connection is kept. Chosen, not measured."""
 
-_NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
-
 
 class PeerFault(StrEnum):
     """Why a call of another node brought no answer."""
@@ -81,6 +79,6 @@
                     await response.aread()
         except (httpx.HTTPError, TimeoutError) as error:
             log_event("peer_call_failed", "debug", peer=str(peer), detail=describe(error))
-            not_sent = isinstance(error, _NOT_SENT)
+            not_sent = isinstance(error, NOT_SENT_ERRORS)
             return Error(PeerFault.NOT_SENT if not_sent else PeerFault.UNKNOWN)
         return Ok(response.content) if response.is_success else Error(PeerFault.UNKNOWN)
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -15,7 +15,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.cold_starts.core import OLDEST_VIEW_SECONDS as OLDEST_WARM_VIEW_SECONDS
 from stagewalk.gateway.cold_starts.core import ColdStarts
-from stagewalk.gateway.dialect import Dialect, NamedVersion, ZoneEvacuation
+from stagewalk.gateway.dialect import Dialect, NamedVersion, OperatorRecord, ZoneEvacuation
 from stagewalk.gateway.directory.read_pace import (
     LISTED_PACE,
     OLDEST_VIEW_SECONDS,
@@ -132,13 +132,15 @@
         for record in records:
             published = self._dialect.operator_record(record)
             if not isinstance(published, ZoneEvacuation):
-                self._apply_published(record)
+                self._apply_decoded(record, published)
             elif published.in_force:
                 evacuated.add(published.zone)
         self._evacuations.replace(evacuated, steady_seconds())
 
     def _apply_published(self, record: KeyedRecord) -> None:
-        published = self._dialect.operator_record(record)
+        self._apply_decoded(record, self._dialect.operator_record(record))
+
+    def _apply_decoded(self, record: KeyedRecord, published: OperatorRecord | None) -> None:
         if published is None:
             log_event("published_unreadable", "warning", key=record.key, offset=record.offset)
         elif isinstance(published, ZoneEvacuation):
