--- a/tests/gateway/nodes/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -8,7 +8,7 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.nodes.crash_watch import MOST_UNSENT, CrashWatch
+from stagewalk.gateway.nodes.crash_watch import CrashWatch
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, ContactLoss
 from stagewalk.gateway.quarantine.content import RequestContent
@@ -103,7 +103,7 @@
                     self.watch.publish(content)
             self.watch.step(steady_seconds())
             self.assertLessEqual(len(self.watch._unpublished), MOST_CRASHES)
-            self.assertLessEqual(len(self.watch._unsent), MOST_UNSENT)
+            self.assertLessEqual(len(self.watch._unappended), MOST_UNAPPENDED)
             self.assertLessEqual(self.watch.suspects, MOST_CRASHES)
 
         anyio.run(scenario)
