--- a/src/stagewalk/bench/hollow_node.py
+++ b/src/stagewalk/bench/hollow_node.py
@@ -48,13 +48,13 @@
         self._platform = platform
         self._events = EventQueue()
         self._metrics = NodeMetrics()
-        self._transport = PeerTransport(identity.address, self._events, self._metrics)
+        self._transport = PeerTransport(identity.address, self._events, self._metrics.peers)
         self._scope = anyio.CancelScope()
         self._handlers = self._make_handlers()
 
     async def run(self) -> None:
         """Run until killed."""
-        runner = CoreRunner(self.core, self._events, self._carry_out, self._metrics)
+        runner = CoreRunner(self.core, self._events, self._carry_out, self._metrics.core)
         with self._scope:
             async with anyio.create_task_group() as tasks:
                 await tasks.start(self._transport.run)
@@ -73,11 +73,11 @@
 
     def messages(self, direction: str) -> float:
         """Return how many messages it sent or received."""
-        return _total(self._metrics.peer_messages, direction)
+        return _total(self._metrics.peers.messages, direction)
 
     def octets(self, direction: str) -> float:
         """Return how many bytes of messages it sent or received, without IP headers."""
-        return _total(self._metrics.peer_bytes, direction)
+        return _total(self._metrics.peers.bytes, direction)
 
     def _make_handlers(self) -> dict[type, Callable[[Any], None]]:
         platform, deliver = self._platform, self._deliver
--- a/src/stagewalk/node/adapters/engine_stream.py
+++ b/src/stagewalk/node/adapters/engine_stream.py
@@ -1,4 +1,8 @@
-"""Streamed attempts at model engines over server-sent events."""
+"""Streamed attempts at model engines over server-sent events.
+
+Owns the rule for a lost stream: an attempt counts as sent unless connecting failed, and its stream
+is resumed at the same engine, which runs nothing twice. Relies on the core for any other attempt.
+"""
 
 from __future__ import annotations
 
@@ -29,12 +33,14 @@
 from stagewalk.node.ports.engines import AttemptSink, FinalAttemptEvent
 
 ATTEMPT_GRACE_SECONDS = 5.0
-"""How long a stream may outlive its request's deadline before it is given up."""
+"""How long a stream may outlive its request's deadline before it is given up. Chosen, not
+measured."""
 
 RECONNECTIONS = 3
-"""How often in a row, without a further chunk, a lost stream is asked for again."""
+"""How often in a row, without a further chunk, a lost stream is resumed. Chosen, not measured."""
 
 RECONNECTION_DELAY_SECONDS = 0.2
+"""Pause before a lost stream is resumed. Chosen, not measured."""
 
 _DATA_FIELD = "data:"
 _STREAM_END = "[DONE]"
@@ -129,12 +135,12 @@
                 event = decode_event(data)
             except msgspec.DecodeError as error:
                 return _Lost(f"bad frame: {error}")
-            final = await self._take(event, renumber)
+            final = await self._handle(event, renumber)
             if final is not None:
                 return final
         return _Lost("the stream ended without its final frame")
 
-    async def _take(self, event: StreamEvent, renumber: bool) -> FinalAttemptEvent | None:
+    async def _handle(self, event: StreamEvent, renumber: bool) -> FinalAttemptEvent | None:
         if event.id != self._start.attempt:
             return self._failed(f"the stream carries attempt {event.id}")
         chunk = event.chunk()
--- a/src/stagewalk/node/adapters/http_engines.py
+++ b/src/stagewalk/node/adapters/http_engines.py
@@ -1,4 +1,7 @@
-"""HTTP client of the model engines."""
+"""HTTP client of the model engines: attempts, cancellations, reports and orders.
+
+Owns the timeouts; every failure is a value, none is raised.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +19,11 @@
 from stagewalk.node.ports.engines import AttemptSink
 
 REPORT_TIMEOUT_SECONDS = 1.5
+"""The same as `EngineTableConfig.poll_timeout_seconds`, after which a poll is repeated."""
+
 CANCEL_TIMEOUT_SECONDS = 2.0
 ORDER_TIMEOUT_SECONDS = 5.0
+"""Chosen, not measured."""
 
 
 class _CancelAnswer(msgspec.Struct):
@@ -31,7 +37,7 @@
 
 
 class HttpEngineClient:
-    """Speaks to engines: attempts through one pool, control calls through another.
+    """Calls engines: attempts through one pool, control calls through another.
 
     Separate pools keep many long streams from delaying reports and cancellations.
     """
@@ -45,7 +51,7 @@
         await AttemptStream(self._streams, start, deliver).run()
 
     async def cancel(self, cancel: CancelAttempt) -> Result[None, StagewalkError]:
-        """Ask the engine to stop an attempt."""
+        """Cancel an attempt at the engine."""
         answer = await call_json(
             self._control,
             "POST",
--- a/src/stagewalk/node/adapters/http_platform.py
+++ b/src/stagewalk/node/adapters/http_platform.py
@@ -1,4 +1,7 @@
-"""HTTP clients of the platform's log, machine list, weight store and scorer."""
+"""HTTP clients of the platform's log, machine list, weight store and scorer.
+
+Owns the wire forms and the timeouts; every failure is a `StagewalkError` that names step and peer.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +26,14 @@
 """How long the log may hold a read back for a first record."""
 
 LOG_READ_TIMEOUT_SECONDS = LOG_WAIT_SECONDS + 5.0
+"""A held read must not look like a failed one."""
+
 LOG_APPEND_TIMEOUT_SECONDS = 5.0
 LOG_PAGE_RECORDS = 500
 MACHINES_TIMEOUT_SECONDS = 5.0
 VERSIONS_TIMEOUT_SECONDS = 5.0
 SCORE_TIMEOUT_SECONDS = 10.0
+"""Timeouts were chosen, not measured."""
 
 LOG_PEER = "log"
 MACHINES_PEER = "machines"
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -1,8 +1,8 @@
 """The node's control plane: what nodes agree on, and the duties this one holds.
 
-Membership, the log's streams, configuration, leases, placement of replica groups, claims and
-weight rollouts, wired to each other. Everything is rebuilt from the log, peers and engines
-after a restart.
+Owns membership, the log's streams, configuration, leases, placement of replica groups, claims and
+weight rollouts, and wires them to each other. Relies on the log, peers and engines, from which
+everything is rebuilt after a restart.
 """
 
 from __future__ import annotations
@@ -39,7 +39,10 @@
 from stagewalk.node.weights.core import RolloutCore
 
 PLACEMENT_DUTY = "placement"
+"""The lease whose holder plans replica groups and appends snapshots of the configuration."""
+
 ROLLOUT_DUTY_PREFIX = "rollout/"
+"""Before a model's name: the lease whose holder swaps the weights of the model's pool."""
 
 
 class ControlPlane:
@@ -89,7 +92,7 @@
     # Events
 
     def tick(self, now: float) -> list[NodeOutput]:
-        """Let time pass in all cores."""
+        """Tick all cores, and plan replica groups when it is time."""
         output: list[NodeOutput] = []
         output += self.membership.tick(now)
         self._hand_over_members()
@@ -105,7 +108,7 @@
         return output
 
     def handle_message(self, event: PeerMessageReceived, now: float) -> list[NodeOutput]:
-        """Take another node's message."""
+        """Handle another node's message."""
         envelope = event.envelope
         sender = NodeName(envelope.sender)
         incarnation = Incarnation(envelope.sender_incarnation)
@@ -130,16 +133,16 @@
     def handle_log(
         self, event: LogRead | LogReadFailed | AppendConfirmed | AppendFailed, now: float
     ) -> list[NodeOutput]:
-        """Take the log's answer to a read or an append."""
+        """Handle the log's answer to a read or an append."""
         return list(self.log_client.handle(event, now))
 
     def lease_stream_read(self, event: LogRead, now: float) -> list[NodeOutput]:
-        """Note, after its records are folded, that a read went to the lease stream's head."""
+        """Record, after its records are folded, that a read reached the lease stream's head."""
         reached_head = not event.records or event.records[-1].offset + 1 >= event.head
         return list(self.leases.note_caught_up(now)) if reached_head else []
 
     def handle_machines(self, machines: tuple[Machine, ...], now: float) -> list[NodeOutput]:
-        """Take the platform's machine list."""
+        """Apply the platform's machine list."""
         leaving = frozenset(
             machine.name
             for machine in machines
@@ -173,12 +176,12 @@
         return [LogEvent("append_refused", {"stream": record.stream, "detail": str(queued.error)})]
 
     def append_abandoned(self, abandoned: AppendAbandoned, now: float) -> list[NodeOutput]:
-        """Say that an append was given up; its core asks again if it still wants it."""
+        """Log that an append was given up; its core repeats it if it is still needed."""
         fields = {"stream": abandoned.stream, "detail": abandoned.detail}
         return [LogEvent("append_abandoned", {"level": "warning", **fields})]
 
     def configuration_changed(self, changed: ConfigurationChanged, now: float) -> list[NodeOutput]:
-        """Put a configuration in force in the control plane's cores."""
+        """Apply a configuration to the control plane's cores."""
         self.log_client.advance(CONFIGURATION_STREAM, changed.offset)
         self.membership.set_status(MemberStatus(configuration_offset=changed.offset))
         self.weights.set_tenants({tenant.name: tenant for tenant in changed.tenants})
@@ -189,21 +192,21 @@
         return [LogEvent("configuration_in_force", fields)]
 
     def lease_acquired(self, acquired: LeaseAcquired, now: float) -> list[NodeOutput]:
-        """Take up a duty."""
+        """Start acting for a duty."""
         self._set_rollout_lease(acquired.duty, acquired.epoch)
         return [LogEvent("lease_acquired", {"duty": acquired.duty, "epoch": acquired.epoch})]
 
     def lease_lost(self, lost: LeaseLost, now: float) -> list[NodeOutput]:
-        """Lay a duty down."""
+        """Stop acting for a duty."""
         self._set_rollout_lease(lost.duty, None)
         return [LogEvent("lease_lost", {"duty": lost.duty})]
 
     def members_changed(self) -> None:
-        """Note that members changed; they are handed over once, at the next tick."""
+        """Record that members changed; the cores get them once, at the next tick."""
         self._members_changed = True
 
     def _hand_over_members(self) -> None:
-        """Hand the members that are alive to the cores that need them."""
+        """Set the members that are alive in the cores that need them."""
         if not self._members_changed:
             return
         self._members_changed = False
@@ -222,7 +225,7 @@
             self.weights.set_lease(ModelName(duty.removeprefix(ROLLOUT_DUTY_PREFIX)), epoch)
 
     def _snapshots_read(self, records: tuple[LogRecord, ...], now: float) -> list[NodeOutput]:
-        """Take the newest snapshot over, then follow the configuration from there."""
+        """Apply the newest snapshot, then follow the configuration from there."""
         output = list(self.follower.handle_snapshots(records, now))
         if not self._follows_configuration:
             self._follows_configuration = True
--- a/src/stagewalk/node/core_runner.py
+++ b/src/stagewalk/node/core_runner.py
@@ -1,4 +1,8 @@
-"""The loop around the core: events in their order, ticks, and instructions handed on."""
+"""The loop around the core: events in their order, ticks, and instructions handed on.
+
+Owns the pace of ticks. Relies on the event queue for order and on the clock for time, which the
+core itself does not read.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 from stagewalk.node.core.events import TICK_INTERVAL_SECONDS, Event, Tick
 from stagewalk.node.core.instructions import Instruction
 from stagewalk.node.event_queue import EventQueue
-from stagewalk.node.metrics import NodeMetrics
+from stagewalk.node.metrics import CoreMetrics
 from stagewalk.node.node_core import NodeStatus
 
 Clock = Callable[[], float]
@@ -23,7 +27,7 @@
     """What the shell needs of `NodeCore`."""
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
-        """Take an event and return what to do."""
+        """Handle an event and return what to do."""
 
     def status(self, now: float) -> NodeStatus:
         """Return what operators and probes may see."""
@@ -41,7 +45,7 @@
         core: Core,
         events: EventQueue,
         carry_out: Callable[[Instruction], None],
-        metrics: NodeMetrics,
+        metrics: CoreMetrics,
         clock: Clock = steady_seconds,
     ) -> None:
         self._core = core
--- a/src/stagewalk/node/daemon.py
+++ b/src/stagewalk/node/daemon.py
@@ -1,4 +1,8 @@
-"""The daemon: carries the core's instructions out over sockets and feeds events back."""
+"""The node's process: opens resources, wires the parts around the core, serves until a stop.
+
+Owns identity, signals and exit code. Everything is wired here, and nowhere else; relies on the core
+to say when everything in flight has ended after a planned stop.
+"""
 
 from __future__ import annotations
 
@@ -50,6 +54,9 @@
 MAXIMUM_CONTROL_CONNECTIONS = 128
 MAXIMUM_PLATFORM_CONNECTIONS = 64
 MAXIMUM_IDLE_CONNECTIONS = 32
+"""Bounds of the HTTP pools: one connection an attempt, apart from control and platform calls.
+Chosen, not measured."""
+
 NO_IDLE_CONNECTIONS = 0
 """Each attempt has a connection of its own: an engine that is gone then refuses to connect, which
 proves the attempt not sent, where an idle connection would have swallowed it."""
@@ -93,13 +100,13 @@
 
 
 def _exempt_loaded_modules_from_collection() -> None:
-    """Keep the garbage collector from walking through what lives as long as the process."""
+    """Exempt what lives as long as the process from garbage collection."""
     gc.collect()
     gc.freeze()
 
 
 class Daemon:
-    """One node: its core, and around it the tasks that speak to the outside."""
+    """One node: its core, and around it the tasks that do I/O."""
 
     def __init__(self, settings: NodeSettings, core_factory: CoreFactory) -> None:
         self._settings = settings
@@ -109,7 +116,7 @@
         self._events = EventQueue()
         limits = settings.limits
         self._calls = OpenCalls(limits.open_calls, limits.buffered_characters)
-        self._peers = PeerTransport(settings.peer_listen, self._events, self._metrics)
+        self._peers = PeerTransport(settings.peer_listen, self._events, self._metrics.peers)
         self._exit = anyio.Event()
         self._stopping = False
 
@@ -121,7 +128,7 @@
             services = await self._open_platform(resources)
             tasks = await resources.enter_async_context(anyio.create_task_group())
             carry_out = self._build_instruction_runner(engines, services, tasks)
-            runner = CoreRunner(self._core, self._events, carry_out, self._metrics)
+            runner = CoreRunner(self._core, self._events, carry_out, self._metrics.core)
             tasks.start_soon(self._watch_signals)
             await tasks.start(self._peers.run)
             tasks.start_soon(runner.run)
@@ -153,10 +160,11 @@
     def _build_instruction_runner(
         self, engines: HttpEngineClient, services: PlatformServices, tasks: anyio.abc.TaskGroup
     ) -> Callable[[Instruction], None]:
+        metrics = self._metrics
         runner = InstructionRunner(
             self._calls,
-            EngineTasks(engines, self._events, self._metrics, tasks),
-            PlatformTasks(services, self._events, self._metrics, self._peers, tasks),
+            EngineTasks(engines, self._events, metrics.engines, metrics.services, tasks),
+            PlatformTasks(services, self._events, metrics.services, self._peers, tasks),
             self._peers,
             self._exit_process,
         )
@@ -164,12 +172,12 @@
 
     def _build_app(self, runner: CoreRunner) -> EdgeApp:
         limits = self._settings.limits
-        desk = CallDesk(self._calls, self._events, self._metrics)
+        desk = CallDesk(self._calls, self._events, self._metrics.edge)
         operators = OperatorEndpoints(
             runner.status, lambda: self._stopping, self._metrics, self._events.__len__
         )
         return EdgeApp(
-            CompletionEndpoints(desk, limits, self._metrics),
+            CompletionEndpoints(desk, limits, self._metrics.edge),
             RolloutEndpoints(desk, limits),
             operators,
             limits,
--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -1,6 +1,7 @@
 """The node's data plane: requests of callers, lots of trainers, engines.
 
-It keeps which open call waits for which request; the decisions are the cores'.
+Owns which open call waits for which request. Relies on the cores of requests, lots, routing and
+admission, which it wires, for all decisions.
 """
 
 from __future__ import annotations
@@ -45,10 +46,10 @@
 from stagewalk.node.samples.notifications import CancelRollout, StartRollout
 
 STOPPING_RETRY_SECONDS = 1.0
-"""When a caller refused by a stopping node may try another one."""
+"""Retry-After of a stopping node: another one takes the call. Chosen, not measured."""
 
 STARTING_RETRY_SECONDS = 1.0
-"""When a caller refused by a starting node may try it again."""
+"""Retry-After of a node that has not read the configuration yet. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +87,7 @@
         self._stopping = False
 
     def set_tenants(self, tenants: tuple[Tenant, ...]) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self._configured = True
         self.requests.set_tenants(tenants)
         self.lots.set_tenants({tenant.name: tenant for tenant in tenants})
@@ -101,7 +102,7 @@
         return not self._open_calls and self.requests.in_flight_count() == 0
 
     def tick(self, now: float) -> list[NodeOutput]:
-        """Let time pass in all cores."""
+        """Tick all cores."""
         output: list[NodeOutput] = []
         output += self.engine_table.tick(now)
         output += self.requests.tick(now)
@@ -141,7 +142,7 @@
         return [FailCall(event.call, error)]
 
     def call_abandoned(self, event: CallAbandoned, now: float) -> list[NodeOutput]:
-        """Forget a call whose caller went away, and its request if no other call waits for it."""
+        """Drop a call whose caller went away, and its request if no other call waits for it."""
         open_call = self._open_calls.get(event.call)
         if open_call is None:
             return list(self.lots.abandon(event.call, now))
@@ -152,7 +153,7 @@
         return list(self.requests.abandon(key, now))
 
     def lot_submitted(self, event: LotSubmitted, now: float) -> list[NodeOutput]:
-        """Take a trainer's lot."""
+        """Submit a trainer's lot."""
         if self._stopping:
             return [FailCall(event.call, self._stopping_error())]
         if not self._configured:
@@ -172,15 +173,15 @@
     def attempt_event(
         self, event: AttemptChunk | AttemptFinished | AttemptRefused | AttemptFailed, now: float
     ) -> list[NodeOutput]:
-        """Take what became of an attempt."""
+        """Handle what became of an attempt."""
         return list(self.requests.handle(event, now))
 
     def handle_machines(self, machines: tuple[Machine, ...], now: float) -> None:
-        """Take the platform's machine list."""
+        """Apply the platform's machine list."""
         self.engine_table.handle_machines(machines, now)
 
     def engine_reported(self, event: EngineReported, now: float) -> list[NodeOutput]:
-        """Take an engine's report."""
+        """Apply an engine's report."""
         self.engine_table.handle_report(event.engine, event.report, now)
         report = event.report
         return list(self.lots.version_seen(report.model, report.active_version, now))
@@ -188,26 +189,26 @@
     # Notifications of the request core
 
     def request_joined(self, joined: RequestJoined, now: float) -> list[NodeOutput]:
-        """Give a call that joined a running request what the earlier calls have had."""
+        """Send a call that joined a running request what the earlier calls were sent."""
         call = self._submitting
         if call is None or joined.held is None or not self._open_calls[call].stream:
             return []
         return [SendChunk(call, joined.held)]
 
     def request_chunk(self, chunk: RequestChunk, now: float) -> list[NodeOutput]:
-        """Pass a piece of an answer to every streaming call of the request."""
+        """Send a piece of an answer to every streaming call of the request."""
         calls = self._calls_of_key.get(chunk.key, ())
         return [SendChunk(call, chunk.chunk) for call in calls if self._open_calls[call].stream]
 
     def request_finished(self, finished: RequestFinished, now: float) -> list[NodeOutput]:
-        """Answer every call of the request, and the lot that wanted it."""
+        """Answer every call of the request, and report to the lot that runs it."""
         output: list[NodeOutput] = [
-            FinishCall(call, finished.result) for call in self._take_calls(finished.key)
+            FinishCall(call, finished.result) for call in self._remove_calls(finished.key)
         ]
         return output + self._rollout_ended(finished.key, finished.result, now)
 
     def request_failed(self, failed: RequestFailed, now: float) -> list[NodeOutput]:
-        """Fail every call of the request, and tell the lot that wanted it."""
+        """Fail every call of the request, and report to the lot that runs it."""
         calls = list(self._calls_of_key.get(failed.key, ()))
         output: list[NodeOutput] = [self._fail(call, failed.error) for call in calls]
         if calls:
@@ -246,7 +247,7 @@
         self._forget_call(call)
         return FailCall(call, replace(error, ran=Ran.UNKNOWN) if resent else error)
 
-    def _take_calls(self, key: RequestKey) -> list[CallId]:
+    def _remove_calls(self, key: RequestKey) -> list[CallId]:
         calls = list(self._calls_of_key.get(key, ()))
         for call in calls:
             self._forget_call(call)
--- a/src/stagewalk/node/edge/app.py
+++ b/src/stagewalk/node/edge/app.py
@@ -1,4 +1,7 @@
-"""The ASGI application: finds the endpoint of an exchange and runs it."""
+"""The ASGI application: finds the endpoint of an exchange and runs it.
+
+Owns the paths. An endpoint that crashes is logged and answered as an unknown outcome.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/edge/call_desk.py
+++ b/src/stagewalk/node/edge/call_desk.py
@@ -1,4 +1,8 @@
-"""Opens a call for an exchange, puts its question to the core, and ends both together."""
+"""Opens a call for an exchange, sends its event to the core, and ends both together.
+
+Owns the life of a call: however it ends, the core learns of it once. Relies on the event queue and
+on the open calls for the core's answers.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +19,11 @@
 from stagewalk.node.core.events import CallAbandoned, Event
 from stagewalk.node.core.instructions import FailCall
 from stagewalk.node.event_queue import EventQueue
-from stagewalk.node.metrics import NodeMetrics
+from stagewalk.node.metrics import EdgeMetrics
 from stagewalk.node.open_calls import AnswerPiece, LastAnswer, OpenCall, OpenCalls
 
 ANSWER_GRACE_SECONDS = 5.0
-"""How long after its deadline the core's answer to a call is still waited for."""
+"""How long after its deadline the edge still waits for the core's answer. Chosen, not measured."""
 
 OUTCOME_OK = "ok"
 OUTCOME_ABANDONED = "abandoned"
@@ -30,9 +34,9 @@
 
 
 class CallDesk:
-    """Runs calls: from the exchange to the core's last answer, or to the caller's leaving."""
+    """Runs calls: from the exchange to the core's last answer, or until the caller disconnects."""
 
-    def __init__(self, calls: OpenCalls, events: EventQueue, metrics: NodeMetrics) -> None:
+    def __init__(self, calls: OpenCalls, events: EventQueue, metrics: EdgeMetrics) -> None:
         self._calls = calls
         self._events = events
         self._metrics = metrics
@@ -47,7 +51,7 @@
         streaming: bool = False,
         unasked: Ran = Ran.NO,
     ) -> None:
-        """Ask the core and have `answer` send what it says, until the caller goes away.
+        """Send the call's event to the core and its answers to the caller, until that disconnects.
 
         `unasked` is what may be said of a request that this node refuses without its core.
         """
@@ -109,5 +113,5 @@
 
 
 def delivery_error(detail: str) -> StagewalkError:
-    """Return the error for an answer that could not be handed over."""
+    """Return the error for an answer that could not be delivered."""
     return StagewalkError(ErrorKind.OUTCOME_UNKNOWN, Step.DELIVERY, EDGE_PEER, detail, Ran.UNKNOWN)
--- a/src/stagewalk/node/edge/completions.py
+++ b/src/stagewalk/node/edge/completions.py
@@ -1,4 +1,8 @@
-"""The callers' endpoints: completions, whole or streamed, and retained answers."""
+"""The callers' endpoints: completions, whole or streamed, and retained answers.
+
+Owns the form of the completions API. Relies on the call desk for the core's answers and on
+`schemas` for validation.
+"""
 
 from __future__ import annotations
 
@@ -39,16 +43,17 @@
     decode_body,
     invalid,
 )
-from stagewalk.node.metrics import NodeMetrics
+from stagewalk.node.metrics import EdgeMetrics
 from stagewalk.node.open_calls import AnswerPiece, LastAnswer, OpenCall
 
 COMPLETIONS_ENDPOINT = "completions"
 ANSWERS_ENDPOINT = "answers"
 CHARACTERS_PER_TOKEN = 4
-"""Rough length of a token, by which a prompt's tokens are estimated."""
+"""Estimated characters of a token, as in `PrefixIndexConfig`. Chosen, not measured."""
 
 EVENT_STREAM_CONTENT = "text/event-stream; charset=utf-8"
 RETAINED_ANSWER_SECONDS = 10.0
+"""Longest wait for the core's answer about an earlier request. Chosen, not measured."""
 
 _OBJECT = "text_completion"
 _NOT_WHOLE = "the streamed text is not the beginning of the whole answer"
@@ -76,7 +81,7 @@
         self,
         desk: CallDesk,
         limits: Limits,
-        metrics: NodeMetrics,
+        metrics: EdgeMetrics,
         clock: Callable[[], float] = steady_seconds,
     ) -> None:
         self._desk = desk
@@ -180,7 +185,7 @@
         self,
         exchange: Exchange,
         question: _Question,
-        metrics: NodeMetrics,
+        metrics: EdgeMetrics,
         clock: Callable[[], float],
     ) -> None:
         self._exchange = exchange
@@ -191,7 +196,7 @@
         self._sent_digest = xxhash.xxh64()
 
     async def relay(self, call: OpenCall) -> str:
-        """Send the core's answers on until the last; return the call's outcome."""
+        """Relay the core's answers until the last; return the call's outcome."""
         while True:
             answer = await call.next_answer()
             if isinstance(answer, AnswerPiece):
@@ -217,7 +222,7 @@
         await self._send(_piece(self._question.request, text))
 
     async def _finish(self, result: CompletionResult) -> str:
-        """Send what text the caller has not had yet, with the versions, and end the stream."""
+        """Send the text not yet sent, with the versions, and end the stream."""
         sent, rest = result.text[: self._sent_characters], result.text[self._sent_characters :]
         if xxhash.xxh64_intdigest(sent.encode()) != self._sent_digest.intdigest():
             return await self.fail(delivery_error(_NOT_WHOLE))
--- a/src/stagewalk/node/edge/operators.py
+++ b/src/stagewalk/node/edge/operators.py
@@ -1,4 +1,7 @@
-"""The operators' endpoints: health, readiness, metrics, status and the list of models."""
+"""The operators' endpoints: health, readiness, metrics, status and the list of models.
+
+Owns nothing; reads the core's status and the metrics at each call.
+"""
 
 from __future__ import annotations
 
@@ -46,8 +49,8 @@
 
     async def metrics(self, exchange: Exchange) -> None:
         """Answer with all metrics."""
-        self._metrics.show_status(self._status(), self._stopping())
-        self._metrics.event_queue_length.set(self._queue_length())
+        self._metrics.set_status(self._status(), self._stopping())
+        self._metrics.core.queue_length.set(self._queue_length())
         await exchange.respond(200, METRICS_CONTENT, self._metrics.render())
 
     async def status(self, exchange: Exchange) -> None:
--- a/src/stagewalk/node/edge/rollouts.py
+++ b/src/stagewalk/node/edge/rollouts.py
@@ -1,4 +1,8 @@
-"""The trainers' endpoints: submitting a step's lot and pulling its samples."""
+"""The trainers' endpoints: submitting a step's lot and pulling its samples.
+
+Owns the form of the rollout API. Relies on the call desk for the core's answers and on `schemas`
+for validation.
+"""
 
 from __future__ import annotations
 
@@ -31,6 +35,7 @@
 LOTS_ENDPOINT = "rollouts"
 PULLS_ENDPOINT = "rollouts_pull"
 LOT_ANSWER_SECONDS = 10.0
+"""Longest wait for the core's answer to a submitted lot. Chosen, not measured."""
 
 
 class RolloutEndpoints:
--- a/src/stagewalk/node/engine_tasks.py
+++ b/src/stagewalk/node/engine_tasks.py
@@ -1,11 +1,14 @@
-"""Carries out what the core wants of engines: attempts, cancellations, reports, orders."""
+"""Carries out the core's instructions to engines: attempts, cancellations, reports, orders.
+
+Owns the running attempts' streams. Relies on the engine client for timeouts, and on the core for
+what follows a failure.
+"""
 
 from __future__ import annotations
 
 import anyio
 import anyio.abc
 
-from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import AttemptId
 from stagewalk.node.core.events import (
     AttemptChunk,
@@ -18,23 +21,25 @@
 from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, PollEngine, StartAttempt
 from stagewalk.node.core.platform import OrderOutcome
 from stagewalk.node.event_queue import EventQueue
-from stagewalk.node.metrics import NodeMetrics
+from stagewalk.node.metrics import EngineMetrics, ServiceMetrics
 from stagewalk.node.ports.engines import AttemptEvent, EngineClient
 
 
 class EngineTasks:
-    """Runs calls to engines as tasks and turns what comes of them into events."""
+    """Runs calls to engines as tasks and turns their outcomes into events."""
 
     def __init__(
         self,
         client: EngineClient,
         events: EventQueue,
-        metrics: NodeMetrics,
+        metrics: EngineMetrics,
+        services: ServiceMetrics,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
         self._client = client
         self._events = events
         self._metrics = metrics
+        self._services = services
         self._tasks = tasks
         self._running: dict[AttemptId, anyio.CancelScope] = {}
 
@@ -45,7 +50,7 @@
         self._tasks.start_soon(self._run_attempt, start, scope)
 
     def cancel_attempt(self, cancel: CancelAttempt) -> None:
-        """Forget an attempt's stream, without further events, and stop it at the engine."""
+        """Stop an attempt's stream, without further events, and the attempt at the engine."""
         scope = self._running.get(cancel.attempt)
         if scope is not None:
             scope.cancel()
@@ -80,7 +85,7 @@
     async def _cancel(self, cancel: CancelAttempt) -> None:
         answer = await self._client.cancel(cancel)
         if answer.is_error():
-            self._count_error(answer.error)
+            self._services.count_error(answer.error)
 
     async def _poll(self, poll: PollEngine) -> None:
         answer = await self._client.report(poll.engine, poll.address)
@@ -88,19 +93,16 @@
         if answer.is_ok():
             event = EngineReported(poll.engine, answer.ok)
         else:
-            self._count_error(answer.error)
+            self._services.count_error(answer.error)
             event = EngineReportFailed(poll.engine, answer.error.detail)
         await self._events.put(event)
 
     async def _order(self, order: OrderEngine) -> None:
         answered = await self._client.order(order)
         if answered.outcome is OrderOutcome.UNKNOWN:
-            self._metrics.service_errors.labels(step="engine_order", kind="unreachable").inc()
+            self._services.count("engine_order", "unreachable")
         await self._events.put(answered)
 
-    def _count_error(self, error: StagewalkError) -> None:
-        self._metrics.service_errors.labels(step=error.step.value, kind=error.kind.value).inc()
-
 
 def _outcome(event: AttemptEvent) -> str:
     if isinstance(event, AttemptFinished):
--- a/src/stagewalk/node/event_queue.py
+++ b/src/stagewalk/node/event_queue.py
@@ -1,7 +1,7 @@
 """The one ordered queue of events into the core.
 
 Everything that happens to a node becomes an event in this queue; the core handles them one by
-one. Its length is bounded: whoever can wait, waits (callers, engines' streams), and what may be
+one. Its length is bounded: senders that can wait do (callers, engines' streams), and what may be
 lost anyway (messages of other nodes) is dropped.
 """
 
@@ -14,8 +14,10 @@
 from stagewalk.node.core.events import Event
 
 MAXIMUM_QUEUED_EVENTS = 4096
+"""Bounds memory and the age of an event. Chosen, not measured."""
+
 _RESERVED_FOR_WAITING = 1024
-"""Room that droppable events leave to the others."""
+"""Room that droppable events leave to the others: a quarter. Chosen, not measured."""
 
 
 class EventQueue:
@@ -31,7 +33,7 @@
         await self._send.send(event)
 
     def put_droppable(self, event: Event) -> bool:
-        """Add an event if there is room to spare; return whether it was taken."""
+        """Add an event if there is room to spare; return whether it was added."""
         if len(self) >= MAXIMUM_QUEUED_EVENTS - _RESERVED_FOR_WAITING:
             return False
         self._send.send_nowait(event)
--- a/src/stagewalk/node/instruction_runner.py
+++ b/src/stagewalk/node/instruction_runner.py
@@ -1,4 +1,7 @@
-"""Hands each instruction of the core to what carries it out. Nothing here waits."""
+"""Dispatches each instruction of the core, by its type, to the part that carries it out.
+
+Nothing here waits: what takes time runs as a task of its part.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/metrics.py
+++ b/src/stagewalk/node/metrics.py
@@ -1,4 +1,8 @@
-"""Metrics of the daemon, on a registry of its own. Units are in the names."""
+"""Metrics of the node's process, on a registry of its own, in a group for each part that measures.
+
+Owns names, labels and buckets; units are in the names. Relies on the parts to record what happens,
+and on the core's status for the gauges that are set when the metrics are read.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +19,14 @@
     generate_latest,
 )
 
+from stagewalk.common.errors import StagewalkError
 from stagewalk.node.node_core import NodeStatus
 
 _LATENCY_BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 120.0)
-_EVENT_BUCKETS = (0.0001, 0.0005, 0.002, 0.01, 0.05, 0.25, 1.0)
+"""Bounds in seconds. Chosen, not measured."""
 
+_EVENT_BUCKETS = (0.0001, 0.0005, 0.002, 0.01, 0.05, 0.25, 1.0)
+"""Bounds in seconds. Chosen, not measured."""
 
 _omit_creation_times: Callable[[], None] = disable_created_metrics
 
@@ -29,9 +36,28 @@
 
     def __init__(self) -> None:
         _omit_creation_times()
-        registry = CollectorRegistry()
-        self._registry = registry
-        ProcessCollector(registry=registry)
+        self._registry = CollectorRegistry()
+        ProcessCollector(registry=self._registry)
+        self.edge = EdgeMetrics(self._registry)
+        self.engines = EngineMetrics(self._registry)
+        self.services = ServiceMetrics(self._registry)
+        self.peers = PeerMetrics(self._registry)
+        self.core = CoreMetrics(self._registry)
+        self._status = StatusMetrics(self._registry)
+
+    def set_status(self, status: NodeStatus, stopping: bool) -> None:
+        """Set the gauges that come from the core's status."""
+        self._status.set(status, stopping)
+
+    def render(self) -> bytes:
+        """Return all metrics in Prometheus' text format."""
+        return generate_latest(self._registry)
+
+
+class EdgeMetrics:
+    """Calls of callers and trainers."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
         self.calls = Counter(
             "stagewalk_calls",
             "Calls ended, by endpoint and outcome (ok, an error kind, or abandoned).",
@@ -59,6 +85,12 @@
             "Streams cut because the caller read too slowly.",
             registry=registry,
         )
+
+
+class EngineMetrics:
+    """Attempts at engines."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
         self.attempts = Counter(
             "stagewalk_attempts",
             "Attempts at engines that ended, by outcome.",
@@ -71,31 +103,66 @@
         self.answer_tokens = Counter(
             "stagewalk_answer_tokens", "Tokens received from engines.", registry=registry
         )
-        self.service_errors = Counter(
+
+
+class ServiceMetrics:
+    """Calls to engines' control and to the platform."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
+        self._errors = Counter(
             "stagewalk_service_errors",
             "Failed calls to engines' control and to platform services.",
             ["step", "kind"],
             registry=registry,
         )
-        self.peer_messages = Counter(
+
+    def count_error(self, error: StagewalkError) -> None:
+        """Count a failed call by the step and kind of its error."""
+        self.count(error.step.value, error.kind.value)
+
+    def count(self, step: str, kind: str) -> None:
+        """Count a failed call."""
+        self._errors.labels(step=step, kind=kind).inc()
+
+
+class PeerMetrics:
+    """Messages between nodes."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
+        self.messages = Counter(
             "stagewalk_peer_messages",
             "Messages between nodes.",
             ["direction", "transport"],
             registry=registry,
         )
-        self.peer_bytes = Counter(
+        self.bytes = Counter(
             "stagewalk_peer_bytes",
             "Bytes of messages between nodes, without IP headers.",
             ["direction", "transport"],
             registry=registry,
         )
-        self.peer_messages_dropped = Counter(
+        self._dropped = Counter(
             "stagewalk_peer_messages_dropped",
             "Messages between nodes dropped, by cause.",
             ["cause"],
             registry=registry,
         )
-        self.event_queue_length = Gauge(
+
+    def count_message(self, direction: str, transport: str, size_bytes: int) -> None:
+        """Count a message that was sent or received."""
+        self.messages.labels(direction, transport).inc()
+        self.bytes.labels(direction, transport).inc(size_bytes)
+
+    def count_dropped(self, cause: str) -> None:
+        """Count a message that was dropped."""
+        self._dropped.labels(cause=cause).inc()
+
+
+class CoreMetrics:
+    """The core's event loop."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
+        self.queue_length = Gauge(
             "stagewalk_event_queue_length", "Events waiting for the core.", registry=registry
         )
         self.event_handling = Histogram(
@@ -107,43 +174,44 @@
         self.tick_lag = Gauge(
             "stagewalk_tick_lag_seconds", "How late the last tick was handled.", registry=registry
         )
-        self.ready = Gauge("stagewalk_ready", "1 while the node takes calls.", registry=registry)
-        self.configuration_offset = Gauge(
+
+
+class StatusMetrics:
+    """Gauges of the core's status."""
+
+    def __init__(self, registry: CollectorRegistry) -> None:
+        self._ready = Gauge("stagewalk_ready", "1 while the node takes calls.", registry=registry)
+        self._configuration_offset = Gauge(
             "stagewalk_configuration_offset",
             "Offset after the last configuration record in force.",
             registry=registry,
         )
-        self.members = Gauge(
+        self._members = Gauge(
             "stagewalk_members", "Nodes known, by state.", ["state"], registry=registry
         )
-
-        self.requests_in_flight = Gauge(
+        self._requests_in_flight = Gauge(
             "stagewalk_requests_in_flight",
             "Requests in progress, those of lots included.",
             registry=registry,
         )
-        self.tenant_revision = Gauge(
+        self._tenant_revision = Gauge(
             "stagewalk_tenant_revision", "Revision in force.", ["tenant"], registry=registry
         )
-        self.lease_epoch = Gauge(
+        self._lease_epoch = Gauge(
             "stagewalk_lease_epoch",
             "Epoch of each lease this node holds.",
             ["duty"],
             registry=registry,
         )
 
-    def show_status(self, status: NodeStatus, stopping: bool) -> None:
-        """Set the gauges that come from the core's status."""
-        self.ready.set(status.ready and not stopping)
-        self.configuration_offset.set(status.configuration_offset)
-        self.requests_in_flight.set(status.requests_in_flight)
-        _set_all(self.members, Counted(status.members.values()))
-        _set_all(self.tenant_revision, status.revisions)
-        _set_all(self.lease_epoch, status.leases)
-
-    def render(self) -> bytes:
-        """Return all metrics in Prometheus' text format."""
-        return generate_latest(self._registry)
+    def set(self, status: NodeStatus, stopping: bool) -> None:
+        """Set all gauges."""
+        self._ready.set(status.ready and not stopping)
+        self._configuration_offset.set(status.configuration_offset)
+        self._requests_in_flight.set(status.requests_in_flight)
+        _set_all(self._members, Counted(status.members.values()))
+        _set_all(self._tenant_revision, status.revisions)
+        _set_all(self._lease_epoch, status.leases)
 
 
 def _set_all(gauge: Gauge, values: Mapping[str, int]) -> None:
--- a/src/stagewalk/node/node_config.py
+++ b/src/stagewalk/node/node_config.py
@@ -1,4 +1,7 @@
-"""Settings of all the cores a node is composed of."""
+"""Parameters of all the cores a node is composed of; `settings` holds what operators may set.
+
+The simulation and tests make nodes with other values.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
     machine_list_interval_seconds
         Time between two reads of the platform's machine list.
     planning_interval_seconds
-        Time between two looks of the placement duty's holder at the replica groups.
+        Time between two runs of the replica groups' planner at the placement duty's holder.
     """
 
     machine_list_interval_seconds: float = 2.0
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -1,7 +1,8 @@
 """The node's pure core: all subsystems' cores composed into one state machine.
 
 It does no I/O, reads no clock and draws no randomness but from the generator it is given,
-so the daemon and the simulation run the same class.
+so the daemon and the simulation run the same class. Owns the dispatch of events and notifications
+by type; relies on the control plane and the data plane for all decisions.
 """
 
 from __future__ import annotations
@@ -94,7 +95,7 @@
     models
         Models of all tenants in force.
     configuration_offsets
-        Offset in force at each member, as far as gossip has told.
+        Offset in force at each member, as far as gossip has reported it.
     """
 
     name: str
@@ -145,7 +146,7 @@
         self._notification_handlers = self._make_notification_handlers()
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
-        """Take an event at time `now` (seconds, never decreasing) and return what to do."""
+        """Handle an event at time `now` (seconds, never decreasing) and return what to do."""
         self._now = max(now, self._now)
         self._pending.extend(self._event_handlers[type(event)](event, self._now))
         return self._settle()
@@ -176,7 +177,7 @@
         )
 
     def _settle(self) -> list[Instruction]:
-        """Hand notifications to the cores they are for until only instructions are left.
+        """Dispatch notifications to the cores they are for until only instructions are left.
 
         What a notification leads to comes before what was returned after it, so that the
         instructions stand in the order of their causes.
@@ -190,7 +191,7 @@
             elif isinstance(output, INSTRUCTION_TYPES):
                 instructions.append(cast(Instruction, output))
             else:
-                raise TypeError(f"no core takes {type(output).__name__}")
+                raise TypeError(f"no core handles {type(output).__name__}")
         return instructions
 
     def _make_event_handlers(self) -> dict[type, Callable[[Any, float], list[NodeOutput]]]:
--- a/src/stagewalk/node/open_calls.py
+++ b/src/stagewalk/node/open_calls.py
@@ -1,4 +1,8 @@
-"""Calls open at this node's edge: each an id, and a bounded buffer of what to tell the caller."""
+"""Calls open at this node's edge: each an id, and a bounded buffer of text for the caller.
+
+Owns the buffers and the number of open calls. Relies on the edge to read them and to close each
+call.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerPiece:
-    """Text of one or more chunks that the caller has not had yet."""
+    """Text of one or more chunks that was not yet sent to the caller."""
 
     text: str
 
@@ -56,7 +60,7 @@
         return self._last is not None
 
     def on_overflow(self, action: Callable[[], None]) -> None:
-        """Set what stops the call's task if it stands in a write that doesn't move."""
+        """Set what stops the call's task if it waits in a write that makes no progress."""
         self._on_overflow = action
 
     def add_text(self, text: str) -> None:
@@ -69,21 +73,21 @@
         self._news.set()
 
     def end(self, answer: LastAnswer) -> None:
-        """Take the core's last answer."""
+        """Set the core's last answer."""
         self._last = answer
         self._news.set()
 
     async def next_answer(self) -> AnswerPiece | LastAnswer:
-        """Wait for what the core says next."""
+        """Wait for the core's next answer."""
         while not self._texts and self._last is None:
             self._news = anyio.Event()
             await self._news.wait()
         if self._texts:
-            return self._take_texts()
+            return self._drain_texts()
         assert self._last is not None
         return self._last
 
-    def _take_texts(self) -> AnswerPiece:
+    def _drain_texts(self) -> AnswerPiece:
         piece = AnswerPiece("".join(self._texts))
         self._texts.clear()
         self._characters = 0
@@ -104,7 +108,7 @@
         self._buffered_characters = buffered_characters
         self._calls: dict[CallId, OpenCall] = {}
         self.closed = False
-        """Set when the node exits: from then on nobody answers a call."""
+        """Set when the node exits: from then on no call is answered."""
 
     def __len__(self) -> int:
         return len(self._calls)
@@ -123,17 +127,17 @@
         return Ok(call)
 
     def close(self, call: OpenCall) -> None:
-        """Forget a call; answers that still come for it are dropped."""
+        """Remove a call; answers that still come for it are dropped."""
         self._calls.pop(call.id, None)
 
     def send_chunk(self, send: SendChunk) -> None:
-        """Hand a chunk to its call, if that is still open and streams."""
+        """Buffer a chunk for its call, if that is still open and streams."""
         call = self._find(send.call)
         if call is not None and call.streaming:
             call.add_text(send.chunk.text)
 
     def end(self, answer: LastAnswer) -> None:
-        """Hand the core's last answer to its call, if that is still open."""
+        """Set the core's last answer to a call, if that is still open."""
         call = self._find(answer.call)
         if call is not None:
             call.end(answer)
--- a/src/stagewalk/node/outputs.py
+++ b/src/stagewalk/node/outputs.py
@@ -1,4 +1,4 @@
-"""Everything a core of the node may return: instructions, and notifications to other cores."""
+"""The union of what the node's cores may return: instructions, and notifications to other cores."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/peers/peer_streams.py
+++ b/src/stagewalk/node/peers/peer_streams.py
@@ -1,4 +1,8 @@
-"""Outgoing TCP connections to other nodes: one a peer, opened on its first message."""
+"""Outgoing TCP connections to other nodes: one a peer, opened on its first message.
+
+Owns queues and connections. A frame that can't be delivered is dropped and counted, never retried:
+the cores repeat what they still need.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +13,22 @@
 from anyio.streams.memory import MemoryObjectReceiveStream
 
 from stagewalk.common.identities import Address
-from stagewalk.node.metrics import NodeMetrics
+from stagewalk.node.metrics import PeerMetrics
 
 QUEUED_FRAMES = 256
-"""Most frames that wait for one peer; a further one is dropped."""
+"""Most frames that wait for one peer; a further one is dropped. Chosen, not measured."""
 
 MAXIMUM_PEERS = 1024
+"""More than twice the 420 nodes that the product is designed for."""
+
 CONNECT_TIMEOUT_SECONDS = 2.0
 SEND_TIMEOUT_SECONDS = 5.0
 IDLE_SECONDS = 60.0
+"""Time without a frame after which a connection is closed. Chosen, not measured."""
+
 FIRST_BACKOFF_SECONDS = 0.1
 LAST_BACKOFF_SECONDS = 5.0
+"""Pauses after failed connections double from the first to the last. Chosen, not measured."""
 
 _STREAM_ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
@@ -31,7 +40,7 @@
     waited while connecting failed, since the cores repeat what they still need.
     """
 
-    def __init__(self, address: Address, metrics: NodeMetrics) -> None:
+    def __init__(self, address: Address, metrics: PeerMetrics) -> None:
         self.address = address
         self._metrics = metrics
         send, receive = anyio.create_memory_object_stream[bytes](QUEUED_FRAMES)
@@ -44,7 +53,7 @@
         try:
             self._send.send_nowait(frame)
         except anyio.WouldBlock:
-            self._dropped("overflow")
+            self._metrics.count_dropped("overflow")
 
     async def run(self) -> None:
         """Deliver frames until none came for `IDLE_SECONDS`."""
@@ -74,18 +83,15 @@
             return None
 
     def _drop_waiting(self) -> None:
-        self._dropped("unreachable")
+        self._metrics.count_dropped("unreachable")
         while self._receive.statistics().current_buffer_used:
             self._receive.receive_nowait()
-            self._dropped("unreachable")
+            self._metrics.count_dropped("unreachable")
 
     async def _back_off(self) -> None:
         await anyio.sleep(self._backoff_seconds)
         self._backoff_seconds = min(LAST_BACKOFF_SECONDS, 2 * self._backoff_seconds)
 
-    def _dropped(self, cause: str) -> None:
-        self._metrics.peer_messages_dropped.labels(cause=cause).inc()
-
 
 class _Connection:
     """One open connection: writes frames, and watches for the peer closing it.
@@ -97,7 +103,7 @@
         self,
         stream: anyio.abc.SocketStream,
         frames: MemoryObjectReceiveStream[bytes],
-        metrics: NodeMetrics,
+        metrics: PeerMetrics,
     ) -> None:
         self._stream = stream
         self._frames = frames
@@ -130,15 +136,15 @@
             with anyio.fail_after(SEND_TIMEOUT_SECONDS):
                 await self._stream.send(frame)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, TimeoutError):
-            self._metrics.peer_messages_dropped.labels(cause="broken").inc()
+            self._metrics.count_dropped("broken")
             return False
         return True
 
 
 class OutgoingStreams:
-    """All outgoing connections, by address; an idle one is closed and forgotten."""
+    """All outgoing connections, by address; an idle one is closed and removed."""
 
-    def __init__(self, tasks: anyio.abc.TaskGroup, metrics: NodeMetrics) -> None:
+    def __init__(self, tasks: anyio.abc.TaskGroup, metrics: PeerMetrics) -> None:
         self._tasks = tasks
         self._metrics = metrics
         self._streams: dict[Address, OutgoingStream] = {}
@@ -148,7 +154,7 @@
         stream = self._streams.get(address)
         if stream is None:
             if len(self._streams) >= MAXIMUM_PEERS:
-                self._metrics.peer_messages_dropped.labels(cause="overflow").inc()
+                self._metrics.count_dropped("overflow")
                 return
             stream = OutgoingStream(address, self._metrics)
             self._streams[address] = stream
--- a/src/stagewalk/node/peers/peer_transport.py
+++ b/src/stagewalk/node/peers/peer_transport.py
@@ -1,4 +1,8 @@
-"""Messages between nodes: protobuf envelopes in UDP datagrams and in framed TCP streams."""
+"""Messages between nodes: protobuf envelopes in UDP datagrams and in framed TCP streams.
+
+Owns the sockets and the listening address last seen of each sender. Relies on the event queue,
+which may drop what arrives: the cores repeat what they still need.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 from stagewalk.node.core.events import PeerMessageReceived
 from stagewalk.node.core.instructions import MAXIMUM_DATAGRAM_BYTES, SendPeerMessage, Transport
 from stagewalk.node.event_queue import EventQueue
-from stagewalk.node.metrics import NodeMetrics
+from stagewalk.node.metrics import PeerMetrics
 from stagewalk.node.peers.peer_frames import (
     LENGTH_BYTES,
     decode_envelope,
@@ -20,21 +24,29 @@
 from stagewalk.node.peers.peer_streams import OutgoingStreams
 
 QUEUED_DATAGRAMS = 512
+"""Most datagrams that wait for the socket; a further one is dropped. Chosen, not measured."""
+
 MAXIMUM_INCOMING_CONNECTIONS = 1024
+"""More than twice the 420 nodes that the product is designed for."""
+
 INCOMING_IDLE_SECONDS = 120.0
+"""Time without a whole frame after which an incoming stream is closed: twice `IDLE_SECONDS` of the
+senders, so that a sender closes first."""
+
 MAXIMUM_KNOWN_SENDERS = 8192
+"""Bounds memory against made-up sender names. Chosen, not measured."""
 
 
 class PeerTransport:
     """Sends and receives the envelopes of this node.
 
     The source given to the core is the peer's listening address. Datagrams are sent from the
-    listening socket, so theirs is the socket's own. A stream comes from a port of the moment:
+    listening socket, so theirs is the socket's own. A stream comes from an ephemeral port:
     its source is the listening address last seen for the envelope's sender name, in a datagram
-    or in the machine list; only for a sender not heard of so far is it the stream's own address.
+    or in the machine list; only for an unknown sender is it the stream's own address.
     """
 
-    def __init__(self, listen: Address, events: EventQueue, metrics: NodeMetrics) -> None:
+    def __init__(self, listen: Address, events: EventQueue, metrics: PeerMetrics) -> None:
         self._listen = listen
         self._events = events
         self._metrics = metrics
@@ -62,7 +74,7 @@
             await anyio.sleep_forever()
 
     def learn_address(self, node: str, address: Address) -> None:
-        """Note where a node listens."""
+        """Record where a node listens."""
         if len(self._listening_addresses) < MAXIMUM_KNOWN_SENDERS:
             self._listening_addresses[node] = address
 
@@ -72,21 +84,21 @@
         if message.transport is Transport.STREAM or len(payload) > MAXIMUM_DATAGRAM_BYTES:
             if self._outgoing is not None:
                 self._outgoing.offer(message.address, encode_frame(payload))
-                self._count("sent", Transport.STREAM, len(payload))
+                self._metrics.count_message("sent", Transport.STREAM.value, len(payload))
             return
         try:
             self._datagrams_out.send_nowait((payload, message.address))
         except anyio.WouldBlock:
-            self._dropped("overflow")
+            self._metrics.count_dropped("overflow")
 
     async def _send_datagrams(self, socket: anyio.abc.UDPSocket) -> None:
         async for payload, address in self._datagrams_in_queue:
             try:
                 await socket.sendto(payload, address.host, address.port)
             except (OSError, anyio.BrokenResourceError):
-                self._dropped("unreachable")
+                self._metrics.count_dropped("unreachable")
                 continue
-            self._count("sent", Transport.DATAGRAM, len(payload))
+            self._metrics.count_message("sent", Transport.DATAGRAM.value, len(payload))
 
     async def _receive_datagrams(self, socket: anyio.abc.UDPSocket) -> None:
         async for payload, source in socket:
@@ -95,7 +107,7 @@
     async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         async with stream:
             if self._incoming >= MAXIMUM_INCOMING_CONNECTIONS:
-                self._dropped("too_many_connections")
+                self._metrics.count_dropped("too_many_connections")
                 return
             self._incoming += 1
             try:
@@ -119,27 +131,20 @@
             with anyio.fail_after(INCOMING_IDLE_SECONDS):
                 length = decode_length(await buffered.receive_exactly(LENGTH_BYTES))
                 if length is None:
-                    self._dropped("bad_frame")
+                    self._metrics.count_dropped("bad_frame")
                     return
                 payload = await buffered.receive_exactly(length)
             self._receive(payload, source, Transport.STREAM)
 
     def _receive(self, payload: bytes, source: Address, transport: Transport) -> None:
-        self._count("received", transport, len(payload))
+        self._metrics.count_message("received", transport.value, len(payload))
         envelope = decode_envelope(payload)
         if envelope is None:
-            self._dropped("bad_frame")
+            self._metrics.count_dropped("bad_frame")
             return
         if transport is Transport.DATAGRAM:
             self.learn_address(envelope.sender, source)
         else:
             source = self._listening_addresses.get(envelope.sender, source)
         if not self._events.put_droppable(PeerMessageReceived(source, envelope)):
-            self._dropped("busy")
-
-    def _count(self, direction: str, transport: Transport, size: int) -> None:
-        self._metrics.peer_messages.labels(direction, transport.value).inc()
-        self._metrics.peer_bytes.labels(direction, transport.value).inc(size)
-
-    def _dropped(self, cause: str) -> None:
-        self._metrics.peer_messages_dropped.labels(cause=cause).inc()
+            self._metrics.count_dropped("busy")
--- a/src/stagewalk/node/platform_tasks.py
+++ b/src/stagewalk/node/platform_tasks.py
@@ -1,4 +1,8 @@
-"""Carries out what the core wants of the platform: log, machine list, versions, scores."""
+"""Carries out the core's instructions to the platform: log, machine list, versions, scores.
+
+Owns the running calls. Relies on the ports' clients for timeouts and on the core for repeating what
+failed; a failure is logged, counted and, where the core waits for an answer, made an event.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,7 @@
 )
 from stagewalk.node.core.platform import MachineKind
 from stagewalk.node.event_queue import EventQueue
-from stagewalk.node.metrics import NodeMetrics
+from stagewalk.node.metrics import ServiceMetrics
 from stagewalk.node.peers.peer_transport import PeerTransport
 from stagewalk.node.ports.platform_services import LogService, MachineList, Scorer, WeightStore
 
@@ -44,13 +48,13 @@
 
 
 class PlatformTasks:
-    """Runs calls to the platform as tasks and turns what comes of them into events."""
+    """Runs calls to the platform as tasks and turns their outcomes into events."""
 
     def __init__(
         self,
         services: PlatformServices,
         events: EventQueue,
-        metrics: NodeMetrics,
+        metrics: ServiceMetrics,
         peers: PeerTransport,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
@@ -86,7 +90,7 @@
         if answer.is_ok():
             event = LogRead(read.stream, answer.ok.records, answer.ok.head)
         else:
-            self._note_error(answer.error)
+            self._record_error(answer.error)
             event = LogReadFailed(read.stream, answer.error.detail)
         await self._events.put(event)
 
@@ -97,7 +101,7 @@
             event = AppendConfirmed(append.stream, append.record_id, answer.ok)
         else:
             error = answer.error
-            self._note_error(error)
+            self._record_error(error)
             unknown = error.ran is Ran.UNKNOWN
             event = AppendFailed(append.stream, append.record_id, unknown, error.detail)
         await self._events.put(event)
@@ -105,7 +109,7 @@
     async def _read_machines(self) -> None:
         answer = await self._services.machines.read()
         if answer.is_error():
-            self._note_error(answer.error)
+            self._record_error(answer.error)
             return
         machines = answer.ok
         if machines is None:
@@ -118,7 +122,7 @@
     async def _read_versions(self, read: ReadVersions) -> None:
         answer = await self._services.weights.versions(read.model)
         if answer.is_error():
-            self._note_error(answer.error)
+            self._record_error(answer.error)
             return
         await self._events.put(VersionsRead(read.model, answer.ok))
 
@@ -128,12 +132,12 @@
         if answer.is_ok():
             event = SampleScored(sample.sample_id, answer.ok)
         else:
-            self._note_error(answer.error)
+            self._record_error(answer.error)
             event = SampleScoringFailed(sample.sample_id, answer.error)
         await self._events.put(event)
 
-    def _note_error(self, error: StagewalkError) -> None:
-        self._metrics.service_errors.labels(step=error.step.value, kind=error.kind.value).inc()
+    def _record_error(self, error: StagewalkError) -> None:
+        self._metrics.count_error(error)
         log_event(
             "service_call_failed",
             "debug",
--- a/src/stagewalk/node/ports/engines.py
+++ b/src/stagewalk/node/ports/engines.py
@@ -32,7 +32,7 @@
         """Send an attempt and deliver its chunks, then exactly one final event."""
 
     async def cancel(self, cancel: CancelAttempt) -> Result[None, StagewalkError]:
-        """Ask the engine to stop an attempt."""
+        """Cancel an attempt at the engine."""
 
     async def report(self, engine: str, address: Address) -> Result[EngineReport, StagewalkError]:
         """Read the engine's report."""
--- a/tests/node/test_peer_transport.py
+++ b/tests/node/test_peer_transport.py
@@ -50,7 +50,7 @@
 async def peer(address: Address | None = None) -> AsyncIterator[Peer]:
     events, metrics = EventQueue(), NodeMetrics()
     listen = address or free_address()
-    transport = PeerTransport(listen, events, metrics)
+    transport = PeerTransport(listen, events, metrics.peers)
     async with anyio.create_task_group() as tasks:
         await tasks.start(transport.run)
         yield Peer(listen, transport, events, metrics)
