--- a/src/stagewalk/node/samples/backoff.py
+++ b/src/stagewalk/node/samples/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between retries."""
+"""Delays before a failed rollout, score or claim is tried again."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/samples/config.py
+++ b/src/stagewalk/node/samples/config.py
@@ -1,4 +1,7 @@
-"""Settings of the sample ledger."""
+"""Parameters of the sample ledger, with units and where the figures come from.
+
+Where no measurement is named, a figure was chosen, not measured.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LotConfig:
-    """How a node runs lots and hands over their samples.
+    """How a node runs lots and delivers their samples.
 
     Attributes
     ----------
@@ -16,15 +19,15 @@
     maximum_slots_per_lot
         Largest lot accepted.
     request_deadline_seconds
-        Least time a rollout is given before it counts as failed.
+        Least time a rollout has before it counts as failed.
     retry_base_seconds, retry_limit_seconds
         First and largest delay before a failed rollout, score or claim is tried again.
     no_room_retry_seconds
         Largest delay before a rollout that found no engine or no room is tried again.
     claim_wait_seconds
-        How long a scored sample waits for its claim before it is handed over without one.
+        How long a scored sample waits for its claim before it is delivered without one.
     maximum_claim_bytes
-        Largest sample the claim register takes; a larger one is handed over without a claim.
+        Largest sample the claim register takes; a larger one is delivered without a claim.
     hand_over_margin_seconds
         Added to a sample's age in seconds, for the way of the answer to the trainer, which
         drops an answer that takes longer than its pull's wait and this.
@@ -51,26 +54,26 @@
         Whether, while engines swap weights, only as many rollouts run as those can take that
         hold weights fresh enough.
     retained_steps
-        Steps of one trainer kept besides the newest; older ones are forgotten.
+        Steps of one trainer kept besides the newest; older ones are dropped.
     retention_seconds
         How long a completed lot is kept for pulls that are repeated.
     pulled_pause_seconds, idle_pause_seconds
         A lot whose trainer has been silent for so long here stops running: one that it was
         pulling, and one that it was not.
     idle_retention_seconds
-        A lot whose trainer has been silent for so long here is forgotten.
+        A lot whose trainer has been silent for so long here is dropped.
     stuck_after_failures, stuck_log_seconds
         Failures of one slot in a row after which it is logged as stuck, and the least time
         between two such log lines of a lot.
     claim_probes
         Claims of a new lot that are read to find out whether another node runs it.
     probe_seconds
-        How long a new lot, or one taken over, is held back for the answers to such reads.
+        How long a new lot waits for the answers to such reads before anything of it runs.
     claim_read_seconds, last_claim_read_seconds
         Time between reads of the claims of a lot that another node runs, and the same when no
         more than `claim_probes` of its slots are open.
     quiet_seconds
-        How long nothing new must be found in them before the lot is run here.
+        How long no new claim must be found in them before the lot is run here.
     retained_bytes
         Text of acknowledged samples kept for trainers that go back to an older cursor.
     """
--- a/src/stagewalk/node/samples/core.py
+++ b/src/stagewalk/node/samples/core.py
@@ -1,8 +1,9 @@
 """The sample ledger of a node: lots in, exactly one fresh sample a slot out.
 
-What must last of it lies elsewhere: what a trainer holds is in the cursor its pulls carry, and
-which sample is a slot's is in the claim register. A node that dies takes only time with it; the
-trainer submits the step to another node and goes on with its cursor.
+Owns the lots in progress at this node; nothing of them must survive it. What a trainer holds is in
+the cursor its pulls carry, and which sample is a slot's is in the claim register. If the node dies,
+the trainer submits the step to another node and continues with its cursor. Relies on the scheduler,
+the settlement, the delivery and the keeper, which share one store.
 """
 
 from __future__ import annotations
@@ -36,11 +37,11 @@
 from stagewalk.node.samples.validation import check_lot, check_pull, invalid, unknown_lot
 
 _HOUSEKEEPING_SECONDS = 1.0
-"""Time between two looks for stragglers and for lots to pause or forget."""
+"""Time between two checks for stragglers and for lots to pause or drop. Chosen, not measured."""
 
 
 class LotCore:
-    """Decides what is run for trainers and what they are handed.
+    """Decides what is run for trainers and which samples they get.
 
     Parameters
     ----------
@@ -67,12 +68,12 @@
         self._uses = 0
 
     def set_tenants(self, tenants: dict[TenantName, Tenant]) -> None:
-        """Put a configuration in force: bounds and objectives hold from the next decision on."""
+        """Apply a configuration: bounds and objectives hold from the next decision on."""
         self._store.tenants = dict(tenants)
         self._keeper.set_tenants(tenants.values())
 
     def submit(self, call: CallId, lot: RolloutLot, now: float) -> list[LotOutput]:
-        """Take a step's lot; the same lot again changes nothing."""
+        """Add a step's lot; the same lot again changes nothing."""
         error = check_lot(lot, self._store.tenants.get(lot.tenant), self._config, self._node)
         if error is not None:
             return [FailCall(call, error)]
@@ -116,14 +117,14 @@
         return output + list(self._scheduler.dispatch_all(lots, now))
 
     def abandon(self, call: CallId, now: float) -> list[LotOutput]:
-        """Forget a call whose caller went away. What it would have been handed stays ready."""
+        """Drop a call whose caller went away; the samples it would have got stay ready."""
         self._delivery.abandon(call)
         return []
 
     def request_finished(
         self, request_id: RequestId, result: CompletionResult, now: float
     ) -> list[LotOutput]:
-        """Take the whole answer of a rollout."""
+        """Handle the whole answer of a rollout."""
         lot = self._lot_of_request(request_id)
         output = self._settlement.rollout_finished(request_id, result, now)
         return output + self._advance(lot, now)
@@ -131,13 +132,13 @@
     def request_failed(
         self, request_id: RequestId, error: StagewalkError, now: float
     ) -> list[LotOutput]:
-        """Take the final error of a rollout."""
+        """Handle the final error of a rollout."""
         lot = self._lot_of_request(request_id)
         output = self._settlement.rollout_failed(request_id, error, now)
         return output + self._advance(lot, now)
 
     def handle(self, event: SampleScored | SampleScoringFailed, now: float) -> list[LotOutput]:
-        """Take the scorer's answer, or that there was none."""
+        """Handle the scorer's answer, or its failure."""
         if isinstance(event, SampleScored):
             lot = self._lot_of_request(RequestId(event.sample_id))
             output = self._settlement.scored(event.sample_id, event.score, now)
@@ -145,14 +146,14 @@
         return self._settlement.scoring_failed(event.sample_id, event.error, now)
 
     def claim_decided(self, key: str, value: bytes, won: bool, now: float) -> list[LotOutput]:
-        """Take the value chosen for a claim; `won` says whether this node's proposal was it."""
+        """Handle a claim's value; `won` says whether this node proposed it."""
         place = self._store.claims.get(key)
         output = self._settlement.claim_decided(key, value, now)
         lot = None if place is None else self._store.lots.get(place.lot)
         return output + self._advance(lot, now)
 
     def claim_undecided(self, key: str, error: StagewalkError, now: float) -> list[LotOutput]:
-        """Take that a claim could not be decided for now."""
+        """Handle a claim that could not be decided for now."""
         place = self._store.claims.get(key)
         output = self._settlement.claim_undecided(key, error, now)
         lot = None if place is None else self._store.lots.get(place.lot)
@@ -161,25 +162,25 @@
     def versions_known(
         self, model: ModelName, newest: WeightVersion, now: float
     ) -> list[LotOutput]:
-        """Take that the weight store's list, read by this node, ends with a version.
+        """Record that the weight store's list, read by this node, ends with a version.
 
-        Ages in seconds are counted from this, so it must be no other news than the store's own.
+        Ages in seconds are counted from this, so nothing but the store's own answer counts.
         """
         at = now - self._config.news_lag_seconds
         self._store.versions.read_as_newest(model, newest, at)
-        return self._version_news(model, now)
+        return self._advance_model(model, now)
 
     def version_seen(self, model: ModelName, version: WeightVersion, now: float) -> list[LotOutput]:
-        """Take an engine's report that it runs a version."""
+        """Record an engine's report that it runs a version."""
         self._store.served.reported(model, version, now)
         known = self._store.versions.newest(model)
         if known is not None and version <= known:
             return self._dispatch_model(model, now)
         self._store.versions.seen(model, version)
-        return self._version_news(model, now)
+        return self._advance_model(model, now)
 
     def tick(self, now: float) -> list[LotOutput]:
-        """Do what has become due."""
+        """Handle due timers, answer parked pulls and check the lots."""
         output: list[LotOutput] = []
         touched: dict[LotKey, Lot] = {}
         for timer in self._timers.pop_due(now):
@@ -198,7 +199,7 @@
             self._housekeeping_at = now + _HOUSEKEEPING_SECONDS
             output += self._keeper.read_versions(now)
             for lot in list(self._store.lots.values()):
-                output += self._keeper.look_after(lot, now)
+                output += self._keeper.check(lot, now)
         return output
 
     def status(self, now: float) -> tuple[LotStatus, ...]:
@@ -212,7 +213,7 @@
         return added
 
     def _touch(self, lot: Lot, now: float) -> None:
-        """Take note that a trainer is alive, and speaks to this node."""
+        """Record that a trainer is alive and uses this node."""
         self._uses += 1
         lot.used = self._uses
         for other in self._store.lots_of_trainer(lot.key):
@@ -220,15 +221,15 @@
             other.paused = False
 
     def _release(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Start a lot that was held back, or go on following the node that runs it."""
+        """Start a lot after its probes, or go on following the node that runs it."""
         output = self._keeper.follow(lot, now)
         if now >= lot.held_until and not lot.following:
             lot.held_until = 0.0
             output += self._scheduler.dispatch(lot, now)
         return output
 
-    def _version_news(self, model: ModelName, now: float) -> list[LotOutput]:
-        """Do what waited for news of a model's versions."""
+    def _advance_model(self, model: ModelName, now: float) -> list[LotOutput]:
+        """Advance the lots of a model whose versions changed."""
         output: list[LotOutput] = []
         for lot in list(self._store.lots.values()):
             if lot.lot.model == model:
--- a/src/stagewalk/node/samples/delivery.py
+++ b/src/stagewalk/node/samples/delivery.py
@@ -1,4 +1,8 @@
-"""Hand-over of samples: pulls, their cursors, and pulls that wait for a first sample."""
+"""Delivery of samples: pulls, their cursors, and pulls that wait for a first sample.
+
+Owns the parked pulls and the text kept of acknowledged samples. Relies on the staleness gate for
+what may be delivered, and on the trainer's cursor alone for what it holds.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 from stagewalk.node.samples.store import LotStore
 
 _SAMPLE_OVERHEAD_BYTES = 400
-"""What a sample takes besides its text, roughly."""
+"""Estimated memory of a sample besides its text. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,8 +43,8 @@
 class Delivery:
     """Answers pulls.
 
-    A sample handed over stays ready until a cursor covers its slot: if the answer is lost, the
-    same pull gets it again. What a trainer holds is decided by its cursor alone.
+    A delivered sample stays ready until a cursor covers its slot: if the answer is lost, the same
+    pull gets it again.
     """
 
     def __init__(
@@ -59,7 +63,7 @@
         self._retained_bytes = 0
 
     def pull(self, lot: Lot, opened: OpenPull, now: float) -> list[LotOutput]:
-        """Answer a pull, or park it until there is something to hand over."""
+        """Answer a pull, or park it until there is something to deliver."""
         outdated = opened.delivered != lot.acknowledged and (
             opened.delivered | lot.acknowledged == lot.acknowledged
         )
@@ -88,7 +92,7 @@
         return self._answer(lot, parked, now)
 
     def answer_all_parked(self, now: float) -> list[LotOutput]:
-        """Answer pulls for which there are samples, or that have waited as long as they wished.
+        """Answer pulls for which there are samples, or whose wait is over.
 
         Done once a tick, so that samples that finish together travel together.
         """
@@ -103,17 +107,17 @@
         return output
 
     def abandon(self, call: CallId) -> None:
-        """Forget a pull whose caller went away; what it would have got stays ready."""
+        """Drop a pull whose caller went away; what it would have got stays ready."""
         for key, parked in list(self._parked.items()):
             if parked.call == call:
                 del self._parked[key]
 
     def has_parked(self, key: LotKey) -> bool:
-        """Say whether a pull waits for a lot."""
+        """Return whether a pull waits for a lot."""
         return key in self._parked
 
     def drop(self, lot: Lot) -> list[LotOutput]:
-        """Answer the pull of a lot that is about to be forgotten."""
+        """Answer the pull of a lot that is about to be dropped."""
         parked = self._parked.pop(lot.key, None)
         return [] if parked is None else [self._empty_answer(lot, parked)]
 
@@ -163,7 +167,7 @@
         )
 
     def _acknowledge(self, lot: Lot, delivered: int) -> list[LotOutput]:
-        """Make a pull's cursor the lot's: what it covers is done, what it lacks is wanted.
+        """Apply a pull's cursor: what it covers is done, what it lacks is to be delivered.
 
         A cursor may lack what an earlier one covered: the trainer went back to a checkpoint, or
         a delayed pull came late. Such a slot is served from its kept sample or run again.
--- a/src/stagewalk/node/samples/housekeeping.py
+++ b/src/stagewalk/node/samples/housekeeping.py
@@ -1,4 +1,8 @@
-"""Care for lots over time: pausing silent ones, forgetting old ones, recovering moved ones."""
+"""The rules for lots over time: pause silent ones, drop old ones, take over moved ones.
+
+Owns when the store's versions were read. Relies on claims to see what another node makes of a lot:
+what that node finishes, it claims. Times in seconds; the constants are fields of `LotConfig`.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 
 
 class LotKeeper:
-    """Bounds what lots cost while nobody asks for them."""
+    """Bounds what lots cost while no trainer pulls them."""
 
     def __init__(
         self,
@@ -36,8 +40,8 @@
         self._bounded_models: set[ModelName] = set()
         self._versions_read_at: dict[ModelName, float] = {}
 
-    def look_after(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Forget or pause a lot whose trainer has been silent, and start what its state asks."""
+    def check(self, lot: Lot, now: float) -> list[LotOutput]:
+        """Drop or pause a lot whose trainer has been silent, or start what may run."""
         if self._is_over(lot, now):
             return self.forget(lot)
         output: list[LotOutput] = []
@@ -62,7 +66,7 @@
         return output
 
     def set_tenants(self, tenants: Iterable[Tenant]) -> None:
-        """Take which models' versions are to be read."""
+        """Set the models whose versions are to be read."""
         self._bounded_models = {
             model
             for tenant in tenants
@@ -71,7 +75,7 @@
         }
 
     def probe(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Look whether another node runs a lot that is new here: what it finishes, it claims."""
+        """Read some claims of a lot that is new here, to find out whether another node runs it."""
         count = len(lot.slots)
         probes = min(count, self._config.claim_probes)
         lot.held_until = now + self._config.probe_seconds
@@ -81,8 +85,8 @@
     def take_over(self, lot: Lot, now: float) -> list[LotOutput]:
         """Follow a lot that began at another node, which may be dead or at it still.
 
-        What that node finishes it claims. Running the same slots here as well would take the
-        engines from it, so nothing is started while news of it comes.
+        Running the same slots here as well would take the engines from it, so nothing is started
+        while new claims of it are found.
         """
         lot.moved = True
         lot.following = True
@@ -90,7 +94,7 @@
         return self._read_claims(lot, now)
 
     def follow(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Go on reading what another node makes of a lot; run it here once nothing comes."""
+        """Go on reading another node's claims of a lot; run it here once no new ones are found."""
         if now < lot.next_read_at or lot.paused:
             return []
         if not lot.moved:
@@ -101,7 +105,7 @@
         return self._read_claims(lot, now)
 
     def forget(self, lot: Lot) -> list[LotOutput]:
-        """Drop a lot; what was handed over of it is in its trainer's cursor."""
+        """Drop a lot; what was delivered of it is in its trainer's cursor."""
         output = self._delivery.drop(lot)
         for slot in lot.slots:
             output += self._scheduler.cancel(slot)
@@ -109,7 +113,7 @@
         return output
 
     def forget_superseded(self, key: LotKey) -> list[LotOutput]:
-        """Keep only those lots of a trainer that it used last."""
+        """Drop all lots of a trainer but those it used last."""
         lots = [lot for lot in self._store.lots_of_trainer(key) if lot.key != key]
         lots.sort(key=lambda lot: (lot.used, lot.key.step))
         kept = self._config.retained_steps + self._config.look_ahead_steps
--- a/src/stagewalk/node/samples/lengths.py
+++ b/src/stagewalk/node/samples/lengths.py
@@ -1,4 +1,7 @@
-"""Online prediction of answer lengths, so that the longest rollouts start first."""
+"""Online prediction of answer lengths, so that the longest rollouts start first.
+
+Owns moving means by prompt, family and tenant, in tokens. The figures were chosen, not measured.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
         self._means: OrderedDict[tuple[str, str], _MovingMean] = OrderedDict()
 
     def observe(self, tenant: TenantName, prompt: RolloutPrompt, token_count: int) -> None:
-        """Learn the length of a finished answer, in tokens."""
+        """Record the length of a finished answer, in tokens."""
         for level in _levels(prompt):
             key = (tenant, level)
             mean = self._means.setdefault(key, _MovingMean())
--- a/src/stagewalk/node/samples/lots.py
+++ b/src/stagewalk/node/samples/lots.py
@@ -1,4 +1,8 @@
-"""A lot at one node: its slots in their deterministic order and what became of each."""
+"""A lot at one node: its slots in their deterministic order and what became of each.
+
+Plain state, changed by the parts of the ledger; owns the phases' index and the queue of waiting
+slots.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +41,7 @@
     SCORING = "scoring"
     CLAIMING = "claiming"
     READY = "ready"
-    """Its sample may be handed over."""
+    """Its sample may be delivered."""
     ACKNOWLEDGED = "acknowledged"
     """A pull's cursor covers it; its sample, if there is one, is kept for an older cursor."""
 
@@ -107,11 +111,11 @@
     durations
         Seconds that finished rollouts took, ascending.
     held_until
-        Nothing of it is started before: it is being found out whether another node runs it.
+        Nothing of it is started before: its claims are being probed for another node's work.
     moved
         Another node runs it, or did: its claims are read from time to time.
     following
-        That node was heard of lately: nothing is started here.
+        That node finished slots lately: nothing is started here.
     news_at, next_read_at
         When a claim that another node had decided was last found, and when claims are read next.
     used
@@ -161,11 +165,11 @@
             slot.change += 1
 
     def enqueue(self, index: int, predicted_tokens: float) -> None:
-        """Have a waiting slot run as soon as its turn comes: longest first."""
+        """Queue a waiting slot by its predicted length, the longest first."""
         heapq.heappush(self.queue, (-predicted_tokens, index))
 
     def next_in_queue(self) -> int | None:
-        """Remove and return the waiting slot whose turn it is."""
+        """Remove and return the next waiting slot, if any."""
         while self.queue:
             index = heapq.heappop(self.queue)[1]
             if self.slots[index].phase is SlotPhase.WAITING:
--- a/src/stagewalk/node/samples/sample_codec.py
+++ b/src/stagewalk/node/samples/sample_codec.py
@@ -1,4 +1,4 @@
-"""Samples as values of the claim register."""
+"""Samples as values of the claim register: the stored form, which other nodes and releases read."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 """Begins the keys of all claims that decide slots."""
 
 _MINIMUM_COMPRESSED_BYTES = 256
+"""Text shorter than this is stored as it is. Chosen, not measured."""
 
 
 class _EncodedSample(msgspec.Struct, frozen=True, array_like=True):
--- a/src/stagewalk/node/samples/scheduler.py
+++ b/src/stagewalk/node/samples/scheduler.py
@@ -1,4 +1,10 @@
-"""Which slots run next: order, look-ahead, and duplicates of stragglers."""
+"""The rules for which slots run next: order, window, look-ahead, and duplicates of stragglers.
+
+Owns the prediction of answer lengths. Inputs: phases of a lot's slots, the trainer's step and
+version, the versions that exist and that engines run. A lot's window bounds how many of its
+rollouts run; it grows with answers and shrinks with refusals. Constants without a measurement were
+chosen.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +27,10 @@
 _STRAGGLER_PERCENTILE = 0.9
 
 MINIMUM_WINDOW = 4
-"""Rollouts of a lot that may always run at once, however often they are refused."""
+"""Rollouts of a lot that may run at once even if they are refused: they notice free room."""
 
 _WINDOW_DECREASE = 0.8
+"""What stays of a window after a refusal, as in admission's `decrease_factor`."""
 
 _WINDOW_DECREASE_SECONDS = 1.0
 """A window shrinks at most once in this time: refusals come in bursts."""
@@ -100,26 +107,26 @@
         return started
 
     def cancel(self, slot: Slot) -> list[LotNotification]:
-        """Cancel all rollouts of a slot, and forget an answer that is being scored."""
-        unwanted: list[LotNotification] = []
+        """Cancel all rollouts of a slot, and drop an answer that is being scored."""
+        cancelled: list[LotNotification] = []
         for request_id in sorted(slot.requests):
             self._store.requests.pop(request_id, None)
-            unwanted.append(CancelRollout(slot.key.tenant, request_id))
+            cancelled.append(CancelRollout(slot.key.tenant, request_id))
         slot.requests.clear()
         if slot.candidate_id is not None:
             self._store.requests.pop(slot.candidate_id, None)
         slot.candidate_id = None
         slot.candidate = None
-        return unwanted
+        return cancelled
 
     def finished(self, lot: Lot, slot: Slot, started_at: float, tokens: int, now: float) -> None:
-        """Learn from a finished rollout, and let a few more run at once."""
+        """Record a finished rollout's length and duration, and widen the lot's window."""
         lot.window = min(float(self._config.maximum_outstanding_per_lot), lot.window + 1.0)
         self.lengths.observe(lot.key.tenant, slot.prompt, tokens)
         bisect.insort(lot.durations, now - started_at)
 
     def refused(self, lot: Lot, now: float) -> None:
-        """Let fewer of a lot's rollouts run at once: there is no room for them."""
+        """Shrink a lot's window: there is no room for its rollouts."""
         if now - lot.window_shrunk_at < _WINDOW_DECREASE_SECONDS:
             return
         lot.window_shrunk_at = now
@@ -138,7 +145,7 @@
         return enough_known and unfinished <= max(1, self._config.tail_fraction * len(lot.slots))
 
     def _may_run(self, lot: Lot, now: float) -> bool:
-        """Say whether a lot's turn has come.
+        """Return whether rollouts of a lot may start now.
 
         A step ahead of its trainer's runs only with what the steps before it leave free, and
         only once weights exist that will be fresh enough when it is pulled.
--- a/src/stagewalk/node/samples/served_versions.py
+++ b/src/stagewalk/node/samples/served_versions.py
@@ -1,4 +1,7 @@
-"""Which weight versions the engines in reach run, as far as their reports tell."""
+"""Which weight versions the engines of this node's subset run, by their reports.
+
+Owns recent reports, bounded by age and number; the scheduler uses the share.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
         self._reports: dict[ModelName, deque[tuple[float, WeightVersion]]] = {}
 
     def reported(self, model: ModelName, version: WeightVersion, now: float) -> None:
-        """Take the version that an engine reports to run."""
+        """Record the version that an engine reports to run."""
         reports = self._reports.setdefault(model, deque(maxlen=MAXIMUM_REPORTS))
         reports.append((now, version))
         while reports[0][0] < now - WINDOW_SECONDS:
--- a/src/stagewalk/node/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -1,4 +1,9 @@
-"""From a finished rollout to the slot's one sample: freshness, score, claim."""
+"""The rules from a finished rollout to the slot's one sample: freshness, score, claim, retries.
+
+Owns when a slot is run again, scored again or claimed again. Relies on the claim register to make
+one sample a slot's, and on the staleness gate for what is worth scoring. Delays are in seconds and
+fields of `LotConfig`.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +38,7 @@
 
 
 class SampleSettlement:
-    """Moves slots from a finished rollout to a sample that may be handed over."""
+    """Moves slots from a finished rollout to a sample that may be delivered."""
 
     def __init__(
         self,
@@ -52,7 +57,7 @@
     def rollout_finished(
         self, request_id: RequestId, result: CompletionResult, now: float
     ) -> list[LotOutput]:
-        """Take a rollout's whole answer."""
+        """Handle a rollout's whole answer."""
         place = self._store.requests.get(request_id)
         if place is None:
             return []
@@ -75,7 +80,7 @@
     def rollout_failed(
         self, request_id: RequestId, error: StagewalkError, now: float
     ) -> list[LotOutput]:
-        """Take the final error of a rollout: its slot is run again after a while."""
+        """Handle the final error of a rollout: its slot is run again after a delay."""
         place = self._store.requests.pop(request_id, None)
         if place is None:
             return []
@@ -98,7 +103,7 @@
         return self._log_if_stuck(lot, slot, error, now)
 
     def scored(self, sample_id: str, score: float, now: float) -> list[LotOutput]:
-        """Take a sample's score and propose the sample as its slot's."""
+        """Handle a sample's score, and propose the sample as its slot's."""
         place = self._store.requests.get(RequestId(sample_id))
         if place is None:
             return []
@@ -122,7 +127,7 @@
         return [self._propose(lot, index, slot.sample)]
 
     def scoring_failed(self, sample_id: str, error: StagewalkError, now: float) -> list[LotOutput]:
-        """Have a sample scored again after a while; scoring is idempotent."""
+        """Handle a failed score: it is tried again after a delay; scoring is idempotent."""
         place = self._store.requests.get(RequestId(sample_id))
         if place is None:
             return []
@@ -136,7 +141,7 @@
         return self._log_if_stuck(lot, slot, error, now)
 
     def claim_decided(self, key: str, value: bytes, now: float) -> list[LotOutput]:
-        """Take the sample that was chosen for a slot, be it this node's or another's."""
+        """Handle the sample that was decided for a slot, this node's or another's."""
         place = self._store.claims.pop(key, None)
         if place is None:
             return []
@@ -154,7 +159,7 @@
         return list(self._scheduler.cancel(slot))
 
     def claim_undecided(self, key: str, error: StagewalkError, now: float) -> list[LotOutput]:
-        """Propose again after a while: no majority of the claim's replicas answered."""
+        """Propose again after a delay: no majority of the claim's replicas answered."""
         place = self._store.claims.get(key)
         if place is None:
             return []
@@ -170,7 +175,7 @@
         return []
 
     def timer_due(self, kind: TimerKind, lot: Lot, index: int, now: float) -> list[LotOutput]:
-        """Do what a timer of a slot was set for."""
+        """Handle a due timer of a slot."""
         slot = lot.slots[index]
         match kind:
             case TimerKind.RUN:
@@ -210,7 +215,7 @@
         return [LogEvent("slot_run_again", fields)]
 
     def _answer_fault(self, lot: Lot, result: CompletionResult, now: float) -> str | None:
-        """Say why an answer can't become a sample, or None."""
+        """Return why an answer can't become a sample; None if it can."""
         parameters = self._store.parameters(lot.key.tenant)
         named = sum(span.token_count for span in result.spans)
         if parameters is None or named != result.token_count or named == 0:
@@ -229,7 +234,7 @@
         return "too stale when it finished" if verdict is Freshness.STALE else None
 
     def _stop_waiting_for_claim(self, lot: Lot, index: int) -> list[LotOutput]:
-        """Hand a sample over without a decided claim.
+        """Make a sample ready without a decided claim.
 
         The cursor alone keeps the trainer from taking two samples for a slot; the claim only
         keeps a sample through this node's death. While no majority can be reached, the trainer
--- a/src/stagewalk/node/samples/staleness.py
+++ b/src/stagewalk/node/samples/staleness.py
@@ -1,4 +1,9 @@
-"""The staleness gate: is a sample fresh enough for the version that a pull names?"""
+"""The staleness gate: is a sample fresh enough for the version that a pull names?
+
+Owns what this node knows of each model's newest version. Inputs: the tenant's bounds in versions
+and in seconds, the oldest version among a sample's spans, the trainer's version and the time of
+arrival.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +15,7 @@
 from stagewalk.node.configuration.parameters import TenantParameters
 
 MAXIMUM_REMEMBERED_VERSIONS = 256
-"""Versions of one model whose times are kept."""
+"""Versions of one model whose times are kept. Chosen, not measured."""
 
 
 @dataclass(slots=True)
@@ -38,12 +43,12 @@
         return None if versions is None else versions.newest
 
     def seen(self, model: ModelName, version: WeightVersion) -> None:
-        """Take note that a version exists."""
+        """Record that a version exists."""
         versions = self._models.setdefault(model, _ModelVersions(version))
         versions.newest = max(versions.newest, version)
 
     def read_as_newest(self, model: ModelName, version: WeightVersion, at: float) -> None:
-        """Take note that at time `at` the store held no version newer than this."""
+        """Record that at time `at` the store held no version newer than this."""
         self.seen(model, version)
         times = self._models[model].last_newest_at
         if version < self._models[model].newest:
@@ -55,7 +60,7 @@
     def age_bound(self, model: ModelName, version: WeightVersion, at: float) -> float:
         """Return the most seconds that can have passed by `at` since a version was superseded.
 
-        Infinite if nothing tells.
+        Infinite if no read of the store bounds it.
         """
         versions = self._models.get(model)
         if versions is None:
@@ -76,14 +81,14 @@
 
 
 class Freshness(Enum):
-    """Whether a sample may be handed over."""
+    """Whether a sample may be delivered."""
 
     FRESH = "fresh"
     STALE = "stale"
     """Over the bound, for ever: staleness only grows."""
     UNCERTAIN = "uncertain"
     """Of the newest version known, but the store has not been read for long: running it again
-    would not help, and handing it over might break the bound."""
+    would not help, and delivering it might break the bound."""
 
 
 def judge_freshness(
--- a/src/stagewalk/node/samples/status.py
+++ b/src/stagewalk/node/samples/status.py
@@ -1,4 +1,4 @@
-"""What operators may see of lots."""
+"""State of a lot, in numbers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     trainer_version
         Newest version the trainer has named.
     seconds_since_pull
-        How long the trainer has been silent here.
+        Seconds since the trainer's last call to this node.
     """
 
     tenant: str
--- a/src/stagewalk/node/samples/store.py
+++ b/src/stagewalk/node/samples/store.py
@@ -1,4 +1,7 @@
-"""All lots of a node, and what of them is under way elsewhere."""
+"""All lots of a node, and which requests and claims belong to their slots.
+
+Plain state shared by the ledger's parts: owns the indices, decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 @dataclass(slots=True)
 class TrainerView:
-    """What a trainer has said here.
+    """What a trainer's calls to this node have named.
 
     Attributes
     ----------
@@ -74,7 +77,7 @@
         return WeightVersion(0) if trainer is None else trainer.version
 
     def note_trainer(self, lot: Lot, version: WeightVersion, *, pulling: bool) -> None:
-        """Take note of what a trainer says; an older version, come late, changes nothing."""
+        """Record the version a trainer's call names; an older one, come late, changes nothing."""
         key = lot.key
         trainer = self._trainers.setdefault((key.tenant, key.trainer), TrainerView(version))
         trainer.version = max(version, trainer.version)
--- a/src/stagewalk/node/samples/timers.py
+++ b/src/stagewalk/node/samples/timers.py
@@ -1,4 +1,4 @@
-"""A queue of due times with lazy cancellation."""
+"""Timers of slots on a heap, with lazy cancellation: a timer set before a change is ignored."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         self._sequence = 0
 
     def set(self, due: float, kind: TimerKind, lot: LotKey, index: int, change: int) -> None:
-        """Add a timer. Timers are not removed: whoever gets one checks `change`."""
+        """Add a timer. A timer is never removed: its handler checks `change`."""
         self._sequence += 1
         heapq.heappush(self._heap, Timer(due, self._sequence, kind, lot, index, change))
 
--- a/src/stagewalk/node/samples/validation.py
+++ b/src/stagewalk/node/samples/validation.py
@@ -1,4 +1,4 @@
-"""Checks of what trainers submit and pull."""
+"""Checks of what trainers submit and pull; each error names the field at fault."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 def check_lot(
     lot: RolloutLot, tenant: Tenant | None, config: LotConfig, node: NodeName
 ) -> StagewalkError | None:
-    """Say what is wrong with a submitted lot, or None."""
+    """Return what is wrong with a submitted lot, or None."""
     if tenant is None:
         return unknown_tenant(node, lot.tenant)
     if lot.model not in tenant.parameters.models:
@@ -62,7 +62,7 @@
 
 
 def check_pull(pull: SamplePull, tenant: Tenant | None, node: NodeName) -> StagewalkError | None:
-    """Say what is wrong with a pull, or None; its cursor is checked against its lot later."""
+    """Return what is wrong with a pull, or None; its cursor is checked against its lot later."""
     if tenant is None:
         return unknown_tenant(node, pull.tenant)
     if pull.max_samples < 1:
