--- a/src/stagewalk/node/claims/core.py
+++ b/src/stagewalk/node/claims/core.py
@@ -1,7 +1,8 @@
 """Write-once registers: of all values proposed for a key, at most one is ever decided.
 
-`ClaimCore` is a proposer for its own node and a replica of the partitions placed on it. The
-argument for its safety is in `docs/design/0040-claims.md`.
+`ClaimCore` is a proposer for its own node and a replica of the partitions placed on it, and owns
+both. Relies on the placement, from the log or from peers, for the groups, and on membership for
+addresses. The argument for its safety is in `docs/design/0040-claims.md`.
 """
 
 from __future__ import annotations
@@ -77,8 +78,8 @@
     def group_count(self) -> int:
         """Return how many groups in force this process is a member of.
 
-        A planned stop does well to wait for 0 (the planner replaces a leaving replica) and a
-        second more, in which the successors take over; not for long, and not if the log is down.
+        A planned stop should wait, briefly, for 0 (the planner replaces a leaving replica) and a
+        second more, in which the successors take over; not if the log is down.
         """
         return self._replica.group_count
 
@@ -92,14 +93,9 @@
         """Return an estimate of the memory these take."""
         return self._replica.usage.size_bytes
 
-    @property
-    def proposal_count(self) -> int:
-        """Return how many proposals and reads are under way."""
-        return self._proposer.count
-
     def set_groups(self, placement: GroupPlacement) -> None:
-        """Take up the groups in the log; heeded before anything else is."""
-        self._view.take_log(placement)
+        """Set the groups in the log; they apply before anything else is handled."""
+        self._view.apply_log(placement)
         self._placement_changed = True
 
     def set_members(self, members: Mapping[NodeName, Peer]) -> None:
@@ -126,7 +122,7 @@
         return self._finish(now)
 
     def read(self, key: str, now: float, renewable: bool = False) -> list[ClaimOutput]:
-        """Ask what is decided for a key.
+        """Read what is decided for a key.
 
         Ends with `ClaimDecided`, `ClaimAbsent` or `ClaimUndecided`. `renewable` is as in
         `propose`.
@@ -143,20 +139,20 @@
         message: ClaimMessage,
         now: float,
     ) -> list[ClaimOutput]:
-        """Take a message of another node, that came from address `source`."""
+        """Handle a message of another node, that came from address `source`."""
         self._adopt_placement(now)
         self._dispatch(source, GroupMember(sender, sender_incarnation), message, now)
         return self._finish(now)
 
     def tick(self, now: float) -> list[ClaimOutput]:
-        """Let time pass: resend, retry, give up, expire."""
+        """Resend, retry, give up and expire what is due."""
         self._adopt_placement(now)
         self._proposer.tick(now)
         self._replica.sweep(now)
         for outgoing in self._replica.transfers.tick(now):
             self._send(outgoing)
         self._report_abandonments(now)
-        self._ask_for_placement(now)
+        self._request_placement(now)
         return self._finish(now)
 
     def _adopt_placement(self, now: float) -> None:
@@ -177,8 +173,8 @@
         payload = encode_record(RecoveryAbandoned(member=member, groups=groups))
         self._outputs.append(AppendToStream(PLACEMENT_STREAM, payload))
 
-    def _ask_for_placement(self, now: float) -> None:
-        """Ask a peer for the groups while this node knows none: the log may be down."""
+    def _request_placement(self, now: float) -> None:
+        """Request the groups from a peer while this node knows none: the log may be down."""
         if not self._view.is_empty or now < self._ask_at:
             return
         self._ask_at = now + ASK_INTERVAL_SECONDS
@@ -209,7 +205,7 @@
     def _dispatch(
         self, source: Address, sender: GroupMember, message: ClaimMessage, now: float
     ) -> None:
-        if self._view.take_peer(message):
+        if self._view.apply_peer(message):
             self._placement_changed = True
             self._adopt_placement(now)
         body = message.WhichOneof("body")
--- a/src/stagewalk/node/claims/planner.py
+++ b/src/stagewalk/node/claims/planner.py
@@ -1,4 +1,10 @@
-"""Which changes of replica groups the holder of the placement duty proposes."""
+"""The rule for which changes of replica groups the holder of the placement duty proposes.
+
+Owns how long nodes have been missing. Inputs: the live nodes with their zones, the groups in the
+log and the time in seconds. The rule, for each partition: form a first group, replace one that is
+lost, replace missing, leaving or given-up replicas, and else spread crowded ones over zones. Every
+change costs a transfer of state, so each waits for its delay in `PlannerConfig`.
+"""
 
 from __future__ import annotations
 
@@ -24,6 +30,8 @@
 class PlannerConfig:
     """Delays of the planner; every change costs a transfer of state.
 
+    The figures were chosen, not measured.
+
     Attributes
     ----------
     settle_seconds
@@ -31,7 +39,7 @@
     replace_after_seconds
         A replica missing for this long is replaced.
     lost_after_seconds
-        A group that lacks too many members to hand over for this long is taken as lost.
+        A group that lacks too many members to hand over for this long counts as lost.
     retry_seconds
         A proposed change that the log does not show after this is proposed again.
     maximum_changes
@@ -75,7 +83,7 @@
         self, members: Candidates, placement: GroupPlacement, fence: int, now: float
     ) -> PlacementChange | None:
         """Return the record to append now, if any. `fence` is the placement lease's epoch."""
-        self._note_members(members, placement, now)
+        self._track_members(members, placement, now)
         if placement is self._proposed and now < self._retry_at:
             return None
         changes: list[GroupChange] = []
@@ -95,7 +103,7 @@
         later = [change for change in changes if change.base_epoch > 0]
         return first + later[: self._config.maximum_changes]
 
-    def _note_members(self, members: Candidates, placement: GroupPlacement, now: float) -> None:
+    def _track_members(self, members: Candidates, placement: GroupPlacement, now: float) -> None:
         if dict(members) != self._members:
             self._members = dict(members)
             self._changed_at = now
@@ -109,27 +117,39 @@
     def _plan_partition(
         self, partition: int, chain: PartitionChain, now: float
     ) -> GroupChange | None:
-        settled = now >= self._changed_at + self._config.settle_seconds
         group = chain.current
         if group is None:
-            chosen = self._chosen(partition, []) if settled else []
-            return self._change(partition, 0, chosen) if chosen else None
+            return self._first_group(partition, now)
         if chain.lost or self._is_given_up(group, now):
             chosen = self._chosen(partition, [])
-            return self._change(partition, chain.epoch, chosen, forgets=True) if chosen else None
+            return self._change(partition, chain.epoch, chosen, forgets=True)
         if len(self._present(group)) < group.recovery:
             return None
+        return self._renewed_group(partition, chain, group, now)
+
+    def _first_group(self, partition: int, now: float) -> GroupChange | None:
+        if not self._settled(now):
+            return None
+        return self._change(partition, 0, self._chosen(partition, []))
+
+    def _renewed_group(
+        self, partition: int, chain: PartitionChain, group: Group, now: float
+    ) -> GroupChange | None:
+        """Return the change that replaces replicas of a group that can hand over, if any."""
         kept = [name for name in group.names if self._is_kept(name, now)]
-        renewed = any(self._has_given_up(member.name, chain) for member in group.members)
-        if len(kept) == len(group.members) and not renewed:
-            if not settled:
+        rejoins = any(self._has_given_up(member.name, chain) for member in group.members)
+        if len(kept) == len(group.members) and not rejoins:
+            if not self._settled(now):
                 return None
             kept = self._without_crowding(kept)
         chosen = self._chosen(partition, kept)
-        if not chosen or (set(chosen) == set(group.names) and not renewed):
+        if set(chosen) == set(group.names) and not rejoins:
             return None
         return self._change(partition, chain.epoch, chosen)
 
+    def _settled(self, now: float) -> bool:
+        return now >= self._changed_at + self._config.settle_seconds
+
     def _present(self, group: Group) -> list[GroupMember]:
         return [member for member in group.members if member.name in self._members]
 
--- a/src/stagewalk/node/claims/proposer.py
+++ b/src/stagewalk/node/claims/proposer.py
@@ -1,4 +1,8 @@
-"""All proposals and reads of one node."""
+"""All proposals and reads of one node: when each is sent, repeated, outbid or given up.
+
+Owns the exchanges under way. Relies on the placement for a key's replicas and on `proposal` for the
+verdict on their answers. The constants are fields of `ClaimConfig`.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from stagewalk.node.claims.config import ClaimConfig
 from stagewalk.node.claims.messages import Reason
 from stagewalk.node.claims.notifications import ClaimAbsent, ClaimDecided, ClaimUndecided
-from stagewalk.node.claims.placement import GroupMember, GroupPlacement
+from stagewalk.node.claims.placement import Group, GroupMember, GroupPlacement
 from stagewalk.node.claims.proposal import Accepted, Phase, Proposal, Verdict
 from stagewalk.node.claims.quorum import Answer
 from stagewalk.node.claims.relay import write_chain
@@ -20,7 +24,8 @@
 from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimPlacement
 
 RETRY_AFTER_SECONDS = 5.0
-"""When to ask again unless a replica knows better: about the time to replace a replica."""
+"""Retry-After unless a replica knows better: about the time to replace a replica
+(`PlannerConfig.replace_after_seconds`)."""
 
 Notification = ClaimDecided | ClaimAbsent | ClaimUndecided
 
@@ -46,11 +51,6 @@
         self._outgoing: list[Outgoing] = []
         self._notifications: list[Notification] = []
 
-    @property
-    def count(self) -> int:
-        """Return how many proposals and reads are under way."""
-        return len(self._proposals)
-
     def take_outgoing(self) -> list[Outgoing]:
         """Return the messages to send since the last call."""
         outgoing = self._outgoing
@@ -170,7 +170,7 @@
     # Answers
 
     def handle_answer(self, sender: GroupMember, message: ClaimMessage, now: float) -> None:
-        """Take a replica's answer to one of this node's requests."""
+        """Handle a replica's answer to one of this node's requests."""
         key = self._key_of_exchange.get(message.exchange_id)
         proposal = self._proposals.get(key) if key is not None else None
         if proposal is None or proposal.group is None:
@@ -178,16 +178,24 @@
         if now >= proposal.deadline:
             # This process may have been paused for longer than replicas keep their promises.
             self._give_up(proposal)
-            return
-        if sender.name not in proposal.group.names:
-            return
+        elif sender.name in proposal.group.names:
+            self._handle_body(proposal, proposal.group, sender, message, now)
+
+    def _handle_body(
+        self,
+        proposal: Proposal,
+        group: Group,
+        sender: GroupMember,
+        message: ClaimMessage,
+        now: float,
+    ) -> None:
         body = message.WhichOneof("body")
         if body == "decision":
             self._decide(proposal, message.decision.value)
         elif body == "reject":
             proposal.note_refusal(sender.name, message)
-            if message.reject.reason == Reason.EPOCH and message.epoch < proposal.group.epoch:
-                self._tell_groups(proposal, sender.name)
+            if message.reject.reason == Reason.EPOCH and message.epoch < group.epoch:
+                self._send_groups(proposal, sender.name)
             self._judge(proposal, now)
         elif body == "promise" and proposal.phase in (Phase.QUERY, Phase.PREPARE):
             promise = message.promise
@@ -197,8 +205,8 @@
         elif body == "accepted" and proposal.phase == Phase.ACCEPT:
             self._note_vote(proposal, sender, message, Accepted(None, b""), now)
 
-    def _tell_groups(self, proposal: Proposal, name: NodeName) -> None:
-        """Pass the groups on to a replica that has not read of them."""
+    def _send_groups(self, proposal: Proposal, name: NodeName) -> None:
+        """Send the groups to a replica that has not read of them."""
         message = ClaimMessage(placement=ClaimPlacement())
         chain = self._placement.partitions[proposal.partition]
         write_chain(message, proposal.partition, chain, 0)
@@ -235,25 +243,20 @@
             self._decide(proposal, proposal.value)
             return
         accepted = proposal.largest_accepted()
+        if accepted.ballot is None and not proposal.wanted:
+            self._end(proposal)
+            self._notifications.append(ClaimAbsent(proposal.key))
+            return
         if proposal.phase == Phase.QUERY:
-            if accepted.ballot is not None or proposal.wanted:
-                proposal.largest_round = max(
-                    proposal.largest_round, accepted.ballot.round if accepted.ballot else 0
-                )
-                self._begin_prepare(proposal, now)
-            else:
-                self._end(proposal)
-                self._notifications.append(ClaimAbsent(proposal.key))
+            round_seen = 0 if accepted.ballot is None else accepted.ballot.round
+            proposal.largest_round = max(proposal.largest_round, round_seen)
+            self._begin_prepare(proposal, now)
             return
         if accepted.ballot is not None:
             proposal.value = accepted.value
-        elif proposal.wanted:
+        else:
             proposal.value = proposal.wanted[0]
             proposal.offered.add(proposal.value)
-        else:
-            self._end(proposal)
-            self._notifications.append(ClaimAbsent(proposal.key))
-            return
         self._begin_phase(proposal, Phase.ACCEPT, now)
 
     def _announce(self, proposal: Proposal) -> None:
@@ -267,7 +270,7 @@
     def _back_off(self, proposal: Proposal, now: float) -> None:
         """Pause for a random time, so that one of several proposers gets through.
 
-        Replicas that do not vote yet are asked again more slowly than rivals are outbid.
+        Replicas that do not vote yet are retried more slowly than rivals are outbid.
         """
         proposal.phase = Phase.WAITING
         has_rival = Reason.BALLOT in proposal.refusals.values()
@@ -318,7 +321,7 @@
         self._key_of_exchange.pop(proposal.exchange_id, None)
 
     def tick(self, now: float) -> None:
-        """Send again, begin the next attempts, give up what has run out of time."""
+        """Resend, begin the next attempts, give up what has run out of time."""
         for proposal in list(self._proposals.values()):
             if now >= proposal.deadline:
                 self._give_up(proposal)
--- a/src/stagewalk/node/claims/relay.py
+++ b/src/stagewalk/node/claims/relay.py
@@ -1,7 +1,7 @@
 """Groups learned from peers, for nodes that can't read the log.
 
-What a peer passes on is a prefix of the log's truth, so of two chains of a partition the one with
-the larger epoch is the newer, whoever sent it.
+A peer relays a prefix of the log, so of two chains of a partition the one with the larger epoch is
+the newer, from whichever peer it came. Owns the newest chain known of each partition.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
         """Whether no partition has a group."""
         return not any(chain.groups for chain in self.placement.partitions)
 
-    def take_log(self, placement: GroupPlacement) -> None:
-        """Take what the log says, but for partitions of which a peer knew more."""
+    def apply_log(self, placement: GroupPlacement) -> None:
+        """Apply the log's groups, except for partitions of which a peer knew more."""
         if self.is_empty or len(placement.partitions) != len(self.placement.partitions):
             self.placement = placement
             return
@@ -38,8 +38,8 @@
             tuple(known if known.epoch > read.epoch else read for known, read in chains)
         )
 
-    def take_peer(self, message: ClaimMessage) -> bool:
-        """Take the chains of a peer's message, and return whether any was news."""
+    def apply_peer(self, message: ClaimMessage) -> bool:
+        """Apply the chains of a peer's message; return whether any was news."""
         if not message.chains:
             return False
         count = message.placement.partition_count
@@ -56,7 +56,7 @@
         return news
 
     def write_all(self, message: ClaimMessage) -> None:
-        """Put all chains into an answer."""
+        """Write all chains into an answer."""
         message.placement.partition_count = len(self.placement.partitions)
         for partition, chain in enumerate(self.placement.partitions):
             if chain.groups:
@@ -66,7 +66,7 @@
 def write_chain(
     message: ClaimMessage, partition: int, chain: PartitionChain, first_epoch: int
 ) -> None:
-    """Put a partition's groups into a message, from one epoch on."""
+    """Write a partition's groups into a message, from one epoch on."""
     written = message.chains.add(partition=partition)
     for group in chain.groups:
         if group.epoch < first_epoch:
--- a/src/stagewalk/node/leases/core.py
+++ b/src/stagewalk/node/leases/core.py
@@ -1,7 +1,8 @@
 """Which duties this process holds, and when it tries for one.
 
-Holding costs no log traffic: others judge a holder by membership. A wrong judgement costs a
-change of holder, nothing else, since the epoch is what keeps an overtaken holder from harm.
+Owns the leases this process acts for. Relies on the log's order for who holds a lease and on
+membership for whether its holder lives, so that holding one costs no log traffic. A wrong judgement
+costs a change of holder, nothing else, since the epoch fences a holder that was overtaken.
 """
 
 from __future__ import annotations
@@ -37,7 +38,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveMember:
-    """A node that membership holds for alive; one that is leaving keeps but takes no duty."""
+    """A node that membership believes alive; one that is leaving keeps its duties and acquires
+    none."""
 
     incarnation: Incarnation
     leaving: bool = False
@@ -69,12 +71,7 @@
         self._in_doubt = True
         self._stopping = False
 
-    # What is known
-
-    @property
-    def in_doubt(self) -> bool:
-        """Whether the log must be read to its head before this process acts for any duty."""
-        return self._in_doubt
+    # State
 
     def holder(self, duty: str) -> NodeName | None:
         """Return who holds a duty by the log as folded so far."""
@@ -89,7 +86,7 @@
         """Return the duties this process may act for now, with their fencing tokens."""
         return dict(sorted(self._acting.items()))
 
-    # What happens
+    # Events
 
     def set_duties(self, names: Iterable[str]) -> None:
         """Replace the set of duties there are; one that is gone is released at the next tick."""
@@ -105,7 +102,7 @@
             self._check_at = float("-inf")
 
     def fold(self, record: LogRecord, now: float) -> list[LeaseOutput]:
-        """Take the next record of the lease stream, in order and without gaps."""
+        """Apply the next record of the lease stream, in order and without gaps."""
         outcome = self._fold.apply(record)
         if outcome.lease is None:
             return []
@@ -116,7 +113,7 @@
         return self._settle(duty)
 
     def note_caught_up(self, now: float) -> list[LeaseOutput]:
-        """Note that the lease stream has been folded to a head read after the last doubt arose."""
+        """Record that the lease stream was folded to a head read since the last doubt arose."""
         if not self._in_doubt:
             return []
         self._in_doubt = False
@@ -128,19 +125,19 @@
         return outputs
 
     def tick(self, now: float) -> list[LeaseOutput]:
-        """Let time pass: notice a pause of this process, try for vacant duties."""
-        outputs = self._notice_pause(now)
+        """Detect a pause of this process, release and acquire duties."""
+        outputs = self._detect_pause(now)
         if self._in_doubt or now < self._check_at:
             return outputs
         self._check_at = now + self._config.check_interval_seconds
-        outputs.extend(self._release_unwanted())
+        outputs.extend(self._release_removed())
         if not self._stopping:
             for duty in self._duties:
-                outputs.extend(self._try(duty, now))
+                outputs.extend(self._acquire(duty, now))
         return outputs
 
     def release_all(self, now: float) -> list[LeaseOutput]:
-        """Give up all duties at once, and take no more: the process is about to stop."""
+        """Release all duties at once, and acquire no more: the process is about to stop."""
         self._stopping = True
         outputs: list[LeaseOutput] = []
         for duty in sorted(self._acting):
@@ -149,7 +146,7 @@
 
     # Steps
 
-    def _notice_pause(self, now: float) -> list[LeaseOutput]:
+    def _detect_pause(self, now: float) -> list[LeaseOutput]:
         """Stop acting after a long gap between ticks: others may have taken over meanwhile.
 
         The epochs make any order given in that state harmless; stopping only spares the orders.
@@ -173,7 +170,7 @@
         )
 
     def _settle(self, duty: str) -> list[LeaseOutput]:
-        """Bring what this process acts for into line with the log."""
+        """Start or stop acting for a duty as the log says."""
         lease = self._fold.lease(duty)
         if lease is None or not self._is_own(lease):
             return [LeaseLost(duty)] if self._acting.pop(duty, None) is not None else []
@@ -185,7 +182,7 @@
         self._acting[duty] = lease.epoch
         return [LeaseAcquired(duty, lease.epoch)]
 
-    def _release_unwanted(self) -> list[LeaseOutput]:
+    def _release_removed(self) -> list[LeaseOutput]:
         outputs: list[LeaseOutput] = []
         for duty in sorted(set(self._acting) - set(self._duties)):
             outputs.extend(self._release(duty))
@@ -209,11 +206,13 @@
         )
         return AppendToStream(LEASE_STREAM, encode_record(record))
 
-    def _try(self, duty: str, now: float) -> list[LeaseOutput]:
-        """Ask for a duty if it is vacant and this process's turn has come."""
+    def _acquire(self, duty: str, now: float) -> list[LeaseOutput]:
+        """Append a record that acquires a duty, if it is vacant and this process's turn has come.
+
+        Candidates try in the order of their hashed rank, so that few race."""
         lease = self._fold.lease(duty)
         if self._is_own(lease):
-            # Wanted again before the record that releases it has landed, if it ever does.
+            # Configured again before the record that releases it has landed, if it ever does.
             return self._settle(duty)
         delay = self._vacancy_delay(lease)
         if delay is None:
@@ -241,7 +240,7 @@
         if lease is None or lease.released:
             return 0.0
         if lease.holder == self._identity.name:
-            # An earlier start of this process: nobody knows better that it is gone.
+            # An earlier start of this process is certainly gone.
             return 0.0 if lease.incarnation < self._identity.incarnation else None
         member = self._members.get(lease.holder)
         if member is not None and member.incarnation == lease.incarnation:
--- a/src/stagewalk_standins/demo/__main__.py
+++ b/src/stagewalk_standins/demo/__main__.py
@@ -18,7 +18,7 @@
 from stagewalk.history.checker import check_history
 from stagewalk.history.checker_oracle import FoldOracle
 from stagewalk.history.observations import read_history
-from stagewalk.node.configuration.deployment import Deployment, load_deployment
+from stagewalk_standins.demo.deployment import Deployment, load_deployment
 from stagewalk_standins.demo.operator import Operator
 from stagewalk_standins.demo.processes import ProcessGroup
 from stagewalk_standins.demo.tables import (
--- a/src/stagewalk/node/configuration/deployment.py
+++ b/src/stagewalk_standins/demo/deployment.py
@@ -1,6 +1,7 @@
 """Typed form of `deployment.toml`: places, services, counts, latencies and load.
 
-The demo and the simulation read it; a running node learns its own place from its settings file.
+Owns the checks of the file, whose errors name the field at fault. Only the demo reads it; a running
+node learns its own place from its settings file.
 """
 
 from __future__ import annotations
@@ -123,17 +124,6 @@
     trainer_services: tuple[TrainerService, ...]
     tokens_per_second: PositiveNumber | None = None
 
-    @property
-    def node_count(self) -> int:
-        """Return the number of nodes: one beside each caller's worker and each trainer."""
-        callers = sum(service.count for service in self.caller_services)
-        return callers + sum(service.count for service in self.trainer_services)
-
-    @property
-    def engine_count(self) -> int:
-        """Return the number of engines of all services."""
-        return sum(service.count for service in self.engine_services)
-
 
 def load_deployment(path: Path) -> Result[Deployment, StagewalkError]:
     """Read and check a `deployment.toml`; the error names the offending field."""
--- a/src/stagewalk_standins/demo/topology.py
+++ b/src/stagewalk_standins/demo/topology.py
@@ -7,7 +7,7 @@
 from itertools import count
 from pathlib import Path
 
-from stagewalk.node.configuration.deployment import (
+from stagewalk_standins.demo.deployment import (
     CallerService,
     Deployment,
     EngineService,
--- a/tests/node/claims/test_explorer.py
+++ b/tests/node/claims/test_explorer.py
@@ -50,6 +50,6 @@
             replica.known_epoch = known_epoch
             return answer
 
-        untold = mock.patch.object(PlacementView, "take_peer", lambda *_: False)
+        untold = mock.patch.object(PlacementView, "apply_peer", lambda *_: False)
         with untold, mock.patch.object(ReplicaCore, "_hand_over", without_seal):
             self.assert_found(Limits(restarts=0, timers=0, group_changes=1), 60, seed=7)
--- a/tests/node/configuration/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -8,12 +8,12 @@
 import testtools
 
 from stagewalk.cli.config_files import load_desired_tenant
-from stagewalk.node.configuration.deployment import Deployment, load_deployment
 from stagewalk.node.configuration.fold import ConfigurationFold
 from stagewalk.node.configuration.outcomes import ChangeAccepted
+from stagewalk_standins.demo.deployment import Deployment, load_deployment
 from tests.node.configuration.records import create, publish
 
-ROOT = Path(__file__).resolve().parents[3] / "deployments"
+ROOT = Path(__file__).resolve().parents[2] / "deployments"
 PARTNERS = {"amman": "archive", "thornfield": "thornfield"}
 
 
