--- a/src/stagewalk/node/claims/codec.py
+++ b/src/stagewalk/node/claims/codec.py
@@ -1,4 +1,4 @@
-"""Between the wire's ballots and entries and the cores' own."""
+"""Translation between the wire's ballots and entries and the cores' own types."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 def write_incarnations(
     message: claims_pb2.ClaimMessage, incarnations: Mapping[NodeName, Incarnation]
 ) -> None:
-    """Put an incarnation vector into an answer."""
+    """Write an incarnation vector into an answer."""
     for name in sorted(incarnations):
         message.incarnations.add(name=name, incarnation=incarnations[name])
 
--- a/src/stagewalk/node/claims/config.py
+++ b/src/stagewalk/node/claims/config.py
@@ -1,4 +1,7 @@
-"""Limits and delays of claims."""
+"""Limits and delays of claims, with units.
+
+The figures were chosen, not measured; what a claim costs is measured in docs/CAPACITY.md.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/claims/core.py
+++ b/src/stagewalk/node/claims/core.py
@@ -38,10 +38,11 @@
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 REPORT_INTERVAL_SECONDS = 30.0
-"""An abandoned recovery is reported again until the log shows it."""
+"""An abandoned recovery is reported again after this, until the log shows it. Chosen, not
+measured."""
 
 ASK_INTERVAL_SECONDS = 2.0
-"""A node that knows no groups asks another peer after this."""
+"""A node that knows no groups asks another peer after this. Chosen, not measured."""
 
 
 class ClaimCore:
@@ -108,12 +109,12 @@
         """Try to make `value` the value of a key.
 
         Ends with `ClaimDecided` or `ClaimUndecided`. Proposers must use distinct values, or
-        more than one is told that it won.
+        more than one proposer gets `won`.
 
         Parameters
         ----------
         renewable
-            Whoever proposes this key can do without a decision made before a majority of its
+            The proposers of this key can do without a decision made before a majority of its
             replicas lost their memory: the key may be decided anew after that. Otherwise such
             keys are answered `OUTCOME_UNKNOWN` until the retention has passed.
         """
--- a/src/stagewalk/node/claims/messages.py
+++ b/src/stagewalk/node/claims/messages.py
@@ -1,4 +1,7 @@
-"""Building of claim messages: each function returns one kind of request or answer."""
+"""Builders of claim messages: each function returns one kind of request or answer.
+
+Owns which fields each kind carries; the core adds exchange, partition, epoch and requester.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 def prepare(key: str, ballot: Ballot | None, renewable: bool) -> ClaimMessage:
-    """Ask for a promise, or, without a ballot, only for what is held."""
+    """Return a request for a promise, or, without a ballot, for what a replica holds."""
     message = ClaimMessage()
     message.prepare.key = key
     message.prepare.renewable = renewable
@@ -26,7 +29,7 @@
 
 
 def accept(key: str, ballot: Ballot, value: bytes, renewable: bool) -> ClaimMessage:
-    """Ask for a vote."""
+    """Return a request for a vote."""
     message = ClaimMessage()
     message.accept.key = key
     message.accept.value = value
@@ -36,7 +39,7 @@
 
 
 def decision_of_ballot(key: str, ballot: Ballot) -> ClaimMessage:
-    """Tell replicas that accepted `ballot` that its value is decided."""
+    """Return the notice, to replicas that accepted `ballot`, that its value is decided."""
     message = ClaimMessage()
     message.decision.key = key
     message.decision.ballot.CopyFrom(write_ballot(ballot))
@@ -83,7 +86,7 @@
 def state_request(
     purpose: Purpose.ValueType, after_key: str, held_keys: Iterable[int]
 ) -> ClaimMessage:
-    """Ask for the next piece of a partition's state, but for decisions held already."""
+    """Return a request for the next piece of a partition's state, but for decisions held."""
     return ClaimMessage(
         state_request=ClaimStateRequest(purpose=purpose, after_key=after_key, held_keys=held_keys)
     )
--- a/src/stagewalk/node/claims/notifications.py
+++ b/src/stagewalk/node/claims/notifications.py
@@ -31,7 +31,7 @@
     Attributes
     ----------
     value
-        The decided value, the same for whoever asks, until the retention ends.
+        The decided value, the same for every reader, until the retention ends.
     won
         Whether that is the value `proposed` here. Proposers use values of their own, so at
         most one of them wins.
@@ -64,7 +64,7 @@
     ----------
     offered
         False: the proposed value was shown to no replica and will never be decided.
-        True: it may be decided yet; reading the key again may tell.
+        True: it may be decided yet; a later read shows it.
     """
 
     key: str
--- a/src/stagewalk/node/claims/partition.py
+++ b/src/stagewalk/node/claims/partition.py
@@ -1,4 +1,8 @@
-"""One partition as one replica holds it: which epoch it votes in, and its votes."""
+"""One partition as one replica holds it: which epoch it votes in, and its votes.
+
+Owns the rule that no vote is given in an epoch that this process may have voted in before, or that
+is over. Relies on transfers for the state and on the register for the entries.
+"""
 
 from __future__ import annotations
 
@@ -26,9 +30,9 @@
     complete
         False before the first state was held, and after it was dropped by a replica that left.
     known_epoch
-        The largest epoch heard of, from the log or a successor: no vote is given in a smaller.
-    heard
-        Latest incarnations heard of, of the members of the group of `held_epoch`.
+        The largest epoch known, from the log or a successor: no vote is given in a smaller.
+    incarnations
+        Latest incarnations known of the members of the group of `held_epoch`.
     lost_until
         Node's clock, seconds: keys without an entry may be older than a loss of state until then.
     """
@@ -40,19 +44,19 @@
     held_epoch: int = 0
     complete: bool = False
     known_epoch: int = 0
-    heard: dict[NodeName, Incarnation] = field(default_factory=dict)
+    incarnations: dict[NodeName, Incarnation] = field(default_factory=dict)
     lost_until: float = float("-inf")
 
     def begin_epoch(
-        self, group: Group, heard: dict[NodeName, Incarnation], sealed: bool = False
+        self, group: Group, incarnations: dict[NodeName, Incarnation], sealed: bool = False
     ) -> None:
         """Hold the state of an epoch completely and vote in it unless a later one is known."""
         self.held_epoch = group.epoch
         self.complete = True
-        self.heard = {member.name: member.incarnation for member in group.members}
-        for name in sorted(heard):
-            if name in self.heard:
-                self.heard[name] = max(self.heard[name], heard[name])
+        self.incarnations = {member.name: member.incarnation for member in group.members}
+        for name in sorted(incarnations):
+            if name in self.incarnations:
+                self.incarnations[name] = max(self.incarnations[name], incarnations[name])
         self.seal_below(group.epoch + 1 if sealed else group.epoch)
 
     def seal_below(self, epoch: int) -> None:
@@ -111,7 +115,7 @@
         return messages.accepted(ballot)
 
     def learn(self, decision: ClaimDecision, now: float) -> None:
-        """Note that the value this replica accepted is decided."""
+        """Record that the value this replica accepted is decided."""
         entry = self._entry(decision.key, now)
         if entry is None or entry.accepted is None or not decision.HasField("ballot"):
             return
--- a/src/stagewalk/node/claims/placement.py
+++ b/src/stagewalk/node/claims/placement.py
@@ -18,8 +18,14 @@
 from stagewalk.node.core.platform import LogRecord
 
 PLACEMENT_STREAM = "placement"
+"""Stream of the log with the changes of groups."""
+
 DEFAULT_PARTITION_COUNT = 64
+"""Part of the log's format: all nodes must agree on it."""
+
 GROUP_SIZE = 3
+"""Replicas of a partition: the least that survive the loss of one."""
+
 CHAIN_LENGTH = 8
 """Groups remembered for a partition: a replica further behind can't take over any more."""
 
--- a/src/stagewalk/node/claims/proposal.py
+++ b/src/stagewalk/node/claims/proposal.py
@@ -39,7 +39,7 @@
 
 
 class Verdict(Enum):
-    """What the answers so far come to."""
+    """What the answers so far amount to."""
 
     PENDING = "pending"
     QUORUM = "quorum"
@@ -58,10 +58,10 @@
     ----------
     renewable
         The key may be decided anew after a loss of state.
-    wanted
+    proposed
         The values proposed here for the key, the first of them offered; empty for reads alone.
     has_reader
-        Whether somebody reads the key.
+        Whether this node reads the key.
     deadline
         Node's clock, seconds: nothing is counted or offered after it.
     offered
@@ -72,7 +72,7 @@
     partition: int
     deadline: float
     renewable: bool = False
-    wanted: list[bytes] = field(default_factory=list)
+    proposed: list[bytes] = field(default_factory=list)
     has_reader: bool = False
     phase: Phase = Phase.WAITING
     exchange_id: int = 0
@@ -84,15 +84,15 @@
     largest_round: int = 0
     conflicts: int = 0
     resends: int = 0
-    """How often the requests of this phase have been sent again."""
+    """How often the requests of this phase were resent."""
     offered: set[bytes] = field(default_factory=set)
     wake_at: float = float("-inf")
-    """When to send again, or to begin the next attempt while waiting."""
+    """When to resend, or to begin the next attempt while waiting."""
     retry_after_seconds: float = 0.0
     """Longest time that a refusing replica has named until it may vouch for the key."""
 
     def begin_phase(self, phase: Phase, exchange_id: int) -> None:
-        """Forget the answers of the phase before and expect those to a new exchange."""
+        """Drop the answers of the phase before and expect those to a new exchange."""
         self.phase = phase
         self.resends = 0
         self.exchange_id = exchange_id
@@ -100,7 +100,7 @@
         self.refusals = {}
 
     def note_refusal(self, name: NodeName, message: ClaimMessage) -> None:
-        """Note that a replica did not vote, and why."""
+        """Record that a replica did not vote, and why."""
         self.refusals[name] = message.reject.reason
         self.retry_after_seconds = max(self.retry_after_seconds, message.reject.retry_after_seconds)
         if message.reject.HasField("promised"):
@@ -108,12 +108,12 @@
             self.largest_round = max(self.largest_round, promised.round)
 
     def note_answer(self, name: NodeName, answer: Answer[Accepted]) -> None:
-        """Note a replica's vote."""
+        """Record a replica's vote."""
         self.refusals.pop(name, None)
         add_answer(self.answers, name, answer)
 
     def verdict(self) -> Verdict:
-        """Judge the answers of this phase."""
+        """Return what the answers of this phase amount to."""
         assert self.group is not None
         quorum = self.group.quorum
         if len(consistent_answers(self.answers)) >= quorum:
--- a/src/stagewalk/node/claims/proposer.py
+++ b/src/stagewalk/node/claims/proposer.py
@@ -83,8 +83,8 @@
         proposal = self._open(key, value, renewable, now)
         if proposal is None:
             return
-        if value not in proposal.wanted:
-            proposal.wanted.append(value)
+        if value not in proposal.proposed:
+            proposal.proposed.append(value)
         if proposal.phase == Phase.WAITING and proposal.group is None:
             self._begin_attempt(proposal, now)
 
@@ -125,7 +125,7 @@
             proposal.phase = Phase.WAITING
             proposal.wake_at = proposal.deadline
             return
-        if not proposal.wanted and proposal.ballot is None:
+        if not proposal.proposed and proposal.ballot is None:
             self._begin_phase(proposal, Phase.QUERY, now)
             return
         self._begin_prepare(proposal, now)
@@ -220,8 +220,8 @@
         accepted: Accepted,
         now: float,
     ) -> None:
-        heard = read_incarnations(message)
-        proposal.note_answer(sender.name, Answer(sender.incarnation, heard, accepted))
+        incarnations = read_incarnations(message)
+        proposal.note_answer(sender.name, Answer(sender.incarnation, incarnations, accepted))
         self._judge(proposal, now)
 
     def _judge(self, proposal: Proposal, now: float) -> None:
@@ -243,7 +243,7 @@
             self._decide(proposal, proposal.value)
             return
         accepted = proposal.largest_accepted()
-        if accepted.ballot is None and not proposal.wanted:
+        if accepted.ballot is None and not proposal.proposed:
             self._end(proposal)
             self._notifications.append(ClaimAbsent(proposal.key))
             return
@@ -255,7 +255,7 @@
         if accepted.ballot is not None:
             proposal.value = accepted.value
         else:
-            proposal.value = proposal.wanted[0]
+            proposal.value = proposal.proposed[0]
             proposal.offered.add(proposal.value)
         self._begin_phase(proposal, Phase.ACCEPT, now)
 
@@ -284,11 +284,11 @@
 
     def _decide(self, proposal: Proposal, value: bytes) -> None:
         self._end(proposal)
-        for wanted in proposal.wanted:
+        for own_value in proposal.proposed:
             self._notifications.append(
-                ClaimDecided(proposal.key, value, won=value == wanted, proposed=wanted)
+                ClaimDecided(proposal.key, value, won=value == own_value, proposed=own_value)
             )
-        if proposal.has_reader or not proposal.wanted:
+        if proposal.has_reader or not proposal.proposed:
             self._notifications.append(ClaimDecided(proposal.key, value, won=False))
 
     def _give_up(self, proposal: Proposal) -> None:
@@ -305,10 +305,10 @@
         self._end(proposal)
         peer = ",".join(proposal.group.names) if proposal.group is not None else self._member.name
         error = _error(kind, peer, detail, proposal.retry_after_seconds or RETRY_AFTER_SECONDS)
-        for wanted in proposal.wanted:
-            offered = wanted in proposal.offered
-            self._notifications.append(ClaimUndecided(proposal.key, error, offered, wanted))
-        if proposal.has_reader or not proposal.wanted:
+        for own_value in proposal.proposed:
+            offered = own_value in proposal.offered
+            self._notifications.append(ClaimUndecided(proposal.key, error, offered, own_value))
+        if proposal.has_reader or not proposal.proposed:
             self._notifications.append(ClaimUndecided(proposal.key, error))
 
     def _refuse(self, key: str, value: bytes | None, kind: ErrorKind, detail: str) -> None:
--- a/src/stagewalk/node/claims/quorum.py
+++ b/src/stagewalk/node/claims/quorum.py
@@ -21,17 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer(Generic[Payload]):
-    """One replica's answer, with the incarnations it had heard of when giving it."""
+    """One replica's answer, with the incarnations it knew when giving it."""
 
     incarnation: Incarnation
-    heard: Mapping[NodeName, Incarnation]
+    incarnations: Mapping[NodeName, Incarnation]
     payload: Payload
 
 
 def add_answer(
     answers: dict[NodeName, Answer[Payload]], name: NodeName, answer: Answer[Payload]
 ) -> None:
-    """Note a replica's answer; one of an earlier start never replaces that of a later."""
+    """Add a replica's answer; one of an earlier start never replaces that of a later."""
     known = answers.get(name)
     if known is None or known.incarnation <= answer.incarnation:
         answers[name] = answer
@@ -52,16 +52,16 @@
 def merged_incarnations(
     answers: Mapping[NodeName, Answer[Payload]],
 ) -> dict[NodeName, Incarnation]:
-    """Return the latest incarnation of each replica that any answerer had heard of."""
+    """Return the latest incarnation of each replica that any answerer knew."""
     latest: dict[NodeName, Incarnation] = {}
     for answer in answers.values():
-        merge_incarnations(latest, answer.heard)
+        merge_incarnations(latest, answer.incarnations)
     return latest
 
 
 def merge_incarnations(
-    known: dict[NodeName, Incarnation], heard: Mapping[NodeName, Incarnation]
+    known: dict[NodeName, Incarnation], incarnations: Mapping[NodeName, Incarnation]
 ) -> None:
-    """Raise known incarnations to those heard of."""
-    for name, incarnation in heard.items():
+    """Raise known incarnations to those of an answer."""
+    for name, incarnation in incarnations.items():
         known[name] = max(incarnation, known.get(name, incarnation))
--- a/src/stagewalk/node/claims/register.py
+++ b/src/stagewalk/node/claims/register.py
@@ -1,4 +1,7 @@
-"""The claims one replica holds of one partition, and the memory they take."""
+"""The claims one replica holds of one partition, and the memory they take.
+
+Owns the entries and their expiry; the limits are fields of `ClaimConfig`, checked by the partition.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from stagewalk.node.claims.types import Ballot
 
 ENTRY_OVERHEAD_BYTES = 400
-"""Flat estimate of what an entry takes besides its key and value."""
+"""Estimated memory of an entry besides its key and value. Chosen, not measured."""
 
 
 @dataclass(slots=True)
@@ -25,7 +28,7 @@
     decided
         The value is known to be decided: it will never differ, and ballots are kept no longer.
     expires_at
-        Node's clock, seconds: the entry is forgotten after this.
+        Node's clock, seconds: the entry is removed after this.
     """
 
     expires_at: float
@@ -35,7 +38,7 @@
     decided: bool = False
 
     def settle(self) -> None:
-        """Note that the value is decided: ballots matter no more."""
+        """Record that the value is decided: ballots matter no more."""
         self.decided = True
         self.promised = None
         self.accepted = None
@@ -63,18 +66,18 @@
         self.usage.size_bytes += _entry_size(key, entry)
 
     def remove(self, key: str) -> None:
-        """Forget a key."""
+        """Remove a key."""
         entry = self.entries.pop(key)
         self.usage.entries -= 1
         self.usage.size_bytes -= _entry_size(key, entry)
 
     def clear(self) -> None:
-        """Forget all keys."""
+        """Remove all keys."""
         for key in list(self.entries):
             self.remove(key)
 
     def keep_decided(self) -> None:
-        """Forget all keys but those known to be decided."""
+        """Remove all keys but those known to be decided."""
         for key in [key for key, entry in self.entries.items() if not entry.decided]:
             self.remove(key)
 
@@ -110,7 +113,7 @@
             self.set_value(entry, other.value)
 
     def expire(self, now: float) -> None:
-        """Forget all entries whose time is over."""
+        """Remove all expired entries."""
         expired = [key for key, entry in self.entries.items() if entry.expires_at <= now]
         for key in expired:
             self.remove(key)
--- a/src/stagewalk/node/claims/replica.py
+++ b/src/stagewalk/node/claims/replica.py
@@ -1,4 +1,8 @@
-"""The replica's side of claims: which epochs it votes in, its votes, and handing over its state."""
+"""The replica's side of claims: which epochs it votes in, its votes, and handing over its state.
+
+Owns this process's partitions. Relies on the placement for its groups and on transfers for the
+state of those it joins.
+"""
 
 from __future__ import annotations
 
@@ -20,6 +24,7 @@
 from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimState, ClaimStateRequest
 
 SWEEP_INTERVAL_SECONDS = 1.0
+"""Time between two removals of expired entries. Chosen, not measured."""
 
 
 class ReplicaCore:
@@ -52,7 +57,7 @@
     # Placement
 
     def adopt(self, placement: GroupPlacement, now: float) -> None:
-        """Take up a new placement: stop voting in old epochs, start or await new ones."""
+        """Apply a new placement: stop voting in old epochs, start or await new ones."""
         for partition, chain in enumerate(placement.partitions):
             known = self._partitions.get(partition)
             if known is not None and known.chain == chain:
@@ -127,7 +132,7 @@
             answer = self._vote(replica, message, now)
         if answer.HasField("reject") and replica.chain.epoch > message.epoch:
             write_chain(answer, message.partition, replica.chain, message.epoch + 1)
-        return self._answered(message, answer, replica.known_epoch, replica.heard)
+        return self._answered(message, answer, replica.known_epoch, replica.incarnations)
 
     @staticmethod
     def _vote(replica: PartitionReplica, message: ClaimMessage, now: float) -> ClaimMessage:
@@ -143,13 +148,13 @@
         request: ClaimMessage,
         answer: ClaimMessage,
         known_epoch: int,
-        heard: dict[NodeName, Incarnation],
+        incarnations: dict[NodeName, Incarnation],
     ) -> ClaimMessage:
         answer.exchange_id = request.exchange_id
         answer.requester_incarnation = request.requester_incarnation
         answer.partition = request.partition
         answer.epoch = known_epoch
-        write_incarnations(answer, heard)
+        write_incarnations(answer, incarnations)
         return answer
 
     def _hand_over(
@@ -172,8 +177,8 @@
         if request.purpose == Purpose.RECOVERY:
             # Noted before any of the state is read: from here on, answers of the sender's
             # earlier start can't be counted together with answers of this replica.
-            known = replica.heard.get(sender.name, sender.incarnation)
-            replica.heard[sender.name] = max(known, sender.incarnation)
+            known = replica.incarnations.get(sender.name, sender.incarnation)
+            replica.incarnations[sender.name] = max(known, sender.incarnation)
         return self._piece(replica, epoch, request, now)
 
     def _piece(
--- a/src/stagewalk/node/claims/transfer.py
+++ b/src/stagewalk/node/claims/transfer.py
@@ -1,4 +1,7 @@
-"""Obtaining a partition's state from other replicas, after a restart or a change of the group."""
+"""One transfer of a partition's state from other replicas, after a restart or a change of group.
+
+Owns how far each source was read, and the rule for when enough of them were.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +43,7 @@
     incarnation: Incarnation | None = None
     after_key: str = ""
     next_request_at: float = float("-inf")
-    patience: int = 1
+    retry_factor: int = 1
     recovering: Incarnation | None = None
 
     def restart(self) -> None:
@@ -95,7 +98,7 @@
         return transfer
 
     def stagger(self, needed: int, now: float, delay: float, overtaken: bool) -> None:
-        """Ask only as many sources as are needed at first, since a state may be large.
+        """Delay all sources but those needed, since a state may be large.
 
         Members of the group before come first, as those of the new one lack the state too. An
         epoch that is in force no more is asked for later: its state is rarely needed.
@@ -113,7 +116,7 @@
         return Purpose.Name(self.purpose).lower()
 
     def note_state(self, name: NodeName, answer: Answer[HeldState]) -> None:
-        """Note that a replica's state has been read to its end."""
+        """Record that a replica's state was read to its end."""
         add_answer(self.answers, name, answer)
         for void in sorted(set(self.answers) - set(consistent_answers(self.answers))):
             del self.answers[void]
@@ -143,14 +146,14 @@
             for name, answer in answers.items()
         )
 
-    def heard(self) -> dict[NodeName, Incarnation]:
-        """Return the incarnations heard of by those whose state belongs to this epoch."""
-        heard: dict[NodeName, Incarnation] = {}
+    def incarnations(self) -> dict[NodeName, Incarnation]:
+        """Return the incarnations known to those whose state belongs to this epoch."""
+        incarnations: dict[NodeName, Incarnation] = {}
         for name in sorted(self.answers):
             answer = self.answers[name]
             if answer.payload.held_epoch == self.group.epoch:
-                merge_incarnations(heard, answer.heard)
-        return heard
+                merge_incarnations(incarnations, answer.incarnations)
+        return incarnations
 
     @property
     def sealed(self) -> bool:
--- a/src/stagewalk/node/claims/transfers.py
+++ b/src/stagewalk/node/claims/transfers.py
@@ -1,4 +1,8 @@
-"""All transfers of partitions' state to this replica."""
+"""All transfers of partitions' state to this replica: which run, their requests, and giving up.
+
+Owns the exchanges of the running transfers. Relies on the partitions, which it completes, and on
+the placement for which groups this process joins.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +21,9 @@
 from stagewalk.node.core.instructions import LogEvent, LogFields
 from stagewalk.node.wire.claims_pb2 import ClaimMessage
 
-MAXIMUM_PATIENCE = 8
-"""Unanswered requests for state are repeated ever more slowly, up to this many retry delays."""
+MAXIMUM_RETRY_FACTOR = 8
+"""Unanswered requests for state are retried with doubling delays, up to this many times
+`ClaimConfig.transfer_retry_seconds`. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +42,7 @@
     member
         This process.
     partitions
-        The partitions of the replica, shared with it: finished transfers are put there.
+        The partitions of the replica, shared with it: finished transfers change them.
     """
 
     def __init__(
@@ -90,7 +95,7 @@
         return transfer.previous.recovery - own
 
     def drop_obsolete(self, partition: int) -> None:
-        """Forget transfers of epochs no longer needed, and what was given up in earlier ones."""
+        """Drop transfers of epochs no longer needed, and what was given up in earlier ones."""
         replica = self._partitions[partition]
         for identity in [key for key in self._transfers if key[0] == partition]:
             if identity[1] <= replica.held_epoch:
@@ -114,7 +119,7 @@
             self._transfer_of_exchange.pop(source.exchange_id, None)
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Ask for missing state, again and ever more slowly; give up what is hopeless."""
+        """Return requests for missing state, with doubling delays; give up what is hopeless."""
         outgoing: list[Outgoing] = []
         for identity in sorted(self._transfers):
             transfer = self._transfers[identity]
@@ -132,8 +137,8 @@
         self._exchange_count += 1
         # Odd, so that exchanges of transfers and of proposals never share an id.
         source.exchange_id = 2 * self._exchange_count + 1
-        source.next_request_at = now + self._config.transfer_retry_seconds * source.patience
-        source.patience = min(2 * source.patience, MAXIMUM_PATIENCE)
+        source.next_request_at = now + self._config.transfer_retry_seconds * source.retry_factor
+        source.retry_factor = min(2 * source.retry_factor, MAXIMUM_RETRY_FACTOR)
         identity = (transfer.partition, transfer.group.epoch)
         self._transfer_of_exchange[source.exchange_id] = (identity, name)
         replica = self._partitions[transfer.partition]
@@ -148,7 +153,7 @@
     def handle_answer(
         self, sender: GroupMember, message: ClaimMessage, now: float
     ) -> list[Outgoing]:
-        """Take a piece of state, or the refusal of one."""
+        """Handle a piece of state, or the refusal of one."""
         identity, name = self._transfer_of_exchange.get(message.exchange_id, (None, sender.name))
         transfer = self._transfers.get(identity) if identity is not None else None
         if transfer is None or name != sender.name:
@@ -160,7 +165,7 @@
             source.restart()
             return []
         source.recovering = None
-        source.patience = 1
+        source.retry_factor = 1
         if source.incarnation is not None and source.incarnation != sender.incarnation:
             source.restart()
             return [self._request_piece(transfer, name, source, now)]
@@ -193,10 +198,10 @@
         if not transfer.finished(self._member, self._own_answer(replica)):
             return False
         replica.lost_until = max(replica.lost_until, now + transfer.lost_seconds)
-        heard = transfer.heard()
+        incarnations = transfer.incarnations()
         if transfer.purpose == Purpose.RECOVERY:
-            heard[self._member.name] = self._member.incarnation
-        replica.begin_epoch(transfer.group, heard, transfer.sealed)
+            incarnations[self._member.name] = self._member.incarnation
+        replica.begin_epoch(transfer.group, incarnations, transfer.sealed)
         self.log(
             "claims_state_held",
             transfer.partition,
@@ -212,7 +217,7 @@
         if not replica.complete:
             return None
         held = HeldState(replica.held_epoch, False, 0.0)
-        return Answer(self._member.incarnation, replica.heard, held)
+        return Answer(self._member.incarnation, replica.incarnations, held)
 
     def _give_up(self, transfer: StateTransfer, now: float) -> bool:
         identity = (transfer.partition, transfer.group.epoch)
@@ -242,10 +247,10 @@
             return False
         if transfer.stuck_since is None:
             transfer.stuck_since = now
-        patience = self._config.abandon_seconds
+        limit = self._config.abandon_seconds
         if transfer.purpose == Purpose.TAKEOVER:
-            patience = self._config.takeover_abandon_seconds
-        return now >= transfer.stuck_since + patience
+            limit = self._config.takeover_abandon_seconds
+        return now >= transfer.stuck_since + limit
 
     def unreported_abandonments(self) -> tuple[AbandonedGroup, ...]:
         """Return the groups given up that the log does not show yet."""
--- a/src/stagewalk/node/claims/types.py
+++ b/src/stagewalk/node/claims/types.py
@@ -1,4 +1,4 @@
-"""Who takes part in claims, and the ballots that order proposals."""
+"""Identities of the processes that take part in claims, and the ballots that order proposals."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/configuration/fold.py
+++ b/src/stagewalk/node/configuration/fold.py
@@ -158,7 +158,7 @@
         return encode_snapshot(state)
 
     def restore(self, payload: bytes) -> bool:
-        """Take over a snapshot that is newer than this state; say whether it was taken."""
+        """Replace this state by a snapshot if that is newer; return whether it was."""
         state = decode_snapshot(payload)
         if state is None or state.offset <= self._offset:
             return False
--- a/src/stagewalk/node/configuration/follower.py
+++ b/src/stagewalk/node/configuration/follower.py
@@ -2,8 +2,8 @@
 
 A node that reaches the log folds what its log client reads. Every node announces its offset to a
 few random members; a node that finds itself behind an announcer, because it cannot reach the log
-or has just started, asks that peer for the records or a snapshot. So one node that reaches the
-log is enough for all.
+or has just started, asks that peer for the records or a snapshot. So one node that reaches the log
+is enough for all. Owns the fold and the relay's cache; relies on the log client and on membership.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FollowerConfig:
-    """Timing and sizes of the relay; durations in seconds.
+    """Timing and sizes of the relay; durations in seconds. Chosen, not measured.
 
     Attributes
     ----------
     announce_interval, announce_fanout
         Each interval a node announces its offset to that many random members.
     news_fanout
-        Members told at once when the offset has grown, at most once per `news_interval`.
+        Members notified at once when the offset has grown, at most once per `news_interval`.
     request_delay
-        How long a node that heard of newer records waits for its own log client first.
+        How long a node that lacks announced records waits for its own log client first.
     request_timeout
         After which an unanswered request is sent to another peer.
-    start_patience
+    start_wait
         How long a starting node without access to the log collects announcements before it
-        takes the newest state it heard of for current.
+        treats the newest announced state as current.
     snapshot_records
         A snapshot is due after that many records since the last one.
     relay_records, relay_bytes
@@ -60,7 +60,7 @@
     news_interval: float = 0.3
     request_delay: float = 0.3
     request_timeout: float = 1.0
-    start_patience: float = 3.0
+    start_wait: float = 3.0
     snapshot_records: int = 128
     relay_records: int = 256
     relay_bytes: int = 512 * 1024
@@ -126,15 +126,16 @@
         return self._current
 
     def member_offsets(self) -> dict[NodeName, int]:
-        """Return the offset in force at each member, as far as gossip has told, own included."""
+        """Return the offset in force at each member, as far as gossip has reported it, own
+        included."""
         self._use_members()
         self._progress.learn(self._identity.name, self._fold.offset)
         return self._progress.offsets()
 
     def set_members(self, members: tuple[tuple[NodeName, Address], ...]) -> None:
-        """Take over the members that are alive, with their peer addresses.
+        """Set the members that are alive, with their peer addresses.
 
-        Many changes may come in a row, so they are worked in when the members are next needed.
+        Many changes may come in a row, so they are applied when the members are next needed.
         """
         self._members = members
         self._members_changed = True
@@ -157,7 +158,7 @@
         return output + self._notify()
 
     def handle_snapshots(self, records: tuple[LogRecord, ...], now: float) -> list[FollowerOutput]:
-        """Take over the newest of the snapshots read from the stream of snapshots."""
+        """Apply the newest of the snapshots read from the stream of snapshots."""
         for record in reversed(records):
             offset = snapshot_offset(record.payload)
             if offset is None:
@@ -182,7 +183,7 @@
     def handle_message(
         self, source: Address, sender: NodeName, message: ConfigurationMessage, now: float
     ) -> list[FollowerOutput]:
-        """Take another node's message that came from an address."""
+        """Handle another node's message that came from an address."""
         output: list[FollowerOutput] = []
         self._use_members()
         self._progress.learn(sender, message.offset, restarted=not message.current)
@@ -199,7 +200,7 @@
         return output + self._notify()
 
     def tick(self, now: float) -> list[FollowerOutput]:
-        """Announce, ask for missing records, and give up waiting at the start."""
+        """Announce, request missing records, and end the wait at the start."""
         output: list[FollowerOutput] = []
         if self._news_pending and now >= self._next_news:
             output += self._announce(self._config.news_fanout, now)
@@ -238,7 +239,7 @@
         return True
 
     def _moved_forward(self, now: float) -> None:
-        """Spread the news, and forget the peers that are no longer ahead."""
+        """Announce the new offset soon, and drop the peers that are no longer ahead."""
         self._snapshot_for_peers = None
         self._news_pending = True
         self._requested_until = now
@@ -260,7 +261,7 @@
     def _compare(
         self, address: Address, sender: NodeName, message: ConfigurationMessage, now: float
     ) -> list[FollowerOutput]:
-        """Set a peer's announced state against this node's own."""
+        """Compare a peer's announced state with this node's own."""
         if message.offset <= self._fold.offset:
             self._ahead.pop(sender, None)
         if message.offset < self._fold.offset:
@@ -277,10 +278,10 @@
         return [LogEvent("configuration_digest_mismatch", fields)]
 
     def _trust_peers(self, now: float) -> None:
-        """Take the newest state heard of for current if the log has stayed out of reach."""
+        """Treat the newest announced state as current if the log has stayed unreachable."""
         if self._started_at is None:
             self._started_at = now
-        waited = now - self._started_at >= self._config.start_patience
+        waited = now - self._started_at >= self._config.start_wait
         if waited and self._met_current_peer and not self._ahead:
             self._current = True
 
@@ -295,7 +296,7 @@
         return [ConfigurationChanged(tuple(self._fold.tenants.values()), self._fold.offset)]
 
     def _request(self, now: float) -> list[FollowerOutput]:
-        """Ask one of the peers ahead for what is missing, unless that is under way."""
+        """Request what is missing from one of the peers ahead, unless a request is under way."""
         if self._behind_since is None or now < self._behind_since + self._config.request_delay:
             return []
         if now < self._requested_until:
--- a/src/stagewalk/node/configuration/notifications.py
+++ b/src/stagewalk/node/configuration/notifications.py
@@ -1,4 +1,4 @@
-"""What the configuration subsystem tells the node's other cores."""
+"""What the follower returns for the node's other cores."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/configuration/progress.py
+++ b/src/stagewalk/node/configuration/progress.py
@@ -16,7 +16,7 @@
 class ProgressTable:
     """The largest offset known of each member.
 
-    A restarted member begins at offset 0 again, which it tells those it speaks to; elsewhere it
+    A restarted member begins at offset 0 again, which it reports to its peers; elsewhere it
     may be shown at its old offset for the seconds until it has caught up.
     """
 
@@ -31,7 +31,7 @@
         self.set_members(())
 
     def set_members(self, names: tuple[NodeName, ...]) -> None:
-        """Take over the names of the other members; forget those that left."""
+        """Set the names of the other members; drop those that left."""
         self._names = tuple(sorted({*names, self._own_name}))
         self._positions = {name: position for position, name in enumerate(self._names)}
         self._fingerprint = xxhash.xxh32_intdigest("\n".join(self._names).encode())
@@ -44,7 +44,7 @@
         return {name: self._offsets[name] for name in self._names if name in self._offsets}
 
     def learn(self, name: NodeName, offset: int, *, restarted: bool = False) -> None:
-        """Take a member's own word for its offset.
+        """Record the offset that a member itself reports.
 
         It only grows, and a smaller one is an old message, unless the member has restarted and
         is still catching up.
@@ -62,7 +62,7 @@
             self._reached_mark &= ~(1 << position)
 
     def read(self, message: ConfigurationMessage) -> None:
-        """Take in which members have reached the sender's offset."""
+        """Record which members are known to have reached the sender's offset."""
         if message.members_fingerprint != self._fingerprint:
             return
         if message.offset > self._mark:
@@ -76,14 +76,14 @@
             self.learn(name, message.offset)
 
     def write(self, message: ConfigurationMessage) -> None:
-        """Tell which members are known to have reached the offset of a message."""
+        """Write which members are known to have reached the offset of a message."""
         offset = message.offset
         bits = self._reached_mark if offset == self._mark else self._reached(offset)
         message.members_fingerprint = self._fingerprint
         message.members_reached = bits.to_bytes((len(self._names) + 7) // 8, "little")
 
     def _set_mark(self, offset: int) -> None:
-        """Keep ready the members that have reached the newest offset heard of."""
+        """Recompute which members have reached the newest offset known."""
         self._mark = offset
         self._reached_mark = self._reached(offset)
 
--- a/src/stagewalk/node/configuration/records.py
+++ b/src/stagewalk/node/configuration/records.py
@@ -24,6 +24,7 @@
 """The system's own stream of snapshots of the folded state."""
 
 MAXIMUM_PAYLOAD_BYTES = 32 * 1024
+"""Longest record; a longer one is rejected by every node."""
 
 MAXIMUM_DETAIL_LENGTH = 200
 """Characters kept of a decoder's message, which may quote the input at length."""
--- a/src/stagewalk/node/configuration/relay.py
+++ b/src/stagewalk/node/configuration/relay.py
@@ -1,4 +1,7 @@
-"""The latest records as read from the log, kept to be passed on to peers."""
+"""The latest records as read from the log, kept for peers that lack them.
+
+Owns a gap-free run, bounded in number and bytes by `FollowerConfig`.
+"""
 
 from __future__ import annotations
 
@@ -19,19 +22,19 @@
         self._bytes = 0
 
     def add(self, record: LogRecord) -> None:
-        """Keep the next record, dropping the oldest ones beyond the bounds."""
+        """Add the next record, dropping the oldest ones beyond the bounds."""
         self._records.append(record)
         self._bytes += len(record.payload)
         while len(self._records) > self._maximum_records or self._bytes > self._maximum_bytes:
             self._bytes -= len(self._records.popleft().payload)
 
     def clear(self) -> None:
-        """Forget all records: the next one need not follow them."""
+        """Drop all records: the next one need not follow them."""
         self._records.clear()
         self._bytes = 0
 
     def write(self, message: ConfigurationMessage, offset: int, maximum_bytes: int) -> bool:
-        """Put the records from an offset on into a message; False if they are not all kept."""
+        """Write the records from an offset on into a message; return False if some are not kept."""
         if not self._records or self._records[0].offset > offset:
             return False
         size = 0
--- a/src/stagewalk/node/configuration/state.py
+++ b/src/stagewalk/node/configuration/state.py
@@ -15,6 +15,7 @@
 """Capacity shares are added up in millionths, so that the sum is exact on every machine."""
 
 SNAPSHOT_FORMAT = 1
+"""Raised when the form of a snapshot changes; other forms are ignored."""
 
 
 class RevisionEntry(msgspec.Struct, frozen=True):
--- a/src/stagewalk/node/configuration/templates.py
+++ b/src/stagewalk/node/configuration/templates.py
@@ -1,4 +1,8 @@
-"""Operators' files: templates, and changes that put a tenant's own values into a template."""
+"""Operators' files: templates, and changes that put a tenant's own values into a template.
+
+Used by the command line; nodes see only the whole parameters on the log. Each error names its
+field.
+"""
 
 from __future__ import annotations
 
@@ -53,7 +57,7 @@
 def resolve_parameters(
     template: Template, change: ChangeFile
 ) -> Result[TenantParameters, StagewalkError]:
-    """Put a change's values into its template and check the whole."""
+    """Return a template's parameters with a change's values, all checked."""
     if template.name != change.template:
         detail = f"the file holds template {template.name}, not {change.template}"
         return Error(invalid(detail, "template"))
--- a/src/stagewalk/node/leases/config.py
+++ b/src/stagewalk/node/leases/config.py
@@ -1,4 +1,4 @@
-"""Delays of leases."""
+"""Delays of leases, in seconds. The figures were chosen, not measured."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     retry_seconds
         A try that shows no result in the log is made again after one to two times this.
     check_interval_seconds
-        How often duties are looked through when nothing has changed.
+        Time between two checks of all duties when nothing has changed.
     """
 
     ttl_seconds: float = 3.0
--- a/src/stagewalk/node/leases/fold.py
+++ b/src/stagewalk/node/leases/fold.py
@@ -1,9 +1,9 @@
 """Who holds which duty: a deterministic fold over the log stream `leases`.
 
-The epoch of a duty grows by one with each acquisition, and a record that names any other epoch
-is rejected, identically at every node: of candidates that race for an epoch the one whose record
-landed first has it. The fold knows no time and no liveness. Whoever acts for a duty puts its
-epoch on every order and record, so that one that was overtaken does no harm.
+The epoch of a duty grows by one with each acquisition, and a record that names any other epoch is
+rejected, identically at every node: of candidates that race for an epoch the one whose record
+landed first has it. The fold knows no time and no liveness. A holder puts its epoch on every order
+and record, so that one that was overtaken does no harm.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 from stagewalk.node.core.platform import LogRecord
 
 LEASE_STREAM = "leases"
+"""Stream of the log with acquisitions and releases."""
 
 
 class Acquire(msgspec.Struct, frozen=True, tag="acquire"):
-    """Record: a process takes a duty under the epoch after the one it knows."""
+    """Record: a process acquires a duty under the epoch after the one it knows."""
 
     duty: str
     holder: str
@@ -28,7 +29,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release"):
-    """Record: the holder gives a duty up."""
+    """Record: the holder releases a duty."""
 
     duty: str
     holder: str
--- a/src/stagewalk/node/log_client/backoff.py
+++ b/src/stagewalk/node/log_client/backoff.py
@@ -15,7 +15,7 @@
         self._next = initial
 
     def reset(self) -> None:
-        """Begin anew after a success."""
+        """Start again from the initial wait after a success."""
         self._next = self._initial
 
     def draw(self) -> float:
--- a/src/stagewalk/node/log_client/config.py
+++ b/src/stagewalk/node/log_client/config.py
@@ -1,4 +1,4 @@
-"""Timing and bounds of the log client."""
+"""Timing and bounds of the log client, in seconds. The figures were chosen, not measured."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/log_client/core.py
+++ b/src/stagewalk/node/log_client/core.py
@@ -27,11 +27,12 @@
 LogClientEvent = LogRead | LogReadFailed | AppendConfirmed | AppendFailed
 
 RECORD_ID_BITS = 128
+"""Enough that no two appends ever draw the same id."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedAppend:
-    """An append that was taken on, and what to do at once."""
+    """An append that was queued, and what to do at once."""
 
     record_id: RecordId
     output: list[LogClientOutput]
@@ -93,7 +94,7 @@
         return Ok(QueuedAppend(record_id, state.proceed(now)))
 
     def handle(self, event: LogClientEvent, now: float) -> list[LogClientOutput]:
-        """Take the log's answer to a read or an append."""
+        """Handle the log's answer to a read or an append."""
         state = self._streams.get(event.stream)
         if state is None:
             return []
@@ -109,7 +110,7 @@
         return output + state.proceed(now)
 
     def tick(self, now: float) -> list[LogClientOutput]:
-        """Begin reads and appends that are due; give up what waited too long."""
+        """Start reads and appends that are due; give up what waited too long."""
         output: list[LogClientOutput] = []
         for state in self._streams.values():
             if now >= state.next_wake:
--- a/src/stagewalk/node/log_client/stream.py
+++ b/src/stagewalk/node/log_client/stream.py
@@ -1,4 +1,9 @@
-"""One stream's reads and appends."""
+"""One stream's reads and appends.
+
+Owns the read cursor, the queue of appends and the rule for a lost answer: an append is repeated
+only after a read, begun later, proves that the record is not in the stream. Constants are fields
+of `LogClientConfig`.
+"""
 
 from __future__ import annotations
 
@@ -20,10 +25,10 @@
 
 
 class AppendState(Enum):
-    """How far an append has come."""
+    """State of an append."""
 
     WAITING = auto()
-    """To be sent (again): no attempt is under way."""
+    """No attempt is under way; one is due after the backoff."""
     SENT = auto()
     UNKNOWN = auto()
     """Its answer was lost: reading decides."""
@@ -56,8 +61,8 @@
     """Reads one stream and sends its appends, in order and one at a time.
 
     `_cursor` is the next offset to look at. Before the first append of a stream that is not
-    followed, its head is read, so that a lost answer is looked for from there on and not from
-    the stream's beginning.
+    followed, its head is read, so that a record whose answer is lost is looked for from there on
+    and not from the stream's beginning.
     """
 
     def __init__(self, name: str, config: LogClientConfig, generator: random.Random) -> None:
@@ -103,11 +108,11 @@
             self._cursor = max(self._cursor, offset)
 
     def queue(self, record_id: RecordId, payload: bytes, now: float) -> None:
-        """Take on an append."""
+        """Queue an append."""
         self.appends.append(PendingAppend(record_id, payload, now))
 
     def read(self, event: LogRead, now: float) -> list[StreamOutput]:
-        """Take the answer to a read."""
+        """Handle the answer to a read."""
         began = self._reading_since
         self._reading_since = None
         self._read_backoff.reset()
@@ -132,17 +137,17 @@
         return output + self._deliver(fresh, event.head)
 
     def read_failed(self, detail: str, now: float) -> list[StreamOutput]:
-        """Take the failure of a read: try again after a while."""
+        """Handle the failure of a read: it is retried after the backoff."""
         self._reading_since = None
         self._read_not_before = now + self._read_backoff.draw()
         return [self._event("log_read_failed", {"detail": detail})]
 
     def append_confirmed(self, record_id: RecordId, offset: int) -> list[StreamOutput]:
-        """Take the log's word for where a record landed."""
+        """Handle the offset at which the log appended a record."""
         return self._settle(record_id, offset)
 
     def append_failed(self, event: AppendFailed, now: float) -> list[StreamOutput]:
-        """Take the failure of an append; an unknown outcome is settled by reading."""
+        """Handle the failure of an append; an unknown outcome is settled by reading."""
         append = self._first()
         if append is None or append.record_id != event.record_id:
             return []
--- a/src/stagewalk/node/membership/config.py
+++ b/src/stagewalk/node/membership/config.py
@@ -1,4 +1,8 @@
-"""Timing and sizes of failure detection."""
+"""Timing and sizes of failure detection.
+
+What they cost and how fast a death is seen at 420 nodes is measured in docs/CAPACITY.md; the
+figures themselves were chosen.
+"""
 
 from __future__ import annotations
 
@@ -30,13 +34,13 @@
     retransmission_factor
         Times an update is passed on, in log10 of the number of members, rounded up.
     gossip_interval, gossip_fanout
-        While updates wait: time between rounds, and members told in each.
+        While updates wait: time between rounds, and members notified in each.
     exchange_interval
         Time between two comparisons of the whole member list with a random member.
     contact_interval
         Time between two probes of a machine that the list names, or that died, but no member.
     dead_retention
-        How long the dead and those that left are remembered, and the dead tried again; longer
+        How long the dead and those that left are kept, and the dead contacted again; longer
         than a partition that is to heal by itself.
     pause_threshold
         A gap between ticks above this means that this process was paused.
--- a/src/stagewalk/node/membership/contacts.py
+++ b/src/stagewalk/node/membership/contacts.py
@@ -1,4 +1,7 @@
-"""Nodes that may run but are no members: named by the machine list, or dead."""
+"""Nodes that may run but are no members: named by the machine list, or dead.
+
+Owns the listed addresses; relies on the member table for who is a member.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class ContactList:
-    """Addresses worth a message now and then.
+    """Addresses that are contacted from time to time.
 
     The machine list lags behind reality: it only adds addresses here. It never makes a member,
     and a machine missing from it, or leaving by it, takes none away.
@@ -25,7 +28,7 @@
         self._listed: dict[NodeName, Address] = {}
 
     def set_machines(self, machines: Iterable[Machine]) -> None:
-        """Take the platform's machine list."""
+        """Set the addresses of the platform's machine list."""
         self._listed = {
             NodeName(machine.name): machine.address
             for machine in machines
--- a/src/stagewalk/node/membership/core.py
+++ b/src/stagewalk/node/membership/core.py
@@ -1,8 +1,9 @@
-"""The membership core: which nodes are there, as far as this one can tell.
+"""The membership core: which nodes are there, as far as this one can know.
 
 The parts: `member_table` holds the newest fact about each node, `failure_detector` probes,
 `suspicion` gives suspects time to deny, `dissemination` passes facts on, `contacts` keeps
-addresses worth trying. This module decides what each message and each moment changes.
+addresses worth trying. This module owns
+this node's own fact and decides what each message and each tick changes.
 """
 
 from __future__ import annotations
@@ -39,13 +40,16 @@
 MembershipOutput = SendPeerMessage | MembershipNotification
 
 JOIN_CONTACTS = 2
-"""Machines contacted in each round while no member is known."""
+"""Machines contacted in each round while no member is known. Chosen, not measured."""
 LEAVE_FANOUT = 8
-"""Members told at once that this node leaves."""
+"""Members notified at once that this node leaves. Chosen, not measured."""
 FULL_STATE_INTERVAL_SECONDS = 1.0
 """Least time between two whole lists offered: at 420 members one takes about 30 KB."""
 LASTING_DIFFERENCE_SECONDS = 3.0
+"""Difference of lists that gossip under way does not explain: it spreads within a second or two."""
+
 FORGET_INTERVAL_SECONDS = 60.0
+"""Time between two removals of members that ended long ago. Chosen, not measured."""
 
 
 class MembershipCore:
@@ -104,12 +108,12 @@
         return self._table.members()
 
     def set_status(self, status: MemberStatus) -> None:
-        """Set what this node tells of itself from now on."""
+        """Set the status that this node announces from now on."""
         self._own_fact = replace(self._own_fact, status=status)
         self._table.apply(self._own_fact, 0.0)
 
     def handle_machines(self, machines: Iterable[Machine], now: float) -> list[MembershipOutput]:
-        """Take the platform's machine list as a list of addresses to try."""
+        """Apply the platform's machine list as a list of addresses to contact."""
         self._contacts.set_machines(machines)
         if len(self._table.present()) <= 1:
             self._next_contact_at = now
@@ -118,29 +122,29 @@
     def handle_message(
         self, source: Address, sender: NodeName, message: MembershipMessage, now: float
     ) -> list[MembershipOutput]:
-        """Take another node's message; `source` is where it came from."""
-        self._notice_pause(now)
+        """Handle another node's message; `source` is where it came from."""
+        self._detect_pause(now)
         if sender == self.identity.name:
-            self._hear_of_self(replace(record_to_fact(message.origin), name=sender), now)
+            self._handle_own_fact(replace(record_to_fact(message.origin), name=sender), now)
             return self._drain()
-        address = self._take_origin(source, sender, message, now)
+        address = self._handle_origin(source, sender, message, now)
         if address is None:
             return self._drain()
-        self._take_updates(sender, message, now)
-        self._notice_difference(message, now)
+        self._handle_updates(sender, message, now)
+        self._check_difference(message, now)
         self._outputs.extend(self._answer(address, sender, message, now))
         return self._drain()
 
     def tick(self, now: float) -> list[MembershipOutput]:
-        """Do what is due."""
-        self._notice_pause(now)
+        """Probe, gossip, compare lists and declare deaths as they become due."""
+        self._detect_pause(now)
         if not self._leaving:
             self._probe(now)
         for call in self._timers.overdue(now):
             if call.is_final:
                 self._declare_dead(call.name, now)
             else:
-                self._tell_suspect(call.name)
+                self._probe_suspect(call.name)
         if self._queue and now >= self._next_gossip_at:
             self._gossip(now)
         if now >= self._next_exchange_at:
@@ -153,9 +157,9 @@
         return self._drain()
 
     def leave(self, now: float) -> list[MembershipOutput]:
-        """Tell the others that this node leaves; it goes on answering until it is ended.
+        """Announce that this node leaves; it goes on answering until it is ended.
 
-        Leaving can't be taken back: only a greater incarnation joins again.
+        Leaving can't be undone: only a greater incarnation joins again.
         """
         if self._leaving:
             return []
@@ -169,22 +173,23 @@
 
     # Messages
 
-    def _take_origin(
+    def _handle_origin(
         self, source: Address, sender: NodeName, message: MembershipMessage, now: float
     ) -> Address | None:
-        """Learn of the sender; return where to answer, or `None` if its word no longer counts."""
+        """Apply the sender's own fact; return where to answer, or `None` if it was superseded."""
         origin = replace(record_to_fact(message.origin), name=sender)
         address = origin.address or source
         known = self._table.get(sender)
         if known is not None and origin.incarnation < known.incarnation:
-            # An earlier process under this name still runs, or its datagram came late: tell it.
+            # An earlier process under this name still runs, or its datagram came late: send it
+            # the newer fact.
             gossip = MembershipKind.MEMBERSHIP_KIND_GOSSIP
             self._outputs.append(self._writer.datagram(address, gossip, sender))
             return None
         self._apply(origin, sender, now)
         return address
 
-    def _take_updates(self, sender: NodeName, message: MembershipMessage, now: float) -> None:
+    def _handle_updates(self, sender: NodeName, message: MembershipMessage, now: float) -> None:
         is_full_state = message.kind == MembershipKind.MEMBERSHIP_KIND_FULL_STATE
         for record in message.updates:
             fact = record_to_fact(record)
@@ -201,9 +206,9 @@
         if kind == MembershipKind.MEMBERSHIP_KIND_INDIRECT_PROBE:
             return self._detector.relay_probe(sender, address, message, now)
         if kind == MembershipKind.MEMBERSHIP_KIND_ACKNOWLEDGEMENT:
-            return self._detector.take_acknowledgement(sender, message)
+            return self._detector.handle_acknowledgement(sender, message)
         if kind == MembershipKind.MEMBERSHIP_KIND_NO_ANSWER:
-            self._detector.take_no_answer(message)
+            self._detector.handle_no_answer(message)
         elif kind == MembershipKind.MEMBERSHIP_KIND_DIGEST:
             return self._answer_digest(address, message, now)
         elif kind == MembershipKind.MEMBERSHIP_KIND_FULL_STATE and message.answer_wanted:
@@ -213,9 +218,9 @@
     def _doubts_death(self, fact: MemberFact) -> bool:
         """Return whether a whole list calls dead whom this node holds alive.
 
-        The other side of a healed partition takes all of this side for dead: each of them gets
-        the time to deny it. Of a process not known here the word is taken, lest a node that
-        joins revives it.
+        The other side of a healed partition believes all of this side dead: each of them gets
+        the time to deny it. A death of a process not known here is applied, so that a node that
+        joins does not revive it.
         """
         if fact.state is not MemberState.DEAD:
             return False
@@ -237,17 +242,17 @@
 
     # Facts
 
-    def _apply(self, fact: MemberFact, teller: NodeName, now: float) -> None:
+    def _apply(self, fact: MemberFact, sender: NodeName, now: float) -> None:
         if fact.name == self.identity.name:
-            self._hear_of_self(fact, now)
+            self._handle_own_fact(fact, now)
             return
         change = self._table.apply(fact, now)
         if change is not None:
-            self._take_change(change, fact.accuser or teller, now)
+            self._handle_change(change, fact.accuser or sender, now)
         elif fact.state is MemberState.SUSPECT and fact.accuser is not None:
             self._confirm_suspicion(fact, fact.accuser)
 
-    def _take_change(self, change: TableChange, accuser: NodeName, now: float) -> None:
+    def _handle_change(self, change: TableChange, accuser: NodeName, now: float) -> None:
         fact, old = change.fact, change.old
         self._queue.add(fact)
         if fact.state is MemberState.SUSPECT:
@@ -264,8 +269,8 @@
             self._detector.schedule.add(fact.name)
         self._outputs.append(MemberChanged(fact.name, old_state, fact.state, fact.incarnation))
 
-    def _hear_of_self(self, fact: MemberFact, now: float) -> None:
-        """Deny what is wrong about this node, with a word newer than the rumour."""
+    def _handle_own_fact(self, fact: MemberFact, now: float) -> None:
+        """Refute a wrong fact about this node by a newer one."""
         own = self._own_fact
         if fact.incarnation > self._superseded_by or (
             fact.state is MemberState.LEFT and not self._leaving and fact.rank > own.rank
@@ -310,8 +315,8 @@
         if self._timers.confirm(fact.name, accuser):
             self._queue.add(fact)
 
-    def _tell_suspect(self, name: NodeName) -> None:
-        """Ask a suspect itself: every message to it names the suspicion it has to deny."""
+    def _probe_suspect(self, name: NodeName) -> None:
+        """Probe a suspect again: every message to it carries the suspicion it has to refute."""
         fact = self._table.get(name)
         if fact is not None and fact.address is not None:
             self._outputs.append(self._detector.probe_again(fact, fact.address))
@@ -324,8 +329,8 @@
         dead = replace(known, state=MemberState.DEAD, accuser=self.identity.name)
         self._apply(dead, self.identity.name, now)
 
-    def _notice_pause(self, now: float) -> None:
-        """After a gap between ticks, distrust what this process has not heard meanwhile.
+    def _detect_pause(self, now: float) -> None:
+        """After a gap between ticks, restart the timeouts that ran out during it.
 
         Without this a process that was paused would wake up, find all its probes and suspicions
         overdue, and declare healthy members dead.
@@ -339,13 +344,13 @@
         gap = now - self._last_tick_at
         self._last_tick_at = now
         if gap > self._config.pause_threshold:
-            self._detector.forget_running(now)
+            self._detector.drop_running(now)
             self._detector.health.worsen()
             self._timers.postpone(gap)
 
     # Spreading
 
-    def _notice_difference(self, message: MembershipMessage, now: float) -> None:
+    def _check_difference(self, message: MembershipMessage, now: float) -> None:
         """Compare lists soon if all that others send has differed from this one for a while.
 
         News on its way makes lists differ for a second or two. A difference that lasts was left
@@ -375,7 +380,7 @@
             self._outputs.append(self._writer.datagram(member.address, digest, member.name))
 
     def _try_contacts(self, now: float) -> None:
-        """Join through the machine list, or look whether one held dead answers after all."""
+        """Join through the machine list, or probe whether one believed dead answers after all."""
         if len(self._table.present()) <= 1 and not self._leaving:
             self._next_contact_at = now + self._config.probe_interval
             for address in self._contacts.choose(JOIN_CONTACTS):
--- a/src/stagewalk/node/membership/failure_detector.py
+++ b/src/stagewalk/node/membership/failure_detector.py
@@ -1,7 +1,8 @@
-"""Probes members, directly and through others, and says which did not answer.
+"""Probes members, directly and through others, and reports which did not answer.
 
 This is SWIM's detector (Das, Gupta, Motivala 2002) with Lifeguard's local health: a node that has
-reason to doubt itself waits longer before it doubts others.
+reason to doubt itself waits longer before it doubts others. Owns the running probes; the constants
+are fields of `MembershipConfig`.
 """
 
 from __future__ import annotations
@@ -75,8 +76,8 @@
         """Spread the nodes' probes over the interval."""
         self._next_probe_at = now + self._generator.random() * self._config.probe_interval
 
-    def forget_running(self, now: float) -> None:
-        """Judge no probe that was under way while this process was paused."""
+    def drop_running(self, now: float) -> None:
+        """Drop the probes that were under way while this process was paused."""
         self._pending.clear()
         self._relayed.clear()
         self._next_probe_at = now
@@ -120,10 +121,10 @@
         )
         return [self._probe(target, target.address, exchange_id)]
 
-    def take_acknowledgement(
+    def handle_acknowledgement(
         self, sender: NodeName, message: MembershipMessage
     ) -> list[SendPeerMessage]:
-        """Settle the probe that an acknowledgement answers, or pass it on to who asked."""
+        """Settle the probe that an acknowledgement answers, or relay it to the requester."""
         if self._pending.pop(message.exchange_id, None) is not None:
             self.health.improve()
             return []
@@ -139,7 +140,7 @@
             )
         ]
 
-    def take_no_answer(self, message: MembershipMessage) -> None:
+    def handle_no_answer(self, message: MembershipMessage) -> None:
         """Count a helper that is alive itself: the fault is not this node's own."""
         pending = self._pending.get(message.exchange_id)
         if pending is not None:
@@ -166,7 +167,7 @@
                 self._ask_helpers(exchange_id, pending, step)
 
     def _fail(self, pending: PendingProbe, step: ProbeStep) -> None:
-        """Report a failed probe; if no helper was heard either, doubt this node as well."""
+        """Report a failed probe; if no helper answered either, doubt this node as well."""
         if pending.helpers > 0 and pending.helper_answers == 0:
             self.health.worsen()
         step.failed.append(pending.target)
--- a/src/stagewalk/node/membership/member_table.py
+++ b/src/stagewalk/node/membership/member_table.py
@@ -75,7 +75,7 @@
         return self._digest
 
     def apply(self, fact: MemberFact, now: float) -> TableChange | None:
-        """Take a fact in; return what changed, or `None` if it is no news."""
+        """Apply a fact; return what changed, or `None` if it is no news."""
         old = self._facts.get(fact.name)
         if old is not None and old.incarnation == fact.incarnation:
             self._take_status(old, fact)
@@ -106,7 +106,7 @@
         return [self._facts[name] for name in sorted(self._ended_at)]
 
     def forget_ended_before(self, moment: float) -> None:
-        """Forget the dead and those that left before a moment."""
+        """Remove the dead and those that left before a time."""
         for name in [name for name, ended_at in self._ended_at.items() if ended_at < moment]:
             del self._ended_at[name]
             del self._facts[name]
--- a/src/stagewalk/node/membership/members.py
+++ b/src/stagewalk/node/membership/members.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """The little that every node tells of itself.
+    """The status that every node announces of itself.
 
     Attributes
     ----------
--- a/src/stagewalk/node/membership/messages.py
+++ b/src/stagewalk/node/membership/messages.py
@@ -65,7 +65,8 @@
         )
 
     def _news_for(self, recipient: NodeName | None) -> list[MemberRecord]:
-        """Tell a member that this node does not hold alive, so that it can deny it."""
+        """Return the fact about a recipient that this node does not hold alive, so that it can
+        refute it."""
         fact = self._table.get(recipient) if recipient is not None else None
         if fact is None or fact.state is MemberState.ALIVE:
             return []
--- a/src/stagewalk/node/membership/notifications.py
+++ b/src/stagewalk/node/membership/notifications.py
@@ -22,8 +22,8 @@
 class IdentitySuperseded:
     """Another process runs, or ran, under this node's name with a greater incarnation.
 
-    The node can't be heard any more: the others drop what it says of itself. It should stop, or
-    start again with an incarnation above `incarnation`.
+    The other nodes ignore this node's facts about itself. It should stop, or start again with an
+    incarnation above `incarnation`.
     """
 
     incarnation: Incarnation
--- a/src/stagewalk/node/membership/probing.py
+++ b/src/stagewalk/node/membership/probing.py
@@ -23,7 +23,7 @@
     helpers
         How many others were asked; 0 while they have not been.
     helper_answers
-        How many of them answered that they have heard nothing yet.
+        How many of them answered that they had no answer either.
     """
 
     target: MemberFact
@@ -37,7 +37,8 @@
 class RelayedProbe:
     """A probe that runs on behalf of another member.
 
-    `exchange_id` is the one the requester chose, `deadline` when it is told that no answer came.
+    `exchange_id` is the one the requester chose, `deadline` when it gets the notice that no answer
+    came.
     """
 
     requester: NodeName
@@ -59,7 +60,7 @@
         self._round: list[NodeName] = []
 
     def add(self, name: NodeName) -> None:
-        """Give a new member a place in the round that runs."""
+        """Insert a new member into the current round."""
         self._round.insert(self._generator.randint(0, len(self._round)), name)
 
     def next(self, present: dict[NodeName, Member], own_name: NodeName) -> Member | None:
--- a/src/stagewalk/node/membership/suspicion.py
+++ b/src/stagewalk/node/membership/suspicion.py
@@ -65,7 +65,7 @@
         return True
 
     def stop(self, name: NodeName) -> None:
-        """Forget a member's timer."""
+        """Remove a member's timer."""
         self._running.pop(name, None)
 
     def postpone(self, seconds: float) -> None:
