--- a/src/stagewalk/gateway/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from stagewalk.gateway.batches.records import ScoreCall
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
-from stagewalk.gateway.forwarding.policy import SERVER_ERROR, hedge_delay, is_success
+from stagewalk.gateway.forwarding.hedging import hedge_delay
+from stagewalk.gateway.forwarding.policy import SERVER_ERROR, is_success
 from stagewalk.gateway.policy import ALL_ON, Policy
 from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk.gateway.quarantine.content import RequestContent
@@ -25,6 +25,7 @@
     StopScore,
     score_content,
 )
+from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
 
--- a/tests/gateway/nodes/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -15,7 +15,7 @@
 from stagewalk.gateway.quarantine.core import MOST_STRIKES, CrashSuspects
 from stagewalk.gateway.quarantine.crash_reports import SentRequest
 from stagewalk.gateway.workers.table import WorkerTable
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 from tests.gateway.workers.support import announcement
 
 NODES = Partition("keyed.nodes", 0)
@@ -37,6 +37,7 @@
             suspects=self.suspects,
             workers=self.table,
             probe=mock.AsyncMock(return_value=False),
+            renew_view=mock.AsyncMock(return_value=False),
         )
 
     async def end(self, worker: str, content: RequestContent = CONTENT) -> None:
--- a/tests/gateway/nodes/test_node_service.py
+++ b/tests/gateway/nodes/test_node_service.py
@@ -16,7 +16,7 @@
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.policy import ALL_ON
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 from tests.gateway.support import until
 
 NODES = Partition("keyed.nodes", 0)
@@ -60,6 +60,7 @@
         capacity=0.5,
         policy=ALL_ON,
         batch_regions=lambda: regions,
+        worker_ends=mock.Mock(owns=lambda _record: False),
     )
 
 
--- a/tests/gateway/runners/test_runner_choice.py
+++ b/tests/gateway/runners/test_runner_choice.py
@@ -22,7 +22,7 @@
     decode_call,
     encode_message,
 )
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 
 TRAINER = BatchHeader("b1", "h.example", "/run/b1", 1, "m", 0, 4)
 
@@ -151,7 +151,7 @@
     async def submit(self, offset: int) -> None:
         async with anyio.create_task_group() as tasks:
             self.choice.start(tasks)
-            await self.choice.tell("n1#1", TRAINER, offset)
+            await self.choice.notify("n1#1", TRAINER, offset)
 
     def test_the_first_submission_is_noted_and_told(self) -> None:
         async def scenario() -> None:
@@ -184,7 +184,7 @@
                 batch = mock.Mock(header=TRAINER, runner="n1#1", ended=False)
                 store.ledger.get = lambda _name: batch
                 self.choice._store = store
-                noted = await self.choice._take(RunBatch("b2", 2, 7))
+                noted = await self.choice._accept(RunBatch("b2", 2, 7))
                 self.assertEqual(offset is not None, noted)
                 place = (await self.places.find("b2")).ok
                 certain = BatchPlace(2, 3, "n1#1", certain=True)
