--- a/src/stagewalk/node/node_config.py
+++ b/src/stagewalk/node/node_config.py
@@ -1,6 +1,6 @@
 """Parameters of all the cores a node is composed of; `settings` holds what operators may set.
 
-The simulation and tests make nodes with other values.
+Every node and the simulation use these values; tests of single cores use others.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -121,23 +121,17 @@
         The node's own name, incarnation and place.
     generator
         Source of all its random choices; seeded by the simulation.
-    config
-        Settings of its cores.
     """
 
-    def __init__(
-        self,
-        identity: NodeIdentity,
-        generator: random.Random,
-        config: NodeConfig | None = None,
-    ) -> None:
+    def __init__(self, identity: NodeIdentity, generator: random.Random) -> None:
         self.identity = identity
-        self.config = config or NodeConfig()
-        self.control = ControlPlane(identity, self.config, generator)
-        self.data = DataPlane(identity, self.config, generator)
+        config = NodeConfig()
+        self.control = ControlPlane(identity, config, generator)
+        self.data = DataPlane(identity, config, generator)
         self.answers = AnswerExchange(identity, self.data.requests, self.control.membership)
         self._pending: deque[NodeOutput] = deque()
         self._now = float("-inf")
+        self._machine_list_interval_seconds = config.machine_list_interval_seconds
         self._read_machines_at = float("-inf")
         self._machines_known = False
         self._stopping = False
@@ -254,7 +248,7 @@
     def _tick(self, event: Tick, now: float) -> list[NodeOutput]:
         output: list[NodeOutput] = []
         if now >= self._read_machines_at:
-            self._read_machines_at = now + self.config.machine_list_interval_seconds
+            self._read_machines_at = now + self._machine_list_interval_seconds
             output.append(ReadMachines())
         output += self.control.tick(now)
         output += self.data.tick(now)
--- a/src/stagewalk/node/routing/config.py
+++ b/src/stagewalk/node/routing/config.py
@@ -174,14 +174,11 @@
 
     Attributes
     ----------
-    policy
-        Name of the policy, as in `node.routing.policies.POLICIES`.
     choices
         Engines drawn at random and compared by score, besides the one with the longest cached
         prefix: nodes with the same lagging reports must not all take the same engine.
     """
 
-    policy: str = "product"
     choices: int = 4
     score: ScoreConfig = field(default_factory=ScoreConfig)
     prefix_index: PrefixIndexConfig = field(default_factory=PrefixIndexConfig)
--- a/src/stagewalk/node/routing/engine_record.py
+++ b/src/stagewalk/node/routing/engine_record.py
@@ -88,6 +88,13 @@
         """Return the weights the engine said it runs."""
         return None if self.report is None else self.report.active_version
 
+    @property
+    def load(self) -> int:
+        """Return the sequences at the engine, corrected for this node's own attempts."""
+        if self.report is None:
+            return 0
+        return max(0, self.report.running + self.report.waiting + self.added_sequences)
+
     def serves(self, now: float) -> bool:
         """Return whether fresh evidence vouches that the engine takes new work."""
         return (
--- a/src/stagewalk/node/routing/engine_table.py
+++ b/src/stagewalk/node/routing/engine_table.py
@@ -149,11 +149,8 @@
         slots = 0
         load = 0
         for record in records:
-            report = record.report
-            if report is None:
-                continue
-            slots += report.batch_limit
-            load += max(0, report.running + report.waiting + record.added_sequences)
+            slots += 0 if record.report is None else record.report.batch_limit
+            load += record.load
         return PoolView(len(records), slots, load)
 
     def tick(self, now: float) -> list[PollEngine]:
--- a/src/stagewalk/node/routing/router.py
+++ b/src/stagewalk/node/routing/router.py
@@ -1,7 +1,7 @@
 """Chooses the engine for an attempt, and records what becomes of attempts.
 
-Owns the prefix index and the policy. Relies on the engine table for evidence, on `outliers` for
-which engines are set aside and on `scoring` for the expected completion time.
+Owns the prefix index. Relies on the engine table for evidence, on `outliers` for which engines are
+set aside and on `choice` for the engine.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
     WeightVersion,
 )
 from stagewalk.node.core.completions import CompletionRequest
+from stagewalk.node.routing.choice import EngineChooser
 from stagewalk.node.routing.config import RouterConfig
 from stagewalk.node.routing.engine_record import EngineRecord
 from stagewalk.node.routing.engine_table import EngineTable, PoolView
 from stagewalk.node.routing.outliers import note_failure, note_success, without_outliers
-from stagewalk.node.routing.policies import make_policy
 from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex, hash_blocks
 from stagewalk.node.routing.scoring import CompletionTimeModel, expected_tokens, shape_of
 
@@ -58,7 +58,7 @@
 
 
 class Router:
-    """Chooses engines by a policy over those with fresh evidence.
+    """Chooses engines among those with fresh evidence.
 
     Parameters
     ----------
@@ -80,8 +80,8 @@
         self._table = engine_table
         self._config = config
         self._prefix_index = PrefixIndex(config.prefix_index)
-        self._model = CompletionTimeModel(identity.placement, config, self._prefix_index)
-        self._policy = make_policy(config, self._model, self._prefix_index, generator)
+        model = CompletionTimeModel(identity.placement, config, self._prefix_index)
+        self._chooser = EngineChooser(config.choices, model, self._prefix_index, generator)
         self._last_prompt = ""
         self._last_blocks: PrefixBlocks = ()
 
@@ -96,7 +96,7 @@
             return Error(self._no_engine(request, len(serving), len(excluded)))
         candidates = without_outliers(suitable, self._config.outlier, now)
         shape = shape_of(request, self._blocks_of(request.prompt), self._config)
-        chosen = self._policy.select(shape, candidates, now)
+        chosen = self._chooser.choose(shape, candidates, now)
         version = chosen.version
         if version is None:
             return Error(self._no_engine(request, len(serving), len(excluded)))
--- a/src/stagewalk/node/routing/scoring.py
+++ b/src/stagewalk/node/routing/scoring.py
@@ -83,7 +83,7 @@
         answer = shape.answer_tokens
         if report is None:
             return answer / rate
-        sequences = max(0, report.running + report.waiting + record.added_sequences)
+        sequences = record.load
         pending = max(0.0, report.pending_tokens + record.added_tokens)
         batch = max(1, report.batch_limit)
         fullness = min(1.0, (sequences + 1) / batch)
--- a/src/stagewalk/node/samples/config.py
+++ b/src/stagewalk/node/samples/config.py
@@ -38,10 +38,6 @@
         Time between reads of the store's versions of a model that a tenant with a bound in
         seconds uses: while this node runs lots of it, and while it does not. A trainer may come
         at any time, and a node that never read can't tell the age of any version.
-    longest_first
-        Whether slots are started by predicted length; else in the lot's order.
-    duplicate_stragglers
-        Whether stragglers are run twice.
     tail_fraction
         A step is near its end when at most this share of its slots is unfinished.
     straggler_factor
@@ -50,9 +46,6 @@
         Most duplicates of stragglers, as a share of the lot's slots (at least one).
     look_ahead_steps
         Steps after a trainer's current one that may run before the trainer pulls them.
-    spread_over_swap
-        Whether, while engines swap weights, only as many rollouts run as those can take that
-        hold weights fresh enough.
     retained_steps
         Steps of one trainer kept besides the newest; older ones are dropped.
     retention_seconds
@@ -90,13 +83,10 @@
     news_lag_seconds: float = 9.0
     version_poll_seconds: float = 2.0
     version_watch_seconds: float = 15.0
-    longest_first: bool = True
-    duplicate_stragglers: bool = True
     tail_fraction: float = 0.1
     straggler_factor: float = 2.0
     duplicate_fraction: float = 0.05
     look_ahead_steps: int = 1
-    spread_over_swap: bool = True
     retained_steps: int = 3
     retention_seconds: float = 300.0
     pulled_pause_seconds: float = 60.0
--- a/src/stagewalk/node/samples/scheduler.py
+++ b/src/stagewalk/node/samples/scheduler.py
@@ -88,7 +88,7 @@
         Sampling is seeded by the slot, so both attempts give the same answer if they run under
         the same weights; whichever is claimed first is the sample.
         """
-        if not self._config.duplicate_stragglers or lot.paused or not self._near_end(lot):
+        if lot.paused or not self._near_end(lot):
             return []
         budget = max(1, int(self._config.duplicate_fraction * len(lot.slots))) - lot.duplicates
         limit = self._config.straggler_factor * _percentile(lot.durations, _STRAGGLER_PERCENTILE)
@@ -133,8 +133,6 @@
         lot.window = max(float(MINIMUM_WINDOW), lot.window * _WINDOW_DECREASE)
 
     def _predicted_tokens(self, lot: Lot, prompt: RolloutPrompt) -> float:
-        if not self._config.longest_first:
-            return 0.0
         return self.lengths.predict(lot.key.tenant, prompt)
 
     def _near_end(self, lot: Lot) -> bool:
@@ -162,8 +160,12 @@
         return newest is None or minimum is None or newest >= minimum
 
     def _served_share(self, lot: Lot, minimum: WeightVersion | None, now: float) -> float:
-        """Return the share of engines that could run a lot's rollouts."""
-        if minimum is None or not self._config.spread_over_swap:
+        """Return the share of engines that could run a lot's rollouts.
+
+        While engines swap weights, only as many rollouts run as those can take that hold weights
+        fresh enough.
+        """
+        if minimum is None:
             return 1.0
         return self._store.served.share_at_least(lot.lot.model, minimum, now)
 
