--- a/src/stagewalk/node/configuration/outcomes.py
+++ b/src/stagewalk/node/configuration/outcomes.py
@@ -1,4 +1,4 @@
-"""What the fold makes of a record, and the history of it that operators read."""
+"""What the fold makes of a record, and the history of it that operators read. Plain data."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/configuration/parameters.py
+++ b/src/stagewalk/node/configuration/parameters.py
@@ -1,4 +1,7 @@
-"""Typed parameters of templates and tenants, checked by `msgspec` on decoding."""
+"""Typed parameters of templates and tenants, checked by `msgspec` on decoding.
+
+The stored form of a tenant: other nodes and releases read it.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/configuration/records.py
+++ b/src/stagewalk/node/configuration/records.py
@@ -1,4 +1,7 @@
-"""Records that operators publish on the stream `configuration`, as JSON."""
+"""Records that operators publish on the stream `configuration`, as JSON.
+
+The stored form of a change; owns its decoding, whose errors name the field at fault.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/configuration/state.py
+++ b/src/stagewalk/node/configuration/state.py
@@ -1,4 +1,7 @@
-"""Lasting state of the configuration fold, its checks against the pool, and its snapshots."""
+"""Lasting state of the configuration fold, its checks against the pool, and its snapshots.
+
+Owns the snapshot's stored form, which other releases read.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/core/completions.py
+++ b/src/stagewalk/node/core/completions.py
@@ -1,4 +1,7 @@
-"""Requests for a completion and the pieces of its answer, as the cores see them."""
+"""Requests for a completion and the pieces of its answer, as the cores see them.
+
+Plain data shared by requests, admission, routing and samples; validated at the edge.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/core/events.py
+++ b/src/stagewalk/node/core/events.py
@@ -1,7 +1,8 @@
 """Events the shell feeds into the node's pure core.
 
 Each is a fact that already happened. The time at which the core learns it is the `now`
-argument of `NodeCore.handle`, in seconds of a clock that only grows.
+argument of `NodeCore.handle`, in seconds of a clock that only grows. The shell and the simulation
+make them; nothing here decides.
 """
 
 from __future__ import annotations
@@ -37,6 +38,7 @@
 
 
 TICK_INTERVAL_SECONDS = 0.1
+"""Bounds how late a timer of a core fires. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/node/core/instructions.py
+++ b/src/stagewalk/node/core/instructions.py
@@ -1,4 +1,7 @@
-"""Instructions the node's pure core gives to the shell, which carries them out in order."""
+"""Instructions the node's pure core gives to the shell, which carries them out in order.
+
+The shell and the simulation carry them out; outcomes come back as events.
+"""
 
 from __future__ import annotations
 
@@ -148,6 +151,7 @@
 
 
 MAXIMUM_DATAGRAM_BYTES = 1200
+"""Fits one packet on every usual path, so that a datagram is not lost in parts."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/node/core/platform.py
+++ b/src/stagewalk/node/core/platform.py
@@ -1,4 +1,7 @@
-"""What the platform's services say: machine list, engine reports, log records, versions."""
+"""What the platform's services and the engines report: machines, reports, log records, versions.
+
+Plain data; the adapters decode it, and engines' reports and orders travel in these forms.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/core/rollouts.py
+++ b/src/stagewalk/node/core/rollouts.py
@@ -1,4 +1,7 @@
-"""Lots of rollouts a trainer asks for, and the samples it pulls."""
+"""Lots of rollouts that a trainer submits, and the samples it pulls.
+
+Plain data shared by the edge and the sample ledger.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/membership/codec.py
+++ b/src/stagewalk/node/membership/codec.py
@@ -1,4 +1,7 @@
-"""Translation between facts about members and their wire format."""
+"""Translation between facts about members and their wire format.
+
+Owns nothing; the numbers of the states are the wire's.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/membership/dissemination.py
+++ b/src/stagewalk/node/membership/dissemination.py
@@ -1,4 +1,7 @@
-"""Updates waiting to be passed on, each a bounded number of times."""
+"""Updates waiting to be sent with other messages, each a bounded number of times.
+
+Owns the queue; the number of times grows with the logarithm of the members.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/membership/members.py
+++ b/src/stagewalk/node/membership/members.py
@@ -1,4 +1,4 @@
-"""What a node knows of itself and of the other nodes."""
+"""What a node knows of itself and of the other nodes: identity, state and status. Plain data."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/membership/messages.py
+++ b/src/stagewalk/node/membership/messages.py
@@ -1,4 +1,7 @@
-"""Builds the messages of membership, filling datagrams up with waiting updates."""
+"""Builds the messages of membership, filling datagrams up with waiting updates.
+
+Relies on the update queue for what to add and on the member table for digests and whole lists.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/membership/probing.py
+++ b/src/stagewalk/node/membership/probing.py
@@ -1,4 +1,7 @@
-"""Whom to probe next, which probes run, and which run on behalf of others."""
+"""Which member is probed next, the running probes, and those on behalf of others.
+
+Owns the order of a round: every member once, in random order.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/membership/suspicion.py
+++ b/src/stagewalk/node/membership/suspicion.py
@@ -13,6 +13,8 @@
 
 LAST_CALLS = 3
 LAST_CALL_INTERVAL_SECONDS = 0.2
+"""Probes of a suspect before it is declared dead, and the time between them. Chosen, not measured.
+"""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/node/ports/engines.py
+++ b/src/stagewalk/node/ports/engines.py
@@ -1,4 +1,7 @@
-"""Port of the model engines."""
+"""Port of the model engines.
+
+Implemented by `adapters.http_engines`; failures are events or values, never exceptions.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 FinalAttemptEvent = AttemptFinished | AttemptRefused | AttemptFailed
 AttemptEvent = AttemptChunk | FinalAttemptEvent
 AttemptSink = Callable[[AttemptEvent], Awaitable[None]]
-"""Takes an attempt's events in order; waiting in it holds the engine's stream back."""
+"""Receives an attempt's events in order; waiting in it slows the engine's stream."""
 
 
 class EngineClient(Protocol):
--- a/src/stagewalk/node/ports/platform_services.py
+++ b/src/stagewalk/node/ports/platform_services.py
@@ -1,4 +1,7 @@
-"""Ports of the platform's services: log, machine list, weight store and scorer."""
+"""Ports of the platform's services: log, machine list, weight store and scorer.
+
+Implemented by `adapters.http_platform`; each error names step and peer.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/settings.py
+++ b/src/stagewalk/node/settings.py
@@ -1,4 +1,7 @@
-"""Settings of one node: a TOML file, overridden by flags."""
+"""Settings of one node: a TOML file, overridden by flags.
+
+Owns the file's form and its checks; every error names the field at fault.
+"""
 
 from __future__ import annotations
 
