--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -240,7 +240,7 @@
         self._core.tick(NOW)
 
     def take_reports(self, count: int) -> None:
-        """Take that many reports from each engine."""
+        """Handle that many reports from each engine."""
         for index in range(count):
             at = NOW + index
             for engine in self._engines:
--- a/src/stagewalk/bench/fault_costs.py
+++ b/src/stagewalk/bench/fault_costs.py
@@ -68,7 +68,7 @@
         self.network.cut = lambda sender, receiver: region[sender] != region[receiver]
 
     def heal(self) -> None:
-        """Let messages pass again."""
+        """Deliver all messages again."""
         self.network.cut = lambda sender, receiver: False
 
     def views_settled(self) -> bool:
@@ -84,7 +84,7 @@
 
 
 def measure_faults(node_count: int, with_regions: bool) -> tuple[FaultMeasurement, ...]:
-    """Let one fault after another befall a network and measure how it settles."""
+    """Apply one fault after another to a network and measure how it settles."""
     bench = _FaultBench(node_count)
     zone = next(iter(bench.placements.values())).zone
     one = bench.names_in(zone)[:1]
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -21,7 +21,7 @@
 
 
 class MembershipNetwork:
-    """Membership cores on virtual time; tests and `fault_costs` decide what befalls them.
+    """Membership cores on virtual time; tests and `fault_costs` set their faults.
 
     Attributes
     ----------
@@ -72,7 +72,7 @@
         self.paused.add(name)
 
     def leave(self, name: str) -> None:
-        """Let a node say that it leaves."""
+        """Announce that a node leaves."""
         self._carry_out(name, self.cores[name].leave(self.now))
 
     def list_machines(self, names: Iterable[str] | None = None) -> None:
@@ -83,7 +83,7 @@
                 self._carry_out(name, self.cores[name].handle_machines(machines, self.now))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run all deliveries and ticks of a time."""
         end = self.now + seconds
         while True:
             tick_at, name = self._ticks[0]
@@ -110,7 +110,7 @@
         }
 
     def changes_to(self, state: MemberState) -> list[tuple[float, str, str]]:
-        """Return when, at whom and about whom a change to a state was told."""
+        """Return time, observer and subject of each change to a state."""
         return [
             (at, observer, change.name)
             for at, observer, change in self.notifications
--- a/src/stagewalk/bench/unit_timing.py
+++ b/src/stagewalk/bench/unit_timing.py
@@ -19,14 +19,14 @@
         self._seconds: list[float] = []
 
     def run(self, count: int, work: Callable[[int], None]) -> None:
-        """Run `work(count)` with the collector quiet and note its processor time."""
+        """Run `work(count)` with the collector quiet and add its processor time."""
         gc.collect()
         began = time.process_time()
         work(count)
         self.add(count, time.process_time() - began)
 
     def add(self, count: int, seconds: float) -> None:
-        """Note a run that was timed elsewhere."""
+        """Add a run that was timed elsewhere."""
         self._counts.append(count)
         self._seconds.append(seconds)
 
--- a/src/stagewalk/cli/config.py
+++ b/src/stagewalk/cli/config.py
@@ -323,13 +323,13 @@
         if caught_up.is_error():
             return _print_error(caught_up.error, EXIT_NOT_DONE)
         tenant = session.fold.tenants.get(desired.file.tenant)
-    wanted = msgspec.to_builtins(desired.parameters)
+    target = msgspec.to_builtins(desired.parameters)
     in_force = {} if tenant is None else msgspec.to_builtins(tenant.parameters)
-    changed = [field for field in wanted if in_force.get(field) != wanted[field] or not in_force]
+    changed = [field for field in target if in_force.get(field) != target[field] or not in_force]
     for field in changed:
         if in_force:
             print(f"- {field} = {msgspec.json.encode(in_force[field]).decode()}")
-        print(f"+ {field} = {msgspec.json.encode(wanted[field]).decode()}")
+        print(f"+ {field} = {msgspec.json.encode(target[field]).decode()}")
     return EXIT_REJECTED if changed else EXIT_DONE
 
 
--- a/src/stagewalk/cli/config_log.py
+++ b/src/stagewalk/cli/config_log.py
@@ -132,7 +132,7 @@
         return next(entry.offset for entry in self.fold.history if entry.record_id == record_id)
 
     def _step(self, deadline: float) -> bool:
-        """Let the client do what is due; False once the deadline has passed."""
+        """Run the client's due actions; return False once the deadline has passed."""
         now = time.monotonic()
         if now >= deadline:
             return False
--- a/src/stagewalk/cli/config_nodes.py
+++ b/src/stagewalk/cli/config_nodes.py
@@ -17,7 +17,7 @@
 class NodeReport(msgspec.Struct, frozen=True):
     """The fields of a node's status that concern configuration.
 
-    `configuration_offsets` is what the node has heard of the other members' offsets.
+    `configuration_offsets` holds the other members' offsets as the node knows them.
     """
 
     name: str
@@ -48,7 +48,7 @@
 def ask_nodes(urls: Sequence[str]) -> list[NodeProgress]:
     """Return the progress of the nodes asked and of the members they know, sorted by name."""
     progress: dict[str, NodeProgress] = {}
-    heard: dict[str, int] = {}
+    reported: dict[str, int] = {}
     with httpx.Client(timeout=CALL_TIMEOUT_SECONDS) as client:
         for url in urls:
             answer = _ask(client, url)
@@ -60,8 +60,8 @@
                 report.name, report.configuration_offset, report.configuration_digest
             )
             for name, offset in report.configuration_offsets.items():
-                heard[name] = max(offset, heard.get(name, 0))
-    for name, offset in heard.items():
+                reported[name] = max(offset, reported.get(name, 0))
+    for name, offset in reported.items():
         progress.setdefault(name, NodeProgress(name, offset))
     return [progress[name] for name in sorted(progress)]
 
@@ -87,7 +87,7 @@
 
 
 def wait_for_nodes(urls: Sequence[str], offset: int, timeout_seconds: float) -> WaitResult:
-    """Ask until every node has reached an offset or time is up."""
+    """Poll until every node has reached an offset or time is up."""
     began = time.monotonic()
     slowest = ""
     while True:
--- a/src/stagewalk/cli/main.py
+++ b/src/stagewalk/cli/main.py
@@ -19,8 +19,8 @@
     "config": "validate, publish and inspect published configuration",
     "sim": "simulate nodes, engines and faults on a virtual clock",
     "bench": "put load on running processes and measure them",
-    "explain": "tell from logs what became of a request, a batch or an item",
-    "steps": "take steps of trainers and recoveries apart, from logs",
+    "explain": "print from logs what became of a request, a batch or an item",
+    "steps": "print from logs where the time of steps and recoveries went",
 }
 
 
--- a/src/stagewalk/history/answer_text.py
+++ b/src/stagewalk/history/answer_text.py
@@ -93,7 +93,7 @@
 
 
 def wholeness_fault(text: str, prompt: str, seed: int | None, length: int) -> str | None:
-    """Say what is wrong with an answer's text, or None if it is the whole right answer."""
+    """Return what is wrong with an answer's text, or None if it is the whole right answer."""
     chunks = parse_answer(text)
     if chunks is None:
         return "the text is not made of whole chunks"
--- a/src/stagewalk/history/checker_requests.py
+++ b/src/stagewalk/history/checker_requests.py
@@ -1,4 +1,4 @@
-"""Judges what callers were told of their requests against what engines executed."""
+"""Checks the outcomes that callers received against what engines executed."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
 
 
 def naming_fault(text: str, named: tuple[VersionSpan, ...]) -> str | None:
-    """Say how the named versions differ from those that produced the text, or None."""
+    """Return how the named versions differ from those that produced the text, or None."""
     if parse_answer(text) is None:
         return "the text does not tell its versions"
     merged: tuple[VersionSpan, ...] = ()
--- a/src/stagewalk/history/checker_samples.py
+++ b/src/stagewalk/history/checker_samples.py
@@ -104,8 +104,8 @@
             verdict.check(Promise.EXACTLY_ONCE)
             begun = started.get(key)
             if begun is None or filled[key] != begun.slots:
-                wanted = "unknown" if begun is None else begun.slots
-                detail = f"completed with {filled[key]} of {wanted} slots delivered"
+                expected = "unknown" if begun is None else begun.slots
+                detail = f"completed with {filled[key]} of {expected} slots delivered"
                 subject = f"step {item.tenant}/{item.trainer}/{item.step}"
                 events: list[AnyObservation] = [item]
                 events.extend([] if begun is None else [begun])
--- a/src/stagewalk/history/observations.py
+++ b/src/stagewalk/history/observations.py
@@ -36,7 +36,7 @@
 
 
 class RequestAnswered(Observation, frozen=True, tag=True):
-    """A caller holds what it was told is the whole answer."""
+    """A caller received what its node calls the whole answer."""
 
     caller: str
     node: str
--- a/src/stagewalk/history/summary.py
+++ b/src/stagewalk/history/summary.py
@@ -70,7 +70,7 @@
         self.outcome_unknown = 0
 
     def add(self, observation: AnyObservation) -> None:
-        """Take one observation of this tenant."""
+        """Add one observation of this tenant."""
         match observation:
             case RequestSent():
                 self.first_sent.setdefault(observation.request_id, observation.at)
--- a/src/stagewalk/simulation/callers.py
+++ b/src/stagewalk/simulation/callers.py
@@ -97,7 +97,7 @@
         self.unanswered = 0
 
     def run(self) -> Steps:
-        """Ask for ever, at random intervals."""
+        """Send requests without end, at random intervals."""
         while True:
             yield self.world.scheduler.sleep(self.generator.expovariate(self._rate))
             burst = self.generator.random() < BURST_FRACTION
@@ -118,7 +118,7 @@
 
 
 class RequestLife:
-    """One request from its first send to its final answer or its caller's end of patience."""
+    """One request from its first send to its final answer, or until its caller stops waiting."""
 
     def __init__(self, caller: InteractiveCaller, question: Question) -> None:
         self.caller = caller
@@ -151,7 +151,7 @@
         self._note_sent(node)
 
     def answered(self, node: NodeHost, text: str, result: CompletionResult) -> None:
-        """Take the whole answer."""
+        """Handle the whole answer."""
         self._done = True
         self.caller.world.witness.note(
             RequestAnswered(
@@ -166,7 +166,7 @@
         )
 
     def refused(self, node: NodeHost, error: StagewalkError) -> None:
-        """Take a final error; a refused request may be sent again under the same id."""
+        """Handle a final error; a refused request may be sent again under the same id."""
         self.caller.world.witness.note(
             RequestRefused(
                 at=self.caller.world.scheduler.now,
@@ -187,7 +187,7 @@
             self._done = True
 
     def cut(self, node: NodeHost, by_network: bool) -> None:
-        """Ask another node under the same id after the connection broke."""
+        """Send to another node under the same id after the connection broke."""
         self._unsettled = True
         now = self.caller.world.scheduler.now
         if by_network:
@@ -274,7 +274,7 @@
         self._closed = False
 
     def answered(self, answer: CallAnswer) -> None:
-        """Take a piece of the answer, its end, or an error."""
+        """Handle a piece of the answer, its end, or an error."""
         if self._closed:
             return
         if isinstance(answer, SendChunk):
--- a/src/stagewalk/simulation/claims_explorer.py
+++ b/src/stagewalk/simulation/claims_explorer.py
@@ -178,7 +178,7 @@
         self.read_log(name)
 
     def read_log(self, name: str) -> None:
-        """Let a node read the log to its end."""
+        """Deliver the log to a node up to its end."""
         self.knows[name] = len(self.groups)
         core = pickle.loads(self.nodes[name])
         core.set_groups(GroupPlacement((PartitionChain(self.groups),)))
@@ -317,7 +317,7 @@
 
 
 def walk(walks: int, length: int, limits: Limits, seed: int) -> Coverage:
-    """Take random paths from the start, each of at most `length` steps.
+    """Walk random paths from the start, each of at most `length` steps.
 
     Raises
     ------
--- a/src/stagewalk/simulation/client_calls.py
+++ b/src/stagewalk/simulation/client_calls.py
@@ -25,11 +25,11 @@
         self._arrival = arrival
 
     def answered(self, answer: CallAnswer) -> None:
-        """Take the answer."""
+        """Handle the answer."""
         self._settle(answer)
 
     def lost(self, by_network: bool) -> None:
-        """Take note that none will come."""
+        """Handle that no answer will come."""
         self._settle(None)
 
     def give_up(self) -> None:
--- a/src/stagewalk/simulation/engine_host.py
+++ b/src/stagewalk/simulation/engine_host.py
@@ -158,7 +158,7 @@
             self._scheduler.after(silence, stream.connection.server_gone)
 
     def submit(self, request: EngineRequest, stream: EngineStream) -> Submission | None:
-        """Take an attempt; None if nothing listens here."""
+        """Submit an attempt; None if nothing listens here."""
         life = self._life
         if life is None:
             return None
@@ -212,7 +212,7 @@
         return report
 
     def order(self, order: EngineOrder) -> OrderAnswer | None:
-        """Take an order."""
+        """Handle an order."""
         life = self._life
         if life is None:
             return None
@@ -244,7 +244,7 @@
             self.cancel(attempt)
 
     def _pump(self, life: _Life) -> None:
-        """Hand the model's outputs on and make sure that it is woken in time."""
+        """Carry out the model's outputs and schedule its next wake-up."""
         for output in life.model.advance(self.now):
             self._dispatch(life, output)
         self._note_state(life)
--- a/src/stagewalk/simulation/engine_prefix_cache.py
+++ b/src/stagewalk/simulation/engine_prefix_cache.py
@@ -57,7 +57,7 @@
         return matched * PREFIX_BLOCK_TOKENS
 
     def store(self, hashes: tuple[str, ...], now: float) -> None:
-        """Hold a prompt's blocks; the caller shrinks the cache to its room afterwards."""
+        """Store a prompt's blocks; the caller shrinks the cache to its room afterwards."""
         for index, prefix_hash in enumerate(hashes):
             if prefix_hash not in self._blocks:
                 token_count = (index + 1) * PREFIX_BLOCK_TOKENS
@@ -76,13 +76,13 @@
         self.shrink_to(0, now)
 
     def events(self, after: int, now: float) -> tuple[tuple[CacheEvent, ...], int]:
-        """Return events from sequence `after` on, if old enough to be told, and the next."""
-        told = tuple(
+        """Return events from sequence `after` on old enough to show, and the next sequence."""
+        shown = tuple(
             event
             for event in self._events
             if event.sequence >= after and event.at <= now - self._lag_seconds
         )
-        return told, (told[-1].sequence + 1 if told else after)
+        return shown, (shown[-1].sequence + 1 if shown else after)
 
     def _mark_used(self, hashes: tuple[str, ...]) -> None:
         """Make the blocks the last to go, longer prefixes before the shorter they need."""
--- a/src/stagewalk/simulation/engine_weights.py
+++ b/src/stagewalk/simulation/engine_weights.py
@@ -81,7 +81,7 @@
         return answer
 
     def stage_ended(self, version: WeightVersion, succeeded: bool) -> None:
-        """Hold a fetched version; a failed fetch leaves nothing behind."""
+        """Store a fetched version; a failed fetch leaves nothing behind."""
         if version not in self._fetching:
             return
         self._fetching.discard(version)
--- a/src/stagewalk/simulation/machines.py
+++ b/src/stagewalk/simulation/machines.py
@@ -69,13 +69,13 @@
         return frozenset({*self.nodes, *self.engines}) | self.service_names
 
     def add_node(self, node: NodeHost) -> None:
-        """Take a node's machine in."""
+        """Add a node's machine."""
         self.nodes[node.name] = node
         self._nodes_by_address[node.site.address] = node
         self._list(node.site)
 
     def add_engine(self, engine: EngineHost) -> None:
-        """Take an engine's machine in."""
+        """Add an engine's machine."""
         self.engines[engine.name] = engine
         self._engines_by_address[engine.site.address] = engine
         self._list(engine.site)
@@ -130,7 +130,7 @@
         self._scheduler.after(STOP_LIMIT_SECONDS, enforce)
 
     def node_exited(self, node: NodeHost) -> None:
-        """Take note that a planned stop ended."""
+        """Record that a planned stop ended."""
         self.services.machines.remove(node.name)
         delay = self._restart_after.pop(node.name, LIST_LEAVES_AFTER_SECONDS)
         self._scheduler.after(delay, lambda: self._start_node(node))
@@ -163,7 +163,7 @@
         engine.stop()
 
     def engine_exited(self, engine: EngineHost) -> None:
-        """Take note that a planned stop ended."""
+        """Record that a planned stop ended."""
         self.services.machines.remove(engine.name)
         delay = self._restart_after.pop(engine.name, LIST_LEAVES_AFTER_SECONDS)
         self._scheduler.after(delay, lambda: self._start_engine(engine))
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -52,7 +52,7 @@
         self.core = NodeCore(identity, generator)
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
-        """Take an event and return what to do."""
+        """Handle an event and return what to do."""
         altered = self.alter_event(event)
         if altered is None:
             return []
@@ -63,7 +63,7 @@
         return self.core.status(now)
 
     def alter_event(self, event: Event) -> Event | None:
-        """Return what the core is told instead, or None to keep it from it."""
+        """Return the event for the core, or None to drop it."""
         return event
 
     def alter_instructions(
@@ -82,7 +82,7 @@
         self._models: dict[AttemptId, ModelName] = {}
 
     def alter_event(self, event: Event) -> Event | None:
-        """Put the newest version in place of the engine's."""
+        """Replace the engine's version with the newest."""
         if isinstance(event, VersionsRead) and event.versions:
             self._newest[event.model] = max(each.version for each in event.versions)
         if isinstance(event, AttemptChunk):
@@ -110,7 +110,7 @@
         self._asked_at: dict[tuple[str, str, int], WeightVersion] = {}
 
     def alter_event(self, event: Event) -> Event | None:
-        """Put the version at submission in place of the version that a pull names."""
+        """Replace the version that a pull names with the version at submission."""
         if isinstance(event, LotSubmitted):
             lot = event.lot
             self._asked_at.setdefault((lot.tenant, lot.trainer, lot.step), lot.trainer_version)
@@ -172,7 +172,7 @@
     def alter_instructions(
         self, event: Event, instructions: list[Instruction]
     ) -> list[Instruction]:
-        """Turn every `unknown` into `no`."""
+        """Replace every `unknown` with `no`."""
         return [
             replace(each, error=replace(each.error, ran=Ran.NO))
             if isinstance(each, FailCall)
--- a/src/stagewalk/simulation/network.py
+++ b/src/stagewalk/simulation/network.py
@@ -57,7 +57,7 @@
         self._partitions.append(partition)
 
     def end_partition(self, partition: Partition) -> None:
-        """Let messages through again."""
+        """Deliver messages again."""
         self._partitions.remove(partition)
 
     def begin_impairment(self, impairment: Impairment) -> None:
@@ -65,7 +65,7 @@
         self._impairments.append(impairment)
 
     def end_impairment(self, impairment: Impairment) -> None:
-        """Take an impairment away."""
+        """Remove an impairment."""
         self._impairments.remove(impairment)
 
     def blocked(self, source: Endpoint, target: Endpoint) -> bool:
@@ -196,12 +196,12 @@
         self.open = False
 
     def client_gone(self) -> None:
-        """Tell the server that the client closed or died."""
+        """Report to the server that the client closed or died."""
         if self.open:
             self._to_server.send(lambda: self._lose(self._server_lost))
 
     def server_gone(self) -> None:
-        """Tell the client that the server closed or died."""
+        """Report to the client that the server closed or died."""
         if self.open:
             self._to_client.send(lambda: self._lose(self._client_lost))
 
--- a/src/stagewalk/simulation/outbound.py
+++ b/src/stagewalk/simulation/outbound.py
@@ -122,7 +122,7 @@
         handler(instruction)
 
     def close(self, silence_seconds: float) -> None:
-        """Tell all engines, now or after a silence, that their client is gone."""
+        """Report to all engines, now or after a silence, that their client is gone."""
         for connection in self._attempts.values():
             self._network.scheduler.after(silence_seconds, connection.client_gone)
         self._attempts.clear()
--- a/src/stagewalk/simulation/platform_services.py
+++ b/src/stagewalk/simulation/platform_services.py
@@ -43,18 +43,18 @@
         self._remember()
 
     def mark_leaving(self, name: str) -> None:
-        """Say that a machine is about to go."""
+        """Mark a machine as leaving."""
         if name in self._rows:
             self._rows[name] = replace(self._rows[name], state=MachineState.LEAVING)
             self._remember()
 
     def remove(self, name: str) -> None:
-        """Take a machine off the list."""
+        """Remove a machine from the list."""
         self._rows.pop(name, None)
         self._remember()
 
     def read(self, client: Endpoint, answered: Callable[[tuple[Machine, ...]], None]) -> None:
-        """Read the list; a failure is told to nobody, as the reader only tries again."""
+        """Read the list; a failure is not reported, as the reader only tries again."""
 
         def serve(respond: Callable[[tuple[Machine, ...]], None]) -> bool:
             if not self.down:
@@ -98,7 +98,7 @@
         self._queue: deque[Callable[[bool], None]] = deque()
 
     def publish(self, model: ModelName, version: WeightVersion) -> None:
-        """Take a version; publishing it again changes nothing."""
+        """Store a version; publishing it again changes nothing."""
         known = self._versions.setdefault(model, [])
         if any(each.version == version for each in known):
             return
@@ -141,7 +141,7 @@
         )
 
     def fetch(self, ended: Callable[[bool], None]) -> None:
-        """Fetch one version's weights; `ended` is told whether it succeeded."""
+        """Fetch one version's weights and call `ended` with whether it succeeded."""
         if self.down:
             self._network.scheduler.after(CALL_TIMEOUT_SECONDS, lambda: ended(False))
         elif self._fetching >= FETCHES_AT_ONCE:
--- a/src/stagewalk/simulation/remote_call.py
+++ b/src/stagewalk/simulation/remote_call.py
@@ -15,7 +15,7 @@
 
 
 class RemoteCall(Generic[Answer]):
-    """One call: exactly one of `answered` and `failed` is told, once.
+    """One call: exactly one of `answered` and `failed` is called, once.
 
     Parameters
     ----------
--- a/src/stagewalk/simulation/simulation_run.py
+++ b/src/stagewalk/simulation/simulation_run.py
@@ -63,7 +63,7 @@
     core_failures
         Exceptions that cores raised, each of which fails the run.
     unanswered
-        Requests whose caller ran out of patience without any final answer.
+        Requests whose caller stopped waiting without any final answer.
     control_bytes_per_second
         Sent to other nodes, averaged over nodes and time.
     wall_seconds, events
@@ -122,7 +122,7 @@
 def run_simulation(
     arguments: SimulationArguments, progress: Callable[[float], None] = lambda _: None
 ) -> SimulationResult:
-    """Run a simulation; `progress` is told the virtual time now and then."""
+    """Run a simulation; `progress` is called with the virtual time now and then."""
     began = time.perf_counter()
     schedule = planned_schedule(arguments)
     layout = LAYOUTS[arguments.deployment]()
--- a/src/stagewalk/simulation/virtual_time.py
+++ b/src/stagewalk/simulation/virtual_time.py
@@ -56,7 +56,7 @@
         return simpy.Event(self._environment)
 
     def run_until(self, time: float) -> None:
-        """Let time pass."""
+        """Run all actions due until a time."""
         self._environment.run(until=time)
 
     def _execute(self, action: Action) -> None:
--- a/src/stagewalk_standins/demo/operator.py
+++ b/src/stagewalk_standins/demo/operator.py
@@ -131,7 +131,7 @@
         return completed.returncode == 0
 
     async def set_log_down(self, seconds: float) -> None:
-        """Take the log down for some seconds."""
+        """Make the log unavailable for some seconds."""
         self.observe(
             FaultInjected(at=_now(), kind="log_down", target="log", until=_now() + seconds)
         )
@@ -165,7 +165,7 @@
         self._history.write(observation)
 
     def _observe_publish(self, operator: str, accepted: bool, answer: str) -> None:
-        """Observe what the command said; without a record's id nothing was told of a record."""
+        """Record the command's answer; without a record's id it is no answer about a record."""
         record = RECORD_ID.search(answer)
         if record is None:
             return
--- a/src/stagewalk_standins/demo/processes.py
+++ b/src/stagewalk_standins/demo/processes.py
@@ -58,7 +58,7 @@
         self._running[name].handle.send_signal(number)
 
     def request_stop(self, name: str) -> None:
-        """Ask a process to stop in order (SIGTERM)."""
+        """Request an orderly stop of a process (SIGTERM)."""
         self._running[name].handle.terminate()
 
     def wait(self, name: str, timeout_seconds: float = STOP_TIMEOUT_SECONDS) -> int:
--- a/src/stagewalk_standins/engine_stream.py
+++ b/src/stagewalk_standins/engine_stream.py
@@ -81,7 +81,7 @@
         return self._done is not None and self._done.outcome is not WorkOutcome.FINISHED
 
     def add(self, chunk: TokenChunk) -> None:
-        """Take the next chunk."""
+        """Append the next chunk."""
         self._chunks.append(chunk)
         self._wake()
 
--- a/src/stagewalk_standins/machine_server.py
+++ b/src/stagewalk_standins/machine_server.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's machine list, which tells what was true some seconds ago."""
+"""Stand-in of the platform's machine list, which shows the state of some seconds ago."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class MachineServer:
-    """Keeps past lists until they are too old to be told; `now` is its clock, seconds."""
+    """Keeps past lists until they are too old to be shown; `now` is its clock, seconds."""
 
     def __init__(self, lag_seconds: float, now: Callable[[], float] = clock) -> None:
         self._lag_seconds = lag_seconds
--- a/src/stagewalk_standins/trainer.py
+++ b/src/stagewalk_standins/trainer.py
@@ -68,7 +68,7 @@
 
 
 class Trainer:
-    """Takes steps one after the other, through whichever node answers."""
+    """Runs steps one after the other, through the first node that answers."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         self._published: list[PublishedVersionBody] = []
 
     async def run(self) -> None:
-        """Take all steps that are left."""
+        """Run all steps that are left."""
         await self._find_version()
         while self._state.step <= self._options.steps:
             if not self._state.complete:
@@ -312,7 +312,7 @@
                 self._finish_step(each)
 
     def _finish_step(self, published: PublishedVersionBody) -> None:
-        """Hold the version just published and turn to the next step."""
+        """Set the version just published and move on to the next step."""
         state = self._state
         state.version = published.version
         state.publishing = None
--- a/tests/gateway/memory_duties.py
+++ b/tests/gateway/memory_duties.py
@@ -1,4 +1,7 @@
-"""Stand-in of the platform's duties, in memory: checks fences, and may refuse or answer late."""
+"""Stand-in of the platform's duties, in memory: checks fences, and may refuse or answer late.
+
+Owns the reports and orders received; relies on the port `gateway.ports.duties` alone.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 @dataclass
 class MemoryDuties:
-    """What the platform was told; satisfies the port of the duties.
+    """Reports and orders that the platform received; satisfies the port of the duties.
 
     Attributes
     ----------
@@ -37,7 +40,7 @@
     holders: list[DutyHolder] = field(default_factory=list)
 
     async def report_usage(self, holder: DutyHolder, report: UsageReport) -> DutyOutcome:
-        """Take a window's usage."""
+        """Record a window's usage."""
         outcome = await self._begin(holder)
         if outcome in {DutyOutcome.DONE, DutyOutcome.UNKNOWN}:
             known = self.reports.setdefault(report.window, dict(report.counts))
@@ -46,7 +49,7 @@
         return outcome
 
     async def order_workers(self, holder: DutyHolder, order: WorkerOrder) -> DutyOutcome:
-        """Take an order."""
+        """Record an order."""
         outcome = await self._begin(holder)
         if outcome is DutyOutcome.DONE and order.group.zone in self.none_left:
             return DutyOutcome.CONFLICT
--- a/tests/gateway/memory_log.py
+++ b/tests/gateway/memory_log.py
@@ -50,7 +50,7 @@
         return self.first + len(self.payloads)
 
     def announce(self) -> None:
-        """Wake whoever waits for a record."""
+        """Wake the reads that wait for a record."""
         self.changed.set()
         self.changed = anyio.Event()
 
@@ -133,7 +133,7 @@
             append()
 
     def delay(self, append: Callable[[], object]) -> None:
-        """Hold an append back."""
+        """Delay an append."""
         self._delayed.append(append)
 
 
--- a/tests/gateway/memory_workers.py
+++ b/tests/gateway/memory_workers.py
@@ -97,7 +97,7 @@
         self.arrivals: Counter[str] = Counter()
         """Requests that reached a worker, by request."""
         self.tenants: dict[str, str | None] = {}
-        """Whose request a worker was last told it is, by request."""
+        """Tenant that a worker last received with each request."""
         self.cancelled = 0
         self.connect_seconds = 0.0
         """How long a connection takes to come up."""
@@ -108,7 +108,7 @@
         self.crashes: list[str] = []
         """Workers that ended so, in order."""
         self.silent_crashes = False
-        """Whether a crash takes the machine: nothing tells it but the entry that goes."""
+        """Whether a crash takes the machine: its announcement goes, no connection is reset."""
         self.on_crash: Callable[[str], None] = lambda _worker: None
 
     async def _connect(self, permit: SendPermit) -> AttemptFailure | None:
@@ -215,7 +215,7 @@
         return Ok(WorkerReport(dict(worker.versions), False, len(worker.orders), 0, 0))
 
     async def order_version(self, target: WorkerTarget, order: VersionOrder) -> OrderOutcome:
-        """Take an order at once, unless a higher fence was seen."""
+        """Carry out an order at once, unless a higher fence was seen."""
         worker = self.workers[target.worker]
         if worker.orders and order.fence < worker.orders[-1].fence:
             return OrderOutcome.FENCED
--- a/tests/gateway/plain_dialect.py
+++ b/tests/gateway/plain_dialect.py
@@ -1,4 +1,4 @@
-"""Surroundings that spell everything as the product's own types do, in JSON."""
+"""A dialect that encodes everything as the product's own types do, in JSON."""
 
 from __future__ import annotations
 
