--- a/tests/gateway/nodes/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -8,7 +8,7 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.nodes.crash_watch import CrashWatch
+from stagewalk.gateway.nodes.crash_watch import MOST_UNAPPENDED, CrashWatch
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, ContactLoss
 from stagewalk.gateway.quarantine.content import RequestContent
