--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -15,6 +15,7 @@
 from stagewalk.gateway.batches.ledger import Batch
 from stagewalk.gateway.batches.scheduler import BatchScheduler
 from stagewalk.gateway.dialect import Dialect
+from stagewalk.gateway.eligibility.core import Eligibility
 from stagewalk.gateway.entry.batch_calls import BatchCalls
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
@@ -30,7 +31,6 @@
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.runners.runner_probes import RunnerProbes
 from stagewalk.gateway.runners.takeover_service import TakeoverService
-from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
 from stagewalk.gateway.workers.table import WorkerTable
@@ -62,7 +62,7 @@
         nodes: NodeService,
         workers: WorkerTable,
         routes: RouteTable,
-        rules: SendRules,
+        eligibility: Eligibility,
         crashes: CrashReports,
         rollouts: VersionRollouts,
         starting: Callable[[], bool],
@@ -82,13 +82,13 @@
                 workers,
                 routes.find,
                 lambda route: routes.choose_back_end(route).service,
-                rules.eligibility,
+                eligibility,
                 policy,
                 may_start=views.may_start,
             ),
             client=client,
             workers=workers,
-            eligibility=rules.eligibility,
+            eligibility=eligibility,
             nodes=nodes,
             rollouts=rollouts,
             views=views,
@@ -131,7 +131,7 @@
         calls = LedgerCalls(
             self._reads,
             peer_client,
-            rules.proximity,
+            eligibility.proximity,
             nodes.replicas,
             lambda: self.store.following,
             may_hold=lambda: nodes.may_hold_batches,
--- a/src/stagewalk/gateway/batches/attempt_watch.py
+++ b/src/stagewalk/gateway/batches/attempt_watch.py
@@ -67,7 +67,7 @@
             found = self._eligibility.candidates(back_end.service, scope, now)
             workers += found.workers
             if wanting:
-                self._eligibility.want(found, now)
+                self._eligibility.request_leases(found, now)
         model = item.spec.model
         oldest = batch.header.minimum_version
         return [w for w in workers if w.versions.get(model, oldest) >= oldest]
--- a/src/stagewalk/gateway/cold_lease_service.py
+++ b/src/stagewalk/gateway/cold_lease_service.py
@@ -1,4 +1,8 @@
-"""Wins leases on cold workers that requests wait for; idle while none is wanted."""
+"""Wins leases on cold workers that requests wait for; idle while none is requested.
+
+Owns the reads and appends of the partition of leases. Relies on `ColdStarts` for which leases to
+win and on `ColdLeases` for which may be won.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,10 @@
 
 COLD_STARTS = Partition("cold_starts", 0)
 STEP_SECONDS = 0.1
+"""Between two steps while a lease is requested. Chosen, not measured."""
+
 CATCH_UP_SECONDS = 0.5
+"""How long a step waits for the partition to be read to its end. Chosen, not measured."""
 
 
 class ColdLeaseService:
@@ -49,7 +56,7 @@
         self._cold = cold
         self._leases = leases
         self._replicas = replicas
-        self._wanted = anyio.Event()
+        self._requested = anyio.Event()
         self._follower = PartitionFollower(
             log,
             COLD_STARTS,
@@ -57,19 +64,19 @@
             on_gap=lambda: leases.note_gap(steady_seconds()),
         )
         self._follower.pause()
-        cold.on_wanted = self._wake
 
     async def run(self) -> None:
-        """Win leases while any are wanted, for ever."""
+        """Win leases while any are requested, for ever."""
         while True:
             if self._cold.idle:
-                self._wanted = anyio.Event()
-                await self._wanted.wait()
+                self._requested = anyio.Event()
+                await self._requested.wait()
             await self._step()
             await anyio.sleep(STEP_SECONDS)
 
-    def _wake(self) -> None:
-        self._wanted.set()
+    def wake(self) -> None:
+        """Handle that a lease is requested."""
+        self._requested.set()
 
     async def _step(self) -> None:
         if not self._due() or not await self._follower.catch_up(CATCH_UP_SECONDS):
@@ -80,13 +87,13 @@
             await self._acquire(acquire)
 
     def _due(self) -> list[str]:
-        return self._cold.wanted(steady_seconds(), self._comes_first)
+        return self._cold.leases_to_acquire(steady_seconds(), self._comes_first)
 
     async def _acquire(self, acquire: AcquireLeases) -> None:
         sent_at = steady_seconds()
         answer = await self._log.append_at(COLD_STARTS, acquire.record.encode(), acquire.end)
         if answer.is_ok():
-            self._leases.taken(acquire.record, sent_at)
+            self._leases.record_won(acquire.record, sent_at)
         outcome = "won" if answer.is_ok() else answer.error.fault.value
         log_event(
             "cold_lease_acquire",
--- a/src/stagewalk/gateway/cold_starts/core.py
+++ b/src/stagewalk/gateway/cold_starts/core.py
@@ -1,8 +1,11 @@
 """Which workers are cold, and whether this node may send to one of them now. Pure.
 
-A worker is cold as long as its entry says; after an evacuation of its zone, for as long as its
-service states; and while this node can't know: after the first listing of workers, after its views
-were old, and while they are.
+Owns that judgement, and which leases this node should win because requests wait for them. A worker
+is cold as long as its entry says; after an evacuation of its zone, for as long as its service
+states; and while this node can't know: after the first listing of workers, after its views were
+old, and while they are. Relies on `cold_starts.leases` for who may send, on `cold_starts.rate` for
+how much. Why these bounds hold is in `docs/design/0142`, with the measurement of all of them
+together.
 """
 
 from __future__ import annotations
@@ -18,7 +21,8 @@
 from stagewalk.gateway.workers.worker import Worker
 
 COLD_MARGIN_SECONDS = 0.3
-"""Added to what is told of a cold start: entries are read a moment after they were written."""
+"""Added to the time that an entry states: entries are read a moment after they were written.
+Chosen, not measured."""
 
 UNKNOWN_SECONDS = 1.5
 """Workers count as cold until views were read this long after they were current again: a worker
@@ -29,22 +33,26 @@
 are read anew every 2.1 s at the latest while the log answers; an evacuation, after which workers
 are cold, is seen unless it lasts less than this."""
 
-WANTED_SECONDS = 1.0
-"""A worker counts as wanted so long after a request could have used it."""
+REQUEST_SECONDS = 1.0
+"""How long after a request could have used a cold worker its lease is sought. Chosen, not
+measured."""
 
 FIRST_CHOICE_SECONDS = 0.3
-"""How long a cold worker is left to the node whose first choice it is; the others take it then."""
+"""How long the lease of a cold worker is left to the node whose first choice it is; the others seek
+it then. Chosen, not measured."""
 
 MOST_SECOND_CHOICES = 2
-"""So many workers that are another's first choice are taken at a time: the rest is left to whoever
-else wants some."""
+"""Most workers of another node's first choice whose leases are sought at a time: the rest is left
+to other nodes. Chosen, not measured."""
 
 Ages = Callable[[float], float]
-"""Returns how old the views are by which workers are known to be warm, in seconds."""
+"""Returns the age of the views by which workers are known to be warm, at a time; in seconds."""
 
 
 @dataclass(slots=True)
-class _Wanted:
+class _LeaseRequest:
+    """Requests wait for a cold worker; steady times."""
+
     since: float
     until: float
 
@@ -57,26 +65,30 @@
     leases
         Who may send to which cold worker.
     view_age
-        Age of the views at a time.
+        Returns the age of the views at a time, in seconds.
+    on_request
+        Called when requests wait for a cold worker that this node may not send to.
     """
 
-    def __init__(self, leases: ColdLeases, view_age: Ages) -> None:
+    def __init__(
+        self, leases: ColdLeases, view_age: Ages, on_request: Callable[[], None] = lambda: None
+    ) -> None:
         self._leases = leases
         self._view_age = view_age
         self._renewed_at = -math.inf
         self._cold_until = -math.inf
         """No worker is known to be cold after this."""
         self._windows: dict[str, SlidingWindow] = {}
-        self._wanted: dict[str, _Wanted] = {}
-        self.on_wanted: Callable[[], None] = lambda: None
-        """Told when a cold worker is wanted that this node may not send to."""
+        self._requests: dict[str, _LeaseRequest] = {}
+        """By worker."""
+        self._on_request = on_request
 
     def views_renewed(self, now: float) -> None:
-        """Note that views are current again, or for the first time, after a gap."""
+        """Record that views are current again, or for the first time, after a gap."""
         self._renewed_at = now
 
     def mark_cold(self, worker: Worker, seconds: float, now: float) -> None:
-        """Take that a worker stays cold for some seconds."""
+        """Record that a worker stays cold for some seconds."""
         worker.cold_until = max(worker.cold_until, now + seconds + COLD_MARGIN_SECONDS)
         self._cold_until = max(self._cold_until, worker.cold_until)
 
@@ -121,38 +133,38 @@
             return Denial.COLD_RATE_REACHED
         return None
 
-    def want(self, workers: Iterable[str], now: float) -> None:
-        """Note that requests wait that cold workers could take."""
+    def request_leases(self, workers: Iterable[str], now: float) -> None:
+        """Request the leases of cold workers that waiting requests could use."""
         for worker in workers:
-            wanted = self._wanted.get(worker)
-            if wanted is None or now >= wanted.until:
-                self._wanted[worker] = _Wanted(now, now + WANTED_SECONDS)
+            request = self._requests.get(worker)
+            if request is None or now >= request.until:
+                self._requests[worker] = _LeaseRequest(now, now + REQUEST_SECONDS)
             else:
-                wanted.until = now + WANTED_SECONDS
-        self.on_wanted()
+                request.until = now + REQUEST_SECONDS
+        self._on_request()
 
-    def wanted(self, now: float, first_choice: Callable[[str], bool]) -> list[str]:
+    def leases_to_acquire(self, now: float, first_choice: Callable[[str], bool]) -> list[str]:
         """Return the workers whose lease this node should win now.
 
         Parameters
         ----------
         first_choice
-            Tells whether this node comes first for a worker, among those that hold a role.
+            Returns whether this node comes first for a worker, among those that run batches.
         """
-        self._wanted = {w: wanted for w, wanted in self._wanted.items() if now < wanted.until}
-        due = [worker for worker in self._wanted if self._leases.due(worker, now)]
+        self._requests = {w: asked for w, asked in self._requests.items() if now < asked.until}
+        due = [worker for worker in self._requests if self._leases.due(worker, now)]
         own = [w for w in due if self._leases.may_send(w, now) or first_choice(w)]
         waited = [
             worker
             for worker in due
-            if worker not in own and now - self._wanted[worker].since >= FIRST_CHOICE_SECONDS
+            if worker not in own and now - self._requests[worker].since >= FIRST_CHOICE_SECONDS
         ]
         return own + waited[:MOST_SECOND_CHOICES]
 
     @property
     def idle(self) -> bool:
-        """Whether no cold worker is wanted."""
-        return not self._wanted
+        """Whether no lease is requested."""
+        return not self._requests
 
     def keep_only(self, workers: Container[str], now: float) -> None:
         """Forget workers that are gone, and leases that are over."""
--- a/src/stagewalk/gateway/cold_starts/leases.py
+++ b/src/stagewalk/gateway/cold_starts/leases.py
@@ -1,9 +1,11 @@
 """Who may send to a cold worker: leases kept as records of a log partition. Pure.
 
-What a cold worker withstands is a sum over all senders, and their number and views differ. So one
-node at a time may send to it at all. A lease is won by conditional append, hence by one node,
-whatever others believe; times are of each process's own steady clock: the holder counts from before
-it sent its record, the others from when they read it, so the holder always stops first.
+Owns the records of leases and one process's view of them. What a cold worker withstands is a sum
+over all senders, and their number and views differ. So one node at a time may send to it at all. A
+lease is won by conditional append, hence by one node, whatever others believe; times are of each
+process's own steady clock: the holder counts from before it sent its record, the others from when
+they read it, so the holder always stops first.
+Relies on the log for the condition (`cold_lease_service` appends).
 """
 
 from __future__ import annotations
@@ -18,7 +20,8 @@
 """How long a holder may send after it sent its record: a cold start of 3 s in one lease."""
 
 RENEW_BEFORE_SECONDS = 1.5
-"""A holder that still wants a worker renews its lease so long before the end."""
+"""A holder that still needs a worker renews its lease so long before the end. Chosen, not
+measured."""
 
 HANDOVER_SECONDS = 1.2
 """How much longer others wait: a worker's requests count over any span of one second. With another
@@ -26,7 +29,7 @@
 
 
 class ColdLease(msgspec.Struct, frozen=True, array_like=True, tag="cold"):
-    """A process takes the right to send to some cold workers."""
+    """Record of a lease: its holder alone may send to some cold workers."""
 
     holder: str
     workers: tuple[str, ...]
@@ -37,7 +40,7 @@
 
 
 def decode_cold_lease(payload: bytes) -> ColdLease | None:
-    """Return a payload's record, None if it is none."""
+    """Return the lease in a payload, None if it holds none."""
     try:
         return msgspec.msgpack.decode(payload, type=ColdLease)
     except msgspec.DecodeError:
@@ -82,7 +85,7 @@
         return sum(now < until for until in self._valid_until.values())
 
     def apply(self, record: ColdLease, now: float) -> None:
-        """Fold a record in that was read."""
+        """Apply a record that was read."""
         blocked_until = now + LEASE_SECONDS + HANDOVER_SECONDS
         for worker in record.workers:
             self._held[worker] = _Held(record.holder, blocked_until)
@@ -90,11 +93,11 @@
                 self._valid_until.pop(worker, None)
 
     def note_gap(self, now: float) -> None:
-        """Note that records were dropped unread: any worker may be in another's hands."""
+        """Record that records were dropped unread: others may hold any of the leases."""
         self._gap_until = now + LEASE_SECONDS + HANDOVER_SECONDS
 
-    def taken(self, record: ColdLease, sent_at: float) -> None:
-        """Note that the log took a record that this process sent at a time."""
+    def record_won(self, record: ColdLease, sent_at: float) -> None:
+        """Record that the log appended a lease that this process sent at a time."""
         for worker in record.workers:
             self._valid_until[worker] = sent_at + LEASE_SECONDS
 
@@ -119,6 +122,6 @@
         return AcquireLeases(end, ColdLease(self._own, due)) if due else None
 
     def forget(self, now: float) -> None:
-        """Forget leases that bind nobody any more."""
+        """Forget leases that are over."""
         self._held = {w: held for w, held in self._held.items() if now < held.blocked_until}
         self._valid_until = {w: until for w, until in self._valid_until.items() if now < until}
--- a/src/stagewalk/gateway/cold_starts/rate.py
+++ b/src/stagewalk/gateway/cold_starts/rate.py
@@ -1,4 +1,7 @@
-"""How many requests one node sends to a cold worker in any span of time. Pure."""
+"""How many requests one node sends to a cold worker in any span of time. Pure.
+
+Owns the count of one worker's requests, against the rate that its service states.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +9,10 @@
 
 
 class SlidingWindow:
-    """Lets so many requests through in any span of the window's length.
+    """Admits a number of requests in any span of the window's length.
 
     A request counts from its reservation, and anew from when it is sent: one that waits long for a
-    connection is not sent on top of those that were let through meanwhile.
+    connection is not sent on top of those that were admitted meanwhile.
 
     Parameters
     ----------
@@ -24,7 +27,7 @@
         self._times: deque[float] = deque()
 
     def has_room(self, now: float) -> bool:
-        """Whether one more request may be let through."""
+        """Whether one more request may be admitted."""
         while self._times and now - self._times[0] >= self._seconds:
             self._times.popleft()
         return len(self._times) < self._most
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -19,6 +19,7 @@
 from stagewalk.gateway.batch_services import BatchServices
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.duty_services import DutyServices
+from stagewalk.gateway.eligibility_services import EligibilityServices
 from stagewalk.gateway.entry.app import GatewayApp
 from stagewalk.gateway.entry.caller_gate import CallerGate
 from stagewalk.gateway.entry.held_requests import HeldRequests
@@ -39,7 +40,6 @@
 from stagewalk.gateway.published_records import PublishedRecords
 from stagewalk.gateway.role_keeper import RoleKeeper
 from stagewalk.gateway.routes.table import RouteTable
-from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.settings_reload import SettingsLoader, reload_settings
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
@@ -102,7 +102,7 @@
         self._routes = RouteTable(settings.name)
         self._workers = WorkerTable()
         policy = settings.policy
-        self._rules = SendRules(
+        self._eligibility_services = EligibilityServices(
             settings=settings,
             log=log,
             producer=producer,
@@ -112,7 +112,8 @@
             replicas=self._replica_names,
             on_denied=self._metrics.send_denied,
         )
-        eligibility, evacuations = self._rules.eligibility, self._rules.evacuations
+        eligibility = self._eligibility_services.eligibility
+        evacuations = eligibility.evacuations
         self._rollouts = VersionRollouts(
             self._workers,
             policy,
@@ -134,7 +135,7 @@
             log=log,
             partition=NODES,
             node=settings.name,
-            suspects=self._rules.suspects,
+            suspects=self._eligibility_services.suspects,
             workers=self._workers,
             probe=dependencies.workers.is_listening,
         )
@@ -151,7 +152,7 @@
             nodes=self._nodes,
             workers=self._workers,
             routes=self._routes,
-            rules=self._rules,
+            eligibility=eligibility,
             crashes=self._crashes,
             rollouts=self._rollouts,
             starting=lambda: self._roles.starting,
@@ -166,7 +167,7 @@
             self._workers,
             self._rollouts,
             evacuations=evacuations,
-            cold=self._rules.cold,
+            cold=self._eligibility_services.cold,
         )
         self._duties = DutyServices(
             settings=settings,
@@ -210,7 +211,7 @@
             self._published.start(tasks)
             self._nodes.start(tasks)
             self._batches.start(tasks)
-            tasks.start_soon(self._rules.cold_lease_service.run)
+            tasks.start_soon(self._eligibility_services.cold_lease_service.run)
             tasks.start_soon(self._crashes.run)
             self._duties.start(tasks)
             tasks.start_soon(self._housekeep)
@@ -269,7 +270,7 @@
                 self._published.renew_configuration,
                 self._dialect.callers.request_id,
             ),
-            evacuations=self._rules.evacuations,
+            evacuations=self._eligibility_services.evacuations,
             held=HeldRequests(self._crashes, None if metrics is None else metrics.port),
         )
 
@@ -296,8 +297,8 @@
             running_batches=self._runner.running_batches,
             running_attempts=self._runner.running_attempts,
             awaited_scores=self._runner.awaited_scores,
-            evacuated_zones=len(self._rules.evacuations.zones),
-            cold_leases=self._rules.cold_leases(now),
+            evacuated_zones=len(self._eligibility_services.evacuations.zones),
+            cold_leases=self._eligibility_services.cold_leases(now),
             worker_ends=self._crashes.suspects,
             requests_held_back=len(self._crashes.held_contents()),
             view_ages={freshness.name: freshness.age(now) for freshness in followers},
@@ -326,7 +327,7 @@
             if lag > STALL_SECONDS:
                 log_event("loop_stalled", "warning", seconds=lag)
             self._workers.expire(steady_seconds())
-            self._rules.expire(steady_seconds())
+            self._eligibility_services.expire(steady_seconds())
             self._crashes.step(steady_seconds())
             self._duties.sample_clock()
             for kind, count in self._log_budget.take_dropped().items():
--- a/src/stagewalk/gateway/eligibility/core.py
+++ b/src/stagewalk/gateway/eligibility/core.py
@@ -119,11 +119,11 @@
             found = self._found[key] = self._find(service, scope, now)
         return found
 
-    def want(self, candidates: Candidates, now: float) -> None:
-        """Note that a request waits that workers could take which are cold and not this node's."""
-        wanted = [w for w, d in candidates.denied.items() if d is Denial.COLD_WITHOUT_LEASE]
-        if wanted:
-            self._cold.want(wanted, now)
+    def request_leases(self, candidates: Candidates, now: float) -> None:
+        """Request the leases of workers that were denied since this node holds no lease on them."""
+        cold = [w for w, d in candidates.denied.items() if d is Denial.COLD_WITHOUT_LEASE]
+        if cold:
+            self._cold.request_leases(cold, now)
 
     def permit(
         self,
--- a/src/stagewalk/gateway/send_rules.py
+++ b/src/stagewalk/gateway/eligibility_services.py
@@ -1,4 +1,8 @@
-"""What decides whether requests may be sent, put together."""
+"""Assembles what decides whether a request may be sent, with the service that keeps its state.
+
+Owns the construction of `Eligibility` and its inputs: evacuations, cold starts with their leases,
+and crash suspects. Relies on the settings for zones, on the log for leases.
+"""
 
 from __future__ import annotations
 
@@ -20,17 +24,19 @@
 from stagewalk.gateway.zones.evacuations import Evacuations
 
 
-class SendRules:
-    """The rules of one gateway, and who keeps their state.
+class EligibilityServices:
+    """Eligibility of one gateway's sends, and the state that it is judged by.
 
     Parameters
     ----------
     producer
-        Tells this start of the process from others.
+        Identity of this start of the process.
     view_age
-        Age of the views of workers and operators' records at a time, in seconds.
+        Returns the age of the views of workers and operators' records at a time, in seconds.
     replicas
         Returns the names of the nodes that run batches.
+    on_denied
+        Called for each request that was denied a permit, or denied as it was to be sent.
     """
 
     def __init__(
@@ -48,13 +54,12 @@
         self._workers = workers
         self._leases = ColdLeases(new_holder(settings.name, producer))
         self.evacuations = Evacuations()
-        self.cold = ColdStarts(self._leases, view_age)
-        self.proximity = Proximity(settings.placement, settings.zones)
+        self.cold = ColdStarts(self._leases, view_age, on_request=self._wake)
         self.suspects = CrashSuspects(settings.name)
         self.eligibility = Eligibility(
             workers,
             routes,
-            self.proximity,
+            Proximity(settings.placement, settings.zones),
             self.evacuations,
             self.cold,
             held=self._held,
@@ -68,9 +73,12 @@
         """Return the number of cold workers that this node may send to."""
         return self._leases.held(now)
 
+    def _wake(self) -> None:
+        self.cold_lease_service.wake()
+
     def _held(self, content: RequestContent, item: bool) -> bool:
         return self.suspects.any and self.suspects.held(content, time.time(), item=item)
 
     def expire(self, now: float) -> None:
-        """Forget workers that are gone, and leases that are over."""
+        """Forget the cold starts of workers that are gone, and leases that are over."""
         self.cold.keep_only(self._workers, now)
--- a/src/stagewalk/gateway/forwarding/attempts.py
+++ b/src/stagewalk/gateway/forwarding/attempts.py
@@ -92,7 +92,7 @@
         """Return the best worker that the request may be sent to and was not sent to yet."""
         now = steady_seconds()
         found = self._eligibility.candidates(service, request.scope(state.route), now)
-        self._eligibility.want(found, now)
+        self._eligibility.request_leases(found, now)
         state.denied = found.denied
         # Only repeatable requests may go over a kept connection.
         repeatable = state.route.kind is RouteKind.REPEATABLE
--- a/src/stagewalk/gateway/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -295,7 +295,7 @@
         """Return the worker for the next attempt, of those not tried in this round."""
         scope = RequestScope(route, pending.content, pending.tenant)
         found = self._eligibility.candidates(self._service_of(route), scope, now)
-        self._eligibility.want(found, now)
+        self._eligibility.request_leases(found, now)
         proximity = self._eligibility.proximity
         chosen = choose_worker(found.workers, now, proximity, pending.tried)
         if chosen is None and not pending.under_way:
--- a/tests/gateway/cold_starts/senders.py
+++ b/tests/gateway/cold_starts/senders.py
@@ -101,12 +101,12 @@
         self.world.after(0.1, self.lease)
         if not self.hears(now) or not self.runs(now):
             return
-        if not self.cold.wanted(now, lambda _worker: self.first_choice):
+        if not self.cold.leases_to_acquire(now, lambda _worker: self.first_choice):
             return
         for record in self.world.log.records[self.applied :]:
             self.leases.apply(record, now)
         self.applied = len(self.world.log.records)
-        due = self.cold.wanted(now, lambda _worker: self.first_choice)
+        due = self.cold.leases_to_acquire(now, lambda _worker: self.first_choice)
         acquire = self.leases.acquire(due, self.applied, now)
         if acquire is not None:
             self.world.after(self.random.uniform(0.0, 0.5), lambda: self.append(acquire, now))
@@ -116,7 +116,7 @@
         lost = self.random.random() < 0.2
         if taken and not lost:
             answer = self.random.uniform(0.0, 0.5)
-            self.world.after(answer, lambda: self.leases.taken(acquire.record, sent_at))
+            self.world.after(answer, lambda: self.leases.record_won(acquire.record, sent_at))
 
     def send(self) -> None:
         """Try to send a request, whose connection may come up late."""
@@ -126,7 +126,7 @@
             return
         denial = self.cold.denial(self.worker, SERVICE, now)
         if denial is Denial.COLD_WITHOUT_LEASE:
-            self.cold.want([WORKER], now)
+            self.cold.request_leases([WORKER], now)
         if denial is None:
             reserved = self.cold.reserve(self.worker, SERVICE, now)
             late = self.random.random() < 0.3
--- a/tests/gateway/cold_starts/test_leases.py
+++ b/tests/gateway/cold_starts/test_leases.py
@@ -20,7 +20,7 @@
 
     def win(self, sent_at: float, read_at: float) -> None:
         """Have the first one win a lease that the second one reads of at once."""
-        self.first.taken(self.record, sent_at)
+        self.first.record_won(self.record, sent_at)
         self.second.apply(self.record, read_at)
 
     def span_shared(self) -> bool:
@@ -38,7 +38,7 @@
             self.assertTrue(self.span_shared())
 
     def test_a_lease_counts_from_before_it_was_sent(self) -> None:
-        self.first.taken(self.record, 2.0)
+        self.first.record_won(self.record, 2.0)
         self.assertTrue(self.first.may_send("w", 5.9))
         self.assertFalse(self.first.may_send("w", 6.0))
         self.assertFalse(self.first.may_send("other", 3.0))
@@ -51,7 +51,7 @@
         self.assertEqual((1, self.record), (acquire.end, acquire.record))
 
     def test_a_holder_renews_before_the_end(self) -> None:
-        self.first.taken(self.record, 0.0)
+        self.first.record_won(self.record, 0.0)
         self.assertIsNone(self.first.acquire(["w"], 1, 2.0))
         self.assertIsNotNone(self.first.acquire(["w"], 1, 2.6))
 
--- a/tests/gateway/eligibility/test_core.py
+++ b/tests/gateway/eligibility/test_core.py
@@ -146,8 +146,8 @@
         self.assertEqual(Denial.COLD_WITHOUT_LEASE, self.permit("a").error)
         self.assertTrue(self.rules.cold.idle)
         candidates = self.rules.eligibility.candidates("s", RequestScope(ROUTE, CONTENT), 9.0)
-        self.rules.eligibility.want(candidates, 9.0)
-        self.assertEqual(["a"], self.rules.cold.wanted(9.0, lambda _worker: True))
+        self.rules.eligibility.request_leases(candidates, 9.0)
+        self.assertEqual(["a"], self.rules.cold.leases_to_acquire(9.0, lambda _worker: True))
         self.assertEqual(["a", "b", "c"], self.found(now=11.4))
 
     def test_the_workers_of_a_zone_that_comes_back_are_cold(self) -> None:
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -46,7 +46,7 @@
 
         async def warm() -> bool:
             answers = [await ask(site, node, "q") for node in nodes]
-            leases = [n.gateway._rules.cold_leases(steady_seconds()) for n in nodes]
+            leases = [n.gateway._eligibility_services.cold_leases(steady_seconds()) for n in nodes]
             return answers == [200] * count and not any(leases)
 
         await anyio.sleep(2.0)
--- a/tests/gateway/test_evacuation.py
+++ b/tests/gateway/test_evacuation.py
@@ -38,7 +38,7 @@
 
 async def in_force(site: Site, node: Running, zones: int = 1) -> None:
     async def known() -> bool:
-        return len(node.gateway._rules.evacuations.zones) == zones
+        return len(node.gateway._eligibility_services.evacuations.zones) == zones
 
     with anyio.fail_after(IN_FORCE_SECONDS):
         await until(known)
@@ -98,7 +98,7 @@
             node.log.faults.down = False
 
             async def known() -> bool:
-                return node.gateway._rules.evacuations.zones == {"z1"}
+                return node.gateway._eligibility_services.evacuations.zones == {"z1"}
 
             with anyio.fail_after(IN_FORCE_SECONDS):
                 await until(known)
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -89,11 +89,11 @@
 
             async def held() -> bool:
                 await site.call(node, "GET", "/ask/x")
-                return node.gateway._rules.cold_leases(steady_seconds()) > 0
+                return node.gateway._eligibility_services.cold_leases(steady_seconds()) > 0
 
             await until(held)
             machine.sleep()
-            self.assertEqual(0, node.gateway._rules.cold_leases(steady_seconds()))
+            self.assertEqual(0, node.gateway._eligibility_services.cold_leases(steady_seconds()))
 
         scenario(body)
 
