--- a/src/stagewalk/gateway/eligibility/core.py
+++ b/src/stagewalk/gateway/eligibility/core.py
@@ -1,7 +1,11 @@
 """Whether a request may be sent to a worker: asked when one is chosen, and as it is sent. Pure.
 
-Every sender (forwarded requests, streams, items of batches, score calls) chooses among what
-`candidates` returns, and gets what a client of the workers takes from `permit` alone.
+Owns the rule, and the permits that clients of workers require. Every sender (forwarded requests,
+streams, items of batches, score calls) chooses among what `candidates` returns, and sends only with
+what `permit` returns. Inputs: the worker's entry, evacuated zones, allowed regions, cold starts,
+and contents that are held back; each reason has a name in `ports.denials`. Times are of the steady
+clock.
+Relies on `zones`, `cold_starts`, `quarantine` (through `held`), `routes` and `workers`.
 """
 
 from __future__ import annotations
@@ -41,7 +45,7 @@
     Attributes
     ----------
     denied
-        By worker that serves but may not get the request, why.
+        By worker that serves but may not get the request, the reason.
     """
 
     workers: list[Worker]
@@ -61,7 +65,15 @@
 
 
 class Eligibility:
-    """Judges sends by evacuations, cold starts, regions, and what is held back."""
+    """Judges sends by evacuations, cold starts, regions, and what is held back.
+
+    Parameters
+    ----------
+    held
+        Returns whether a content is held back now.
+    on_denied
+        Called for each request that was denied a permit, or denied as it was to be sent.
+    """
 
     def __init__(
         self,
@@ -82,6 +94,7 @@
         self._evacuations = evacuations
         self._cold = cold
         self._found: dict[tuple[str, str, frozenset[str], str | None], Candidates] = {}
+        """By service, route, its regions, and tenant: what was found at `_found_at`."""
         self._found_at = -math.inf
         evacuations.listen(lambda _zone, _now: None, self._zone_restored)
 
@@ -96,7 +109,7 @@
         return self._evacuations
 
     def scope(self, path: str, content: RequestContent, tenant: str | None) -> RequestScope | None:
-        """Return what decides where a request may run, None if no route takes it."""
+        """Return what decides where a request may run, None if no route matches it."""
         route = self._routes.find(content.host, path)
         return None if route is None else RequestScope(route, content, tenant)
 
@@ -137,26 +150,21 @@
         Parameters
         ----------
         withheld
-            Why whoever sends it no longer wants it sent at a time; asked as it is to go.
+            Returns why its sender must not send it any more, at a time; called as it is to go.
         """
         if scope is None:
-            self._on_denied(Denial.NO_ROUTE)
-            return Error(Denial.NO_ROUTE)
+            return Error(self._report(Denial.NO_ROUTE))
         service = self._routes.service(worker.announcement.service)
-        denial = self._judge(worker, service, self._allowed(scope), now)
+        denial = self._denial(worker, service, self._allowed(scope), now)
         if denial is None and self._is_held(scope):
             denial = Denial.CRASHES_WORKERS
         if denial is not None:
-            self._on_denied(denial)
-            return Error(denial)
+            return Error(self._report(denial))
         reserved_at = None if service is None else self._cold.reserve(worker, service, now)
 
         def confirm(at: float) -> Denial | None:
-            reason = withheld(at)
-            if reason is not None:
-                self._on_denied(reason)
-                return reason
-            return self._confirm(worker, scope, reserved_at, at)
+            reason = withheld(at) or self._denial_at_send(worker, scope, reserved_at, at)
+            return None if reason is None else self._report(reason)
 
         return Ok(SendPermit(WorkerTable.target(worker), confirm))
 
@@ -167,7 +175,7 @@
         if allowed is None and not cold and not self._evacuations.zones:
             return Candidates(self._workers.usable(service))
         judged = {
-            worker.announcement.worker: self._judge(worker, known, allowed, now)
+            worker.announcement.worker: self._denial(worker, known, allowed, now)
             for worker in self._workers.serving(service)
         }
         denied = {name: denial for name, denial in judged.items() if denial is not None}
@@ -179,9 +187,16 @@
     def _allowed(self, scope: RequestScope) -> AllowedRegions:
         return self._routes.regions_of(scope.route, scope.tenant)
 
-    def _judge(
+    def _denial(
         self, worker: Worker, service: Service | None, allowed: AllowedRegions, now: float
     ) -> Denial | None:
+        """Return the first reason why a worker may not get a request, None if it may.
+
+        Parameters
+        ----------
+        service
+            The worker's; None: whether it is cold is judged elsewhere.
+        """
         if worker.announcement.draining:
             return Denial.WORKER_LEAVING
         zone = worker.announcement.zone
@@ -191,15 +206,11 @@
             return Denial.REGION_NOT_ALLOWED
         return None if service is None else self._cold.denial(worker, service, now)
 
-    def _confirm(
-        self, worker: Worker, scope: RequestScope, reserved_at: float | None, now: float
-    ) -> Denial | None:
-        denial = self._judge_again(worker, scope, reserved_at, now)
-        if denial is not None:
-            self._on_denied(denial)
+    def _report(self, denial: Denial) -> Denial:
+        self._on_denied(denial)
         return denial
 
-    def _judge_again(
+    def _denial_at_send(
         self, worker: Worker, scope: RequestScope, reserved_at: float | None, now: float
     ) -> Denial | None:
         """Judge a request as its first byte is to go, and count it at a cold worker."""
@@ -207,14 +218,14 @@
             return Denial.WORKER_LEAVING
         if self._is_held(scope):
             return Denial.CRASHES_WORKERS
-        denial = self._judge(worker, None, self._allowed(scope), now)
+        denial = self._denial(worker, None, self._allowed(scope), now)
         service = self._routes.service(worker.announcement.service)
         if denial is not None or service is None:
             return denial
         return self._cold.confirm(worker, service, reserved_at, now)
 
     def _zone_restored(self, zone: str, now: float) -> None:
-        """Take that an evacuation ended: the zone's workers may have become cold just before."""
+        """Mark a zone's workers cold as its evacuation ends: they may have become so before."""
         for worker in self._workers.all():
             service = self._routes.service(worker.announcement.service)
             if worker.announcement.zone == zone and service is not None and service.cold_rate > 0.0:
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -143,7 +143,7 @@
         if published is None:
             log_event("published_unreadable", "warning", key=record.key, offset=record.offset)
         elif isinstance(published, ZoneEvacuation):
-            self._evacuations.take(published.zone, published.in_force, steady_seconds())
+            self._evacuations.apply(published.zone, published.in_force, steady_seconds())
         elif isinstance(published, NamedVersion):
             if self._rollouts.name_version(published.model, published.version):
                 log_event("version_named", model=published.model, version=published.version)
--- a/src/stagewalk/gateway/routes/route.py
+++ b/src/stagewalk/gateway/routes/route.py
@@ -1,4 +1,7 @@
-"""Routes and services as published by operators."""
+"""Routes and services as published by operators.
+
+Owns these types; `routes.table` holds the ones in force. The platform's adapter decodes them.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
     STREAM = "stream"
     """Answered by a stream of events; runs at most once unless it may be resumed."""
     BATCH = "batch"
-    """Takes batch jobs, whose items run afterwards."""
+    """Accepts batches, whose items run afterwards."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +41,7 @@
     path_prefix
         Begins and ends with a slash.
     timeout_seconds
-        Longest time a request is held.
+        Longest time that a request waits for its answer.
     target_seconds
         Time within which an answer has its full worth.
     maximum_attempts
@@ -109,16 +112,18 @@
 class Service:
     """A service whose workers are back ends.
 
-    `maximum_connections` is what one worker accepts from all callers together;
-    `report_path` answers health checks; `is_engine` says that its workers hold model weights.
-    Workers are ordered only of services with a `scaling`. A worker that started lately is cold for
-    `cold_seconds`, and withstands `cold_rate` requests a second from all senders together
-    meanwhile; 0.0: as many as at any other time.
+    Attributes
+    ----------
+    scaling
+        How its workers may be ordered; None: none are.
+    cold_seconds
+        How long a worker that started lately is cold.
+    cold_rate
+        Requests a second that a cold worker withstands from all senders together; 0.0: as many as
+        at any other time.
     """
 
     name: str
-    maximum_connections: int
-    is_engine: bool
     scaling: Scaling | None = None
     cold_seconds: float = 0.0
     cold_rate: float = 0.0
@@ -126,12 +131,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take (seconds) or sit idle."""
+    """What callers may send. The times that operators publish beside these are not applied."""
 
     header_bytes: int = 16_384
     body_bytes: int = 33_554_432
-    header_seconds: float = 3.0
-    idle_seconds: float = 15.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/gateway/routes/table.py
+++ b/src/stagewalk/gateway/routes/table.py
@@ -1,4 +1,8 @@
-"""The routes in force: look-up by host and longest prefix, and shares of back ends."""
+"""The routes in force: look-up by host and longest prefix, and shares of back ends. Pure.
+
+Owns the configuration in force and the turns of split routes. Relies on `zones.homes` to combine
+the regions that routes and tenants allow.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,8 @@
 from stagewalk.gateway.zones.homes import AllowedRegions, allowed_regions
 
 MOST_TURNS_SKIPPED = 211
-"""A node begins at one of so many turns of a split route's cycle."""
+"""A node begins a split route at one of so many turns of its cycle, so that nodes don't all send
+their first requests to the largest share. Chosen, not measured."""
 
 
 class RouteTable:
@@ -74,7 +79,7 @@
         return None
 
     def takes_public_batches(self, host: str) -> bool:
-        """Whether a host has a route on which batches are handed in without a key."""
+        """Whether a host has a route on which batches are submitted without a key."""
         routes = self._by_host.get(host.lower(), {}).values()
         return any(route.public and route.kind is RouteKind.BATCH for route in routes)
 
@@ -138,7 +143,7 @@
 
 
 def _take_turn(route: Route, credits: dict[str, float]) -> BackEnd:
-    """Let every back end earn its weight, and the richest one pay for all."""
+    """Credit every back end with its weight, and charge the one with most credit the sum of all."""
     for back_end in route.back_ends:
         credits[back_end.service] = credits.get(back_end.service, 0.0) + back_end.weight
     chosen = max(route.back_ends, key=lambda back_end: credits[back_end.service])
--- a/src/stagewalk/gateway/tenants/key_table.py
+++ b/src/stagewalk/gateway/tenants/key_table.py
@@ -1,4 +1,7 @@
-"""From a key to its tenant."""
+"""Tenants by key and by name. Pure.
+
+Owns the tenants in force. Relies on the configuration that operators publish.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,9 @@
     """All keys in force.
 
     A look-up takes the same time however many keys there are: 0.7 us with 100 keys as with 100,000.
-    Of 100,000 keys, taking a configuration in which one changed costs 34 ms, and one in which none
-    did 13 ms, their comparison (`python -m tests.gateway.tenants.benchmark_keys`, CPython 3.11).
+    Of 100,000 keys, applying a configuration in which one changed costs 34 ms, and one in which
+    none did 13 ms, their comparison (`python -m tests.gateway.tenants.benchmark_keys`, CPython
+    3.11).
     """
 
     def __init__(self) -> None:
@@ -29,13 +33,13 @@
         return self._tenants is not None
 
     def replace(self, tenants: Sequence[Tenant] | None) -> None:
-        """Take the tenants in force; None: calls need no key."""
-        taken = None if tenants is None else tuple(tenants)
-        if taken == self._tenants:
+        """Put tenants in force; None: calls need no key."""
+        new = None if tenants is None else tuple(tenants)
+        if new == self._tenants:
             return
-        self._tenants = taken
-        self._by_key = {key: tenant for tenant in taken or () for key in tenant.keys}
-        self._by_name = {tenant.name: tenant for tenant in taken or ()}
+        self._tenants = new
+        self._by_key = {key: tenant for tenant in new or () for key in tenant.keys}
+        self._by_name = {tenant.name: tenant for tenant in new or ()}
 
     def find(self, authorization: str | None) -> Tenant | None:
         """Return the tenant of a call by its `Authorization` header, None if none holds its key."""
--- a/src/stagewalk/gateway/workers/worker.py
+++ b/src/stagewalk/gateway/workers/worker.py
@@ -1,4 +1,8 @@
-"""What is believed of one worker, and how old that is."""
+"""What is believed of one worker, and how old that is. Pure.
+
+Owns a worker's entry, what this node has seen of its answers, and how long each of these counts.
+Choosing among workers is `workers.selection`; which of them are listed, `workers.table`.
+"""
 
 from __future__ import annotations
 
@@ -9,21 +13,26 @@
 from stagewalk.gateway.ports.workers import WorkerLoad
 
 LATENCY_SMOOTHING = 0.15
+"""Weight of the newest time in the smoothed latency. Chosen, not measured."""
+
 LATENCY_OUTLIER = 3.0
-"""A time counts for at most this many usual ones: one pause says little of a worker's pace."""
+"""A time counts for at most this many smoothed ones: one pause says little of a worker's pace.
+Chosen, not measured."""
 
 LATENCY_VALID_SECONDS = 9.0
-"""A worker that was not used for so long is tried again as if it were as fast as any."""
+"""A worker that was not used for so long is tried again as if it were as fast as any. Chosen, not
+measured."""
 
 LOAD_VALID_SECONDS = 1.5
-"""A load told with an answer counts for this long."""
+"""How long a load that came with an answer counts; after that, the node's own count alone. Chosen,
+not measured."""
 
 WARM_SECONDS = 8.0
 """How long after an answer its connection is expected to be kept: workers close those that idle for
 ten seconds, and clients of them a little earlier (8.5 s)."""
 
 SUSPECT_SECONDS = (0.5, 1.0, 2.0, 4.0)
-"""How long a worker is avoided after one, two, ... failures in a row."""
+"""How long a worker is avoided after one, two, ... consecutive failures. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +42,7 @@
     Attributes
     ----------
     worker
-        Identity of this start of the worker: whatever is kept of a worker is kept of a start.
+        Identity of this start of the worker: all that is kept of a worker is kept by start.
     versions
         Weight version by model, empty for workers without models.
     spot
@@ -72,7 +81,17 @@
 
 @dataclass(slots=True)
 class Worker:
-    """A listed worker with what this node has seen of it. Times are of the steady clock."""
+    """A listed worker with what this node has seen of it. Times are of the steady clock.
+
+    Attributes
+    ----------
+    failures
+        Consecutive failures.
+    load_at
+        When the load was received.
+    sent_since_load
+        Requests that this node sent to it since then.
+    """
 
     announcement: WorkerAnnouncement
     last_seen_at: float
@@ -109,7 +128,7 @@
         return now < self.warm_until and self.in_flight < self.kept_connections
 
     def note_connection(self, kept: bool, now: float) -> None:
-        """Take whether the connection of an answer that ended is kept."""
+        """Record whether the connection of a whole answer is kept."""
         if now >= self.warm_until:
             self.kept_connections = 0
         if kept:
@@ -125,8 +144,8 @@
         slots = max(1, self.announcement.slots)
         if self.load is None or now - self.load_at > LOAD_VALID_SECONDS:
             return self.in_flight / slots
-        told = self.load.running + self.load.waiting + self.sent_since_load
-        return max(told, self.in_flight) / slots
+        reported = self.load.running + self.load.waiting + self.sent_since_load
+        return max(reported, self.in_flight) / slots
 
     def note_sent(self) -> None:
         """Count a request sent to it."""
@@ -138,18 +157,18 @@
         self.in_flight -= 1
 
     def note_load(self, load: WorkerLoad | None, now: float) -> None:
-        """Take a load it told."""
+        """Record the load that came with an answer, if one did."""
         if load is not None:
             self.load = load
             self.load_at = now
             self.sent_since_load = 0
 
     def recent_latency(self, now: float) -> float | None:
-        """Return its smoothed time unless that is too old to tell anything."""
+        """Return its smoothed latency in seconds, None if there is none of late."""
         return self.latency if now - self.latency_at < LATENCY_VALID_SECONDS else None
 
     def note_success(self, seconds: float, now: float) -> None:
-        """Take the time an answer or event took."""
+        """Record the seconds that an answer or event took; clear its failures."""
         if now - self.latency_at >= LATENCY_VALID_SECONDS:
             self.latency = None
         self.latency_at = now
@@ -163,7 +182,7 @@
         self.latency = before + LATENCY_SMOOTHING * (bounded - before)
 
     def note_failure(self, now: float) -> None:
-        """Avoid it for a while, longer with each failure in a row."""
+        """Record a failure: avoid it for a while, longer with each consecutive one."""
         pause = SUSPECT_SECONDS[min(self.failures, len(SUSPECT_SECONDS) - 1)]
         self.failures += 1
         self.suspect_until = now + pause
--- a/src/stagewalk/gateway/zones/distance.py
+++ b/src/stagewalk/gateway/zones/distance.py
@@ -28,7 +28,7 @@
     own
         Where this node is.
     regions
-        By zone, its region, as the settings tell.
+        By zone, its region, from the settings.
     """
 
     def __init__(self, own: Placement, regions: Mapping[str, str]) -> None:
--- a/src/stagewalk/gateway/zones/evacuations.py
+++ b/src/stagewalk/gateway/zones/evacuations.py
@@ -1,7 +1,8 @@
 """The zones that operators evacuate. Pure.
 
+Owns the zones being evacuated as far as this node knows, and calls listeners as one begins or ends.
 An evacuation is a record under a key of its own beside the configuration, and ends as the key is
-dropped: every node folds the same records, and learns of both as fast as of a configuration.
+dropped: every node applies the same records, and learns of both as fast as of a configuration.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 from collections.abc import Callable, Collection
 
 ZoneListener = Callable[[str, float], None]
-"""Takes a zone, and the steady time at which the news of it was taken."""
+"""Called with a zone, and the steady time at which its record was applied."""
 
 
 class Evacuations:
@@ -26,16 +27,16 @@
         return self._zones
 
     def listen(self, on_begin: ZoneListener, on_end: ZoneListener) -> None:
-        """Have the zone told of each evacuation that begins or ends."""
+        """Add listeners, called for each evacuation that begins or ends."""
         self._on_begin.append(on_begin)
         self._on_end.append(on_end)
 
-    def take(self, zone: str, in_force: bool, now: float) -> None:
-        """Take the news of one zone."""
+    def apply(self, zone: str, in_force: bool, now: float) -> None:
+        """Apply the record of one zone."""
         self.replace(self._zones | {zone} if in_force else self._zones - {zone}, now)
 
     def replace(self, zones: Collection[str], now: float) -> None:
-        """Take the whole list: a zone that is not in it is evacuated no more."""
+        """Apply the whole list: a zone that is not in it is not evacuated any more."""
         before, self._zones = self._zones, frozenset(zones)
         for zone in sorted(self._zones - before):
             for begin in self._on_begin:
--- a/src/stagewalk/gateway/zones/homes.py
+++ b/src/stagewalk/gateway/zones/homes.py
@@ -1,4 +1,7 @@
-"""In which regions a request may be served, stored and cached. Pure."""
+"""In which regions a request may be served, stored and cached. Pure.
+
+Owns the rule by which the regions that routes and tenants allow are combined.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +17,12 @@
     Parameters
     ----------
     stated
-        What each of them states (a route, a tenant); an empty one allows any region.
+        The regions that each party (a route, a tenant) states; none: it allows any region.
     """
     binding = [frozenset(regions) for regions in stated if regions]
     return frozenset.intersection(*binding) if binding else None
 
 
 def allows(allowed: AllowedRegions, region: str | None) -> bool:
-    """Whether a request may be in a region; an unknown one only if any region will do."""
+    """Whether a region is allowed; an unknown one only if any region is."""
     return allowed is None or (region is not None and region in allowed)
--- a/tests/gateway/cold_starts/senders.py
+++ b/tests/gateway/cold_starts/senders.py
@@ -18,7 +18,7 @@
 
 RATE = 11.0
 COLD_SECONDS = 3.0
-SERVICE = Service("s", 100, True, cold_seconds=COLD_SECONDS, cold_rate=RATE)
+SERVICE = Service("s", cold_seconds=COLD_SECONDS, cold_rate=RATE)
 WORKER = "w"
 
 COLD_AT = 10.0
--- a/tests/gateway/duties/test_duties.py
+++ b/tests/gateway/duties/test_duties.py
@@ -21,7 +21,7 @@
 WINDOW = 1.0
 DUTIES = DutySettings(Address("127.0.0.1", 1), WINDOW, 10.0)
 SCALING = Scaling(1, 4, 0.2, 0.2, {"z1": 1.0, "z2": 0.8})
-SCALED = Service("engines", 100, True, SCALING)
+SCALED = Service("engines", SCALING)
 
 
 async def start(site: Site, name: str, mode: str = "off") -> Running:
--- a/tests/gateway/eligibility/test_core.py
+++ b/tests/gateway/eligibility/test_core.py
@@ -22,7 +22,7 @@
 
 ROUTE = batch_route()
 CONTENT = RequestContent("POST", "h.example", "/run/x", b"body")
-SERVICE = Service("s", 100, True, cold_seconds=3.0, cold_rate=2.0)
+SERVICE = Service("s", cold_seconds=3.0, cold_rate=2.0)
 ROOT = Path(__file__).resolve().parent.parent.parent.parent
 
 
@@ -83,12 +83,12 @@
         self.rules.evacuations.replace({"z1", "z3"}, 1.0)
         self.assertEqual(["b"], self.found())
         self.assertEqual(Denial.ZONE_EVACUATED, self.permit("a").error)
-        self.rules.evacuations.take("z1", in_force=False, now=20.0)
+        self.rules.evacuations.apply("z1", in_force=False, now=20.0)
         self.assertEqual(["a", "b"], self.found(now=30.0))
 
     def test_a_permit_is_denied_once_the_zone_is_evacuated_before_the_send(self) -> None:
         permit = self.permit("a").ok
-        self.rules.evacuations.take("z1", in_force=True, now=9.1)
+        self.rules.evacuations.apply("z1", in_force=True, now=9.1)
         self.assertEqual(Denial.ZONE_EVACUATED, permit.confirm(9.2))
 
     def test_a_permit_is_denied_once_its_worker_leaves_or_is_gone(self) -> None:
@@ -159,7 +159,7 @@
         self.assertTrue(self.permit("b", 9.0).is_ok())
 
     def test_a_service_that_states_no_rate_has_no_cold_workers(self) -> None:
-        self.rules.publish([ROUTE], [Service("s", 100, True, cold_seconds=3.0)])
+        self.rules.publish([ROUTE], [Service("s", cold_seconds=3.0)])
         self.table.announce(replace(announcement("a"), cold_seconds=2.0), 9.0)
         self.rules.view_age = 60.0
         self.assertEqual(["a", "b", "c"], self.found())
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -90,7 +90,7 @@
         self.workers = MemoryWorkers()
         self.dialect = PlainDialect()
         self.duties = MemoryDuties()
-        self.services = (Service("app", 100, False), Service("engines", 100, True))
+        self.services = (Service("app"), Service("engines"))
         self._tasks = tasks
         self._client = client
         for name, service in (("a1", "app"), ("a2", "app"), ("e1", "engines"), ("e2", "engines")):
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -37,7 +37,7 @@
 class ColdStartTests(testtools.TestCase):
     def start(self, site: Site) -> None:
         """Have a service whose workers withstand few requests while they are cold."""
-        cold = Service("app", 100, False, cold_seconds=COLD_SECONDS, cold_rate=RATE)
+        cold = Service("app", cold_seconds=COLD_SECONDS, cold_rate=RATE)
         site.services = (cold, site.services[1])
         site.publish(2)
 
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -80,8 +80,8 @@
     def test_a_lease_on_a_cold_worker_is_over(self) -> None:
         async def body(site: Site, machine: Machine) -> None:
             site.services = (
-                Service("app", 100, False, cold_seconds=60.0, cold_rate=5.0),
-                Service("engines", 100, True),
+                Service("app", cold_seconds=60.0, cold_rate=5.0),
+                Service("engines"),
             )
             site.publish(2)
             node = await site.start("n1")
--- a/tests/platform_adapter/test_dialect.py
+++ b/tests/platform_adapter/test_dialect.py
@@ -68,8 +68,8 @@
         self.assertEqual(RouteKind.BATCH, batch.kind)
         self.assertEqual((40.0, 7.5), (batch.give_up_seconds, batch.due_seconds))
         self.assertTrue(batch.single_version)
-        self.assertEqual([True, False], [service.is_engine for service in decoded.services])
-        self.assertEqual(15.0, decoded.limits.idle_seconds)
+        self.assertEqual(["s3", "s1"], [service.name for service in decoded.services])
+        self.assertEqual(16_384, decoded.limits.header_bytes)
 
     def test_tenants_with_their_keys_and_public_routes(self) -> None:
         tenants = [{"name": "huka270", "api_keys": ["k1", "k2"], "priority": 1}, {"name": "empty"}]
