--- a/tests/gateway/batch_service/test_ended_batches.py
+++ b/tests/gateway/batch_service/test_ended_batches.py
@@ -76,7 +76,7 @@
 
 async def identity(node: Running) -> str:
     """Return what a node's process calls itself."""
-    answer = await node.gateway._runners.calls.handle(encode_message(AskRunner("t")))
+    answer = await node.gateway._batches.runners.calls.handle(encode_message(AskRunner("t")))
     return decode_answer(answer or b"").process
 
 
@@ -191,7 +191,7 @@
             log.answer = anyio.Event()
             told = encode_message(RunBatch("b1", place.number, offset))
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(node.gateway._runners.calls.handle, told)
+                tasks.start_soon(node.gateway._batches.runners.calls.handle, told)
                 await log.held.wait()
                 await append(site.log, place, [encode_record(BatchEnded("b1"))])
                 log.follow.set()
