--- a/src/stagewalk/gateway/autoscaling/core.py
+++ b/src/stagewalk/gateway/autoscaling/core.py
@@ -1,10 +1,12 @@
 """Decides which workers to order. Pure.
 
-Workers that were there when the service was first seen are restored if they are lost. Beyond
-them, enough are ordered that each item of the open batches has a place at once: an item that
-waits for one makes its step late, and a step late makes its trainer wait. These are of the
-cheaper kind if the settings say so, and spread over the zones, since the platform takes a whole
-zone's away at a time."""
+Inputs: listed workers, open items by service, evacuated zones, earlier orders, and the time in
+seconds of the steady clock. Rule: workers that were there when the service was first seen are
+restored if they are lost. Beyond them, enough are ordered that each item of the open batches has a
+place at once: an item that waits for one makes its step late, and a step late makes its trainer
+wait. These are of the cheaper kind (spot) if the settings say so, and spread over the zones, since
+the platform reclaims a whole zone's at a time.
+"""
 
 from __future__ import annotations
 
@@ -24,22 +26,24 @@
 
 REPEAT_MARGIN_SECONDS = 3.0
 """An order whose workers are not listed so long after their time to boot is sent again: its
-answer may have been lost, or an older order carried out after it."""
+answer may have been lost, or an older order carried out after it. Chosen, not measured."""
 
 NONE_LEFT_SECONDS = 3.0
-"""A zone that has none to give is asked again after this time; meanwhile others are asked."""
+"""A zone that has no workers to give is asked again after this time; until then others are asked.
+Chosen, not measured."""
 
 RECLAIM_MEMORY_SECONDS = 600.0
-"""After workers were taken away, ordinary ones are ordered in their place for so long: where that
-happens it happens again, a whole zone at a time, and for some seconds there are none to be had."""
+"""After spot workers were reclaimed, ordinary ones are ordered in their place for so long: where
+that happens it happens again, a whole zone at a time, and for some seconds there are none to be
+had. Chosen, not measured."""
 
 RETRY_SECONDS = 1.0
-"""A zone is asked again so long after any other failure."""
+"""A zone is asked again so long after any other failure. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingPolicy:
-    """What is ordered.
+    """Settings of what is ordered.
 
     Attributes
     ----------
@@ -48,7 +52,7 @@
     places_per_item
         Places for each open item beyond those of workers that were found; 0.0: none.
     spot
-        Whether workers beyond those found may be taken away by the platform.
+        Whether workers beyond those found may be of the kind that the platform may reclaim.
     """
 
     enabled: bool
@@ -69,9 +73,38 @@
     not_before: float = -math.inf
 
 
+@dataclass(frozen=True, slots=True)
+class _Situation:
+    """One service as it is decided on.
+
+    Attributes
+    ----------
+    now
+        Seconds of the steady clock.
+    evacuated
+        Zones in which nothing is ordered or given back.
+    """
+
+    service: str
+    scaling: Scaling
+    now: float
+    evacuated: Container[str]
+
+    def group(self, zone: str, *, spot: bool) -> WorkerGroup:
+        """Return the group of a zone and kind."""
+        return WorkerGroup(self.service, zone, spot)
+
+    def groups(self, spot: bool | None = None) -> list[WorkerGroup]:
+        """Return the groups of a kind, cheap zones first; of both, ordinary ones first."""
+        prices = self.scaling.zone_prices
+        zones = sorted(prices, key=lambda zone: prices[zone])
+        kinds = (False, True) if spot is None else (spot,)
+        return [self.group(zone, spot=kind) for kind in kinds for zone in zones]
+
+
 @dataclass(slots=True)
 class Autoscaler:
-    """What is known of the groups, and what is wanted of each."""
+    """State of each group of workers, and the orders that follow from it."""
 
     policy: ScalingPolicy
     _groups: dict[WorkerGroup, _Group] = field(default_factory=dict)
@@ -79,10 +112,10 @@
     _watched_since: dict[str, float] = field(default_factory=dict)
     """By service, since when this process has watched its demand."""
     _reclaimed_at: dict[str, float] = field(default_factory=dict)
-    """By service, when workers of the cheaper kind were last being taken away."""
+    """By service, when spot workers were last being reclaimed."""
 
     def planned(self, order: WorkerOrder) -> None:
-        """Take an order that a holder of the lease wrote down, this one or one before it."""
+        """Apply an order that a holder of the lease wrote down, this one or one before it."""
         group = self._group(order.group)
         group.ordered = order.count
         if not order.group.spot and group.found is None:
@@ -119,17 +152,16 @@
             own = [w for w in workers if w.announcement.service == service.name]
             self._watched_since.setdefault(service.name, now)
             demand = self._demands.setdefault(service.name, Demand())
-            demand.note(open_items.get(service.name, 0), now)
+            demand.add(open_items.get(service.name, 0), now)
             self._count(service.name, service.scaling, own, now)
-            wanted = self._wanted(
-                service.name, service.scaling, own, demand.peak, now=now, evacuated=evacuated
-            )
-            staying = {g: count for g, count in wanted.items() if g.zone not in evacuated}
+            situation = _Situation(service.name, service.scaling, now, evacuated)
+            targets = self._targets(situation, own, demand.peak)
+            staying = {g: count for g, count in targets.items() if g.zone not in evacuated}
             orders += self._orders(service.scaling, staying, now)
         return orders
 
     def sent(self, order: WorkerOrder, outcome: DutyOutcome, now: float) -> None:
-        """Take what became of an order."""
+        """Record the outcome of an order."""
         group = self._group(order.group)
         group.ordered_at = now
         if outcome is DutyOutcome.CONFLICT:
@@ -143,7 +175,7 @@
         return self._groups.setdefault(group, _Group())
 
     def _count(self, service: str, scaling: Scaling, workers: Sequence[Worker], now: float) -> None:
-        """Take how many workers of each group serve."""
+        """Count the workers of each group that serve."""
         counts = Counter(
             (w.announcement.zone, w.announcement.spot)
             for w in workers
@@ -161,34 +193,27 @@
             self._reclaimed_at[service] = now
 
     def _orders(
-        self, scaling: Scaling, wanted: Mapping[WorkerGroup, int], now: float
+        self, scaling: Scaling, targets: Mapping[WorkerGroup, int], now: float
     ) -> list[WorkerOrder]:
-        """Return orders for the groups whose count is not what is wanted."""
-        orders = [WorkerOrder(group, count) for group, count in sorted(wanted.items())]
+        """Return the orders that are due to bring groups to their targets."""
+        orders = [WorkerOrder(group, count) for group, count in sorted(targets.items())]
         return [order for order in orders if self._due(order, scaling, now)]
 
-    def _wanted(
-        self,
-        service: str,
-        scaling: Scaling,
-        workers: Sequence[Worker],
-        peak: int,
-        *,
-        now: float,
-        evacuated: Container[str],
+    def _targets(
+        self, situation: _Situation, workers: Sequence[Worker], peak: int
     ) -> dict[WorkerGroup, int]:
+        """Return how many workers each group should have; empty while none were found."""
         found = {
-            zone: self._group(WorkerGroup(service, zone, False)).found
-            for zone in scaling.zone_prices
+            zone: self._group(situation.group(zone, spot=False)).found
+            for zone in situation.scaling.zone_prices
         }
         if all(count is None for count in found.values()):
             return {}
         base = {zone: count or 0 for zone, count in found.items()}
         slots = max((w.announcement.slots for w in workers), default=1)
         needed = math.ceil(peak * self.policy.places_per_item / max(1, slots))
-        serving = sum(count for zone, count in base.items() if zone not in evacuated)
-        missing = max(0, needed - serving)
-        extra = self._extra(service, scaling, base, missing, now=now, evacuated=evacuated)
+        serving = sum(count for zone, count in base.items() if zone not in situation.evacuated)
+        extra = self._extra(situation, base, max(0, needed - serving))
         return {
             group: count + (0 if group.spot else base[group.zone])
             for group, count in extra.items()
@@ -196,63 +221,67 @@
         }
 
     def _extra(
-        self,
-        service: str,
-        scaling: Scaling,
-        base: Mapping[str, int],
-        missing: int,
-        *,
-        now: float,
-        evacuated: Container[str],
+        self, situation: _Situation, base: Mapping[str, int], missing: int
     ) -> dict[WorkerGroup, int]:
         """Return how many workers beyond those found each group should have.
 
         What was ordered is kept while it is needed, whichever kind it is; what is missing besides
-        is of one kind, spread evenly, cheap zones first."""
-        zones = sorted(scaling.zone_prices, key=lambda zone: scaling.zone_prices[zone])
-        spot = self._uses_spot(service, scaling, now)
+        is of one kind, spread evenly, cheap zones first.
+
+        Parameters
+        ----------
+        base
+            By zone, workers that were found.
+        missing
+            Workers needed beyond those found outside of evacuated zones.
+        """
         extra: dict[WorkerGroup, int] = {}
-        for group in (WorkerGroup(service, zone, kind) for kind in (False, True) for zone in zones):
-            known = self._group(group)
-            kept = known.ordered or 0
-            if group.spot and not spot:
-                # Those that were taken away don't come back.
-                kept = min(kept, known.present)
-            beyond = kept if group.spot else kept - base[group.zone]
-            if group.zone in evacuated:
-                extra[group] = max(0, beyond)
-                continue
-            extra[group] = max(0, min(beyond, missing))
-            missing -= extra[group]
-        while missing > 0:
-            open_groups = [
-                group
-                for group in (WorkerGroup(service, zone, spot) for zone in zones)
-                if group.zone not in evacuated
-                and self._has_room(group, scaling, base, extra)
-                and now >= self._group(group).not_before
+        spot = self._uses_spot(situation)
+        for group in situation.groups():
+            beyond = self._ordered_beyond(group, base, keeps_spot=spot)
+            if group.zone in situation.evacuated:
+                extra[group] = beyond
+            else:
+                extra[group] = min(beyond, missing)
+                missing -= extra[group]
+        for _ in range(missing):
+            groups = [
+                g for g in situation.groups(spot) if self._may_grow(g, situation, base, extra)
             ]
-            if not open_groups:
+            if not groups:
                 break
-            extra[min(open_groups, key=lambda group: extra[group])] += 1
-            missing -= 1
+            extra[min(groups, key=lambda group: extra[group])] += 1
         return extra
 
-    @staticmethod
-    def _has_room(
+    def _ordered_beyond(
+        self, group: WorkerGroup, base: Mapping[str, int], *, keeps_spot: bool
+    ) -> int:
+        """Return how many workers were ordered of a group beyond those found."""
+        known = self._group(group)
+        ordered = known.ordered or 0
+        if not group.spot:
+            return max(0, ordered - base[group.zone])
+        # Spot workers that the platform reclaimed don't return.
+        return max(0, ordered if keeps_spot else min(ordered, known.present))
+
+    def _may_grow(
+        self,
         group: WorkerGroup,
-        scaling: Scaling,
+        situation: _Situation,
         base: Mapping[str, int],
         extra: Mapping[WorkerGroup, int],
     ) -> bool:
-        """Whether a group's zone may hold one more worker of any kind."""
-        both = (WorkerGroup(group.service, group.zone, spot) for spot in (False, True))
-        return base[group.zone] + sum(extra[kind] for kind in both) < scaling.most
-
-    def _uses_spot(self, service: str, scaling: Scaling, now: float) -> bool:
-        """Whether more workers are of the cheaper kind: none was taken away lately."""
-        calm = now - self._reclaimed_at.get(service, -math.inf) > RECLAIM_MEMORY_SECONDS
-        return self.policy.spot and scaling.spot_price is not None and calm
+        """Whether one more worker of a group may be ordered now."""
+        if group.zone in situation.evacuated or situation.now < self._group(group).not_before:
+            return False
+        both = (situation.group(group.zone, spot=spot) for spot in (False, True))
+        return base[group.zone] + sum(extra[kind] for kind in both) < situation.scaling.most
+
+    def _uses_spot(self, situation: _Situation) -> bool:
+        """Whether further workers are of the cheaper kind: none was reclaimed lately."""
+        reclaimed_at = self._reclaimed_at.get(situation.service, -math.inf)
+        calm = situation.now - reclaimed_at > RECLAIM_MEMORY_SECONDS
+        return self.policy.spot and situation.scaling.spot_price is not None and calm
 
     def _knows_demand(self, group: WorkerGroup, now: float) -> bool:
         """Whether the demand was watched long enough to give workers back.
--- a/src/stagewalk/gateway/autoscaling/demand.py
+++ b/src/stagewalk/gateway/autoscaling/demand.py
@@ -1,4 +1,7 @@
-"""How many items of a service were open at a time lately. Pure."""
+"""The recent peak of a service's open items. Pure.
+
+Owns how long a peak counts.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +14,14 @@
 
 
 class Demand:
-    """The peak of open items over a time."""
+    """The peak of open items over the last `HOLD_SECONDS`."""
 
     def __init__(self) -> None:
         self._peaks: deque[tuple[float, int]] = deque()
         """Times and counts; the counts fall from left to right."""
 
-    def note(self, open_items: int, now: float) -> None:
-        """Take how many items are open now."""
+    def add(self, open_items: int, now: float) -> None:
+        """Add the number of items that are open now."""
         while self._peaks and self._peaks[-1][1] <= open_items:
             self._peaks.pop()
         self._peaks.append((now, open_items))
@@ -27,5 +30,5 @@
 
     @property
     def peak(self) -> int:
-        """Return the most items that were open at a time."""
+        """Return the most items that were open at once."""
         return self._peaks[0][1] if self._peaks else 0
--- a/src/stagewalk/gateway/usage/account.py
+++ b/src/stagewalk/gateway/usage/account.py
@@ -1,4 +1,4 @@
-"""The fold of usage records: what began to run in each window over all processes. Pure."""
+"""Sums of usage records: requests that began to run in each window, over all processes. Pure."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         return min(self._windows, default=None)
 
     def apply(self, record: UsageCounted) -> None:
-        """Fold a record in; of one process and window the largest sum counts."""
+        """Apply a record; of one process and window the largest sum counts."""
         processes = self._windows.setdefault(record.window, {})
         known = processes.get(record.process, {})
         if sum(record.counts.values()) >= sum(known.values()):
--- a/src/stagewalk/gateway/usage/meter.py
+++ b/src/stagewalk/gateway/usage/meter.py
@@ -1,4 +1,7 @@
-"""Counts what began to run at this process, by window and tenant. Pure."""
+"""Counts requests that began to run at this process, by window and tenant. Pure.
+
+Owns which windows have counts that no record holds yet.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,8 @@
 from stagewalk.gateway.usage.records import UsageCounted
 
 KEPT_WINDOWS = 12
-"""Windows whose counts are kept: what is later than that is of no use to anyone."""
+"""Windows whose counts are kept: a request counted later than that is not reported. Chosen, not
+measured."""
 
 
 def window_of(wall: float, window_seconds: float) -> int:
@@ -18,7 +22,7 @@
 class UsageMeter:
     """The counts of one process.
 
-    Records hold the sum so far of a window, so one that comes twice or late changes nothing.
+    Records hold the sum so far of a window, so a doubled or late one changes nothing.
 
     Parameters
     ----------
@@ -44,7 +48,7 @@
         self._changed.add(window)
 
     def take_records(self) -> list[UsageCounted]:
-        """Return records of the windows whose counts changed since this was last asked."""
+        """Return records of the windows whose counts changed since the last call."""
         records = [
             UsageCounted(self._process, window, dict(self._counts[window]))
             for window in sorted(self._changed)
--- a/src/stagewalk/gateway/usage/records.py
+++ b/src/stagewalk/gateway/usage/records.py
@@ -1,4 +1,4 @@
-"""Records of usage in the log."""
+"""Records of usage in the log, and reports as they are written down; the forms are stored ones."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UsageCounted(msgspec.Struct, frozen=True, array_like=True, tag="counted"):
-    """What began to run at a process in a window, so far, by tenant."""
+    """Requests that began to run at a process in a window so far, by tenant."""
 
     process: str
     window: int
@@ -35,7 +35,7 @@
 
 
 def decode_counts(content: bytes) -> dict[str, int] | None:
-    """Return counts that were written down, None if the bytes spell none."""
+    """Return counts that were written down, None if the bytes hold none."""
     try:
         return _COUNTS.decode(content)
     except msgspec.DecodeError:
--- a/src/stagewalk/gateway/usage/reporting.py
+++ b/src/stagewalk/gateway/usage/reporting.py
@@ -1,8 +1,10 @@
 """Decides when a window's usage is summed, written down and sent. Pure.
 
-Only the holder of the lease on duties decides. A window is summed once: what was written down
-under the holder's fence is sent, by whoever holds the lease then, and never summed again. So two
-reports of one window are always the same, whatever became of the call, or of the holder."""
+Inputs: counts read so far, written reports, the time of day and of the steady clock, in seconds.
+Rule: only the holder of the lease on duties decides. A window is summed once: what was written down
+under the holder's fence is sent, by the holder at that time, and never summed again. So two reports
+of one window are always the same, whatever the outcome of a call or the fate of a holder.
+"""
 
 from __future__ import annotations
 
@@ -19,17 +21,18 @@
 
 POSTED_SECONDS = 1.5
 """How long after a window's end all its counts are in the log: 1.0 s of requests still under way,
-and 0.3 s until they are told."""
+and 0.3 s until they are appended."""
 
 RESERVE_SECONDS = 2.0
-"""So long before a report is due it is made from the counts there are, even if the view of them is
-not current: time for a few tries of the call."""
+"""So long before a report is due it is made from the counts that are known, even if the view of
+them is not current: time for a few tries of the call."""
 
 RETRY_SECONDS = 0.4
 """Between two tries at a report: three fit into the reserve."""
 
 MOST_BEHIND = 24
-"""Windows that are further behind are left out: nobody can use them."""
+"""Windows that are further behind are left out: their reports are long overdue. Chosen, not
+measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +61,7 @@
 
 @dataclass(slots=True)
 class UsageReporting:
-    """What this process knows of the reports.
+    """State of the reports, as this process knows them.
 
     Attributes
     ----------
@@ -75,7 +78,7 @@
     """The first window to report where none was written down."""
 
     def written(self, window: int, counts: dict[str, int]) -> None:
-        """Take a report that was written down; the first one of a window stands."""
+        """Record a report that was written down; the first one of a window stands."""
         self._reports.setdefault(window, _Written(counts))
         for old in sorted(self._reports)[:-MOST_BEHIND]:
             del self._reports[old]
@@ -100,11 +103,11 @@
         return [*steps, *self._sends(wall, now)]
 
     def sending(self, window: int) -> None:
-        """Note that a report is on its way."""
+        """Record that a report is being sent."""
         self._reports[window].under_way = True
 
     def sent(self, window: int, outcome: DutyOutcome, now: float) -> None:
-        """Take what became of a report."""
+        """Record the outcome of a report."""
         report = self._reports.get(window)
         if report is None:
             return
--- a/src/stagewalk/gateway/usage/wall_clock.py
+++ b/src/stagewalk/gateway/usage/wall_clock.py
@@ -1,4 +1,4 @@
-"""Time of day that does not follow a clock which jumps and comes back. Pure."""
+"""Time of day that ignores short jumps of the machine's clock. Pure."""
 
 from __future__ import annotations
 
@@ -19,8 +19,7 @@
         self._sampled_at = steady
 
     def sample(self, wall: float, steady: float) -> None:
-        """Take a reading of both clocks, in seconds; readings close to the last one are left
-        out."""
+        """Record a reading of both clocks, in seconds; readings close to the last are left out."""
         if steady - self._sampled_at < SAMPLE_SECONDS:
             return
         self._sampled_at = steady
--- a/src/stagewalk/gateway/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -1,9 +1,11 @@
 """Decides which engine is ordered to which version, and when. Pure.
 
-Engines load fastest few at a time, and each load costs. With several models each has a set of
-engines of its own (`engine_sets`). A step that names the version before
-as good enough can run on engines that hold either; so an engine that is one version behind is
-left alone while others are further behind, and half of the engines change with each version.
+Inputs: listed engines and the versions they hold, named versions, the oldest version that batches
+accept, evacuated zones, and the time in seconds of the steady clock. Rule: engines load fastest few
+at a time, and each load costs. With several models each has a set of engines of its own
+(`engine_sets`). A step that accepts the version before can run on engines that hold either; so an
+engine that is one version behind is left alone while others are further behind, and half of the
+engines change with each version.
 """
 
 from __future__ import annotations
@@ -25,16 +27,19 @@
 LEAST_LOADS_AT_ONCE = 2
 LOADING_SHARE = 0.4
 """So many engines, and this share of them where there are many, load at the same time: the
-others serve meanwhile, and each load is still at full speed."""
+others serve, and each load is still at full speed. Chosen, not measured."""
 
 LEAST_SHARES = 2
 """With each version one engine in so many changes, or one in as many as there are models."""
 
 LOAD_SECONDS = 0.9
+"""How long an announced load is expected to keep its engine busy. Chosen, not measured."""
+
 ORDER_DEADLINE_SECONDS = 3.0
-"""An order whose effect isn't seen after this time is looked into again."""
+"""An order whose effect isn't seen after this time may be sent again. Chosen, not measured."""
 
 RETRY_SECONDS = 0.3
+"""Pause after a failed order to an engine. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,6 +51,20 @@
     version: int
 
 
+@dataclass(frozen=True, slots=True)
+class _Candidate:
+    """An order that may be sent.
+
+    Attributes
+    ----------
+    urgency
+        Sorts first what is more urgent: versions behind (negative), occupancy, engine's name.
+    """
+
+    urgency: tuple[int, float, str]
+    order: OrderVersion
+
+
 @dataclass(slots=True)
 class _Pending:
     model: str
@@ -86,7 +105,7 @@
         """By the models that engines hold."""
 
     def name_version(self, model: str, version: int) -> bool:
-        """Take a named version; return whether it is the newest."""
+        """Record a named version; return whether it is the newest."""
         if version <= self._named.get(model, 0):
             return False
         self._named[model] = version
@@ -97,10 +116,10 @@
         return self._named.get(model, 0)
 
     def note_minimum(self, model: str, minimum_version: int) -> None:
-        """Learn from a submitted batch how far behind the newest version it lets engines be.
+        """Record, from a submitted batch, how far behind the newest version engines may be.
 
-        Batches are read again after a restart, old ones too and in any order: only one that asks
-        for no older versions than those before it tells anything.
+        Batches are read again after a restart, old ones too and in any order: one that accepts
+        older versions than a batch before it is ignored.
         """
         if minimum_version < self._minimum.get(model, 0):
             return
@@ -108,7 +127,7 @@
         self._lag[model] = max(0, self._named.get(model, 1) - minimum_version)
 
     def note_open_items(self, open_items: Mapping[str, int], now: float) -> None:
-        """Take how many items of each model run or wait to."""
+        """Record how many items of each model are unfinished."""
         self._demand.note(open_items, now)
 
     def pending(self, worker: str) -> bool:
@@ -116,35 +135,31 @@
         return worker in self._pending
 
     def order_started(self, order: OrderVersion, now: float) -> None:
-        """Note that an order is being sent."""
+        """Record that an order is being sent."""
         until = now + ORDER_DEADLINE_SECONDS
         self._pending[order.worker] = _Pending(order.model, order.version, until)
 
     def expect_load(self, worker: str, model: str, version: int, now: float) -> None:
-        """Note that an engine is being ordered, by whoever holds the lease."""
+        """Record a load that the holder of the lease announced."""
         known = self._workers.worker(worker)
         if known is not None and known.versions.get(model, 0) < version:
             known.loading_until[model] = now + LOAD_SECONDS
 
     def order_failed(self, worker: str, now: float) -> None:
-        """Note that an order came to nothing; it is tried again after a pause."""
+        """Record that an order failed; it is tried again after a pause."""
         self._pending.pop(worker, None)
         self._not_before[worker] = now + RETRY_SECONDS
 
     def decide(self, now: float) -> list[OrderVersion]:
-        """Return the orders to send now."""
+        """Return the orders to send now: one an engine, the engines furthest behind first."""
         self._settle(now)
         room = self._loads_at_once() - len(self._pending)
         if room <= 0:
             return []
-        wanted = sorted(self._wanted(now), key=lambda pair: pair[0])
-        orders: list[OrderVersion] = []
-        chosen: set[str] = set()
-        for _, order in wanted:
-            if order.worker not in chosen and len(orders) < room:
-                orders.append(order)
-                chosen.add(order.worker)
-        return orders
+        orders: dict[str, OrderVersion] = {}
+        for candidate in sorted(self._candidates(now), key=lambda candidate: candidate.urgency):
+            orders.setdefault(candidate.order.worker, candidate.order)
+        return list(orders.values())[:room]
 
     def _loads_at_once(self) -> int:
         engines = sum(1 for worker in self._engines() if worker.versions)
@@ -160,10 +175,11 @@
                 if worker is not None:
                     worker.loading_until.pop(pending.model, None)
 
-    def _wanted(self, now: float) -> list[tuple[tuple[int, float, str], OrderVersion]]:
-        wanted: list[tuple[tuple[int, float, str], OrderVersion]] = []
+    def _candidates(self, now: float) -> list[_Candidate]:
+        """Return the orders that may be sent now, as if each were alone."""
         models = self._models()
         sets = self._sets(models)
+        candidates: list[_Candidate] = []
         for model, version in self._named.items():
             engines = [
                 worker
@@ -176,10 +192,9 @@
                 name = worker.announcement.worker
                 if name in self._pending or self._not_before.get(name, -math.inf) > now:
                     continue
-                held = worker.versions[model]
-                key = (held - version, worker.occupancy(now), name)
-                wanted.append((key, OrderVersion(name, model, version)))
-        return wanted
+                urgency = (worker.versions[model] - version, worker.occupancy(now), name)
+                candidates.append(_Candidate(urgency, OrderVersion(name, model, version)))
+        return candidates
 
     def _engines(self) -> list[Worker]:
         """Return the listed workers that may get work."""
@@ -212,21 +227,16 @@
         steps that allow it run on both. With one or two models on the engines that is all of
         them; with more, an engine that is too old for one model serves the others meanwhile.
         """
-        share = len(engines)
-        if self._policy.half_change:
-            share //= max(LEAST_SHARES, len(self._named))
         lag = self._lag.get(model, 0)
         own_set = self._policy.engine_sets and len(self._models()) > 1
-        if own_set and self._policy.half_change:
-            share = -(-len(engines) // (lag + 1))
+        share = self._changing_share(len(engines), lag, own_set)
         behind = [engine for engine in engines if not self._newest(engine, model, version)]
         too_old = [engine for engine in behind if engine.versions[model] < version - lag]
         needed = len(engines)
         if lag > 0 and len(self._named) > LEAST_SHARES and not own_set:
             needed = min(needed, (lag + 1) * share)
-        usable = len(engines) - len(too_old)
-        must = max(0, needed - usable)
-        wanted = max(must, share - (len(engines) - len(behind)))
+        must_change = max(0, needed - (len(engines) - len(too_old)))
+        changing = max(must_change, share - (len(engines) - len(behind)))
         oldest_first = sorted(
             behind,
             key=lambda engine: (
@@ -235,7 +245,23 @@
                 engine.announcement.worker,
             ),
         )
-        return oldest_first[:wanted]
+        return oldest_first[:changing]
+
+    def _changing_share(self, engines: int, lag: int, own_set: bool) -> int:
+        """Return how many of a model's engines should hold the newest version.
+
+        Parameters
+        ----------
+        lag
+            Versions behind the newest that batches accept.
+        own_set
+            Whether the engines are the model's own set.
+        """
+        if not self._policy.half_change:
+            return engines
+        if own_set:
+            return math.ceil(engines / (lag + 1))
+        return engines // max(LEAST_SHARES, len(self._named))
 
     def _newest(self, engine: Worker, model: str, version: int) -> bool:
         """Whether an engine holds a version, or is being brought to it."""
