--- a/src/stagewalk/gateway/explain/__init__.py
+++ b/src/stagewalk/gateway/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Explains from logs what became of a request, a batch or an item."""
+"""Explains from logs what happened to a request, a batch or an item."""
--- a/src/stagewalk/gateway/explain/steps.py
+++ b/src/stagewalk/gateway/explain/steps.py
@@ -1,7 +1,7 @@
-"""Takes trainers' steps and recoveries apart from the logs of all nodes. Pure.
+"""Accounts for trainers' steps and for recoveries from the logs of all nodes. Pure.
 
-A step's time is what its last groups took. For each batch the account tells when it was handed in,
-opened and ended, how long its last results took in each part of their way, and what cut them.
+A step takes as long as its last groups. For each batch the account says when it was submitted,
+opened and ended, how long its last results took from start to score, and what cut them.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 from stagewalk.gateway.explain.log_line import LogLine
 
 TOGETHER_SECONDS = 1.5
-"""Starts of processes this close belong to one return."""
+"""Starts of processes this close belong to one recovery. Chosen, not measured."""
 
 MOST_NODES_SHARE = 0.8
-"""A return counts as one of all processes if so large a share of all nodes started."""
+"""A recovery is one of all processes if so large a share of all nodes started. Chosen, not
+measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemPath:
-    """How one item of a batch came to its result. Times are seconds since the batch came.
+    """Times of one item of a batch, in seconds since the batch was submitted.
 
     Attributes
     ----------
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepAccount:
-    """One batch. Times are seconds since it was handed in."""
+    """One batch. Times are seconds since it was submitted, but for `submitted_at` (since 1970)."""
 
     batch: str
     step: int
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """The return of all processes.
+    """A recovery of all processes.
 
     Attributes
     ----------
@@ -75,7 +76,7 @@
         How many started.
     first_item
         From then to the first item begun, in seconds; negative if one began before the last
-        process was back, infinite if none did.
+        process had started, infinite if none did.
     """
 
     at: float
@@ -96,7 +97,7 @@
 
 
 def account_steps(lines: Iterable[LogLine]) -> list[StepAccount]:
-    """Return the account of each batch in the logs, in the order they were handed in."""
+    """Return the account of each batch in the logs, in the order of submission."""
     ordered = sorted(lines, key=lambda line: line.at)
     gathered: dict[str, _Gathered] = {}
     attempts: dict[tuple[str, str], tuple[str, str]] = {}
@@ -105,22 +106,22 @@
             gathered[line.get("batch")] = _Gathered(line)
         if line.event == "item_started":
             attempts[(line.node, line.get("attempt"))] = line.get("batch"), line.get("item")
-        _take(line, gathered, attempts)
+        _add_line(line, gathered, attempts)
     return [_account(batch, step) for batch, step in gathered.items()]
 
 
 def find_recoveries(lines: Iterable[LogLine]) -> list[Recovery]:
-    """Return the moments at which (nearly) all processes had come back, but for the first one."""
+    """Return the recoveries of (nearly) all processes, without the first start."""
     ordered = sorted(lines, key=lambda line: line.at)
     starts = [line for line in ordered if line.event == "gateway_started"]
     items = [line.at for line in ordered if line.event == "item_started"]
     nodes = {line.node for line in starts}
-    returns = [
+    recoveries = [
         group
         for group in _together(starts)
         if len({line.node for line in group}) >= MOST_NODES_SHARE * len(nodes)
     ]
-    return [_recovery(group, items) for group in returns[1:]]
+    return [_recovery(group, items) for group in recoveries[1:]]
 
 
 def _together(starts: Sequence[LogLine]) -> list[list[LogLine]]:
@@ -139,7 +140,7 @@
     return Recovery(at, len({line.node for line in group}), first - at)
 
 
-def _take(
+def _add_line(
     line: LogLine,
     gathered: dict[str, _Gathered],
     attempts: dict[tuple[str, str], tuple[str, str]],
