--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -28,6 +28,7 @@
 from stagewalk.gateway.published_records import PublishedRecords
 from stagewalk.gateway.role_controller import LogReserve, RoleController
 from stagewalk.gateway.routes.table import RouteTable
+from stagewalk.gateway.runners.runner_service import WorkerAccess
 from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings_reload import LiveSettings
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
@@ -187,8 +188,8 @@
             routes=routes,
             view_age=self._links.view_age,
             replicas=self._links.replica_names,
+            on_denied=self._metrics.send_denied,
         )
-        rules.eligibility.on_denied = self._metrics.send_denied
         rollouts = VersionRollouts(
             workers,
             self._settings.policy,
@@ -233,13 +234,15 @@
             identity=self._identity,
             producer=self._producer,
             dialect=self._dependencies.dialect,
-            client=self._dependencies.workers,
             peer_client=log.peer_client,
             nodes=cluster.nodes,
-            workers=cluster.workers,
-            routes=cluster.routes,
-            rules=cluster.rules,
-            crashes=cluster.crashes,
+            access=WorkerAccess(
+                self._dependencies.workers,
+                cluster.workers,
+                cluster.routes,
+                cluster.rules,
+                cluster.crashes,
+            ),
             rollouts=cluster.rollouts,
             starting=lambda: log_reserve.active,
             on_item_started=self._metrics.item_view_age.observe,
--- a/src/stagewalk/gateway/batch_service/ledger_calls.py
+++ b/src/stagewalk/gateway/batch_service/ledger_calls.py
@@ -1,4 +1,8 @@
-"""Sends calls about batches to where a replica of the ledger is: here, or at another node."""
+"""Sends calls about batches to where a replica of the ledger is: here, or at another node.
+
+Owns which replicas to avoid for a while. Relies on the list of nodes for the replicas, on
+`peer_calls` for the way there, and on `ledger_reads` where this node answers itself.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 )
 from stagewalk.gateway.batch_service.ledger_reads import END_SECONDS, LedgerReads
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 from stagewalk.gateway.peer_calls.client import PeerClient
 from stagewalk.gateway.zones.distance import Proximity
 
@@ -26,8 +30,10 @@
 """How long another node may take beyond the time a call offers to wait."""
 
 REPLICAS_TRIED = 2
+"""Replicas asked before the node reads the log itself, or refuses."""
+
 AVOID_SECONDS = 2.0
-"""A replica that did not answer is asked last for this long."""
+"""A replica that did not answer is asked last for this long. Chosen, not measured."""
 
 
 class LedgerCalls:
@@ -81,7 +87,7 @@
                 status=0 if answer is None else answer.status,
             )
         if unsure is None and not self._may_hold():
-            return refusal(503, "no node that may hold the batch answers", COME_BACK_SECONDS)
+            return refusal(503, "no node that may hold the batch answers", RETRY_AFTER_SECONDS)
         return unsure or await self._local.carry_out(call)
 
     def _nearest(self) -> list[NodeAnnouncement]:
--- a/src/stagewalk/gateway/entry/app.py
+++ b/src/stagewalk/gateway/entry/app.py
@@ -16,6 +16,7 @@
 from stagewalk.common.http.body_budget import BodyBudget
 from stagewalk.common.settings.fields import Limits
 from stagewalk.gateway.dialect import CallerInterface
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
 from stagewalk.gateway.entry.batch_calls import BatchCalls
 from stagewalk.gateway.entry.caller_authentication import Caller, CallerAuthenticator
 from stagewalk.gateway.entry.directory_calls import DirectoryCalls
@@ -23,7 +24,6 @@
 from stagewalk.gateway.entry.forwarded_calls import ForwardedCalls
 from stagewalk.gateway.entry.quarantine_calls import QuarantineCalls
 from stagewalk.gateway.entry.replies import reply_empty, reply_error
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.metrics import GatewayMetrics
 from stagewalk.gateway.routes.route import CallerLimits, Route, RouteKind
 from stagewalk.gateway.routes.table import RouteTable
@@ -129,7 +129,7 @@
             return
         await self._refresh()
         if self._routes.configuration is None:
-            await reply_error(exchange, 503, "no configuration is known yet", COME_BACK_SECONDS)
+            await reply_error(exchange, 503, "no configuration is known yet", RETRY_AFTER_SECONDS)
         elif exchange.path.startswith(self._batch_prefixes):
             caller = await self._authenticator.admit_to_batches(exchange)
             if caller is not None:
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -20,18 +20,18 @@
     LedgerCall,
     ResultsCall,
 )
-from stagewalk.gateway.batch_service.ledger_reads import LONGEST_WAIT_SECONDS
+from stagewalk.gateway.batch_service.read_rules import LONGEST_WAIT_SECONDS
+from stagewalk.gateway.batches.submission import find_unroutable_score
 from stagewalk.gateway.dialect import Dialect, Submission
-from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_DENIAL, RETRY_AFTER_SECONDS
 from stagewalk.gateway.entry.caller_authentication import Caller
 from stagewalk.gateway.entry.exchange import OpaqueExchange
 from stagewalk.gateway.entry.replies import RETRY_AFTER_HEADER, reply_empty, reply_error
-from stagewalk.gateway.forwarding.policy import COME_BACK_SECONDS
 from stagewalk.gateway.partitioned_log.appender import AppendOutcome
 from stagewalk.gateway.ports.denials import Denial
+from stagewalk.gateway.runners.batch_assignments import BatchAssignments
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.scoring.core import RouteOf
-from stagewalk.gateway.scoring.submission import find_unroutable_score
 
 SUBMIT_SECONDS = 3.0
 """How long a submission may wait for the log. Chosen, not measured."""
@@ -39,7 +39,6 @@
 STALLED_SECONDS = 1.5
 """A log that has accepted no append for this long is not waited for: half of `SUBMIT_SECONDS`."""
 
-
 LOG_STALLED = "the log takes no appends"
 
 
@@ -57,14 +56,14 @@
 
     cause: str
     detail: str
-    retry_after_seconds: float = COME_BACK_SECONDS
+    retry_after_seconds: float = RETRY_AFTER_SECONDS
 
 
 NO_LOG = _Refusal("log does not answer", "the log does not answer")
 NO_RUNNER = _Refusal(
     "no node in its regions",
     "no node may run the batch",
-    COME_BACK_AFTER[Denial.REGION_NOT_ALLOWED],
+    RETRY_AFTER_DENIAL[Denial.REGION_NOT_ALLOWED],
 )
 
 
@@ -74,13 +73,16 @@
     def __init__(
         self,
         store: BatchStore,
+        *,
         runners: RunnerChoice,
+        assignments: BatchAssignments,
         ledger: LedgerCalls,
         dialect: Dialect,
         route_of: RouteOf,
     ) -> None:
         self._store = store
         self._runners = runners
+        self._assignments = assignments
         self._ledger = ledger
         self._dialect = dialect
         self._spelling = dialect.callers
@@ -137,10 +139,10 @@
             outcome="appended" if outcome.is_ok() else outcome.error.value,
         )
         if outcome.is_ok():
-            await self._runners.tell(runner, header, outcome.ok)
+            await self._assignments.notify(runner, header, outcome.ok)
             await reply_empty(exchange, 202)
         elif outcome.error is AppendOutcome.NOT_APPENDED:
-            await reply_error(exchange, 503, LOG_STALLED, COME_BACK_SECONDS)
+            await reply_error(exchange, 503, LOG_STALLED, RETRY_AFTER_SECONDS)
         else:
             await reply_error(exchange, 504, "the log did not answer")
 
@@ -178,7 +180,7 @@
         now = steady_seconds()
         if self._store.followed(batch, now) and not self._store.lacks_history(batch, now):
             return False
-        place = await self._runners.known_place(batch)
+        place = await self._assignments.known_place(batch)
         if place.is_error():
             await self._refuse(exchange, batch, NO_LOG)
             return True
@@ -198,8 +200,8 @@
     async def _reply(self, exchange: OpaqueExchange, call: LedgerCall) -> None:
         answer = await self._ledger.call(call)
         headers = []
-        if answer.come_back_seconds is not None:
-            headers.append((RETRY_AFTER_HEADER, f"{answer.come_back_seconds:g}"))
+        if answer.retry_after_seconds is not None:
+            headers.append((RETRY_AFTER_HEADER, f"{answer.retry_after_seconds:g}"))
         await exchange.respond(answer.status, answer.content_type, answer.content, headers)
 
 
--- a/src/stagewalk/gateway/entry/forwarded_calls.py
+++ b/src/stagewalk/gateway/entry/forwarded_calls.py
@@ -142,5 +142,5 @@
             exchange,
             UNANSWERED_STATUS[ending],
             UNANSWERED_DETAIL[ending],
-            unanswered.come_back_seconds,
+            unanswered.retry_after_seconds,
         )
--- a/src/stagewalk/gateway/explain/story.py
+++ b/src/stagewalk/gateway/explain/story.py
@@ -1,7 +1,7 @@
 """Finds one request's, batch's or item's lines among those of many nodes, and what went wrong.
 
-Pure. A story holds the lines that name the id, the attempts made for it, and the events of its nodes
-and workers at that time; the first failure among them is where to look.
+Pure. A story holds the lines that name the id, the attempts made for it, and the events of its
+nodes and workers at that time; the first failure among them is where to look.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -28,7 +28,7 @@
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, PartitionedLog
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
-from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.table import WorkerChange, WorkerTable
 from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement
 from stagewalk.gateway.zones.evacuations import Evacuations
 
@@ -62,7 +62,6 @@
         evacuations.listen(_log_zone_evacuated, _log_zone_restored)
         self._routes = routes
         self._workers = workers
-        self._workers.on_change = self._log_worker_change
         self._pace = LISTED_PACE
         self._listing = False
         self._logged_unusable: set[str] = set()
@@ -83,7 +82,7 @@
             pause_seconds=LISTED_PACE.workers_pause,
             on_confirm=_GapWatch(cold.views_renewed),
         )
-        workers.on_cold = self._worker_cold
+        workers.listen(self)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start following."""
@@ -192,21 +191,23 @@
     def _disturbed_at(self) -> float:
         return self._workers_follower.freshness.disturbed_at
 
-    def _worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
-        """Handle an entry that says its worker is cold for so many seconds more."""
+    def worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
+        """Mark a worker cold whose entry says so."""
         service = self._routes.service(worker.announcement.service)
         if service is not None and service.cold_rate > 0.0:
             log_event("worker_cold", worker=worker.announcement.worker, seconds=seconds)
         self._cold.mark_cold(worker, seconds, now)
 
-    def _log_worker_change(self, worker: str, change: str) -> None:
-        """Log a change of a worker's state; at level debug where no request can depend on it.
+    def worker_changed(self, worker: str, change: WorkerChange) -> None:
+        """Log a change of belief, where requests may depend on it.
 
         Most of all lines would be those of resting nodes on each worker: what such a node reads,
         and whole listings, are logged in one line.
         """
         unused = self._listing or self._pace is RESTING_PACE
-        log_event("worker_changed", "debug" if unused else "info", worker=worker, change=change)
+        log_event(
+            "worker_changed", "debug" if unused else "info", worker=worker, change=change.value
+        )
 
 
 class _GapWatch:
--- a/src/stagewalk/gateway/scoring/messages.py
+++ b/src/stagewalk/gateway/scoring/messages.py
@@ -1,12 +1,16 @@
-"""What the score calls are told, and what they tell the shell to do."""
+"""Events and instructions of the score calls, and the request content of a call.
+
+Owns the types that `core` and the shell exchange. Relies on the ports of workers for answers and
+failures.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from stagewalk.gateway.batches.records import ScoreCall
 from stagewalk.gateway.ports.workers import AttemptFailure, WorkerAnswer
 from stagewalk.gateway.quarantine.content import RequestContent
+from stagewalk.gateway.scoring.records import ScoreCall
 
 SCORE_METHOD = "POST"
 
--- a/src/stagewalk/node/membership/suspicion.py
+++ b/src/stagewalk/node/membership/suspicion.py
@@ -13,6 +13,8 @@
 
 LAST_CALLS = 3
 LAST_CALL_INTERVAL_SECONDS = 0.2
+"""Probes of a suspect before it is declared dead, and the time between them. Chosen, not measured.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +67,7 @@
         return True
 
     def stop(self, name: NodeName) -> None:
-        """Forget a member's timer."""
+        """Remove a member's timer."""
         self._running.pop(name, None)
 
     def postpone(self, seconds: float) -> None:
--- a/src/stagewalk/node/requests/answer.py
+++ b/src/stagewalk/node/requests/answer.py
@@ -1,8 +1,9 @@
-"""Puts an answer together from the chunks of one attempt.
+"""Puts an answer together from the chunks of one attempt, and rejects what breaks its framing.
 
 An engine's or a network's fault shows in the frames: a chunk may come doubled, late, out of
 order, overlapping, or not at all, and a broken engine may send without end. Only the chunk
-that continues the answer exactly is taken; the final count says whether it is whole.
+that continues the answer exactly is appended; the final count says whether it is whole. Owns the
+text of one attempt; relies on `MemoryConfig` for its bounds.
 """
 
 from __future__ import annotations
@@ -48,11 +49,9 @@
     mixed_versions
         Whether several versions may have produced one answer.
     bounds
-        An answer longer than they allow is taken as endless.
+        An answer longer than they allow counts as endless.
     reordered
         Chunks held, by offset, while one before them is missing.
-    discarded
-        Chunks that brought nothing new.
     """
 
     request: CompletionRequest
@@ -64,7 +63,6 @@
     characters: int
     last_sequence: int = -1
     reordered: dict[int, TokenChunk] = field(default_factory=dict)
-    discarded: int = 0
 
     @classmethod
     def after(
@@ -86,18 +84,16 @@
         )
 
     def add(self, chunk: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
-        """Take a chunk; return those that now continue the answer, in order.
+        """Add a chunk; return those that now continue the answer, in order.
 
         A repeated chunk is dropped. A fault means that the attempt must be given up.
         """
         if chunk.token_count <= 0 or chunk.offset < 0 or chunk.sequence < 0:
             return Error(FramingFault("a chunk has no tokens or a negative position"))
         if chunk.sequence <= self.last_sequence:
-            self.discarded += 1
             return Ok([])
         end = chunk.offset + chunk.token_count
         if end <= self.token_count:
-            self.discarded += 1
             return Ok([])
         if chunk.offset < self.token_count:
             return Error(FramingFault(f"a chunk overlaps the {self.token_count} tokens held"))
@@ -107,10 +103,10 @@
             return Error(FramingFault("the answer is longer than any may be"))
         if chunk.offset > self.token_count:
             return self._hold_back(chunk)
-        return self._take_all_from(chunk)
+        return self._append_from(chunk)
 
     def whole(self, token_count: int) -> bool:
-        """Say whether the final count matches what is held, with nothing missing."""
+        """Return whether the final count matches what is held, with nothing missing."""
         return token_count == self.token_count
 
     def held(self) -> HeldAnswer:
@@ -129,7 +125,6 @@
 
     def _hold_back(self, chunk: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
         if chunk.offset in self.reordered:
-            self.discarded += 1
             return Ok([])
         if len(self.reordered) >= self.bounds.maximum_reordered_chunks:
             return Error(FramingFault(f"tokens from {self.token_count} on are missing"))
@@ -137,23 +132,26 @@
         self.characters += len(chunk.text)
         return Ok([])
 
-    def _take_all_from(self, first: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
+    def _append_from(self, first: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
         self.characters += len(first.text)
-        taken = []
+        appended = []
         following: TokenChunk | None = first
         while following is not None:
             unsuitable = self._version_fault(following)
             if unsuitable is not None:
                 return Error(unsuitable)
-            self._take(following)
-            taken.append(following)
+            self._append(following)
+            appended.append(following)
             following = self.reordered.pop(self.token_count, None)
         if any(offset < self.token_count for offset in self.reordered):
             return Error(FramingFault("chunks held back overlap the tokens held"))
-        return Ok(taken)
+        return Ok(appended)
 
     def _version_fault(self, chunk: TokenChunk) -> FramingFault | None:
-        """Judge a chunk's version: an engine may change its weights while it generates."""
+        """Return why a chunk's version may not continue the answer; None if it may.
+
+        An engine may change its weights while it generates.
+        """
         minimum = self.request.minimum_version
         maximum = self.request.maximum_version
         too_old = minimum is not None and chunk.version < minimum
@@ -165,7 +163,7 @@
             return FramingFault(f"version {chunk.version} may not go on with another's answer")
         return None
 
-    def _take(self, chunk: TokenChunk) -> None:
+    def _append(self, chunk: TokenChunk) -> None:
         self.pieces.append(chunk.text)
         self.token_count += chunk.token_count
         self.spans = append_span(self.spans, chunk.version, chunk.token_count)
--- a/src/stagewalk/node/routing/outliers.py
+++ b/src/stagewalk/node/routing/outliers.py
@@ -1,4 +1,9 @@
-"""Engines that fail attempts are set aside for a while, but never most of them at once."""
+"""The rule that sets failing engines aside for a while, but never most of them at once.
+
+Inputs are this node's own attempts: failures in a row without a success eject an engine, for a
+time that doubles with each ejection. If too many would be set aside the fault is likely not theirs,
+and none is. The constants are fields of `OutlierConfig`.
+"""
 
 from __future__ import annotations
 
@@ -27,8 +32,6 @@
     records: list[EngineRecord], config: OutlierConfig, now: float
 ) -> list[EngineRecord]:
     """Return the engines not set aside; all of them if too many are set aside."""
-    if not config.enabled:
-        return records
     kept = [record for record in records if record.ejected_until <= now]
     ejected = len(records) - len(kept)
     if ejected > config.maximum_ejected_fraction * len(records):
--- a/src/stagewalk/node/samples/scheduler.py
+++ b/src/stagewalk/node/samples/scheduler.py
@@ -1,4 +1,10 @@
-"""Which slots run next: order, look-ahead, and duplicates of stragglers."""
+"""The rules for which slots run next: order, window, look-ahead, and duplicates of stragglers.
+
+Owns the prediction of answer lengths. Inputs: phases of a lot's slots, the trainer's step and
+version, the versions that exist and that engines run. A lot's window bounds how many of its
+rollouts run; it grows with answers and shrinks with refusals. Constants without a measurement were
+chosen.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +17,7 @@
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.lengths import LengthPredictor
 from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
-from stagewalk.node.samples.notifications import LotNotification, RequestUnwanted, RequestWanted
+from stagewalk.node.samples.notifications import CancelRollout, LotNotification, StartRollout
 from stagewalk.node.samples.staleness import version_slack
 from stagewalk.node.samples.store import LotStore, SlotPlace
 
@@ -21,9 +27,10 @@
 _STRAGGLER_PERCENTILE = 0.9
 
 MINIMUM_WINDOW = 4
-"""Rollouts of a lot that may always run at once, however often they are refused."""
+"""Rollouts of a lot that may run at once even if they are refused: they notice free room."""
 
 _WINDOW_DECREASE = 0.8
+"""What stays of a window after a refusal, as in admission's `decrease_factor`."""
 
 _WINDOW_DECREASE_SECONDS = 1.0
 """A window shrinks at most once in this time: refusals come in bursts."""
@@ -81,7 +88,7 @@
         Sampling is seeded by the slot, so both attempts give the same answer if they run under
         the same weights; whichever is claimed first is the sample.
         """
-        if not self._config.duplicate_stragglers or lot.paused or not self._near_end(lot):
+        if lot.paused or not self._near_end(lot):
             return []
         budget = max(1, int(self._config.duplicate_fraction * len(lot.slots))) - lot.duplicates
         limit = self._config.straggler_factor * _percentile(lot.durations, _STRAGGLER_PERCENTILE)
@@ -100,34 +107,32 @@
         return started
 
     def cancel(self, slot: Slot) -> list[LotNotification]:
-        """Cancel all rollouts of a slot, and forget an answer that is being scored."""
-        unwanted: list[LotNotification] = []
+        """Cancel all rollouts of a slot, and drop an answer that is being scored."""
+        cancelled: list[LotNotification] = []
         for request_id in sorted(slot.requests):
             self._store.requests.pop(request_id, None)
-            unwanted.append(RequestUnwanted(slot.key.tenant, request_id))
+            cancelled.append(CancelRollout(slot.key.tenant, request_id))
         slot.requests.clear()
         if slot.candidate_id is not None:
             self._store.requests.pop(slot.candidate_id, None)
         slot.candidate_id = None
         slot.candidate = None
-        return unwanted
+        return cancelled
 
     def finished(self, lot: Lot, slot: Slot, started_at: float, tokens: int, now: float) -> None:
-        """Learn from a finished rollout, and let a few more run at once."""
+        """Record a finished rollout's length and duration, and widen the lot's window."""
         lot.window = min(float(self._config.maximum_outstanding_per_lot), lot.window + 1.0)
         self.lengths.observe(lot.key.tenant, slot.prompt, tokens)
         bisect.insort(lot.durations, now - started_at)
 
     def refused(self, lot: Lot, now: float) -> None:
-        """Let fewer of a lot's rollouts run at once: there is no room for them."""
+        """Shrink a lot's window: there is no room for its rollouts."""
         if now - lot.window_shrunk_at < _WINDOW_DECREASE_SECONDS:
             return
         lot.window_shrunk_at = now
         lot.window = max(float(MINIMUM_WINDOW), lot.window * _WINDOW_DECREASE)
 
     def _predicted_tokens(self, lot: Lot, prompt: RolloutPrompt) -> float:
-        if not self._config.longest_first:
-            return 0.0
         return self.lengths.predict(lot.key.tenant, prompt)
 
     def _near_end(self, lot: Lot) -> bool:
@@ -138,7 +143,7 @@
         return enough_known and unfinished <= max(1, self._config.tail_fraction * len(lot.slots))
 
     def _may_run(self, lot: Lot, now: float) -> bool:
-        """Say whether a lot's turn has come.
+        """Return whether rollouts of a lot may start now.
 
         A step ahead of its trainer's runs only with what the steps before it leave free, and
         only once weights exist that will be fresh enough when it is pulled.
@@ -155,8 +160,12 @@
         return newest is None or minimum is None or newest >= minimum
 
     def _served_share(self, lot: Lot, minimum: WeightVersion | None, now: float) -> float:
-        """Return the share of engines that could run a lot's rollouts."""
-        if minimum is None or not self._config.spread_over_swap:
+        """Return the share of engines that could run a lot's rollouts.
+
+        While engines swap weights, only as many rollouts run as those can take that hold weights
+        fresh enough.
+        """
+        if minimum is None:
             return 1.0
         return self._store.served.share_at_least(lot.lot.model, minimum, now)
 
@@ -194,7 +203,7 @@
 
     def _start(
         self, lot: Lot, index: int, minimum: WeightVersion | None, now: float
-    ) -> RequestWanted:
+    ) -> StartRollout:
         slot = lot.slots[index]
         slot.tries += 1
         source = f"{self._node}.{self._incarnation}"
@@ -202,7 +211,7 @@
         slot.requests[request_id] = now
         self._store.requests[request_id] = SlotPlace(lot.key, index)
         parameters = self._store.parameters(lot.key.tenant)
-        return RequestWanted(
+        return StartRollout(
             CompletionRequest(
                 request_id=request_id,
                 tenant=lot.key.tenant,
--- a/tests/gateway/eligibility/test_core.py
+++ b/tests/gateway/eligibility/test_core.py
@@ -8,11 +8,11 @@
 
 import testtools
 
-from stagewalk.gateway.eligibility.come_back import COME_BACK_AFTER, come_back_seconds
 from stagewalk.gateway.eligibility.core import RequestScope
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_DENIAL, retry_after_seconds
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.records import CrashStrike
+from stagewalk.gateway.quarantine.records import CrashRecord
 from stagewalk.gateway.routes.route import Route, RouteKind, Service
 from stagewalk.gateway.tenants.tenant import Tenant
 from stagewalk.gateway.workers.table import WorkerTable
@@ -51,8 +51,8 @@
     def hold(self, at: float = 0.0) -> None:
         for level in (1, 2, 3):
             worker = f"gone{level}"
-            strike = CrashStrike(CONTENT.digest, worker, worker, level, int(at * 1000), "n", "r")
-            self.rules.suspects.add(strike)
+            crash = CrashRecord(CONTENT.digest, worker, worker, level, int(at * 1000), "n", "r")
+            self.rules.suspects.add(crash)
 
     def test_a_request_that_crashes_workers_gets_none_and_others_do(self) -> None:
         route = replace(ROUTE, kind=RouteKind.REPEATABLE)
@@ -165,8 +165,6 @@
         self.assertEqual(["a", "b", "c"], self.found())
 
     def test_each_denial_is_told(self) -> None:
-        told: list[Denial] = []
-        self.rules.eligibility.on_denied = told.append
         permit = self.permit("a").ok
         self.rules.evacuations.replace({"z1"}, 9.0)
         permit.confirm(9.1)
@@ -174,7 +172,8 @@
         known = self.table.worker("a")
         assert known is not None
         self.rules.eligibility.permit(known, None, 9.3)
-        self.assertEqual([Denial.ZONE_EVACUATED, Denial.ZONE_EVACUATED, Denial.NO_ROUTE], told)
+        denials = [Denial.ZONE_EVACUATED, Denial.ZONE_EVACUATED, Denial.NO_ROUTE]
+        self.assertEqual(denials, self.rules.denials)
 
     def test_a_route_that_is_gone_permits_nothing(self) -> None:
         self.assertIsNone(self.rules.eligibility.scope("/other/", CONTENT, None))
@@ -185,10 +184,12 @@
 class ComeBackTests(testtools.TestCase):
     def test_the_soonest_change_counts(self) -> None:
         both = {Denial.ZONE_EVACUATED, Denial.COLD_RATE_REACHED}
-        self.assertEqual(COME_BACK_AFTER[Denial.COLD_RATE_REACHED], come_back_seconds(both, 9.0))
-        self.assertEqual(0.25, come_back_seconds((), 0.25))
+        self.assertEqual(
+            RETRY_AFTER_DENIAL[Denial.COLD_RATE_REACHED], retry_after_seconds(both, 9.0)
+        )
+        self.assertEqual(0.25, retry_after_seconds((), 0.25))
         leaving = {Denial.WORKER_LEAVING, Denial.ZONE_EVACUATED}
-        self.assertEqual(0.25, come_back_seconds(leaving, 0.25))
+        self.assertEqual(0.25, retry_after_seconds(leaving, 0.25))
 
 
 class SingleGateTests(testtools.TestCase):
--- a/tests/gateway/runners/test_scores.py
+++ b/tests/gateway/runners/test_scores.py
@@ -6,7 +6,7 @@
 import testtools
 
 from stagewalk.gateway.ports.workers import AttemptFault
-from stagewalk_standins.memory_workers import MemoryWorker
+from tests.gateway.memory_workers import MemoryWorker
 from tests.gateway.support import ROUTES, Running, Site, route, run, until
 
 TEXT, SCORE = 4, 6
@@ -75,7 +75,9 @@
                 ledgers = [node.gateway.store.ledger for node in nodes.values()]
                 batches = [batch for ledger in ledgers if (batch := ledger.get("b1"))]
                 kept = [
-                    ledger.kept_text(batch.items["x"]) for ledger in ledgers for batch in batches
+                    ledger.reusable_text(batch.items["x"])
+                    for ledger in ledgers
+                    for batch in batches
                 ]
                 return len(kept) > 0 and all(text is not None and text.whole for text in kept)
 
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -13,7 +13,7 @@
 
 from stagewalk.common.identities import Address, Placement
 from stagewalk.gateway.assembly import Dependencies
-from stagewalk.gateway.batches.records import BatchItem, ScoreCall
+from stagewalk.gateway.batches.records import BatchItem
 from stagewalk.gateway.daemon import Gateway
 from stagewalk.gateway.dialect import NamedVersion
 from stagewalk.gateway.routes.route import (
@@ -24,12 +24,13 @@
     RouteKind,
     Service,
 )
+from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.settings import GatewaySettings, LogLimits, Timing
 from stagewalk.gateway.tenants.tenant import Tenant
-from stagewalk_standins.memory_duties import MemoryDuties
-from stagewalk_standins.memory_workers import MemoryWorker, MemoryWorkers
-from stagewalk_standins.partitioned_log import MemoryLog, MemoryLogClient
-from stagewalk_standins.plain_dialect import EVACUATION_PREFIX, PlainDialect, SubmittedBatch
+from tests.gateway.memory_duties import MemoryDuties
+from tests.gateway.memory_log import MemoryLog, MemoryLogClient
+from tests.gateway.memory_workers import MemoryWorker, MemoryWorkers
+from tests.gateway.plain_dialect import EVACUATION_PREFIX, PlainDialect, SubmittedBatch
 from tests.gateway.workers.support import announcement
 from tests.node.running_node import free_address
 
