--- a/src/stagewalk/gateway/directory/node_table.py
+++ b/src/stagewalk/gateway/directory/node_table.py
@@ -1,4 +1,4 @@
-"""Nodes that announce themselves, and which of them are believed alive. Pure.
+"""Nodes that announce themselves, and which of them count as alive. Pure.
 
 Owns the record of an announcement (wired: its fields and their order stay) and failure timeouts.
 """
@@ -15,7 +15,7 @@
 from stagewalk.gateway.directory.renewals import LONGEST_RENEWAL_SECONDS, RENEWAL_SECONDS
 
 ALIVE_SECONDS = 3.0
-"""A node that announced nothing for this long, while the log answers, is believed dead: three
+"""A node that announced nothing for this long, while the log answers, counts as dead: three
 renewals of a node with a role (0.9 s) fit in."""
 
 MISSED_RENEWALS = 2.5
@@ -25,7 +25,7 @@
 RenewalSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=LONGEST_RENEWAL_SECONDS)]
 
 STALE_ROUNDS = 8
-"""A node that did not announce itself while the others did so this often is believed dead. Chosen,
+"""A node that did not announce itself while the others did so this often counts as dead. Chosen,
 not measured."""
 
 
@@ -75,7 +75,7 @@
 
     @property
     def alive_seconds(self) -> float:
-        """Return how long after an announcement it is still believed alive."""
+        """Return how long after an announcement it still counts as alive."""
         return max(ALIVE_SECONDS, MISSED_RENEWALS * self.renewal_seconds)
 
     @property
@@ -137,7 +137,7 @@
             self._alive_until[node.node] = now + node.alive_seconds
 
     def alive(self, view_at: float) -> list[NodeAnnouncement]:
-        """Return the nodes believed alive as of when the view was last complete."""
+        """Return the nodes that counted as alive as of when the view was last complete."""
         return [
             announcement
             for node, announcement in self._nodes.items()
@@ -145,7 +145,7 @@
         ]
 
     def process_alive(self, node: str, incarnation: int, view_at: float) -> bool:
-        """Whether a certain start of a node is believed to run still."""
+        """Whether a certain start of a node counts as alive."""
         known = self._nodes.get(node)
         if known is None or known.incarnation > incarnation:
             return False
--- a/src/stagewalk/gateway/directory/read_pace.py
+++ b/src/stagewalk/gateway/directory/read_pace.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadPace:
-    """Pauses between two reads, and how long a read waits for news. All in seconds.
+    """Pauses between two reads, and how long a read waits for a first record. All in seconds.
 
     Attributes
     ----------
@@ -41,7 +41,7 @@
 
 RESTING_PACE = ReadPace(1.6, 1.6, 1.0, 0.5)
 """Of any other node, which reads once more before it serves a request: as seldom as a gap in the
-news isn't taken for an outage (3 s), but for configurations, which any node may be asked for."""
+view isn't taken for an outage (3 s), but for configurations, which any node may be asked for."""
 
 OLDEST_VIEW_SECONDS = 1.2
 """A view of workers or nodes that is older is read again before a request is served from it; a node
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -124,7 +124,7 @@
         return None
 
     async def _append(self, exchange: OpaqueExchange, batch: Submission, runner: str) -> None:
-        """Append a batch to the log, notify its runner, and reply what became of it."""
+        """Append a batch to the log, notify its runner, and reply with the outcome."""
         header = batch.header
         outcome = await self._store.submit(batch, runner, SUBMIT_SECONDS)
         log_event(
--- a/src/stagewalk/gateway/entry/replies.py
+++ b/src/stagewalk/gateway/entry/replies.py
@@ -1,4 +1,7 @@
-"""Replies of the gateway itself, all JSON. Relies on the exchange to send them."""
+"""Replies of the gateway itself, all JSON.
+
+Owns their form and the header of a retry's delay. Relies on the exchange to send them.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/gateway/log_relay/relayed_log.py
+++ b/src/stagewalk/gateway/log_relay/relayed_log.py
@@ -69,6 +69,14 @@
     beyond: Sequence[Address] = ()
 
 
+@dataclass(frozen=True, slots=True)
+class _Asked:
+    """A node that was asked, and its answer; None if none came."""
+
+    peer: Address
+    answer: LogAnswer | None
+
+
 Peers = Callable[[], RelayPeers]
 """Returns the nodes that serve relayed calls now."""
 
@@ -208,9 +216,10 @@
     ) -> Result[Value, LogFailure]:
         """Send a call through another node, always the same one while it answers."""
         before = self._choice.relaying
-        peer, answer = await self._ask_peers(call, wait_seconds + ANSWER_SECONDS)
-        if peer is None:
+        asked = await self._ask_peers(call, wait_seconds + ANSWER_SECONDS)
+        if asked is None:
             return Error(LogFailure(LogFault.REFUSED, "no other node is known"))
+        peer, answer = asked.peer, asked.answer
         failure = _failure_of(answer)
         worked = answer is not None and (failure is None or failure.fault not in _UNSETTLED)
         self._choice.record_relay(worked, steady_seconds())
@@ -224,18 +233,17 @@
             return Error(LogFailure(LogFault.UNKNOWN, f"a wrong answer through {peer}"))
         return Ok(value)
 
-    async def _ask_peers(
-        self, call: LogCall, seconds: float
-    ) -> tuple[Address | None, LogAnswer | None]:
-        """Return the node that was asked last and its answer: a few are asked while cut off too."""
-        peer: Address | None = None
-        answer: LogAnswer | None = None
-        for candidate in self._candidates():
-            peer = candidate
-            answer = await self._send(peer, call, seconds)
-            if _failure_of(answer) != CUT_OFF:
+    async def _ask_peers(self, call: LogCall, seconds: float) -> _Asked | None:
+        """Return the last asked node's answer: the next one is asked while nodes are cut off too.
+
+        None: no node is known.
+        """
+        asked: _Asked | None = None
+        for peer in self._candidates():
+            asked = _Asked(peer, await self._send(peer, call, seconds))
+            if _failure_of(asked.answer) != CUT_OFF:
                 break
-        return peer, answer
+        return asked
 
     def _candidates(self) -> list[Address]:
         """Return the nodes to ask in order: the last one first, then near ones.
--- a/src/stagewalk/gateway/nodes/crash_watch.py
+++ b/src/stagewalk/gateway/nodes/crash_watch.py
@@ -130,7 +130,7 @@
         return self._suspects.consecutive_crashes(content)
 
     async def denial(self, content: RequestContent, *, item: bool = False) -> Denial | None:
-        """Return why a request must not be sent; of a suspect, newer news is asked for first."""
+        """Return why a request must not be sent; a suspect's reports are read first."""
         if self._suspects.consecutive_crashes(content) == 0:
             return None
         if self._suspects.held(content, time.time(), item=item):
--- a/src/stagewalk/gateway/nodes/identity.py
+++ b/src/stagewalk/gateway/nodes/identity.py
@@ -1,4 +1,7 @@
-"""Identity of one start of a node: its name and incarnation. Stored in records as text."""
+"""Identity of one start of a node: its name and incarnation.
+
+Owns the text form, which is stored in records.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/gateway/ports/denials.py
+++ b/src/stagewalk/gateway/ports/denials.py
@@ -1,4 +1,4 @@
-"""Why a request may not be sent to a worker."""
+"""Reasons for which a request may not be sent to a worker; their values are on metrics and logs."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/gateway/ports/duties.py
+++ b/src/stagewalk/gateway/ports/duties.py
@@ -8,11 +8,11 @@
 
 
 class DutyOutcome(StrEnum):
-    """What became of a call."""
+    """Outcome of a call."""
 
     DONE = "done"
     CONFLICT = "conflict"
-    """A higher fence was seen, or there are none of the ordered workers to be had now."""
+    """A higher fence was seen, or none of the ordered workers are available now."""
     REFUSED = "refused"
     """Nothing was done: throttled or down."""
     REJECTED = "rejected"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyHolder:
-    """Who makes a call, and under which fence."""
+    """Identity of the calling process, and the fence of its lease."""
 
     holder: str
     fence: int
--- a/src/stagewalk/gateway/ports/send_permits.py
+++ b/src/stagewalk/gateway/ports/send_permits.py
@@ -1,8 +1,8 @@
 """Permission to send a request to a worker: decided by the product, confirmed by the client.
 
-A request may wait for a connection between the moment it is meant for a worker and the moment its
-first byte goes. So a client of the workers takes a permit, not an address, and confirms it just
-before that byte.
+A request may wait for a connection between the choice of its worker and the moment its first byte
+is sent. So a client of the workers gets a permit, not an address, and confirms it just before that
+byte.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     Attributes
     ----------
     worker
-        What the worker answers to.
+        Name that the worker answers to.
     start
         Identity of its start, empty if that is `worker`: connections are kept to a start.
     """
@@ -33,7 +33,7 @@
 
 
 Confirm = Callable[[float], Denial | None]
-"""Tells why a request must not be sent at a time of the steady clock, None if it may be."""
+"""Returns why a request must not be sent at a time of the steady clock, None if it may be."""
 
 
 @final
@@ -58,5 +58,5 @@
         return self._target
 
     def confirm(self, now: float) -> Denial | None:
-        """Return why the request must not be sent now; to be asked as its first byte is to go."""
+        """Return why the request must not be sent now; called just before its first byte."""
         return self._confirm(now)
--- a/src/stagewalk/gateway/ports/workers.py
+++ b/src/stagewalk/gateway/ports/workers.py
@@ -1,4 +1,7 @@
-"""Port of the workers: back ends of services, model engines among them."""
+"""Port of the workers: back ends of services, model engines among them.
+
+Owns the types of requests, answers and failures, and the time bounds of a connection.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 POOL_SECONDS = 0.3
 CONNECT_SECONDS = 0.6
 """How long an attempt at a worker waits for a place among the connections to it, and then for its
-connection to come up."""
+connection to be established. Chosen, not measured."""
 
 SEND_SECONDS = POOL_SECONDS + CONNECT_SECONDS
 """Longest time from the start of an attempt until its request is on its way, or it has failed. What
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLoad:
-    """Load a worker told with an answer."""
+    """Load that a worker reported with an answer, in requests."""
 
     running: int
     waiting: int
@@ -74,12 +77,12 @@
     repeatable
         Whether a kept connection may be used, which can break just as the request is sent.
     resume_after
-        The last event already held, for a stream that goes on.
+        The last event already received, for a stream that is resumed.
     expected_version
         Weight version the worker must hold to run it.
     tenant
-        Whose request it is, `ANONYMOUS` if nobody's. The worker is told so in place of whatever the
-        caller said, and does not see the caller's key. None: no tenants are in force, and the
+        Whose request it is, `ANONYMOUS` if nobody's. It replaces the tenant that the caller named,
+        and the worker does not see the caller's key. None: no tenants are in force, and the
         caller's headers stay as they are.
     priority
         0 is the most urgent; None: the worker's default.
@@ -174,9 +177,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """What an engine says of itself, some hundred milliseconds old.
+    """State of an engine, some hundred milliseconds old.
 
-    `orders_taken` counts the orders it took since its start.
+    Attributes
+    ----------
+    ordering
+        Whether an order is under way.
+    orders_taken
+        Orders that it accepted since its start.
+    running, waiting
+        Requests.
     """
 
     versions: dict[str, int]
@@ -198,7 +208,7 @@
 
 
 class OrderOutcome(StrEnum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     TAKEN = "taken"
     HELD_ALREADY = "held_already"
@@ -212,7 +222,7 @@
 
 
 class WorkerClient(Protocol):
-    """What the product asks of workers.
+    """Calls of workers.
 
     A request's permit is confirmed once its connection is there, just before its first byte goes;
     denied then, it ends as `AttemptFault.WITHHELD`.
@@ -229,10 +239,10 @@
         """Send a request and deliver its head and whole events as they arrive."""
 
     async def is_listening(self, target: WorkerTarget) -> bool | None:
-        """Return whether any process listens at a worker's address; None if that can't be told."""
+        """Return whether any process listens at a worker's address; None if that is unknown."""
 
     async def report(self, target: WorkerTarget) -> Result[WorkerReport, AttemptFailure]:
-        """Ask an engine about itself."""
+        """Return the state of an engine."""
 
     async def order_version(self, target: WorkerTarget, order: VersionOrder) -> OrderOutcome:
         """Order an engine to change a model's version."""
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -199,7 +199,7 @@
         self._cold.mark_cold(worker, seconds, now)
 
     def worker_changed(self, worker: str, change: WorkerChange) -> None:
-        """Log a change of belief, where requests may depend on it.
+        """Log a change of a worker's state, where requests may depend on it.
 
         Most of all lines would be those of resting nodes on each worker: what such a node reads,
         and whole listings, are logged in one line.
--- a/tests/platform_adapter/test_dialect.py
+++ b/tests/platform_adapter/test_dialect.py
@@ -4,6 +4,7 @@
 
 import base64
 import json
+from unittest import mock
 
 import testtools
 
@@ -61,6 +62,20 @@
         super().setUp()
         self.dialect = PlatformDialect()
 
+    def test_a_route_of_an_unknown_kind_is_left_out_and_logged(self) -> None:
+        events: list[tuple[str, dict[str, object]]] = []
+
+        def note(event: str, _level: str = "info", **fields: object) -> None:
+            events.append((event, fields))
+
+        route = {"name": "r", "host": "h", "path_prefix": "/r/", "type": "new", "timeout_ms": 1.0}
+        with mock.patch("stagewalk_platform.configuration.log_event", note):
+            decoded = self.dialect.operator_record(
+                record("config", {"version": 8, "routes": [route]})
+            )
+        self.assertEqual((), decoded.routes)
+        self.assertEqual([("route_unusable", {"route": "r", "kind": "new"})], events)
+
     def test_a_configuration_with_split_and_plain_routes(self) -> None:
         decoded = self.dialect.operator_record(record("config", CONFIGURATION))
         safe, batch = decoded.routes
