--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -20,6 +20,7 @@
 from stagewalk.gateway.nodes.crash_watch import CrashWatch
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.nodes.own_node import OwnNode
 from stagewalk.gateway.partitioned_log.measured_log import MeasuredLog
 from stagewalk.gateway.peer_calls.client import PeerClient
 from stagewalk.gateway.ports.duties import DutyClient
@@ -215,11 +216,13 @@
         return NodeService(
             log=log.relayed,
             partition=NODES,
-            identity=self._identity,
-            front=self._settings.front,
-            peer=self._settings.peers,
-            placement=self._settings.placement,
-            capacity=self._settings.processor.capacity,
+            own=OwnNode(
+                identity=self._identity,
+                front=self._settings.front,
+                peer=self._settings.peers,
+                placement=self._settings.placement,
+                capacity=self._settings.processor.capacity,
+            ),
             policy=self._settings.policy,
             batch_regions=lambda: routes.batch_regions,
             worker_ends=crashes,
--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -13,7 +13,7 @@
 import anyio
 import anyio.abc
 
-from stagewalk.common.identities import Address, NodeName, Placement
+from stagewalk.common.identities import Address, NodeName
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batches.runner_liveness import RunnerLiveness
@@ -23,9 +23,10 @@
 from stagewalk.gateway.directory.ledger_replicas import wants_replica
 from stagewalk.gateway.directory.node_table import NodeAnnouncement, NodeTable, decode_announcement
 from stagewalk.gateway.directory.read_pace import LISTED_PACE, OLDEST_VIEW_SECONDS, REFRESH_SECONDS
-from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS, renewal_seconds
+from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS
 from stagewalk.gateway.log_relay.relayed_log import RelayPeers
-from stagewalk.gateway.nodes.identity import ProcessId, parse_process_id
+from stagewalk.gateway.nodes.identity import parse_process_id
+from stagewalk.gateway.nodes.own_node import OwnNode
 from stagewalk.gateway.nodes.relay_choice import choose_relay_peers
 from stagewalk.gateway.nodes.runner_state import judge_runner
 from stagewalk.gateway.partitioned_log.follower import KeyedFollower
@@ -68,6 +69,8 @@
 
     Parameters
     ----------
+    own
+        This node; its state is changed here only.
     batch_regions
         Returns the regions in which batches may be kept and run.
     worker_ends
@@ -80,25 +83,18 @@
         *,
         log: PartitionedLog,
         partition: Partition,
-        identity: ProcessId,
-        front: Address,
-        peer: Address | None,
-        placement: Placement,
-        capacity: float,
+        own: OwnNode,
         policy: Policy,
         batch_regions: Callable[[], AllowedRegions],
         worker_ends: KeyedRecords,
     ) -> None:
         self._log = log
         self._partition = partition
-        self._identity = identity
-        self._front = str(front)
-        self._peer = "" if peer is None else str(peer)
-        self._placement = placement
-        self._capacity = capacity
+        self._own = own
+        self._identity = own.identity
         self._policy = policy
         self._batch_regions = batch_regions
-        self._table = NodeTable(NodeName(identity.node))
+        self._table = NodeTable(NodeName(own.identity.node))
         self._follower = KeyedFollower(
             log,
             partition,
@@ -108,21 +104,15 @@
             wait_seconds=READ_WAIT_SECONDS,
             on_confirm=self._view_confirmed,
         )
-        self._beat = 0
         self._view_at = -math.inf
         self._known = anyio.Event()
         self._settled = anyio.Event()
         self._alone = False
         self._wake = anyio.Event()
-        self._serves = False
-        self._replica = False
-        self._listed = False
-        self._stopping = False
         self._roles = Roles(replica=False, listed=False)
         self._roles_as_of = -math.inf
         self._living = 1
         self._calls = CallRate(steady_seconds())
-        self._calls_per_second = 0.0
         self._liveness = RunnerLiveness()
         self._worker_ends = worker_ends
 
@@ -149,7 +139,7 @@
     @property
     def listed(self) -> bool:
         """Whether callers are sent to this node."""
-        return self._listed
+        return self._own.listed
 
     def count_call(self) -> None:
         """Count a caller's request."""
@@ -165,13 +155,13 @@
 
     def set_serving(self, serving: bool) -> None:
         """Set whether callers may be sent here, and announce it."""
-        if serving != self._serves:
-            self._serves = serving
+        if serving != self._own.serving:
+            self._own.serving = serving
             self._wake.set()
 
     def set_stopping(self) -> None:
         """Announce that a planned stop has begun."""
-        self._stopping = True
+        self._own.stopping = True
         self.set_serving(False)
 
     def set_pause(self, seconds: float) -> None:
@@ -180,14 +170,14 @@
 
     def set_listed(self, listed: bool) -> None:
         """Set whether the directory names this node to callers, and announce it."""
-        if listed != self._listed:
-            self._listed = listed
+        if listed != self._own.listed:
+            self._own.listed = listed
             self._wake.set()
 
     def set_replica(self, replica: bool) -> None:
         """Set whether this node holds a replica of the batch ledger, and announce it."""
-        if replica != self._replica:
-            self._replica = replica
+        if replica != self._own.replica:
+            self._own.replica = replica
             self._wake.set()
 
     @property
@@ -224,7 +214,7 @@
         Starting nodes are among them, and this one: a replica is followed before its node serves.
         """
         others = [node for node in self._others() if not node.stopping]
-        return [*others, self._own()]
+        return [*others, self._announcement()]
 
     async def wait_until_known(self) -> None:
         """Wait until the other nodes' announcements were read once."""
@@ -246,7 +236,7 @@
     @property
     def may_hold_batches(self) -> bool:
         """Whether batches may be kept and run in this node's region."""
-        return allows(self._batch_regions(), self._placement.region)
+        return allows(self._batch_regions(), self._own.placement.region)
 
     def _in_batch_regions(self, nodes: list[NodeAnnouncement]) -> list[NodeAnnouncement]:
         regions = self._batch_regions()
@@ -260,12 +250,12 @@
     def serving(self) -> list[NodeAnnouncement]:
         """Return the nodes that serve, this one by its own state."""
         others = [node for node in self._others() if node.serving]
-        return [*others, self._own()] if self._serves else others
+        return [*others, self._announcement()] if self._own.serving else others
 
     def peers(self) -> RelayPeers:
         """Return where other living nodes serve relayed calls of the log."""
         others = self._others()
-        return choose_relay_peers(others, self._placement.region, self._batch_regions())
+        return choose_relay_peers(others, self._own.placement.region, self._batch_regions())
 
     def runner_state(self, process: str) -> RunnerState:
         """Return the state of a process that is to run a batch."""
@@ -283,30 +273,15 @@
         alive = self._table.alive(self._view_at)
         return [node for node in alive if node.node != self._identity.node]
 
-    def _own(self) -> NodeAnnouncement:
-        return NodeAnnouncement(
-            self._identity.node,
-            self._identity.incarnation,
-            self._front,
-            self._peer,
-            self._placement.zone,
-            self._placement.region,
-            self._serves,
-            self._beat,
-            self._replica,
-            self._capacity,
-            renewal_seconds(self._listed or self._replica, self._living),
-            self._listed,
-            self._stopping,
-            round(self._calls_per_second, 1),
-        )
+    def _announcement(self) -> NodeAnnouncement:
+        return self._own.announcement(self._living)
 
     async def _announce(self) -> None:
         await self._known.wait()
         while True:
-            self._beat += 1
-            self._calls_per_second = self._calls.end_interval(steady_seconds())
-            own = self._own()
+            self._own.beat += 1
+            self._own.calls_per_second = self._calls.end_interval(steady_seconds())
+            own = self._announcement()
             self._table.announce(own, steady_seconds())
             answer = await self._log.append_keyed(self._partition, own.node, own.encode())
             wait_seconds = own.renewal_seconds
@@ -314,8 +289,7 @@
                 log_event("announcement_failed", "debug", fault=answer.error.fault)
                 wait_seconds = RENEWAL_SECONDS
             self._wake = anyio.Event()
-            announced = (own.serving, own.ledger_replica, own.listed)
-            if announced == (self._serves, self._replica, self._listed):
+            if self._own.matches(own):
                 with anyio.move_on_after(wait_seconds):
                     await self._wake.wait()
 
--- a/tests/gateway/nodes/test_node_service.py
+++ b/tests/gateway/nodes/test_node_service.py
@@ -14,6 +14,7 @@
 from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.nodes.own_node import OwnNode
 from stagewalk.gateway.policy import ALL_ON
 from stagewalk.gateway.ports.partitioned_log import Partition
 from tests.gateway.memory_log import MemoryLog, MemoryLogClient
@@ -53,11 +54,13 @@
     return NodeService(
         log=client or log.client(),
         partition=NODES,
-        identity=ProcessId("own", incarnation),
-        front=Address("10.0.1.1", 1),
-        peer=Address("10.0.1.1", 2),
-        placement=Placement("r1", "z1"),
-        capacity=0.5,
+        own=OwnNode(
+            identity=ProcessId("own", incarnation),
+            front=Address("10.0.1.1", 1),
+            peer=Address("10.0.1.1", 2),
+            placement=Placement("r1", "z1"),
+            capacity=0.5,
+        ),
         policy=ALL_ON,
         batch_regions=lambda: regions,
         worker_ends=mock.Mock(owns=lambda _record: False),
