--- a/src/stagewalk/node/log_client/backoff.py
+++ b/src/stagewalk/node/log_client/backoff.py
@@ -1,25 +1,26 @@
-"""Exponential backoff with jitter."""
+"""Exponential backoff of one stream's reads or appends."""
 
 from __future__ import annotations
 
 import random
 
+from stagewalk.node.core.backoff import retry_delay
+
 
 class Backoff:
-    """Waits that double with each failure up to a bound, drawn from the upper half of each."""
+    """Counts failures in a row and draws the wait after each, in seconds."""
 
     def __init__(self, generator: random.Random, initial: float, maximum: float) -> None:
         self._generator = generator
         self._initial = initial
         self._maximum = maximum
-        self._next = initial
+        self._failures = 0
 
     def reset(self) -> None:
         """Start again from the initial wait after a success."""
-        self._next = self._initial
+        self._failures = 0
 
     def draw(self) -> float:
-        """Return the next wait in seconds."""
-        wait = self._next
-        self._next = min(self._maximum, 2.0 * wait)
-        return self._generator.uniform(0.5, 1.0) * wait
+        """Count a failure and return the wait after it."""
+        self._failures += 1
+        return retry_delay(self._initial, self._maximum, self._failures, self._generator.random())
--- a/src/stagewalk/node/node_config.py
+++ b/src/stagewalk/node/node_config.py
@@ -49,5 +49,5 @@
     engine_table: EngineTableConfig = field(default_factory=EngineTableConfig)
     router: RouterConfig = field(default_factory=RouterConfig)
     admission: AdmissionConfig = field(default_factory=AdmissionConfig)
-    requests: RequestConfig = field(default_factory=lambda: RequestConfig(fetch_answers=True))
+    requests: RequestConfig = field(default_factory=RequestConfig)
     lots: LotConfig = field(default_factory=LotConfig)
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -214,16 +214,11 @@
         self._set_stall_timer(record, attempt)
         delay = attempt_rules.hedge_delay(record, self._delays, self._config)
         if delay is not None:
-            self._set_timer(record, TimerKind.HEDGE, now + delay, attempt.attempt)
+            self._book.set_timer(record, TimerKind.HEDGE, now + delay, attempt.attempt)
 
     def _set_stall_timer(self, record: RequestRecord, attempt: Attempt) -> None:
         attempt.stall_timer_at = attempt_rules.silent_until(attempt, self._config)
-        self._set_timer(record, TimerKind.STALL, attempt.stall_timer_at, attempt.attempt)
-
-    def _set_timer(
-        self, record: RequestRecord, kind: TimerKind, at: float, attempt: AttemptId | None = None
-    ) -> None:
-        self._book.timers.add(at, kind, record.key, record.serial, attempt)
+        self._book.set_timer(record, TimerKind.STALL, attempt.stall_timer_at, attempt.attempt)
 
     def _note_first_token(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
         delay = now - attempt.started_at
@@ -305,7 +300,7 @@
         if attempt_rules.retries_at_once(record, outcome):
             self.dispatch(record, now)
         else:
-            self._set_timer(record, TimerKind.ROUTE, now + pause)
+            self._book.set_timer(record, TimerKind.ROUTE, now + pause)
 
     def _wait_for_engine(self, record: RequestRecord, error: StagewalkError, now: float) -> None:
         """Look again soon, or fail with the error of the last attempt, if there was one."""
@@ -316,7 +311,7 @@
             final = replace(record.last_error or error, ran=record.ran)
             self._fail(record, Cause.GAVE_UP, final, now)
             return
-        self._set_timer(record, TimerKind.ROUTE, again)
+        self._book.set_timer(record, TimerKind.ROUTE, again)
 
     def _finish_at_length(self, record: RequestRecord, now: float) -> None:
         """End an answer that has all the tokens it may have; only its final frame was lost."""
--- a/src/stagewalk/node/requests/book.py
+++ b/src/stagewalk/node/requests/book.py
@@ -6,9 +6,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
+
 from stagewalk.common.errors import StagewalkError
 from stagewalk.common.identities import AttemptId, RequestKey, WeightVersion
 from stagewalk.node.core.completions import CompletionResult, TokenChunk
+from stagewalk.node.core.due_queue import DueQueue
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.notifications import (
     RequestChunk,
@@ -20,7 +23,11 @@
 from stagewalk.node.requests.record import RequestRecord
 from stagewalk.node.requests.retained import RetainedOutcome, RetainedOutcomes
 from stagewalk.node.requests.states import Cause, next_state
-from stagewalk.node.requests.timers import Timer, TimerQueue
+from stagewalk.node.requests.timers import Timer, TimerKind
+
+SPARE_TIMERS = 1024
+TIMERS_PER_REQUEST = 8
+"""Timers kept without looking for those of ended requests. Chosen, not measured."""
 
 
 class RequestBook:
@@ -29,7 +36,7 @@
     def __init__(self, config: RequestConfig) -> None:
         self.records: dict[RequestKey, RequestRecord] = {}
         self.owners: dict[AttemptId, RequestRecord] = {}
-        self.timers = TimerQueue()
+        self._timers: DueQueue[Timer] = DueQueue()
         self.retained = RetainedOutcomes(config.memory)
         self.held_characters = 0
         self._outputs: list[RequestOutput] = []
@@ -107,9 +114,23 @@
         """End a record whose callers left."""
         self._end(record, Cause.ABANDONED, now)
 
+    def set_timer(
+        self, record: RequestRecord, kind: TimerKind, at: float, attempt: AttemptId | None = None
+    ) -> None:
+        """Set a timer of a record; it is never removed, and ignored once the record has ended."""
+        self._timers.add(at, Timer(at, kind, record.key, record.serial, attempt))
+
+    def due_timers(self, now: float) -> Iterator[tuple[RequestRecord, Timer]]:
+        """Yield the due timers of records in progress, each with its record as it is then."""
+        for timer in self._timers.pop_due(now):
+            record = self.records.get(timer.key)
+            if record is not None and record.serial == timer.serial:
+                yield record, timer
+
     def compact_timers(self) -> None:
-        """Drop timers of ended requests when they have become many."""
-        self.timers.compact(self._is_live, len(self.records))
+        """Drop timers of ended requests when they are most of the queue."""
+        if len(self._timers) > SPARE_TIMERS + TIMERS_PER_REQUEST * len(self.records):
+            self._timers.compact(self._is_live)
 
     def _is_live(self, timer: Timer) -> bool:
         record = self.records.get(timer.key)
--- a/src/stagewalk/node/requests/claim_gate.py
+++ b/src/stagewalk/node/requests/claim_gate.py
@@ -156,13 +156,13 @@
             error = faults.duplicate(self._identity.name, Ran.UNKNOWN)
             self._book.fail(record, Cause.OUTCOME_UNKNOWN, error, now)
             return
-        if chosen.node == self._identity.name or not self._config.fetch_answers:
+        if chosen.node == self._identity.name:
             detail = f"node {chosen.node} owns the request and may have run it"
             self.fail_unknown(record, Cause.OUTCOME_UNKNOWN, detail, now)
             return
         self._book.move(record, Cause.CLAIM_LOST)
         until = now + self._config.fetch_timeout_seconds
-        self._book.timers.add(until, TimerKind.FETCH, record.key, record.serial)
+        self._book.set_timer(record, TimerKind.FETCH, until)
         record.owners_claim = chosen
         self._book.output(
             FetchAnswer(record.key, chosen.node, chosen.incarnation, chosen.nonce, record.serial)
--- a/src/stagewalk/node/requests/config.py
+++ b/src/stagewalk/node/requests/config.py
@@ -93,18 +93,14 @@
 
     Attributes
     ----------
-    fetch_answers
-        Whether the owner of a lost claim is asked for its answer, instead of failing at once; the
-        node's own configuration sets it.
     fetch_timeout_seconds
-        How long that may take.
+        How long the owner of a lost claim has to send its answer.
     stall_seconds
         Longest silence of a repeatable attempt that has begun to answer; it is then given up.
     first_token_seconds
         A repeatable attempt without any token is given up after this time.
     """
 
-    fetch_answers: bool = False
     fetch_timeout_seconds: float = 5.0
     stall_seconds: float = 5.0
     first_token_seconds: float = 30.0
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -195,10 +195,8 @@
 
     def tick(self, now: float) -> list[RequestOutput]:
         """Handle due timers, admit waiting requests and drop what has expired."""
-        for timer in self._book.timers.due(now):
-            record = self._book.records.get(timer.key)
-            if record is not None and record.serial == timer.serial:
-                self._handle_timer(record, timer, now)
+        for record, timer in self._book.due_timers(now):
+            self._handle_timer(record, timer, now)
         self._refresh_pools(now)
         self._release(now)
         self._book.retained.expire(now)
@@ -273,7 +271,7 @@
             return
         self._book.add(record)
         self._runner.record_submission(key.tenant)
-        self._book.timers.add(request.deadline, TimerKind.DEADLINE, key, record.serial)
+        self._book.set_timer(record, TimerKind.DEADLINE, request.deadline)
         if request.repeatable:
             self._admit(record, now)
         else:
@@ -305,7 +303,7 @@
         if admission.ok is Admission.WAITING:
             self._book.move(record, Cause.QUEUED)
             shed_at = self._admission.latest_start(record.request)
-            self._book.timers.add(shed_at, TimerKind.SHED, record.key, record.serial)
+            self._book.set_timer(record, TimerKind.SHED, shed_at)
             return
         self._book.move(record, Cause.ADMITTED)
         self._runner.dispatch(record, now)
--- a/src/stagewalk/node/samples/core.py
+++ b/src/stagewalk/node/samples/core.py
@@ -21,6 +21,7 @@
 )
 from stagewalk.node.configuration.parameters import Tenant
 from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.core.due_queue import DueQueue
 from stagewalk.node.core.events import SampleScored, SampleScoringFailed
 from stagewalk.node.core.instructions import AcceptLot, FailCall
 from stagewalk.node.core.rollouts import RolloutLot, SamplePull
@@ -33,7 +34,7 @@
 from stagewalk.node.samples.settlement import LotOutput, SampleSettlement
 from stagewalk.node.samples.status import LotStatus
 from stagewalk.node.samples.store import LotStore
-from stagewalk.node.samples.timers import TimerQueue
+from stagewalk.node.samples.timers import Timer
 from stagewalk.node.samples.validation import check_lot, check_pull, invalid, unknown_lot
 
 _HOUSEKEEPING_SECONDS = 1.0
@@ -57,7 +58,7 @@
         self._node = identity.name
         self._config = config
         self._store = LotStore()
-        self._timers = TimerQueue()
+        self._timers: DueQueue[Timer] = DueQueue()
         self._scheduler = RolloutScheduler(self._store, config, identity.name, identity.incarnation)
         self._settlement = SampleSettlement(
             self._store, self._scheduler, self._timers, config, generator
--- a/src/stagewalk/node/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -12,10 +12,11 @@
 from stagewalk.common.errors import ErrorKind, StagewalkError
 from stagewalk.common.identities import RequestId, SlotKey
 from stagewalk.node.claims.notifications import ProposeClaim
+from stagewalk.node.core.backoff import retry_delay
 from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.core.due_queue import DueQueue
 from stagewalk.node.core.instructions import Instruction, LogEvent, LogFields, ScoreSample
 from stagewalk.node.core.rollouts import Sample
-from stagewalk.node.samples.backoff import retry_delay
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
 from stagewalk.node.samples.notifications import LotNotification
@@ -23,7 +24,7 @@
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.staleness import Freshness, judge_freshness
 from stagewalk.node.samples.store import LotStore, SlotPlace
-from stagewalk.node.samples.timers import TimerKind, TimerQueue
+from stagewalk.node.samples.timers import Timer, TimerKind
 
 _UNFINISHED = frozenset({SlotPhase.WAITING, SlotPhase.RUNNING})
 
@@ -44,7 +45,7 @@
         self,
         store: LotStore,
         scheduler: RolloutScheduler,
-        timers: TimerQueue,
+        timers: DueQueue[Timer],
         config: LotConfig,
         generator: random.Random,
     ) -> None:
@@ -97,7 +98,7 @@
             self._scheduler.refused(lot, now)
         if error.kind in _SOON_AGAIN:
             limit = self._config.no_room_retry_seconds
-        delay = retry_delay(self._config, failures, self._generator)
+        delay = self._retry_delay(failures)
         delay = min(limit, max(delay, error.retry_after_seconds or 0.0))
         self._set_timer(now + delay, TimerKind.RUN, lot, place.index)
         return self._log_if_stuck(lot, slot, error, now)
@@ -136,7 +137,7 @@
         if slot.phase is not SlotPhase.SCORING or slot.candidate_id != sample_id:
             return []
         slot.failures += 1
-        delay = retry_delay(self._config, slot.failures, self._generator)
+        delay = self._retry_delay(slot.failures)
         self._set_timer(now + delay, TimerKind.SCORE, lot, place.index)
         return self._log_if_stuck(lot, slot, error, now)
 
@@ -170,7 +171,7 @@
             del self._store.claims[key]
             return self._stop_waiting_for_claim(lot, place.index)
         slot.failures += 1
-        delay = retry_delay(self._config, slot.failures, self._generator)
+        delay = self._retry_delay(slot.failures)
         self._set_timer(now + delay, TimerKind.CLAIM, lot, place.index)
         return []
 
@@ -251,7 +252,11 @@
         return ProposeClaim(key, encode_sample(sample))
 
     def _set_timer(self, due: float, kind: TimerKind, lot: Lot, index: int) -> None:
-        self._timers.set(due, kind, lot.key, index, lot.slots[index].change)
+        self._timers.add(due, Timer(kind, lot.key, index, lot.slots[index].change))
+
+    def _retry_delay(self, failures: int) -> float:
+        base, limit = self._config.retry_base_seconds, self._config.retry_limit_seconds
+        return retry_delay(base, limit, failures, self._generator.random())
 
     def _log_if_stuck(
         self, lot: Lot, slot: Slot, error: StagewalkError, now: float
--- a/src/stagewalk/node/weights/engines.py
+++ b/src/stagewalk/node/weights/engines.py
@@ -11,12 +11,10 @@
 import xxhash
 
 from stagewalk.common.identities import Address, EngineName, WeightVersion
+from stagewalk.node.core.backoff import retry_delay
 from stagewalk.node.core.platform import EngineOrder, EngineReport, EngineState, OrderKind
 from stagewalk.node.weights.config import RolloutConfig
 
-_MAXIMUM_EXPONENT = 16
-"""Keeps the doubling from overflowing; the limit of the delay is reached long before."""
-
 
 @dataclass(slots=True)
 class OpenOrder:
@@ -128,9 +126,8 @@
         """Close the open order as failed, and wait before the next."""
         self.open_order = None
         self.failures += 1
-        exponent = min(self.failures - 1, _MAXIMUM_EXPONENT)
-        ceiling = min(config.retry_limit_seconds, config.retry_base_seconds * 2.0**exponent)
-        self.retry_at = now + ceiling * (0.5 + 0.5 * self._jitter())
+        base, limit = config.retry_base_seconds, config.retry_limit_seconds
+        self.retry_at = now + retry_delay(base, limit, self.failures, self._jitter())
 
     def _jitter(self) -> float:
         """Return a fraction that differs between engines and tries, but not between runs."""
--- a/tests/node/requests/test_hand_over.py
+++ b/tests/node/requests/test_hand_over.py
@@ -13,7 +13,7 @@
 from stagewalk.node.requests.notifications import FetchAnswer
 from tests.node.requests.support import KEY, Driver, Identity
 
-CONFIG = RequestConfig(fetch_answers=True)
+CONFIG = RequestConfig()
 
 
 def owner(sent: bool = False) -> Driver:
--- a/tests/node/requests/test_request_states.py
+++ b/tests/node/requests/test_request_states.py
@@ -23,9 +23,7 @@
 from tests.node.requests.support import KEY, Driver, chunk, finished, request
 
 DOCUMENT = Path(__file__).resolve().parents[3] / "docs" / "REQUESTS.md"
-CONFIG = RequestConfig(
-    fetch_answers=True, hedge=HedgeConfig(minimum_samples=1, minimum_delay_seconds=0.3)
-)
+CONFIG = RequestConfig(hedge=HedgeConfig(minimum_samples=1, minimum_delay_seconds=0.3))
 ONE_SLOT = AdmissionConfig(
     free_room_fraction=0.0, limiter=LimiterConfig(initial_limit=1.0, minimum_limit=1.0)
 )
