--- a/examples/claims_example.py
+++ b/examples/claims_example.py
@@ -20,9 +20,10 @@
     PlacementFold,
     encode_record,
 )
-from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.claims.types import Peer
 from stagewalk.node.core.instructions import SendPeerMessage
 from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.node_identity import NodeIdentity
 
 NAMES = ("north", "east", "south")
 ADDRESSES = {name: Address("127.0.0.1", 7000 + index) for index, name in enumerate(NAMES)}
@@ -41,7 +42,7 @@
 
     def start(self, name: str) -> ClaimCore:
         """Start a node; it knows nothing but the log."""
-        identity = Replica(
+        identity = NodeIdentity(
             NodeName(name),
             Incarnation(self.incarnations[name]),
             ADDRESSES[name],
--- a/examples/membership_example.py
+++ b/examples/membership_example.py
@@ -14,8 +14,8 @@
 from stagewalk.node.core.platform import Machine, MachineKind, MachineState
 from stagewalk.node.membership.config import MembershipConfig
 from stagewalk.node.membership.core import MembershipCore, MembershipOutput
-from stagewalk.node.membership.members import MemberIdentity
 from stagewalk.node.membership.notifications import MemberChanged
+from stagewalk.node.node_identity import NodeIdentity
 
 TICK_SECONDS = 0.1
 VICTIM = "c"
@@ -30,7 +30,7 @@
         self._nodes: dict[Address, MembershipCore] = {}
         for number, name in enumerate("abc"):
             address = Address("10.0.0.1", 7000 + number)
-            identity = MemberIdentity(
+            identity = NodeIdentity(
                 NodeName(name), Incarnation(1), address, Placement("region", f"zone-{number}")
             )
             core = MembershipCore(identity, MembershipConfig(), random.Random(number))
--- a/src/stagewalk/bench/claim_costs.py
+++ b/src/stagewalk/bench/claim_costs.py
@@ -20,9 +20,10 @@
     PlacementFold,
     encode_record,
 )
-from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.claims.types import Peer
 from stagewalk.node.core.instructions import SendPeerMessage
 from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.node_identity import NodeIdentity
 
 CLAIM_COUNTS = (200, 400, 800, 1600)
 VALUE = b"v" * 64
@@ -39,7 +40,7 @@
         incarnation = Incarnation(1)
         self.cores = [
             ClaimCore(
-                Replica(name, incarnation, address, Placement("region", name)),
+                NodeIdentity(name, incarnation, address, Placement("region", name)),
                 ClaimConfig(),
                 random.Random(name),
             )
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -13,8 +13,9 @@
 from stagewalk.node.core.platform import Machine, MachineKind, MachineState
 from stagewalk.node.membership.config import MembershipConfig
 from stagewalk.node.membership.core import MembershipCore, MembershipOutput
-from stagewalk.node.membership.members import MemberIdentity, MemberState
+from stagewalk.node.membership.members import MemberState
 from stagewalk.node.membership.notifications import MemberChanged, MembershipNotification
+from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 UDP_OVERHEAD_BYTES = 28
@@ -57,7 +58,7 @@
         fresh = Address("10.0.0.1", 7000 + len(self.cores))
         address = known.identity.address if known is not None else fresh
         incarnation = Incarnation(next(self._incarnations))
-        identity = MemberIdentity(NodeName(name), incarnation, address, Placement(region, zone))
+        identity = NodeIdentity(NodeName(name), incarnation, address, Placement(region, zone))
         generator = random.Random(self.generator.random())
         self.cores[name] = MembershipCore(identity, self.config, generator)
         self._names[address] = name
--- a/src/stagewalk/node/adapters/engine_frames.py
+++ b/src/stagewalk/node/adapters/engine_frames.py
@@ -1,4 +1,7 @@
-"""Bodies and frames of the engines' completions API."""
+"""Bodies and frames of the engines' completions API.
+
+Owns the wire form of attempts and their streamed answers; the adapters alone see it.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/node/claims/core.py
+++ b/src/stagewalk/node/claims/core.py
@@ -27,7 +27,8 @@
 from stagewalk.node.claims.relay import PlacementView
 from stagewalk.node.claims.replica import ReplicaCore
 from stagewalk.node.claims.transfers import Outgoing
-from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.claims.types import Peer
+from stagewalk.node.core.identity import AddressedIdentity
 from stagewalk.node.core.instructions import (
     MAXIMUM_DATAGRAM_BYTES,
     SendPeerMessage,
@@ -56,7 +57,9 @@
         Source of the random pauses after conflicts.
     """
 
-    def __init__(self, identity: Replica, config: ClaimConfig, generator: random.Random) -> None:
+    def __init__(
+        self, identity: AddressedIdentity, config: ClaimConfig, generator: random.Random
+    ) -> None:
         self._identity = identity
         self._member = GroupMember(identity.name, identity.incarnation)
         self._replica = ReplicaCore(self._member, config)
--- a/src/stagewalk/node/claims/types.py
+++ b/src/stagewalk/node/claims/types.py
@@ -4,17 +4,7 @@
 
 from dataclasses import dataclass
 
-from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
-
-
-@dataclass(frozen=True, slots=True)
-class Replica:
-    """This process: a replica of some groups and a proposer for its own node."""
-
-    name: NodeName
-    incarnation: Incarnation
-    address: Address
-    placement: Placement
+from stagewalk.common.identities import Address, Incarnation, NodeName
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -13,7 +13,7 @@
 from stagewalk.node.claims.core import ClaimCore
 from stagewalk.node.claims.placement import PLACEMENT_STREAM, PlacementFold, encode_record
 from stagewalk.node.claims.planner import PlacementCandidate, PlacementPlanner
-from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.claims.types import Peer
 from stagewalk.node.configuration.follower import ConfigurationFollower
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.records import CONFIGURATION_STREAM, SNAPSHOT_STREAM
@@ -32,7 +32,7 @@
 from stagewalk.node.log_client.core import LogClientCore
 from stagewalk.node.log_client.notifications import AppendAbandoned, AppendToStream, RecordsRead
 from stagewalk.node.membership.core import MembershipCore
-from stagewalk.node.membership.members import MemberIdentity, MemberStatus
+from stagewalk.node.membership.members import MemberStatus
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.outputs import NodeOutput
@@ -61,9 +61,7 @@
     ) -> None:
         self._config = config
         self.membership = MembershipCore(
-            MemberIdentity(
-                identity.name, identity.incarnation, identity.address, identity.placement
-            ),
+            identity,
             config.membership,
             generator,
         )
@@ -73,7 +71,7 @@
             Candidate(identity.name, identity.incarnation), config.leases, generator
         )
         self.claims = ClaimCore(
-            Replica(identity.name, identity.incarnation, identity.address, identity.placement),
+            identity,
             config.claims,
             generator,
         )
--- a/src/stagewalk/node/edge/schemas.py
+++ b/src/stagewalk/node/edge/schemas.py
@@ -1,4 +1,7 @@
-"""Bodies of the node's HTTP API, checked by `msgspec` on decoding."""
+"""Bodies of the node's HTTP API, checked by `msgspec` on decoding.
+
+Owns the form of the API and its limits; every error names the field at fault.
+"""
 
 from __future__ import annotations
 
@@ -18,6 +21,7 @@
 MAXIMUM_SAMPLES_PER_PROMPT = 1024
 MAXIMUM_SAMPLES_PER_PULL = 1024
 MAXIMUM_WAIT_SECONDS = 60.0
+"""Bounds of what a body may ask for. Chosen, not measured."""
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._:@+-]+$", max_length=200)]
 """Names that become parts of keys: no separator, no blank."""
@@ -45,7 +49,7 @@
     """Body of `POST /v1/completions`.
 
     `resent` says that the caller sent this request before; `user` and `stream_options` are
-    taken and change nothing.
+    accepted and change nothing.
     """
 
     model: Name
@@ -66,7 +70,7 @@
 
 
 class CallerHeaders(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What `X-Tenant` and `X-Request-Id` say where the body doesn't."""
+    """Values of `X-Tenant` and `X-Request-Id`, used where the body has none."""
 
     tenant: Name
     request_id: RequestIdText
--- a/src/stagewalk/node/membership/core.py
+++ b/src/stagewalk/node/membership/core.py
@@ -8,12 +8,12 @@
 
 from __future__ import annotations
 
-import math
 import random
 from collections.abc import Iterable
 from dataclasses import replace
 
 from stagewalk.common.identities import Address, NodeName
+from stagewalk.node.core.identity import AddressedIdentity
 from stagewalk.node.core.instructions import SendPeerMessage
 from stagewalk.node.core.platform import Machine
 from stagewalk.node.membership.codec import record_to_fact
@@ -27,14 +27,14 @@
     MemberTable,
     TableChange,
 )
-from stagewalk.node.membership.members import Member, MemberIdentity, MemberState, MemberStatus
+from stagewalk.node.membership.members import Member, MemberState, MemberStatus
 from stagewalk.node.membership.messages import MessageWriter
 from stagewalk.node.membership.notifications import (
     IdentitySuperseded,
     MemberChanged,
     MembershipNotification,
 )
-from stagewalk.node.membership.suspicion import SuspicionTerms, SuspicionTimers
+from stagewalk.node.membership.suspicion import SuspicionTimers, suspicion_terms
 from stagewalk.node.wire.membership_pb2 import MembershipKind, MembershipMessage
 
 MembershipOutput = SendPeerMessage | MembershipNotification
@@ -71,7 +71,7 @@
     """
 
     def __init__(
-        self, identity: MemberIdentity, config: MembershipConfig, generator: random.Random
+        self, identity: AddressedIdentity, config: MembershipConfig, generator: random.Random
     ) -> None:
         self.identity = identity
         self._config = config
@@ -296,16 +296,9 @@
             self._apply(suspicion, self.identity.name, now)
 
     def _start_suspicion(self, fact: MemberFact, accuser: NodeName, now: float) -> None:
-        count = len(self._table.present())
-        scale = max(1.0, math.log10(max(1, count))) * self._config.probe_interval
-        shortest = self._config.suspicion_factor * scale
-        own_region = self.identity.placement.region
-        if fact.placement is not None and fact.placement.region != own_region:
-            shortest *= self._config.remote_suspicion_factor
-        longest = shortest * self._config.suspicion_spread
-        others = max(0, count - 2)
-        confirmations = min(self._config.suspicion_confirmations, others)
-        terms = SuspicionTerms(shortest, longest, confirmations)
+        region = self.identity.placement.region
+        is_remote = fact.placement is not None and fact.placement.region != region
+        terms = suspicion_terms(len(self._table.present()), is_remote, self._config)
         self._timers.start(fact.name, accuser, terms, now)
 
     def _confirm_suspicion(self, fact: MemberFact, accuser: NodeName) -> None:
--- a/src/stagewalk/node/membership/failure_detector.py
+++ b/src/stagewalk/node/membership/failure_detector.py
@@ -11,10 +11,11 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.identities import Address, NodeName
+from stagewalk.node.core.identity import AddressedIdentity
 from stagewalk.node.core.instructions import SendPeerMessage
 from stagewalk.node.membership.config import MembershipConfig
 from stagewalk.node.membership.member_table import MemberFact, MemberTable
-from stagewalk.node.membership.members import Member, MemberIdentity, MemberState
+from stagewalk.node.membership.members import Member, MemberState
 from stagewalk.node.membership.messages import MessageWriter
 from stagewalk.node.membership.probing import PendingProbe, ProbeSchedule, RelayedProbe
 from stagewalk.node.wire.membership_pb2 import MembershipKind, MembershipMessage
@@ -54,7 +55,7 @@
 
     def __init__(
         self,
-        identity: MemberIdentity,
+        identity: AddressedIdentity,
         config: MembershipConfig,
         table: MemberTable,
         writer: MessageWriter,
--- a/src/stagewalk/node/membership/members.py
+++ b/src/stagewalk/node/membership/members.py
@@ -8,16 +8,6 @@
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 
 
-@dataclass(frozen=True, slots=True)
-class MemberIdentity:
-    """Who a node is. `incarnation` grows with each start of a process under the same name."""
-
-    name: NodeName
-    incarnation: Incarnation
-    address: Address
-    placement: Placement
-
-
 class MemberState(IntEnum):
     """State of a member, with the numbers of the wire format."""
 
--- a/src/stagewalk/node/membership/messages.py
+++ b/src/stagewalk/node/membership/messages.py
@@ -6,11 +6,12 @@
 from __future__ import annotations
 
 from stagewalk.common.identities import Address, NodeName
+from stagewalk.node.core.identity import AddressedIdentity
 from stagewalk.node.core.instructions import MAXIMUM_DATAGRAM_BYTES, SendPeerMessage, Transport
 from stagewalk.node.membership.codec import fact_to_record
 from stagewalk.node.membership.dissemination import REPEATED_FIELD_OVERHEAD_BYTES, UpdateQueue
 from stagewalk.node.membership.member_table import MemberFact, MemberTable
-from stagewalk.node.membership.members import MemberIdentity, MemberState
+from stagewalk.node.membership.members import MemberState
 from stagewalk.node.wire.envelope_pb2 import Envelope
 from stagewalk.node.wire.membership_pb2 import MemberRecord, MembershipKind, MembershipMessage
 
@@ -21,7 +22,7 @@
 class MessageWriter:
     """Addresses messages in the name of this node."""
 
-    def __init__(self, identity: MemberIdentity, table: MemberTable, queue: UpdateQueue) -> None:
+    def __init__(self, identity: AddressedIdentity, table: MemberTable, queue: UpdateQueue) -> None:
         self._identity = identity
         self._table = table
         self._queue = queue
--- a/src/stagewalk/node/membership/suspicion.py
+++ b/src/stagewalk/node/membership/suspicion.py
@@ -1,7 +1,9 @@
-"""Suspicions that run: how long a member has to deny, and who accuses it.
+"""The rule for suspicions: how long a member has to refute one, and who accuses it.
 
 The wait follows Lifeguard (Dadgar, Phillips, Currey 2018): it starts long and shrinks with each
 independent accuser, so that one node with a bad link can't have a healthy member declared dead.
+Owns the running timers, in seconds of this node's clock; the constants are fields of
+`MembershipConfig`.
 """
 
 from __future__ import annotations
@@ -10,6 +12,7 @@
 from dataclasses import dataclass, field
 
 from stagewalk.common.identities import NodeName
+from stagewalk.node.membership.config import MembershipConfig
 
 LAST_CALLS = 3
 LAST_CALL_INTERVAL_SECONDS = 0.2
@@ -37,6 +40,16 @@
     confirmations: int
 
 
+def suspicion_terms(members: int, is_remote: bool, config: MembershipConfig) -> SuspicionTerms:
+    """Return how long a suspicion lasts: with the logarithm of the members, as gossip does."""
+    scale = max(1.0, math.log10(max(1, members))) * config.probe_interval
+    shortest = config.suspicion_factor * scale
+    if is_remote:
+        shortest *= config.remote_suspicion_factor
+    confirmations = min(config.suspicion_confirmations, max(0, members - 2))
+    return SuspicionTerms(shortest, shortest * config.suspicion_spread, confirmations)
+
+
 @dataclass(slots=True)
 class _Suspicion:
     began_at: float
@@ -71,7 +84,7 @@
         self._running.pop(name, None)
 
     def postpone(self, seconds: float) -> None:
-        """Move all timers on, because this process could not hear anyone for that long."""
+        """Move all timers on, because this process was paused for that long."""
         for suspicion in self._running.values():
             suspicion.began_at += seconds
 
--- a/src/stagewalk/node/node_identity.py
+++ b/src/stagewalk/node/node_identity.py
@@ -1,4 +1,4 @@
-"""Who a node is."""
+"""Identity of a node's process; cores see it through the protocols of `identities` and `core`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """Who this node is; `address` is its peer address for UDP and TCP."""
+    """Identity of this process; `address` is its peer address for UDP and TCP.
+
+    `incarnation` grows with each start of a process under the same name.
+    """
 
     name: NodeName
     incarnation: Incarnation
--- a/src/stagewalk/node/peers/peer_frames.py
+++ b/src/stagewalk/node/peers/peer_frames.py
@@ -1,4 +1,7 @@
-"""Frames between nodes: a serialised envelope, over TCP behind its length."""
+"""Frames between nodes: a serialised envelope, over TCP behind its length.
+
+Owns the framing and its limits; what is not an envelope of a named sender decodes to None.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +12,7 @@
 LENGTH_BYTES = 4
 MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024
 MAXIMUM_SENDER_CHARACTERS = 100
+"""Bounds against broken or hostile peers. Chosen, not measured."""
 
 
 def encode_frame(payload: bytes) -> bytes:
--- a/src/stagewalk/simulation/claims_explorer.py
+++ b/src/stagewalk/simulation/claims_explorer.py
@@ -27,8 +27,9 @@
 from stagewalk.node.claims.core import ClaimCore
 from stagewalk.node.claims.notifications import ClaimDecided, ClaimOutput
 from stagewalk.node.claims.placement import Group, GroupMember, GroupPlacement, PartitionChain
-from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.claims.types import Peer
 from stagewalk.node.core.instructions import SendPeerMessage
+from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 KEY = "key"
@@ -164,7 +165,7 @@
 
     def start(self, name: str) -> None:
         """Start a node without memory; it reads the whole log."""
-        identity = Replica(
+        identity = NodeIdentity(
             NodeName(name),
             Incarnation(self.incarnations[name]),
             Address(name, 1),
--- a/tests/node/claims/network.py
+++ b/tests/node/claims/network.py
@@ -23,10 +23,11 @@
     PlacementFold,
     encode_record,
 )
-from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.claims.types import Peer
 from stagewalk.node.core.instructions import SendPeerMessage
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.log_client.notifications import AppendToStream
+from stagewalk.node.node_identity import NodeIdentity
 
 TICK = 0.1
 
@@ -61,7 +62,7 @@
         """Start a node, or start it again without its memory."""
         self.incarnations[name] = self.incarnations.get(name, 0) + 1
         self.down.discard(name)
-        identity = Replica(
+        identity = NodeIdentity(
             NodeName(name),
             Incarnation(self.incarnations[name]),
             Address(name, 1),
