--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -1,4 +1,8 @@
-"""Follows what operators, trainers and workers publish, and puts it in force here."""
+"""Follows what operators, trainers and workers publish, and applies it to this node's state.
+
+Owns two followers, their pace and the age of their views. Relies on the dialect to decode records
+and on routes, workers, rollouts, evacuations and cold starts to hold the state.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.cold_starts.core import OLDEST_VIEW_SECONDS as OLDEST_WARM_VIEW_SECONDS
 from stagewalk.gateway.cold_starts.core import ColdStarts
-from stagewalk.gateway.dialect import Dialect, NamedVersion, ZoneEvacuation
+from stagewalk.gateway.dialect import Dialect, NamedVersion, OperatorRecord, ZoneEvacuation
 from stagewalk.gateway.directory.read_pace import (
     LISTED_PACE,
     OLDEST_VIEW_SECONDS,
@@ -24,21 +28,22 @@
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, PartitionedLog
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
-from stagewalk.gateway.workers.table import WorkerTable
+from stagewalk.gateway.workers.table import WorkerChange, WorkerTable
 from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement
 from stagewalk.gateway.zones.evacuations import Evacuations
 
 OLDEST_PUBLISHED_SECONDS = 2.0
-"""A view of what operators publish that is older is read again before a request is served: reads
-of it end every second. Without that a machine that slept served its first second of requests by the
-routes, keys and evacuations of before."""
+"""A view of what operators publish that is older is read again before a request is served: twice
+the time between the ends of its reads (1 s). Without that a machine that slept served its first
+second of requests by the routes, keys and evacuations of before."""
 
-MOST_UNREADABLE = 256
-"""Keys of entries that were told as unusable; beyond that each read of one tells it."""
+MOST_LOGGED_UNUSABLE = 256
+"""Keys of unusable entries that are logged once each; beyond that every read of one is logged.
+Chosen, not measured: it bounds memory."""
 
 
 class PublishedRecords:
-    """Keeps routes, workers, named versions and evacuations as the newest records tell them."""
+    """Keeps routes, workers, named versions and evacuations as the newest records have them."""
 
     def __init__(
         self,
@@ -57,10 +62,9 @@
         evacuations.listen(_log_zone_evacuated, _log_zone_restored)
         self._routes = routes
         self._workers = workers
-        self._workers.on_change = self._log_worker_change
         self._pace = LISTED_PACE
         self._listing = False
-        self._unreadable: set[str] = set()
+        self._logged_unusable: set[str] = set()
         self._rollouts = rollouts
         self._operators_follower = KeyedFollower(
             log,
@@ -68,6 +72,7 @@
             self._replace_published,
             self._apply_published,
             wait_seconds=LISTED_PACE.configuration_wait,
+            on_confirm=_GapWatch(cold.views_renewed),
         )
         self._workers_follower = KeyedFollower(
             log,
@@ -75,10 +80,9 @@
             self._replace_workers,
             self._apply_worker,
             pause_seconds=LISTED_PACE.workers_pause,
+            on_confirm=_GapWatch(cold.views_renewed),
         )
-        workers.on_cold = self._worker_cold
-        for follower in (self._operators_follower, self._workers_follower):
-            follower.freshness.on_confirm = _GapWatch(cold.views_renewed)
+        workers.listen(self)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start following."""
@@ -97,18 +101,20 @@
 
     @property
     def workers_known(self) -> bool:
-        """Whether the workers were listed once."""
+        """Whether the workers were listed at least once."""
         return self._workers_follower.freshness.ever_confirmed
 
     def set_pace(self, pace: ReadPace) -> None:
-        """Read as often as a pace says from now on."""
+        """Set the pace of reading."""
         self._pace = pace
         self._workers_follower.pause_seconds = pace.workers_pause
         self._operators_follower.wait_seconds = pace.configuration_wait
 
     async def refresh(self) -> None:
-        """Read once more what is too old to serve a request from: entries of workers, and what
-        operators publish, which only a process that did not run can find so old."""
+        """Renew views that are too old to serve a request from.
+
+        The view of operators' records gets so old only in a process that was suspended.
+        """
         await self._workers_follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_SECONDS)
         await self._operators_follower.refresh(OLDEST_PUBLISHED_SECONDS, REFRESH_SECONDS)
 
@@ -125,13 +131,15 @@
         for record in records:
             published = self._dialect.operator_record(record)
             if not isinstance(published, ZoneEvacuation):
-                self._apply_published(record)
+                self._apply_decoded(record, published)
             elif published.in_force:
                 evacuated.add(published.zone)
         self._evacuations.replace(evacuated, steady_seconds())
 
     def _apply_published(self, record: KeyedRecord) -> None:
-        published = self._dialect.operator_record(record)
+        self._apply_decoded(record, self._dialect.operator_record(record))
+
+    def _apply_decoded(self, record: KeyedRecord, published: OperatorRecord | None) -> None:
         if published is None:
             log_event("published_unreadable", "warning", key=record.key, offset=record.offset)
         elif isinstance(published, ZoneEvacuation):
@@ -159,13 +167,13 @@
         log_event("workers_listed", count=len(announcements), unreadable=len(unreadable))
 
     def _worker_entry(self, record: KeyedRecord) -> WorkerAnnouncement | None:
-        """Decode a worker's entry; one that names no worker to use is told once for each key."""
+        """Decode a worker's entry; an unusable one is logged once for each key."""
         entry = self._dialect.worker_announcement(record)
         if entry is not None:
-            self._unreadable.discard(record.key)
-        elif record.value is not None and record.key not in self._unreadable:
-            if len(self._unreadable) < MOST_UNREADABLE:
-                self._unreadable.add(record.key)
+            self._logged_unusable.discard(record.key)
+        elif record.value is not None and record.key not in self._logged_unusable:
+            if len(self._logged_unusable) < MOST_LOGGED_UNUSABLE:
+                self._logged_unusable.add(record.key)
             log_event("worker_entry_unusable", "warning", key=record.key, offset=record.offset)
         return entry
 
@@ -183,32 +191,34 @@
     def _disturbed_at(self) -> float:
         return self._workers_follower.freshness.disturbed_at
 
-    def _worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
-        """Take that a worker's entry says that it is cold."""
+    def worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
+        """Mark a worker cold whose entry says so."""
         service = self._routes.service(worker.announcement.service)
         if service is not None and service.cold_rate > 0.0:
             log_event("worker_cold", worker=worker.announcement.worker, seconds=seconds)
         self._cold.mark_cold(worker, seconds, now)
 
-    def _log_worker_change(self, worker: str, change: str) -> None:
-        """Log a change of belief, where requests may hang on it.
+    def worker_changed(self, worker: str, change: WorkerChange) -> None:
+        """Log a change of belief, where requests may depend on it.
 
-        Were each resting node to tell of each worker, that would be most of all lines: what such
-        a node reads once callers come, and whole lists, are told in one line.
+        Most of all lines would be those of resting nodes on each worker: what such a node reads,
+        and whole listings, are logged in one line.
         """
         unused = self._listing or self._pace is RESTING_PACE
-        log_event("worker_changed", "debug" if unused else "info", worker=worker, change=change)
+        log_event(
+            "worker_changed", "debug" if unused else "info", worker=worker, change=change.value
+        )
 
 
 class _GapWatch:
-    """Tells when a view is current again, or for the first time, after a gap in its news."""
+    """Detects that a view is complete again after a gap, or for the first time."""
 
     def __init__(self, on_renewed: Callable[[float], None]) -> None:
         self._on_renewed = on_renewed
         self._confirmed_at = -math.inf
 
     def __call__(self, confirmed_at: float) -> None:
-        """Take the time as of which the view is complete."""
+        """Handle a confirmation: the time as of which the view is complete."""
         gap = confirmed_at - self._confirmed_at
         self._confirmed_at = confirmed_at
         if gap > OLDEST_WARM_VIEW_SECONDS:
