--- a/src/stagewalk/node/admission/pool.py
+++ b/src/stagewalk/node/admission/pool.py
@@ -13,7 +13,7 @@
 from stagewalk.common.identities import TenantName
 from stagewalk.node.admission.config import AdmissionConfig
 from stagewalk.node.admission.limiter import AdaptiveLimiter
-from stagewalk.node.admission.waiting import WaitingRoom
+from stagewalk.node.admission.waiting import WaitingQueues
 from stagewalk.node.core.completions import Priority
 
 
@@ -48,7 +48,7 @@
         self.limiter = AdaptiveLimiter(config.limiter)
         self.shares = shares
         self.in_use: dict[TenantName, int] = {}
-        self.waiting = WaitingRoom()
+        self.waiting = WaitingQueues()
         self.capacity: PoolCapacity | None = None
         self.started_since = 0
 
--- a/src/stagewalk/node/admission/waiting.py
+++ b/src/stagewalk/node/admission/waiting.py
@@ -21,7 +21,7 @@
     tenant: TenantName
 
 
-class WaitingRoom:
+class WaitingQueues:
     """First-in-first-out queues by tenant and priority, counted."""
 
     def __init__(self) -> None:
--- a/src/stagewalk/node/daemon.py
+++ b/src/stagewalk/node/daemon.py
@@ -33,7 +33,7 @@
 from stagewalk.node.core.instructions import Instruction
 from stagewalk.node.core_runner import Core, CoreRunner
 from stagewalk.node.edge.app import EdgeApp
-from stagewalk.node.edge.call_desk import CallDesk
+from stagewalk.node.edge.call_runner import CallRunner
 from stagewalk.node.edge.completions import CompletionEndpoints
 from stagewalk.node.edge.operators import OperatorEndpoints
 from stagewalk.node.edge.rollouts import RolloutEndpoints
@@ -172,13 +172,13 @@
 
     def _build_app(self, runner: CoreRunner) -> EdgeApp:
         limits = self._settings.limits
-        desk = CallDesk(self._calls, self._events, self._metrics.edge)
+        calls = CallRunner(self._calls, self._events, self._metrics.edge)
         operators = OperatorEndpoints(
             runner.status, lambda: self._stopping, self._metrics, self._events.__len__
         )
         return EdgeApp(
-            CompletionEndpoints(desk, limits, self._metrics.edge),
-            RolloutEndpoints(desk, limits),
+            CompletionEndpoints(calls, limits, self._metrics.edge),
+            RolloutEndpoints(calls, limits),
             operators,
             limits,
             lambda: self._stopping,
--- a/src/stagewalk/node/edge/call_desk.py
+++ b/src/stagewalk/node/edge/call_runner.py
@@ -33,7 +33,7 @@
 """Sends the core's answers to the caller and returns the call's outcome."""
 
 
-class CallDesk:
+class CallRunner:
     """Runs calls: from the exchange to the core's last answer, or until the caller disconnects."""
 
     def __init__(self, calls: OpenCalls, events: EventQueue, metrics: EdgeMetrics) -> None:
@@ -49,16 +49,16 @@
         answer: Answerer,
         *,
         streaming: bool = False,
-        unasked: Ran = Ran.NO,
+        ran_if_refused: Ran = Ran.NO,
     ) -> None:
         """Send the call's event to the core and its answers to the caller, until that disconnects.
 
-        `unasked` is what may be said of a request that this node refuses without its core.
+        `ran_if_refused` is what may be said of a request that this node refuses without its core.
         """
         opened = self._calls.open(streaming)
         if opened.is_error():
             self._count(endpoint, opened.error.kind.value)
-            await exchange.fail(dataclasses.replace(opened.error, ran=unasked))
+            await exchange.fail(dataclasses.replace(opened.error, ran=ran_if_refused))
             return
         call = opened.ok
         began = steady_seconds()
--- a/src/stagewalk/node/edge/completions.py
+++ b/src/stagewalk/node/edge/completions.py
@@ -1,6 +1,6 @@
 """The callers' endpoints: completions, whole or streamed, and retained answers.
 
-Owns the form of the completions API. Relies on the call desk for the core's answers and on
+Owns the form of the completions API. Relies on the call runner for the core's answers and on
 `schemas` for validation.
 """
 
@@ -25,10 +25,10 @@
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, Priority
 from stagewalk.node.core.events import AnswerRequested, CompletionRequested
 from stagewalk.node.core.instructions import FailCall, FinishCall
-from stagewalk.node.edge.call_desk import (
+from stagewalk.node.edge.call_runner import (
     ANSWER_GRACE_SECONDS,
     OUTCOME_OK,
-    CallDesk,
+    CallRunner,
     delivery_error,
     late_error,
     whole_answer,
@@ -61,17 +61,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
+class _CheckedRequest:
     """A checked request and when it arrived, on the node's clock.
 
-    `unasked` is what may be said of it without asking the core: one that is not repeatable may
-    have been sent through another node before, unless its id was made up here.
+    `ran_if_refused` is what may be said of it without asking the core: one that is not repeatable
+    may have been sent through another node before, unless its id was made up here.
     """
 
     request: CompletionRequest
     arrived: float
     deadline_seconds: float
-    unasked: Ran
+    ran_if_refused: Ran
 
 
 class CompletionEndpoints:
@@ -79,12 +79,12 @@
 
     def __init__(
         self,
-        desk: CallDesk,
+        calls: CallRunner,
         limits: Limits,
         metrics: EdgeMetrics,
         clock: Callable[[], float] = steady_seconds,
     ) -> None:
-        self._desk = desk
+        self._calls = calls
         self._limits = limits
         self._metrics = metrics
         self._clock = clock
@@ -92,18 +92,18 @@
     async def complete(self, exchange: Exchange) -> None:
         """Answer `POST /v1/completions`."""
         body = await exchange.body()
-        question = body.bind(lambda content: self._question(exchange, content))
-        if question.is_error():
-            await exchange.fail(question.error)
+        checked = body.bind(lambda content: self._check(exchange, content))
+        if checked.is_error():
+            await exchange.fail(checked.error)
             return
-        asked = question.ok
-        await self._desk.run(
+        accepted = checked.ok
+        await self._calls.run(
             exchange,
             COMPLETIONS_ENDPOINT,
-            lambda call: CompletionRequested(call, asked.request),
-            lambda call: self._answer(exchange, call, asked),
-            streaming=asked.request.stream,
-            unasked=asked.unasked,
+            lambda call: CompletionRequested(call, accepted.request),
+            lambda call: self._answer(exchange, call, accepted),
+            streaming=accepted.request.stream,
+            ran_if_refused=accepted.ran_if_refused,
         )
 
     async def retained_answer(self, exchange: Exchange, request_id: str) -> None:
@@ -114,20 +114,20 @@
             await exchange.fail(checked.error)
             return
         tenant, request = TenantName(checked.ok.tenant), RequestId(checked.ok.request_id)
-        await self._desk.run(
+        await self._calls.run(
             exchange,
             ANSWERS_ENDPOINT,
             lambda call: AnswerRequested(call, tenant, request),
             lambda call: _answer_retained(exchange, call, request_id),
         )
 
-    def _question(self, exchange: Exchange, content: bytes) -> Result[_Question, StagewalkError]:
+    def _check(self, exchange: Exchange, content: bytes) -> Result[_CheckedRequest, StagewalkError]:
         body = decode_body(content, CompletionBody)
-        return body.bind(lambda decoded: self._checked(exchange, decoded))
+        return body.bind(lambda decoded: self._check_body(exchange, decoded))
 
-    def _checked(
+    def _check_body(
         self, exchange: Exchange, body: CompletionBody
-    ) -> Result[_Question, StagewalkError]:
+    ) -> Result[_CheckedRequest, StagewalkError]:
         if len(body.prompt) > self._limits.prompt_characters:
             limit = self._limits.prompt_characters
             return Error(invalid("prompt", f"the prompt has more than {limit} characters"))
@@ -137,15 +137,15 @@
             "tenant": body.tenant or exchange.header("x-tenant"),
             "request_id": given_id or uuid.uuid4().hex,
         }
-        unasked = Ran.NO if body.repeatable or given_id is None else Ran.UNKNOWN
+        ran_if_refused = Ran.NO if body.repeatable or given_id is None else Ran.UNKNOWN
         headers = check_fields(fields, CallerHeaders)
         return headers.bind(
-            lambda checked: Ok(self._to_question(body, checked, unasked, exchange.resent))
+            lambda names: Ok(self._request_of(body, names, ran_if_refused, exchange.resent))
         )
 
-    def _to_question(
-        self, body: CompletionBody, headers: CallerHeaders, unasked: Ran, resent: bool
-    ) -> _Question:
+    def _request_of(
+        self, body: CompletionBody, headers: CallerHeaders, ran_if_refused: Ran, resent: bool
+    ) -> _CheckedRequest:
         arrived = self._clock()
         priority = Priority.INTERACTIVE if body.priority == "interactive" else Priority.ROLLOUT
         request = CompletionRequest(
@@ -163,14 +163,14 @@
             request_class=body.request_class,
             resent=resent,
         )
-        return _Question(request, arrived, body.deadline_seconds, unasked)
-
-    async def _answer(self, exchange: Exchange, call: OpenCall, question: _Question) -> str:
-        if not question.request.stream:
-            answer = await whole_answer(call, question.deadline_seconds)
-            return await _respond_whole(exchange, answer, question.request)
-        stream = _AnswerStream(exchange, question, self._metrics, self._clock)
-        with anyio.move_on_after(question.deadline_seconds + ANSWER_GRACE_SECONDS):
+        return _CheckedRequest(request, arrived, body.deadline_seconds, ran_if_refused)
+
+    async def _answer(self, exchange: Exchange, call: OpenCall, checked: _CheckedRequest) -> str:
+        if not checked.request.stream:
+            answer = await whole_answer(call, checked.deadline_seconds)
+            return await _respond_whole(exchange, answer, checked.request)
+        stream = _AnswerStream(exchange, checked, self._metrics, self._clock)
+        with anyio.move_on_after(checked.deadline_seconds + ANSWER_GRACE_SECONDS):
             return await stream.relay(call)
         return await stream.fail(late_error())
 
@@ -184,12 +184,12 @@
     def __init__(
         self,
         exchange: Exchange,
-        question: _Question,
+        checked: _CheckedRequest,
         metrics: EdgeMetrics,
         clock: Callable[[], float],
     ) -> None:
         self._exchange = exchange
-        self._question = question
+        self._checked_request = checked
         self._metrics = metrics
         self._clock = clock
         self._sent_characters = 0
@@ -219,7 +219,7 @@
         await self._start()
         self._sent_characters += len(text)
         self._sent_digest.update(text.encode())
-        await self._send(_piece(self._question.request, text))
+        await self._send(_piece(self._checked_request.request, text))
 
     async def _finish(self, result: CompletionResult) -> str:
         """Send the text not yet sent, with the versions, and end the stream."""
@@ -227,7 +227,7 @@
         if xxhash.xxh64_intdigest(sent.encode()) != self._sent_digest.intdigest():
             return await self.fail(delivery_error(_NOT_WHOLE))
         await self._start()
-        last = _whole(self._question.request, result)
+        last = _whole(self._checked_request.request, result)
         last.choices[0].text = rest
         await self._send(last)
         await self._exchange.write(_STREAM_END, last=True)
@@ -236,7 +236,7 @@
     async def _start(self) -> None:
         if self._exchange.started:
             return
-        self._metrics.first_chunk_latency.observe(self._clock() - self._question.arrived)
+        self._metrics.first_chunk_latency.observe(self._clock() - self._checked_request.arrived)
         headers = (("cache-control", "no-cache"),)
         await self._exchange.start(200, EVENT_STREAM_CONTENT, headers)
 
--- a/src/stagewalk/node/edge/rollouts.py
+++ b/src/stagewalk/node/edge/rollouts.py
@@ -1,6 +1,6 @@
 """The trainers' endpoints: submitting a step's lot and pulling its samples.
 
-Owns the form of the rollout API. Relies on the call desk for the core's answers and on `schemas`
+Owns the form of the rollout API. Relies on the call runner for the core's answers and on `schemas`
 for validation.
 """
 
@@ -19,7 +19,7 @@
 from stagewalk.node.core.events import LotSubmitted, SamplesPulled
 from stagewalk.node.core.instructions import AcceptLot, DeliverSamples, FailCall
 from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample, SampleBatch, SamplePull
-from stagewalk.node.edge.call_desk import OUTCOME_OK, CallDesk, late_error, whole_answer
+from stagewalk.node.edge.call_runner import OUTCOME_OK, CallRunner, late_error, whole_answer
 from stagewalk.node.edge.completions import estimate_tokens
 from stagewalk.node.edge.schemas import (
     LotAnswer,
@@ -42,9 +42,9 @@
     """`POST /v1/rollouts` and `POST /v1/rollouts/pull`."""
 
     def __init__(
-        self, desk: CallDesk, limits: Limits, clock: Callable[[], float] = steady_seconds
+        self, calls: CallRunner, limits: Limits, clock: Callable[[], float] = steady_seconds
     ) -> None:
-        self._desk = desk
+        self._calls = calls
         self._limits = limits
         self._clock = clock
 
@@ -56,7 +56,7 @@
             await exchange.fail(body.error)
             return
         lot = self._lot(body.ok)
-        await self._desk.run(
+        await self._calls.run(
             exchange,
             LOTS_ENDPOINT,
             lambda call: LotSubmitted(call, lot),
@@ -72,7 +72,7 @@
             return
         wait_seconds = body.ok.wait_seconds
         pull = self._pull(body.ok)
-        await self._desk.run(
+        await self._calls.run(
             exchange,
             PULLS_ENDPOINT,
             lambda call: SamplesPulled(call, pull),
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -1,7 +1,7 @@
 """Attempts of admitted requests: dispatch, chunks, ends, retries, hedges and stalls.
 
 Owns the attempts' ids, the delays of first tokens and the tenants' retry budgets. Relies on
-`attempt_rules` for what may be tried, on the router for an engine and on the book for state.
+`attempt_rules` for what may be tried, on the router for an engine and on the store for state.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
 from stagewalk.node.requests import attempt_rules, faults
 from stagewalk.node.requests.answer import AnswerAssembly
-from stagewalk.node.requests.book import RequestBook
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.delays import DelayWindow
 from stagewalk.node.requests.record import Attempt, RequestRecord
 from stagewalk.node.requests.retries import RetryBudget, backoff_seconds
 from stagewalk.node.requests.states import AttemptClass, Cause
+from stagewalk.node.requests.store import RequestStore
 from stagewalk.node.requests.timers import Timer, TimerKind
 from stagewalk.node.routing.router import EngineChoice, Router
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         identity: ProcessIdentity,
-        book: RequestBook,
+        store: RequestStore,
         router: Router,
         admission: AdmissionController,
         config: RequestConfig,
@@ -43,7 +43,7 @@
         generator: random.Random,
     ) -> None:
         self._identity = identity
-        self._book = book
+        self._store = store
         self._router = router
         self._admission = admission
         self._config = config
@@ -80,13 +80,13 @@
 
     def handle_chunk(self, event: AttemptChunk, now: float) -> None:
         """Handle a piece of an answer; one of an unknown attempt is late or foreign."""
-        record = self._book.owners.get(event.attempt)
+        record = self._store.owners.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
         before = attempt.assembly.characters
         taken = attempt.assembly.add(event.chunk)
-        self._book.count_characters(record, attempt.assembly.characters - before)
+        self._store.count_characters(record, attempt.assembly.characters - before)
         if taken.is_error():
             self._give_up_attempt(record, attempt, taken.error.detail, now)
             return
@@ -100,7 +100,7 @@
 
     def handle_finished(self, event: AttemptFinished, now: float) -> None:
         """Handle the final frame: the answer is whole only if the count agrees."""
-        record = self._book.owners.get(event.attempt)
+        record = self._store.owners.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
@@ -113,7 +113,7 @@
 
     def handle_refused(self, event: AttemptRefused, now: float) -> None:
         """Handle a refusal; one after the first token contradicts itself and proves nothing."""
-        record = self._book.owners.get(event.attempt)
+        record = self._store.owners.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
@@ -135,7 +135,7 @@
 
     def handle_failed(self, event: AttemptFailed, now: float) -> None:
         """Handle the end of an attempt without a final frame."""
-        record = self._book.owners.get(event.attempt)
+        record = self._store.owners.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
@@ -191,13 +191,13 @@
                 record.held, request, record.mixed_versions, self._config.memory
             ),
         )
-        self._book.move(record, cause)
+        self._store.move(record, cause)
         record.attempts[attempt.attempt] = attempt
         record.attempt_count += 1
-        self._book.owners[attempt.attempt] = record
+        self._store.owners[attempt.attempt] = record
         self._router.note_started(choice.engine, attempt.attempt, request, now)
         self._set_attempt_timers(record, attempt, now)
-        self._book.output(
+        self._store.output(
             StartAttempt(
                 attempt=attempt.attempt,
                 engine=choice.engine,
@@ -214,11 +214,11 @@
         self._set_stall_timer(record, attempt)
         delay = attempt_rules.hedge_delay(record, self._delays, self._config)
         if delay is not None:
-            self._book.set_timer(record, TimerKind.HEDGE, now + delay, attempt.attempt)
+            self._store.set_timer(record, TimerKind.HEDGE, now + delay, attempt.attempt)
 
     def _set_stall_timer(self, record: RequestRecord, attempt: Attempt) -> None:
         attempt.stall_timer_at = attempt_rules.silent_until(attempt, self._config)
-        self._book.set_timer(record, TimerKind.STALL, attempt.stall_timer_at, attempt.attempt)
+        self._store.set_timer(record, TimerKind.STALL, attempt.stall_timer_at, attempt.attempt)
 
     def _note_first_token(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
         delay = now - attempt.started_at
@@ -236,7 +236,7 @@
             text = "".join(chunk.text for chunk in taken)
         else:
             text = attempt.assembly.text()[record.streamed_characters :]
-        self._book.stream_up_to(record, text, attempt.assembly.token_count, taken[-1].version)
+        self._store.stream_up_to(record, text, attempt.assembly.token_count, taken[-1].version)
 
     def _finish(
         self, record: RequestRecord, attempt: Attempt, finish_reason: str, now: float
@@ -246,13 +246,13 @@
         record.may_have_run = True
         self.cancel_all(record, now)
         self._admission.ended(record.key, now)
-        self._book.finish(record, Cause.WHOLE, attempt.assembly.result(finish_reason), now)
+        self._store.finish(record, Cause.WHOLE, attempt.assembly.result(finish_reason), now)
 
     def _give_up_attempt(
         self, record: RequestRecord, attempt: Attempt, detail: str, now: float
     ) -> None:
         """Cancel an attempt that can't give a whole answer any more."""
-        self._book.output(CancelAttempt(attempt.attempt, attempt.engine, attempt.address))
+        self._store.output(CancelAttempt(attempt.attempt, attempt.engine, attempt.address))
         self._attempt_ended(record, attempt, AttemptClass.MAY_HAVE_RUN, detail, now)
 
     def _attempt_ended(
@@ -279,7 +279,7 @@
         error = self._error_of(record, attempt.engine, outcome, detail, retry_after_seconds)
         record.last_error = error
         if record.attempts:
-            self._book.move(record, Cause.ATTEMPT_LOST)
+            self._store.move(record, Cause.ATTEMPT_LOST)
             return
         self._retry_or_fail(record, outcome, error, now)
 
@@ -296,11 +296,11 @@
         if not may_retry or not self._budget.spend(record.key.tenant):
             self._fail(record, Cause.GAVE_UP, error, now)
             return
-        self._book.move(record, Cause.RETRIED)
+        self._store.move(record, Cause.RETRIED)
         if attempt_rules.retries_at_once(record, outcome):
             self.dispatch(record, now)
         else:
-            self._book.set_timer(record, TimerKind.ROUTE, now + pause)
+            self._store.set_timer(record, TimerKind.ROUTE, now + pause)
 
     def _wait_for_engine(self, record: RequestRecord, error: StagewalkError, now: float) -> None:
         """Look again soon, or fail with the error of the last attempt, if there was one."""
@@ -311,7 +311,7 @@
             final = replace(record.last_error or error, ran=record.ran)
             self._fail(record, Cause.GAVE_UP, final, now)
             return
-        self._book.set_timer(record, TimerKind.ROUTE, again)
+        self._store.set_timer(record, TimerKind.ROUTE, again)
 
     def _finish_at_length(self, record: RequestRecord, now: float) -> None:
         """End an answer that has all the tokens it may have; only its final frame was lost."""
@@ -319,7 +319,7 @@
         self._admission.ended(record.key, now)
         held = record.held
         result = CompletionResult(held.text, held.token_count, held.spans, FINISH_REASON_LENGTH)
-        self._book.finish(record, Cause.WHOLE, result, now)
+        self._store.finish(record, Cause.WHOLE, result, now)
 
     def _keep(self, record: RequestRecord, attempt: Attempt) -> None:
         """Keep what an attempt brought, to resume from; callers' text must remain its start."""
@@ -344,16 +344,16 @@
                 return faults.attempt_failed(record, engine, detail)
 
     def _cancel(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
-        self._book.output(CancelAttempt(attempt.attempt, attempt.engine, attempt.address))
+        self._store.output(CancelAttempt(attempt.attempt, attempt.engine, attempt.address))
         self._router.note_cancelled(attempt.attempt, now)
         self._forget(record, attempt)
         record.may_have_run = True
 
     def _forget(self, record: RequestRecord, attempt: Attempt) -> None:
         del record.attempts[attempt.attempt]
-        del self._book.owners[attempt.attempt]
+        del self._store.owners[attempt.attempt]
 
     def _fail(self, record: RequestRecord, cause: Cause, error: StagewalkError, now: float) -> None:
         self.cancel_all(record, now)
         self._admission.withdraw(record.key)
-        self._book.fail(record, cause, error, now)
+        self._store.fail(record, cause, error, now)
--- a/src/stagewalk/node/requests/claim_gate.py
+++ b/src/stagewalk/node/requests/claim_gate.py
@@ -16,12 +16,12 @@
 from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import CompletionResult
 from stagewalk.node.requests import faults
-from stagewalk.node.requests.book import RequestBook
 from stagewalk.node.requests.claim_value import ClaimValue, claim_key, decode_claim, encode_claim
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.notifications import FetchAnswer
 from stagewalk.node.requests.record import RequestRecord
 from stagewalk.node.requests.states import Cause, RequestState
+from stagewalk.node.requests.store import RequestStore
 from stagewalk.node.requests.timers import TimerKind
 
 NONCE_BITS = 128
@@ -34,12 +34,12 @@
     def __init__(
         self,
         identity: ProcessIdentity,
-        book: RequestBook,
+        store: RequestStore,
         config: RequestConfig,
         generator: random.Random,
     ) -> None:
         self._identity = identity
-        self._book = book
+        self._store = store
         self._config = config
         self._generator = generator
         self._claiming: dict[str, RequestRecord] = {}
@@ -62,8 +62,8 @@
             )
         key = claim_key(record.key)
         self._claiming[key] = record
-        self._book.move(record, Cause.CLAIM_WANTED)
-        self._book.output(ProposeClaim(key, encode_claim(record.claim)))
+        self._store.move(record, Cause.CLAIM_WANTED)
+        self._store.output(ProposeClaim(key, encode_claim(record.claim)))
 
     def decided(self, key: str, value: bytes, won: bool, now: float) -> RequestRecord | None:
         """Handle a decision; return the record if it may be sent from now on.
@@ -90,20 +90,20 @@
         if record is None or record.state is not RequestState.CLAIMING:
             return
         unknown = replace(error, kind=ErrorKind.OUTCOME_UNKNOWN, step=Step.CLAIM, ran=record.ran)
-        self._book.fail(record, Cause.CLAIM_UNDECIDED, unknown, now)
+        self._store.fail(record, Cause.CLAIM_UNDECIDED, unknown, now)
 
     def answer_fetched(
         self, key: RequestKey, result: CompletionResult | None, detail: str, now: float
     ) -> None:
         """Handle the answer of a lost claim's owner, or None and why there is none."""
-        record = self._book.records.get(key)
+        record = self._store.records.get(key)
         if record is None or record.state is not RequestState.AWAITING_OWNER:
             return
         if result is None:
             self.fail_unknown(record, Cause.ANSWER_UNKNOWN, detail, now)
             return
         record.may_have_run = True
-        self._book.finish(record, Cause.ANSWER_FETCHED, result, now)
+        self._store.finish(record, Cause.ANSWER_FETCHED, result, now)
 
     def hand_over(self, key: RequestKey, nonce: str, now: float) -> bool:
         """Hand over the claim of a request that never ran here; return whether it was.
@@ -111,12 +111,12 @@
         From then on this process does not hold it, whether or not the other node learns of it:
         of all processes at most one ever believes that it may send the request.
         """
-        outcome = self._book.retained.get(key, now)
-        if key in self._book.records or outcome is None or outcome.may_have_run:
+        outcome = self._store.retained.get(key, now)
+        if key in self._store.records or outcome is None or outcome.may_have_run:
             return False
         if outcome.claim is None or outcome.claim.nonce != nonce:
             return False
-        self._book.retained.put(key, replace(outcome, claim=None))
+        self._store.retained.put(key, replace(outcome, claim=None))
         return True
 
     def handed_over(self, key: RequestKey, query_id: int) -> RequestRecord | None:
@@ -125,12 +125,12 @@
         The query id is the record's serial number: a reply to an earlier record's query, late
         or doubled, names a claim that may have gone on to another node since.
         """
-        record = self._book.records.get(key)
+        record = self._store.records.get(key)
         if record is None or record.state is not RequestState.AWAITING_OWNER:
             return None
         if record.serial != query_id or record.owners_claim is None:
             return None
-        self._book.move(record, Cause.CLAIM_HANDED_OVER)
+        self._store.move(record, Cause.CLAIM_HANDED_OVER)
         record.claim = record.owners_claim
         record.claim_held = True
         return record
@@ -143,7 +143,7 @@
     def fail_unknown(self, record: RequestRecord, cause: Cause, detail: str, now: float) -> None:
         """Fail a request that another submission may have run."""
         peer = str(self._identity.name) if record.owner is None else str(record.owner)
-        self._book.fail(record, cause, faults.outcome_unknown(Step.CLAIM, peer, detail), now)
+        self._store.fail(record, cause, faults.outcome_unknown(Step.CLAIM, peer, detail), now)
 
     def _lost(self, record: RequestRecord, chosen: ClaimValue | None, now: float) -> None:
         """Fail a request that another submission owns, or ask that one's node for the answer."""
@@ -154,16 +154,16 @@
         record.owner = chosen.node
         if chosen.fingerprint != record.fingerprint:
             error = faults.duplicate(self._identity.name, Ran.UNKNOWN)
-            self._book.fail(record, Cause.OUTCOME_UNKNOWN, error, now)
+            self._store.fail(record, Cause.OUTCOME_UNKNOWN, error, now)
             return
         if chosen.node == self._identity.name:
             detail = f"node {chosen.node} owns the request and may have run it"
             self.fail_unknown(record, Cause.OUTCOME_UNKNOWN, detail, now)
             return
-        self._book.move(record, Cause.CLAIM_LOST)
+        self._store.move(record, Cause.CLAIM_LOST)
         until = now + self._config.fetch_timeout_seconds
-        self._book.set_timer(record, TimerKind.FETCH, until)
+        self._store.set_timer(record, TimerKind.FETCH, until)
         record.owners_claim = chosen
-        self._book.output(
+        self._store.output(
             FetchAnswer(record.key, chosen.node, chosen.incarnation, chosen.nonce, record.serial)
         )
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -27,7 +27,6 @@
 from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.node.requests import faults
 from stagewalk.node.requests.attempts import AttemptRunner
-from stagewalk.node.requests.book import RequestBook
 from stagewalk.node.requests.claim_gate import ClaimGate
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.notifications import (
@@ -38,6 +37,7 @@
 from stagewalk.node.requests.record import RequestRecord, fingerprint_of
 from stagewalk.node.requests.retained import RetainedOutcome
 from stagewalk.node.requests.states import Cause, RequestState
+from stagewalk.node.requests.store import RequestStore
 from stagewalk.node.requests.tenancy import apply_parameters
 from stagewalk.node.requests.timers import Timer, TimerKind
 from stagewalk.node.routing.router import Router
@@ -75,11 +75,11 @@
         self._router = router
         self._admission = admission
         self._config = config
-        self._book = RequestBook(config)
+        self._store = RequestStore(config)
         self._runner = AttemptRunner(
-            identity, self._book, router, admission, config, generator=generator
+            identity, self._store, router, admission, config, generator=generator
         )
-        self._gate = ClaimGate(identity, self._book, config, generator)
+        self._gate = ClaimGate(identity, self._store, config, generator)
         self._tenants: dict[TenantName, TenantParameters] = {}
         self._pool_views_at: dict[ModelName, float] = {}
         self._stopping = False
@@ -100,18 +100,18 @@
         parameters = self._tenants.get(request.tenant)
         if parameters is None or request.model not in parameters.models:
             self._reject(key, self._unknown(request, parameters))
-            return self._book.drain()
+            return self._store.drain()
         request = apply_parameters(request, parameters)
         fingerprint = fingerprint_of(request)
-        record = self._book.records.get(key)
+        record = self._store.records.get(key)
         if record is not None:
             self._join(record, request, fingerprint)
-            return self._book.drain()
-        outcome = self._book.retained.get(key, now)
+            return self._store.drain()
+        outcome = self._store.retained.get(key, now)
         if outcome is not None and self._answer_from(outcome, key, request, fingerprint):
-            return self._book.drain()
+            return self._store.drain()
         self._open(request, parameters, fingerprint, outcome, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def handle(self, event: AttemptEvent, now: float) -> list[RequestOutput]:
         """Handle what became of an attempt."""
@@ -126,26 +126,26 @@
                 self._runner.handle_failed(event, now)
         if not isinstance(event, AttemptChunk):
             self._release(now)
-        return self._book.drain()
+        return self._store.drain()
 
     def claim_decided(self, key: str, value: bytes, won: bool, now: float) -> list[RequestOutput]:
         """Handle a claim's decision: the request may be sent only if this claim won."""
         record = self._gate.decided(key, value, won, now)
         if record is not None:
             self._admit(record, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def claim_undecided(self, key: str, error: StagewalkError, now: float) -> list[RequestOutput]:
         """Fail a request whose claim nobody can vouch for, at once; it is never sent later."""
         self._gate.undecided(key, error, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def answer_fetched(
         self, key: RequestKey, result: CompletionResult | None, detail: str, now: float
     ) -> list[RequestOutput]:
         """Handle the answer of a claim's owner, or None and why there is none."""
         self._gate.answer_fetched(key, result, detail, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def hand_over_claim(self, key: RequestKey, nonce: str, now: float) -> bool:
         """Hand over the claim of a request that never ran here; return whether it was."""
@@ -156,37 +156,37 @@
         record = self._gate.handed_over(key, query_id)
         if record is not None:
             self._admit(record, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def retained(self, key: RequestKey, now: float) -> RetainedOutcome | None:
         """Return how a request ended at this node, if that is still known."""
-        return self._book.retained.get(key, now)
+        return self._store.retained.get(key, now)
 
     def in_progress(self, key: RequestKey) -> bool:
         """Return whether a request is in progress at this node."""
-        return key in self._book.records
+        return key in self._store.records
 
     def in_flight_count(self) -> int:
         """Return how many requests are in progress: a planned stop waits until none is."""
-        return len(self._book.records)
+        return len(self._store.records)
 
     def abandon(self, key: RequestKey, now: float) -> list[RequestOutput]:
         """Handle that the last call of a request has gone.
 
         One that may not run again, and runs, is kept running so that its answer is retained.
         """
-        record = self._book.records.get(key)
+        record = self._store.records.get(key)
         if record is None:
             return []
         if record.state is RequestState.RUNNING and not record.request.repeatable:
-            self._book.move(record, Cause.DETACHED)
+            self._store.move(record, Cause.DETACHED)
             return []
         self._runner.cancel_all(record, now)
         self._gate.forget(record)
         self._admission.withdraw(key)
-        self._book.abandon(record, now)
+        self._store.abandon(record, now)
         self._release(now)
-        return self._book.drain()
+        return self._store.drain()
 
     def stop(self, now: float) -> list[RequestOutput]:
         """Refuse new requests from now on; those in progress run to their end."""
@@ -195,13 +195,13 @@
 
     def tick(self, now: float) -> list[RequestOutput]:
         """Handle due timers, admit waiting requests and drop what has expired."""
-        for record, timer in self._book.due_timers(now):
+        for record, timer in self._store.due_timers(now):
             self._handle_timer(record, timer, now)
         self._refresh_pools(now)
         self._release(now)
-        self._book.retained.expire(now)
-        self._book.compact_timers()
-        return self._book.drain()
+        self._store.retained.expire(now)
+        self._store.compact_timers()
+        return self._store.drain()
 
     def _join(self, record: RequestRecord, request: CompletionRequest, fingerprint: str) -> None:
         if fingerprint != record.fingerprint:
@@ -220,7 +220,7 @@
                 text=text[: record.streamed_characters],
                 version=spans[-1].version,
             )
-        self._book.output(RequestJoined(record.key, held))
+        self._store.output(RequestJoined(record.key, held))
 
     def _answer_from(
         self,
@@ -235,7 +235,7 @@
             self._reject(key, faults.duplicate(self._identity.name, ran))
             return True
         if outcome.result is not None:
-            self._book.answer_again(key, outcome.result, request.stream)
+            self._store.answer_again(key, outcome.result, request.stream)
             return True
         if outcome.repeatable or not outcome.may_have_run:
             return False
@@ -255,7 +255,7 @@
         key = RequestKey(request.tenant, request.request_id)
         record = RequestRecord(
             key=key,
-            serial=self._book.next_serial(),
+            serial=self._store.next_serial(),
             request=request,
             fingerprint=fingerprint,
             mixed_versions=parameters.allow_mixed_versions,
@@ -269,9 +269,9 @@
         if refusal is not None:
             self._reject(key, refusal)
             return
-        self._book.add(record)
+        self._store.add(record)
         self._runner.record_submission(key.tenant)
-        self._book.set_timer(record, TimerKind.DEADLINE, request.deadline)
+        self._store.set_timer(record, TimerKind.DEADLINE, request.deadline)
         if request.repeatable:
             self._admit(record, now)
         else:
@@ -285,9 +285,9 @@
             return faults.stopping(node, record.ran)
         if now >= record.request.deadline:
             return faults.deadline_passed(record, node, Step.VALIDATION)
-        if len(self._book.records) >= memory.maximum_requests:
+        if len(self._store.records) >= memory.maximum_requests:
             return faults.too_many(node, record.ran, "too many requests are in progress")
-        if self._book.held_characters >= memory.maximum_held_characters:
+        if self._store.held_characters >= memory.maximum_held_characters:
             return faults.too_many(node, record.ran, "too much text is held")
         if not record.request.repeatable and len(self._gate) >= memory.maximum_claiming:
             return faults.too_many(node, record.ran, "too many claims are being decided")
@@ -298,14 +298,14 @@
         admission = self._admission.admit(record.key, record.request, now)
         if admission.is_error():
             refusal = replace(admission.error, ran=record.ran)
-            self._book.fail(record, Cause.REFUSED, refusal, now)
+            self._store.fail(record, Cause.REFUSED, refusal, now)
             return
         if admission.ok is Admission.WAITING:
-            self._book.move(record, Cause.QUEUED)
+            self._store.move(record, Cause.QUEUED)
             shed_at = self._admission.latest_start(record.request)
-            self._book.set_timer(record, TimerKind.SHED, shed_at)
+            self._store.set_timer(record, TimerKind.SHED, shed_at)
             return
-        self._book.move(record, Cause.ADMITTED)
+        self._store.move(record, Cause.ADMITTED)
         self._runner.dispatch(record, now)
 
     def _release(self, now: float) -> None:
@@ -313,8 +313,8 @@
         if not self._admission.waiting_count():
             return
         for key in self._admission.release(now):
-            record = self._book.records[key]
-            self._book.move(record, Cause.ADMITTED)
+            record = self._store.records[key]
+            self._store.move(record, Cause.ADMITTED)
             self._runner.dispatch(record, now)
 
     def _handle_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
@@ -345,14 +345,14 @@
         self._runner.cancel_all(record, now)
         self._admission.withdraw(record.key)
         error = faults.deadline_passed(record, self._identity.name, step)
-        self._book.fail(record, Cause.DEADLINE, error, now)
+        self._store.fail(record, Cause.DEADLINE, error, now)
 
     def _shed(self, record: RequestRecord, now: float) -> None:
         """Fail a waiting request as soon as it can't be answered in time any more."""
         wait = self._admission.expected_wait_seconds(record.request.model, record.request.priority)
         self._admission.withdraw(record.key)
         error = faults.shed(self._identity.name, record.ran, wait)
-        self._book.fail(record, Cause.SHED, error, now)
+        self._store.fail(record, Cause.SHED, error, now)
 
     def _refresh_pools(self, now: float) -> None:
         for model in self._admission.models():
@@ -367,7 +367,7 @@
         self._admission.set_pool(model, PoolCapacity(view.slots, view.load))
 
     def _reject(self, key: RequestKey, error: StagewalkError) -> None:
-        self._book.output(SubmissionRejected(key, error))
+        self._store.output(SubmissionRejected(key, error))
 
     def _unknown(
         self, request: CompletionRequest, parameters: TenantParameters | None
--- a/src/stagewalk/node/requests/record.py
+++ b/src/stagewalk/node/requests/record.py
@@ -1,6 +1,6 @@
 """What the core keeps of a request in progress and of its attempts.
 
-Plain data, owned by the book and changed by the core, the gate and the attempt runner.
+Plain data, owned by the store and changed by the core, the gate and the attempt runner.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/node/requests/book.py
+++ b/src/stagewalk/node/requests/store.py
@@ -30,7 +30,7 @@
 """Timers kept without looking for those of ended requests. Chosen, not measured."""
 
 
-class RequestBook:
+class RequestStore:
     """Records, timers, retained outcomes and pending outputs, with their memory counted."""
 
     def __init__(self, config: RequestConfig) -> None:
--- a/src/stagewalk/node/requests/timers.py
+++ b/src/stagewalk/node/requests/timers.py
@@ -1,6 +1,6 @@
 """Timers of requests: nothing is done for a request until its time comes.
 
-Plain data; the book owns the queue and ignores a timer whose record has ended.
+Plain data; the store owns the queue and ignores a timer whose record has ended.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/node/samples/core.py
+++ b/src/stagewalk/node/samples/core.py
@@ -3,7 +3,7 @@
 Owns the lots in progress at this node; nothing of them must survive it. What a trainer holds is in
 the cursor its pulls carry, and which sample is a slot's is in the claim register. If the node dies,
 the trainer submits the step to another node and continues with its cursor. Relies on the scheduler,
-the settlement, the delivery and the keeper, which share one store.
+the settlement, the delivery and the maintenance, which share one store.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.cursor import decode_cursor
 from stagewalk.node.samples.delivery import Delivery, OpenPull
-from stagewalk.node.samples.housekeeping import LotKeeper
+from stagewalk.node.samples.housekeeping import LotMaintenance
 from stagewalk.node.samples.lots import Lot, LotKey, SlotPhase, lot_digest, lot_key, make_lot
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.settlement import LotOutput, SampleSettlement
@@ -64,14 +64,14 @@
             self._store, self._scheduler, self._timers, config, generator
         )
         self._delivery = Delivery(self._store, self._scheduler, self._settlement, config)
-        self._keeper = LotKeeper(self._store, self._scheduler, self._delivery, config)
+        self._maintenance = LotMaintenance(self._store, self._scheduler, self._delivery, config)
         self._housekeeping_at = 0.0
         self._uses = 0
 
     def set_tenants(self, tenants: dict[TenantName, Tenant]) -> None:
         """Apply a configuration: bounds and objectives hold from the next decision on."""
         self._store.tenants = dict(tenants)
-        self._keeper.set_tenants(tenants.values())
+        self._maintenance.set_tenants(tenants.values())
 
     def submit(self, call: CallId, lot: RolloutLot, now: float) -> list[LotOutput]:
         """Add a step's lot; the same lot again changes nothing."""
@@ -89,10 +89,10 @@
         self._store.note_trainer(known, lot.trainer_version, pulling=False)
         self._touch(known, now)
         output: list[LotOutput] = [AcceptLot(call, lot)]
-        output += self._keeper.forget_superseded(key)
-        output += self._keeper.read_versions(now)
+        output += self._maintenance.forget_superseded(key)
+        output += self._maintenance.read_versions(now)
         if is_new:
-            output += self._keeper.probe(known, now)
+            output += self._maintenance.probe(known, now)
         output += self._advance(known, now)
         return output
 
@@ -113,7 +113,7 @@
         self._touch(lot, now)
         output = self._delivery.pull(lot, OpenPull(call, pull, decoded.ok), now)
         if moved_here:
-            output += self._keeper.take_over(lot, now)
+            output += self._maintenance.take_over(lot, now)
         lots = self._store.lots_of_trainer(lot.key)
         return output + list(self._scheduler.dispatch_all(lots, now))
 
@@ -198,9 +198,9 @@
         output += self._delivery.answer_all_parked(now)
         if now >= self._housekeeping_at:
             self._housekeeping_at = now + _HOUSEKEEPING_SECONDS
-            output += self._keeper.read_versions(now)
+            output += self._maintenance.read_versions(now)
             for lot in list(self._store.lots.values()):
-                output += self._keeper.check(lot, now)
+                output += self._maintenance.check(lot, now)
         return output
 
     def status(self, now: float) -> tuple[LotStatus, ...]:
@@ -223,7 +223,7 @@
 
     def _release(self, lot: Lot, now: float) -> list[LotOutput]:
         """Start a lot after its probes, or go on following the node that runs it."""
-        output = self._keeper.follow(lot, now)
+        output = self._maintenance.follow(lot, now)
         if now >= lot.held_until and not lot.following:
             lot.held_until = 0.0
             output += self._scheduler.dispatch(lot, now)
--- a/src/stagewalk/node/samples/housekeeping.py
+++ b/src/stagewalk/node/samples/housekeeping.py
@@ -23,7 +23,7 @@
 _UNFINISHED = (SlotPhase.WAITING, SlotPhase.RUNNING)
 
 
-class LotKeeper:
+class LotMaintenance:
     """Bounds what lots cost while no trainer pulls them."""
 
     def __init__(
--- a/tests/node/requests/test_hand_over.py
+++ b/tests/node/requests/test_hand_over.py
@@ -26,7 +26,7 @@
     while not driver.errors():
         driver.handle(AttemptRefused(driver.last_start().attempt, "draining"))
         driver.advance(0.1)
-    assert KEY not in driver.core._book.records
+    assert KEY not in driver.core._store.records
     return driver
 
 
--- a/tests/node/requests/test_request_core.py
+++ b/tests/node/requests/test_request_core.py
@@ -130,7 +130,7 @@
         for number in range(10):
             driver.submit(request_id=f"q{number}")
             driver.handle(finished(driver.last_start(), 0))
-        self.assertEqual(3, len(driver.core._book.retained))
+        self.assertEqual(3, len(driver.core._store.retained))
 
 
 class VersionTest(testtools.TestCase):
--- a/tests/node/requests/test_request_states.py
+++ b/tests/node/requests/test_request_states.py
@@ -14,7 +14,7 @@
 from stagewalk.node.core.completions import CompletionResult
 from stagewalk.node.core.events import AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.node.core.instructions import StartAttempt
-from stagewalk.node.requests import book
+from stagewalk.node.requests import store
 from stagewalk.node.requests.claim_value import ClaimValue, encode_claim
 from stagewalk.node.requests.config import HedgeConfig, RequestConfig, RetryConfig
 from stagewalk.node.requests.notifications import FetchAnswer
@@ -56,7 +56,7 @@
     if state == "answering":
         driver.handle(chunk(driver.last_start(), 0, 4))
     expected = "running" if state == "answering" else state
-    assert driver.core._book.records[KEY].state == expected
+    assert driver.core._store.records[KEY].state == expected
     return driver
 
 
@@ -133,7 +133,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.taken: set[tuple[RequestState, Cause]] = set()
-        patch = mock.patch.object(book, "next_state", self.note)
+        patch = mock.patch.object(store, "next_state", self.note)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -144,7 +144,7 @@
     def end(self, driver: Driver, name: str, repeatable: bool, may_have_run: set[str]) -> None:
         """Let what still runs end well, then judge the whole life of the request."""
         driver.advance(5.0, step=1.0)
-        self.assertTrue(repeatable or not may_have_run or not driver.core._book.owners, name)
+        self.assertTrue(repeatable or not may_have_run or not driver.core._store.owners, name)
         for start in driver.of(StartAttempt):
             held = start.resume_offset
             driver.handle(chunk(start, held, 8, sequence=99))
@@ -153,7 +153,7 @@
         finals = len(driver.errors()) + len(driver.results())
         least = 0 if "caller gone" in name else 1
         self.assertTrue(least <= finals <= 1, f"{name}: {finals} answers")
-        self.assertNotIn(KEY, driver.core._book.records, name)
+        self.assertNotIn(KEY, driver.core._store.records, name)
         for error in driver.errors():
             if error.ran is Ran.NO:
                 self.assertEqual(set(), may_have_run, name)
@@ -163,7 +163,7 @@
         driver = reach(state, repeatable)
         may_have_run: set[str] = set()
         for each in (event, twice):
-            running = set(driver.core._book.owners)
+            running = set(driver.core._store.owners)
             EVENTS[each](driver)
             if each in ("engine killed", "truncated") and state != "waiting":
                 may_have_run |= running
@@ -219,7 +219,7 @@
         self.assertEqual((ErrorKind.ENGINE_FAILED, Ran.UNKNOWN), judged(once))
 
         waiting = reach("waiting", repeatable=True)
-        for attempt in list(waiting.core._book.owners):
+        for attempt in list(waiting.core._store.owners):
             waiting.handle(AttemptFinished(attempt, 0, "stop"))
         self.assertEqual(KEY.request_id, waiting.last_start().request.request_id)
 
