--- a/tests/node/requests/test_hand_over.py
+++ b/tests/node/requests/test_hand_over.py
@@ -13,7 +13,7 @@
 from stagewalk.node.requests.notifications import FetchAnswer
 from tests.node.requests.support import KEY, Driver, Identity
 
-CONFIG = RequestConfig(fetch_answers=True)
+CONFIG = RequestConfig()
 
 
 def owner(sent: bool = False) -> Driver:
@@ -26,7 +26,7 @@
     while not driver.errors():
         driver.handle(AttemptRefused(driver.last_start().attempt, "draining"))
         driver.advance(0.1)
-    assert KEY not in driver.core._book.records
+    assert KEY not in driver.core._store.records
     return driver
 
 
