--- a/src/stagewalk/bench/capacity_model.py
+++ b/src/stagewalk/bench/capacity_model.py
@@ -1,4 +1,8 @@
-"""What each role comes to at the planned size: measured slopes times planned rates."""
+"""What each role comes to at the planned size: measured slopes times planned rates.
+
+Owns the rules from figures to roles; relies on `capacity_data` for measurements, on `planned_load`
+for rates and on the node's own settings for bounds.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/claim_costs.py
+++ b/src/stagewalk/bench/claim_costs.py
@@ -1,4 +1,7 @@
-"""What a claim costs its proposer and each of its replicas."""
+"""What a claim costs its proposer and each of its replicas.
+
+Owns the runs and their messages; relies on `node.claims` without clock or network.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -1,4 +1,8 @@
-"""What units of work cost in the cores: requests, chunks, samples, reports, records."""
+"""What units of work cost in the cores: requests, chunks, samples, reports, records.
+
+Owns the runs and their inputs; relies on the node's cores, fed events directly, and on
+`unit_timing` for the slopes.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/fault_costs.py
+++ b/src/stagewalk/bench/fault_costs.py
@@ -2,6 +2,8 @@
 
 Only membership runs here: its traffic and processor time, not those of the other cores that hear
 of the changes.
+
+Owns the faults and the rule when views have settled; relies on `membership_network` for the cores.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/bench/http_costs.py
+++ b/src/stagewalk/bench/http_costs.py
@@ -1,4 +1,8 @@
-"""What a call of a node to an engine or the platform costs over HTTP, through the real adapters."""
+"""What a call of a node to an engine or the platform costs over HTTP, through the real adapters.
+
+Owns the calls and the count of their bytes; relies on stand-in processes from `processes` to
+answer.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/lone_node.py
+++ b/src/stagewalk/bench/lone_node.py
@@ -1,4 +1,8 @@
-"""One real node with stand-ins around it: its memory at rest, and the latency it adds."""
+"""One real node with stand-ins around it: its memory at rest, and the latency it adds.
+
+Owns the readings; relies on real processes from `processes` and on `psutil` for their memory and
+time.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -1,4 +1,7 @@
-"""Deterministic in-memory network of membership cores, with loss, delay, partitions and pauses."""
+"""Deterministic in-memory network of membership cores, with loss, delay, partitions and pauses.
+
+Owns virtual time, messages in flight and faults; relies on `node.membership` as it runs in a node.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/planned_load.py
+++ b/src/stagewalk/bench/planned_load.py
@@ -1,4 +1,8 @@
-"""The size that is planned for, and the limits of a node's control work."""
+"""The size that is planned for, and the limits of a node's control work.
+
+Owns the figures, which DEVELOPERS.md states as the size to design for; `capacity_model` multiplies
+them with measured costs.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/processes.py
+++ b/src/stagewalk/bench/processes.py
@@ -1,4 +1,7 @@
-"""Child processes of a bench: stand-ins and a node, on free loopback ports."""
+"""Child processes of a bench: stand-ins and a node, on free loopback ports.
+
+Owns the processes it started and ends them with its block.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/slopes.py
+++ b/src/stagewalk/bench/slopes.py
@@ -1,4 +1,7 @@
-"""Straight lines through measurements, with their standard errors."""
+"""Straight lines through measurements, with their standard errors.
+
+Owns the fit; relies on nothing but the points.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/bench/unit_timing.py
+++ b/src/stagewalk/bench/unit_timing.py
@@ -1,4 +1,7 @@
-"""Processor time of one unit of work: the slope over runs of several lengths."""
+"""Processor time of one unit of work: the slope over runs of several lengths.
+
+Owns the runs of one unit; relies on `slopes` for the line through them.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/cli/config.py
+++ b/src/stagewalk/cli/config.py
@@ -2,6 +2,9 @@
 
 Exit codes: 0 done (or, for `diff`, no difference); 1 rejected (or a difference); 2 not done, not
 known, or not in force everywhere in time.
+
+Owns the subcommands and what they print; relies on `config_log` to publish, `config_nodes` to poll
+nodes and `config_files` for an operator's files.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/cli/config_files.py
+++ b/src/stagewalk/cli/config_files.py
@@ -1,4 +1,7 @@
-"""Reads operators' change files and their templates from disk."""
+"""Reads operators' change files and their templates from disk.
+
+Owns the form of a change file; relies on the product's templates and parameters to check it.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/cli/config_log.py
+++ b/src/stagewalk/cli/config_log.py
@@ -1,4 +1,8 @@
-"""An operator's session with the log: the product's log client over plain HTTP calls."""
+"""An operator's session with the log: the product's log client over plain HTTP calls.
+
+Owns the HTTP calls and the deadline of a session; relies on `node.log_client` for retries and on
+`node.configuration` for outcomes.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/cli/config_nodes.py
+++ b/src/stagewalk/cli/config_nodes.py
@@ -1,4 +1,8 @@
-"""Asks nodes which configuration they have in force."""
+"""Asks nodes which configuration they have in force.
+
+Owns the polling of `GET /control/status`; nodes out of reach are judged by what other members
+report of them.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/cli/main.py
+++ b/src/stagewalk/cli/main.py
@@ -2,6 +2,8 @@
 
 A subcommand is a module `stagewalk.cli.<name>` with `add_flags(parser)` and
 `run(arguments) -> int`. Importing late keeps the daemon free of the simulation's libraries.
+
+Owns the list of subcommands and the exit code for wrong flags; relies on the subcommands' modules.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/cli/node.py
+++ b/src/stagewalk/cli/node.py
@@ -1,4 +1,7 @@
-"""`stagewalk node`: the node daemon."""
+"""`stagewalk node`: the node daemon.
+
+Owns no behaviour; relies on `node.settings` for flags and on `node.daemon` to run.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/history/answer_text.py
+++ b/src/stagewalk/history/answer_text.py
@@ -7,6 +7,8 @@
 
 A chunk is written as `<content key>[<start>:<end>]v<version>;` and an answer is the
 concatenation of its chunks.
+
+Owns the text's form and the lengths of answers; relies on nothing of the system under test.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/history/check.py
+++ b/src/stagewalk/history/check.py
@@ -1,6 +1,8 @@
 """`python -m stagewalk.history.check FILE...`: judge histories that observers wrote.
 
 Prints checks and violations of each promise; exits with 1 on a violation, 2 on a bad file.
+
+Owns the exit codes; relies on `checker` for the verdict.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/history/checker.py
+++ b/src/stagewalk/history/checker.py
@@ -2,6 +2,9 @@
 
 The system under test writes none of the history, so a promise is judged by what callers,
 engines, trainers, operators and the log saw. A promise with no check is unproved.
+
+Owns the order of the checks; relies on `checker_requests`, `checker_samples`, `checker_stops` and
+`checker_configuration`, one for each kind of promise.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/history/checker_configuration.py
+++ b/src/stagewalk/history/checker_configuration.py
@@ -1,4 +1,8 @@
-"""Judges that accepted configuration is in force everywhere in time and never reverts."""
+"""Judges that accepted configuration is in force everywhere in time and never reverts.
+
+Owns the timeline of accepted changes and the time by which they must be in force; relies on an
+oracle for what is accepted.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/history/checker_oracle.py
+++ b/src/stagewalk/history/checker_oracle.py
@@ -1,4 +1,7 @@
-"""The product's own fold as the checker's oracle of what is accepted."""
+"""The product's own fold as the checker's oracle of what is accepted.
+
+Owns no rule of its own; relies on `node.configuration.fold`.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/history/checker_requests.py
+++ b/src/stagewalk/history/checker_requests.py
@@ -1,4 +1,7 @@
-"""Checks the outcomes that callers received against what engines executed."""
+"""Checks the outcomes that callers received against what engines executed.
+
+Owns the stories of requests; relies on `answer_text` for the truth that a text states of itself.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/history/checker_samples.py
+++ b/src/stagewalk/history/checker_samples.py
@@ -1,4 +1,8 @@
-"""Judges the samples that trainers accepted: whole, named, fresh enough and exactly once."""
+"""Judges the samples that trainers accepted: whole, named, fresh enough and exactly once.
+
+Owns what each trainer accepted; relies on `answer_text` for versions and on the timeline of
+`checker_configuration` for the staleness bounds in force.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/history/checker_stops.py
+++ b/src/stagewalk/history/checker_stops.py
@@ -1,4 +1,7 @@
-"""Judges leaving back ends and planned stops."""
+"""Judges leaving back ends and planned stops.
+
+Owns the times allowed for a stop; relies on observations of callers and engines.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/history/checker_verdict.py
+++ b/src/stagewalk/history/checker_verdict.py
@@ -1,4 +1,7 @@
-"""The checker's result: how often each promise was checked, and what broke it."""
+"""The checker's result: how often each promise was checked, and what broke it.
+
+Owns the list of promises, the counts and the text of a violation.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/history/observations.py
+++ b/src/stagewalk/history/observations.py
@@ -4,6 +4,9 @@
 The system under test writes none of these. Times are seconds of one clock shared by all
 observers of a run (virtual time, or the machine's monotonic clock). On disk a history is
 JSON lines, one observation a line, in any order.
+
+Owns the form of a history line, which stays readable by later releases; relies on
+`node.core.completions` for version spans.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/history/summary.py
+++ b/src/stagewalk/history/summary.py
@@ -1,4 +1,7 @@
-"""What users measure, computed from observations: idle time, staleness, latency, deliveries."""
+"""What users measure, computed from observations: idle time, staleness, latency, deliveries.
+
+Owns the measures' definitions; relies on observations alone.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/callers.py
+++ b/src/stagewalk/simulation/callers.py
@@ -1,4 +1,8 @@
-"""Interactive callers: each request until its final answer, with retries under the same id."""
+"""Interactive callers: each request until its final answer, with retries under the same id.
+
+Owns each request's retries and the callers' observations; relies on `client_calls` to reach nodes
+and on `history.answer_text` for the length of a whole answer.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
 from stagewalk.simulation.witness import Witness
 
 MAXIMUM_SENDS = 4
-PATIENCE_SECONDS = 5.0
+GIVE_UP_SECONDS = 5.0
 """How long beyond its deadline a caller waits for a final answer."""
 
 STREAMED_FRACTION = 0.5
@@ -128,8 +132,8 @@
         self._done = False
         self._unsettled = False
         scheduler = caller.world.scheduler
-        patience_ends = question.deadline_at + PATIENCE_SECONDS
-        scheduler.at(patience_ends, lambda: self._abandon(unanswered=True))
+        gives_up_at = question.deadline_at + GIVE_UP_SECONDS
+        scheduler.at(gives_up_at, lambda: self._abandon(unanswered=True))
         if caller.generator.random() < caller.load.abandon_fraction:
             scheduler.after(5.0 * caller.generator.random(), self._abandon)
 
--- a/src/stagewalk/simulation/claims_explorer.py
+++ b/src/stagewalk/simulation/claims_explorer.py
@@ -9,6 +9,9 @@
 `explore` visits every state up to a depth, `walk` takes random paths that go deeper.
 
     python -m stagewalk.simulation.claims_explorer --depth=9 --walks=2000
+
+Owns the world's state and the search; relies on `node.claims` as it runs in a node, without clock
+or network.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/simulation/client_calls.py
+++ b/src/stagewalk/simulation/client_calls.py
@@ -1,4 +1,8 @@
-"""How simulated clients call nodes."""
+"""How simulated clients call nodes.
+
+Owns the choice of a node and the rule that one answer counts; relies on `node_host` for the call
+itself.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/engine_host.py
+++ b/src/stagewalk/simulation/engine_host.py
@@ -1,4 +1,8 @@
-"""A model engine's process: the engine model behind streams, orders, crashes and restarts."""
+"""A model engine's process: the engine model behind streams, orders, crashes and restarts.
+
+Owns the streams, incarnations and observations of one engine process; relies on `engine_model` for
+what the engine does and on `network` for how its answers travel.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/engine_messages.py
+++ b/src/stagewalk/simulation/engine_messages.py
@@ -1,4 +1,7 @@
-"""What goes into and comes out of the engine model."""
+"""What goes into and comes out of the engine model.
+
+Owns these types and no behaviour; the model, the simulation's host and the stand-in share them.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/engine_model.py
+++ b/src/stagewalk/simulation/engine_model.py
@@ -2,6 +2,10 @@
 
 The simulation and the stand-in process run the same class. It does no I/O and reads no
 clock: its driver calls `advance` no later than `next_wakeup` and carries out its outputs.
+
+Owns admission of attempts, the lagging report and the order of events; relies on
+`engine_scheduler` for the batch, `engine_weights` for versions and orders, `engine_prefix_cache`
+for cached prompts.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/simulation/engine_prefix_cache.py
+++ b/src/stagewalk/simulation/engine_prefix_cache.py
@@ -1,4 +1,7 @@
-"""An engine's prefix cache: hashed blocks of prompts, least recently used first out."""
+"""An engine's prefix cache: hashed blocks of prompts, least recently used first out.
+
+Owns the blocks held and the lossy record of their changes; its caller says how much room is left.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/engine_scheduler.py
+++ b/src/stagewalk/simulation/engine_scheduler.py
@@ -1,4 +1,8 @@
-"""Which of an engine's attempts wait, are prefilled or decode, as time passes."""
+"""Which of an engine's attempts wait, are prefilled or decode, as time passes.
+
+Owns queue, prefills and batch of one engine; relies on `engine_sequence` for progress within the
+batch and on `engine_prefix_cache` for tokens that need no prefill.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/engine_sequence.py
+++ b/src/stagewalk/simulation/engine_sequence.py
@@ -4,6 +4,8 @@
 the tokens each sequence would have made had it decoded from the start. A sequence's own
 count is the difference to its entry, so time passes for the whole batch at the cost of one
 addition, and the next completion is a minimum over the batch.
+
+Owns sequences and their progress; relies on `history.answer_text` for the text of a chunk.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/simulation/engine_weights.py
+++ b/src/stagewalk/simulation/engine_weights.py
@@ -1,4 +1,8 @@
-"""The weights an engine holds, and the fenced orders about them."""
+"""The weights an engine holds, and the fenced orders about them.
+
+Owns staged and active versions, the last epoch and swaps under way; relies on its driver to fetch
+weights and report the end.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/fault_injector.py
+++ b/src/stagewalk/simulation/fault_injector.py
@@ -1,4 +1,8 @@
-"""Brings planned faults about in a world, and ends them."""
+"""Brings planned faults about in a world, and ends them.
+
+Owns when a fault begins and ends, and the observation of it; relies on `faults` for the schedule
+and on machines, network and services to carry it out.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/faults.py
+++ b/src/stagewalk/simulation/faults.py
@@ -1,4 +1,7 @@
-"""Fault schedules: what fails when, drawn from the seed and free of any state of the world."""
+"""Fault schedules: what fails when, drawn from the seed and free of any state of the world.
+
+Owns the rates and kinds of each level; relies on the layout for what there is to fail.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/idle_bound.py
+++ b/src/stagewalk/simulation/idle_bound.py
@@ -2,6 +2,8 @@
 
 A step needs at least its work over the pool's whole capacity, and at least the time of its
 longest sample alone on an engine. What a trainer asks for ahead overlaps with its training.
+
+Owns no state; relies on the steps that the world's trainers recorded.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/simulation/layout.py
+++ b/src/stagewalk/simulation/layout.py
@@ -1,4 +1,7 @@
-"""What a simulated deployment consists of: places, machines, tenants and their load."""
+"""What a simulated deployment consists of: places, machines, tenants and their load.
+
+Owns these types and no behaviour; `layouts` fills them and `world` builds from them.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/layouts.py
+++ b/src/stagewalk/simulation/layouts.py
@@ -1,4 +1,7 @@
-"""The deployments that can be simulated: today's two, both in one, and the plan for two years."""
+"""The deployments that can be simulated: today's two, both in one, and the plan for two years.
+
+Owns names, sizes and loads of the deployments; relies on `layout` for the types.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/log_service.py
+++ b/src/stagewalk/simulation/log_service.py
@@ -1,4 +1,7 @@
-"""The platform's append-only log, with its outages."""
+"""The platform's append-only log, with its outages.
+
+Owns records, offsets and waiting reads; relies on `remote_call` for how calls travel and fail.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/machines.py
+++ b/src/stagewalk/simulation/machines.py
@@ -1,4 +1,8 @@
-"""Keeps the simulated machines: starts, stops, restarts, and their rows in the machine list."""
+"""Keeps the simulated machines: starts, stops, restarts, and their rows in the machine list.
+
+Owns which machines exist and their planned stops; relies on `node_host` and `engine_host` for the
+processes and on `platform_services` for the list.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -2,6 +2,8 @@
 
 A mutant that the checker doesn't catch leaves its promise unproved: either the checker is
 blind, or the faults never come where the mechanism is needed.
+
+Owns the altered cores and which promise each breaks; relies on `NodeCore` as it is.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/simulation/network.py
+++ b/src/stagewalk/simulation/network.py
@@ -2,6 +2,9 @@
 
 A message carries no bytes here but an action that delivers it; the sender's and receiver's
 names decide whether a partition is in its way.
+
+Owns partitions, impairments and open connections; relies on `virtual_time` for delivery and on the
+layout's latencies.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/simulation/node_host.py
+++ b/src/stagewalk/simulation/node_host.py
@@ -1,4 +1,8 @@
-"""A node's process: the real `NodeCore` behind a clock, a network, kills, pauses and restarts."""
+"""A node's process: the real `NodeCore` behind a clock, a network, kills, pauses and restarts.
+
+Owns a node's incarnations, clock, open calls and core failures; relies on `outbound` for calls to
+engines and services and on `network` for messages to peers.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/operators.py
+++ b/src/stagewalk/simulation/operators.py
@@ -1,4 +1,8 @@
-"""Operators of both partners, who publish changes on the log and race each other."""
+"""Operators of both partners, who publish changes on the log and race each other.
+
+Owns the changes published and what their operators observe; relies on `log_service` and on the
+product's own fold to know whether a change was accepted.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/outbound.py
+++ b/src/stagewalk/simulation/outbound.py
@@ -1,4 +1,8 @@
-"""A node's calls to engines and platform services, as the daemon's adapters make them."""
+"""A node's calls to engines and platform services, as the daemon's adapters make them.
+
+Owns streams to engines and calls under way of one node process; relies on `engine_host`,
+`log_service` and `platform_services` for the answers.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/platform_services.py
+++ b/src/stagewalk/simulation/platform_services.py
@@ -1,4 +1,8 @@
-"""The platform's machine list, weight store and scorer."""
+"""The platform's machine list, weight store and scorer.
+
+Owns the machines' rows, the published versions and the scores; relies on `remote_call` and
+`network` for how calls travel and fail.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/platform_settings.py
+++ b/src/stagewalk/simulation/platform_settings.py
@@ -1,6 +1,8 @@
 """Parameters of the platform's models, shared by the simulation and the stand-ins.
 
 Units stand in the names; a field without a unit is a count or a fraction.
+
+Owns the default figures, which are chosen to resemble an engine and not measured on one.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/simulation/prompts.py
+++ b/src/stagewalk/simulation/prompts.py
@@ -1,4 +1,7 @@
-"""Prompts with shared prefixes and heavy-tailed lengths."""
+"""Prompts with shared prefixes and heavy-tailed lengths.
+
+Owns the draw of a prompt's length and prefix; relies on the generator of its caller alone.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/remote_call.py
+++ b/src/stagewalk/simulation/remote_call.py
@@ -1,4 +1,7 @@
-"""A request with one answer over the network, such as a call to a platform service."""
+"""A request with one answer over the network, such as a call to a platform service.
+
+Owns one call's state; relies on `network` for both ways.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/shrink.py
+++ b/src/stagewalk/simulation/shrink.py
@@ -1,4 +1,7 @@
-"""Shrinks a failing run to a small one that still breaks the same promise."""
+"""Shrinks a failing run to a small one that still breaks the same promise.
+
+Owns the order in which faults and time are left out; relies on its caller to run each candidate.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/simulation_run.py
+++ b/src/stagewalk/simulation/simulation_run.py
@@ -1,4 +1,8 @@
-"""One simulation from its arguments to its report."""
+"""One simulation from its arguments to its report.
+
+Owns the form of arguments, report and replay file; relies on `world` for the run and on `history`
+for its verdict.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/sweep.py
+++ b/src/stagewalk/simulation/sweep.py
@@ -1,4 +1,7 @@
-"""Many runs over several processes, and what came of them together."""
+"""Many runs over several processes, and what came of them together.
+
+Owns the worker processes; relies on `simulation_run` for each run.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/trainers.py
+++ b/src/stagewalk/simulation/trainers.py
@@ -1,4 +1,8 @@
-"""Trainers: steps of rollouts, pulled with a cursor, trained on, published, and checkpointed."""
+"""Trainers: steps of rollouts, pulled with a cursor, trained on, published, and checkpointed.
+
+Owns steps, cursors, checkpoints and the trainers' observations; relies on `client_calls` to reach
+nodes.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/virtual_time.py
+++ b/src/stagewalk/simulation/virtual_time.py
@@ -1,4 +1,8 @@
-"""The virtual clock: `simpy` underneath, callbacks and processes on top."""
+"""The virtual clock: `simpy` underneath, callbacks and processes on top.
+
+Owns the virtual time and the order of actions at one moment; nothing in a simulated world reads
+another clock.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/witness.py
+++ b/src/stagewalk/simulation/witness.py
@@ -1,4 +1,7 @@
-"""Collects what the observers of a run saw, in order of time."""
+"""Collects what the observers of a run saw, in order of time.
+
+Owns the history of a run and its digest; all models of the world write to it.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk/simulation/world.py
+++ b/src/stagewalk/simulation/world.py
@@ -1,4 +1,8 @@
-"""A whole simulated deployment, wired from its layout."""
+"""A whole simulated deployment, wired from its layout.
+
+Owns every object of a run and their wiring; relies on the modules of this folder, one for each
+kind of process or service.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/caller.py
+++ b/src/stagewalk_standins/caller.py
@@ -1,4 +1,8 @@
-"""Stand-in of callers of completions: an open loop at a rate, through the nodes beside it."""
+"""Stand-in of callers of completions: an open loop at a rate, through the nodes beside it.
+
+Owns requests, retries and their observations; relies on `node_pool` for where to send and on
+`history_file` for the record.
+"""
 
 from __future__ import annotations
 
@@ -30,8 +34,8 @@
 UNAVAILABLE_STATUS = 503
 DEADLINE_MARGIN_SECONDS = 10.0
 PREFIX_CHARACTERS = 800
-MOST_PATIENCE_SECONDS = 1.0
-"""Within this an impatient caller breaks its connection."""
+MOST_WAIT_SECONDS = 1.0
+"""Longest wait of a call whose connection the caller itself breaks; chosen, not measured."""
 CONNECTION_CUT = "connection_cut"
 """Kind of the fault observed when the caller breaks a connection itself."""
 MAXIMUM_SEED = 2**31 - 1
@@ -230,7 +234,7 @@
         if self._generator.random() >= self._options.impatient_fraction:
             return await self._exchange(node, body)
         result: Result = Broken.GIVEN_UP
-        with anyio.move_on_after(self._generator.uniform(0.0, MOST_PATIENCE_SECONDS)):
+        with anyio.move_on_after(self._generator.uniform(0.0, MOST_WAIT_SECONDS)):
             result = await self._exchange(node, body)
         return result
 
--- a/src/stagewalk_standins/commands.py
+++ b/src/stagewalk_standins/commands.py
@@ -1,4 +1,7 @@
-"""Starting each stand-in from its flags; what a stand-in doesn't need is never imported."""
+"""Starting each stand-in from its flags; what a stand-in doesn't need is never imported.
+
+Owns how flags become objects; relies on `flags` for the names and on `serving` for signals.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/demo/operator.py
+++ b/src/stagewalk_standins/demo/operator.py
@@ -1,6 +1,9 @@
 """The demonstration's operator: publishes configuration, probes nodes, brings faults about.
 
 What it sees and does goes into a history of its own, as evidence for the checker.
+
+Owns that history and the last status of each node; relies on `processes` to stop and kill and on
+the product's own command to publish.
 """
 
 from __future__ import annotations
--- a/src/stagewalk_standins/demo/processes.py
+++ b/src/stagewalk_standins/demo/processes.py
@@ -1,4 +1,7 @@
-"""Starting, killing and stopping the processes of a demonstration, each by its own pid."""
+"""Starting, killing and stopping the processes of a demonstration, each by its own pid.
+
+Owns the processes it started, and ends no other.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/demo/tables.py
+++ b/src/stagewalk_standins/demo/tables.py
@@ -1,4 +1,7 @@
-"""What the demonstration prints: progress while it runs, and its final tables."""
+"""What the demonstration prints: progress while it runs, and its final tables.
+
+Owns the text; relies on `history` for figures and verdict.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/demo/topology.py
+++ b/src/stagewalk_standins/demo/topology.py
@@ -1,4 +1,8 @@
-"""Which processes a deployment consists of, each at a loopback address of its own."""
+"""Which processes a deployment consists of, each at a loopback address of its own.
+
+Owns addresses, flags and order of start; relies on `node.configuration.deployment` for the deploy
+file's form.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/engine_history.py
+++ b/src/stagewalk_standins/engine_history.py
@@ -1,4 +1,8 @@
-"""What an engine stand-in observes of itself."""
+"""What an engine stand-in observes of itself.
+
+Owns which observations an engine writes; relies on `history_file` for the disk and on `event_log`
+for the log lines.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/engine_server.py
+++ b/src/stagewalk_standins/engine_server.py
@@ -1,4 +1,8 @@
-"""Stand-in of a model engine: the engine model behind the platform's HTTP protocol."""
+"""Stand-in of a model engine: the engine model behind the platform's HTTP protocol.
+
+Owns routes, streams and the model's wake-ups; relies on `simulation.engine_model` for what the
+engine does.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/engine_stream.py
+++ b/src/stagewalk_standins/engine_stream.py
@@ -1,4 +1,7 @@
-"""The token stream of one attempt at the engine stand-in, readable again from any token."""
+"""The token stream of one attempt at the engine stand-in, readable again from any token.
+
+Owns the events sent so far; a client that lost its connection reads on from any token.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/event_log.py
+++ b/src/stagewalk_standins/event_log.py
@@ -1,4 +1,7 @@
-"""One line of key=value pairs on standard error for each event, through eliot."""
+"""One line of key=value pairs on standard error for each event, through eliot.
+
+Owns the form of the lines; stand-ins log nowhere else.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/faults.py
+++ b/src/stagewalk_standins/faults.py
@@ -1,4 +1,7 @@
-"""Switches for a service's faults, set over HTTP while it runs."""
+"""Switches for a service's faults, set over HTTP while it runs.
+
+Owns the faults in force of one service; relies on `web` for the route.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/flags.py
+++ b/src/stagewalk_standins/flags.py
@@ -1,4 +1,8 @@
-"""Command-line flags of each stand-in."""
+"""Command-line flags of each stand-in.
+
+Owns names and defaults of the flags; relies on nothing of the stand-ins, so that `--help` imports
+none.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/forwarder.py
+++ b/src/stagewalk_standins/forwarder.py
@@ -1,4 +1,8 @@
-"""Stand-in of a faulty network: forwards TCP and UDP, with faults for each link set over HTTP."""
+"""Stand-in of a faulty network: forwards TCP and UDP, with faults for each link set over HTTP.
+
+Owns the links and their control routes; relies on `forwarder_streams` and `forwarder_datagrams` to
+carry bytes.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/forwarder_datagrams.py
+++ b/src/stagewalk_standins/forwarder_datagrams.py
@@ -1,4 +1,7 @@
-"""Datagrams between peers that each stand behind an address of the forwarder."""
+"""Datagrams between peers that each stand behind an address of the forwarder.
+
+Owns the sockets of all peers; relies on `forwarder_faults` for each ordered pair's faults.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/forwarder_faults.py
+++ b/src/stagewalk_standins/forwarder_faults.py
@@ -1,4 +1,7 @@
-"""Faults of one link of the forwarder, and what the link has seen."""
+"""Faults of one link of the forwarder, and what the link has seen.
+
+Owns the faults in force and the counts that tests read to see that a fault struck.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/forwarder_streams.py
+++ b/src/stagewalk_standins/forwarder_streams.py
@@ -1,4 +1,7 @@
-"""One TCP link of the forwarder: a listening address in front of a target."""
+"""One TCP link of the forwarder: a listening address in front of a target.
+
+Owns the connections of the link; relies on `forwarder_faults` for its faults.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/history_file.py
+++ b/src/stagewalk_standins/history_file.py
@@ -1,4 +1,7 @@
-"""A process's own observations, one JSON line each, on disk before the next step is taken."""
+"""A process's own observations, one JSON line each, on disk before the next step is taken.
+
+Owns the file and the clock of observations; relies on `history.observations` for a line's form.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/http_client.py
+++ b/src/stagewalk_standins/http_client.py
@@ -1,4 +1,7 @@
-"""HTTP clients of the stand-ins."""
+"""HTTP clients of the stand-ins.
+
+Owns pool limits and trust settings; relies on `httpx`.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/log_server.py
+++ b/src/stagewalk_standins/log_server.py
@@ -1,4 +1,8 @@
-"""Stand-in of the append-only log service."""
+"""Stand-in of the append-only log service.
+
+Owns records, offsets and waiting reads; relies on `web` for routes and `history_file` for its
+observations.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/machine_registration.py
+++ b/src/stagewalk_standins/machine_registration.py
@@ -1,4 +1,7 @@
-"""An engine's own entry in the platform's machine list."""
+"""An engine's own entry in the platform's machine list.
+
+Owns the engine's row from start to exit; relies on `http_client` for the calls.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/machine_server.py
+++ b/src/stagewalk_standins/machine_server.py
@@ -1,4 +1,7 @@
-"""Stand-in of the platform's machine list, which shows the state of some seconds ago."""
+"""Stand-in of the platform's machine list, which shows the state of some seconds ago.
+
+Owns the rows and their past states; relies on `web` for routes.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/node_pool.py
+++ b/src/stagewalk_standins/node_pool.py
@@ -1,4 +1,7 @@
-"""The nodes a client of the system may use, by name and URL."""
+"""The nodes a client of the system may use, by name and URL.
+
+Owns which node is used next; relies on nothing else.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/scorer_server.py
+++ b/src/stagewalk_standins/scorer_server.py
@@ -1,4 +1,7 @@
-"""Stand-in of a service that scores samples; the same text always gets the same score."""
+"""Stand-in of a service that scores samples; the same text always gets the same score.
+
+Owns the score of a text; relies on `web` for routes.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/serving.py
+++ b/src/stagewalk_standins/serving.py
@@ -1,4 +1,7 @@
-"""Running a stand-in: signals, hypercorn, orderly stop."""
+"""Running a stand-in: signals, hypercorn, orderly stop.
+
+Owns signal handling and the server's life; relies on `hypercorn`.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/trainer.py
+++ b/src/stagewalk_standins/trainer.py
@@ -1,4 +1,8 @@
-"""Stand-in of a trainer: asks for lots of rollouts, trains, publishes new weights."""
+"""Stand-in of a trainer: asks for lots of rollouts, trains, publishes new weights.
+
+Owns steps, pulls and publishing; relies on `trainer_checkpoint` for state that survives a kill and
+on `node_pool` for where to call.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/trainer_checkpoint.py
+++ b/src/stagewalk_standins/trainer_checkpoint.py
@@ -3,6 +3,8 @@
 The checkpoint is written before the observations it implies. It carries the lines of its
 last change, so that a restarted trainer writes those that a kill kept from its history:
 each accepted sample is observed once, whenever the kill comes.
+
+Owns the checkpoint file; relies on `history_file` to find lines already written.
 """
 
 from __future__ import annotations
--- a/src/stagewalk_standins/trainer_protocol.py
+++ b/src/stagewalk_standins/trainer_protocol.py
@@ -1,4 +1,7 @@
-"""Bodies of the calls a trainer makes to nodes and to the weight store."""
+"""Bodies of the calls a trainer makes to nodes and to the weight store.
+
+Owns these types and no behaviour.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/web.py
+++ b/src/stagewalk_standins/web.py
@@ -1,4 +1,7 @@
-"""A small ASGI application: typed requests and answers behind routes, served by hypercorn."""
+"""A small ASGI application: typed requests and answers behind routes, served by hypercorn.
+
+Owns routing, decoding and error answers; relies on `msgspec` for bodies and `hypercorn` as server.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/weight_fetcher.py
+++ b/src/stagewalk_standins/weight_fetcher.py
@@ -1,4 +1,7 @@
-"""An engine's fetches from the weight store."""
+"""An engine's fetches from the weight store.
+
+Owns the fetch and its retries; relies on `http_client`.
+"""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/weight_server.py
+++ b/src/stagewalk_standins/weight_server.py
@@ -1,4 +1,7 @@
-"""Stand-in of the weight store: versions of models, fetched at one shared rate."""
+"""Stand-in of the weight store: versions of models, fetched at one shared rate.
+
+Owns versions and the shared rate; relies on `web` for routes.
+"""
 
 from __future__ import annotations
 
