--- a/src/stagewalk/gateway/batches/batch_run.py
+++ b/src/stagewalk/gateway/batches/batch_run.py
@@ -1,12 +1,15 @@
-"""One batch being run: what is left of its items."""
+"""One batch being run, and the instructions that record what becomes of its items.
+
+Owns the items that have no result in the log yet. Relies on `item_run` for each item's state.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.item_run import ItemRun
-from stagewalk.gateway.batches.ledger import Batch
 from stagewalk.gateway.batches.messages import RecordItem
 
 
@@ -23,16 +26,16 @@
         return self.batch.header.batch
 
     @property
-    def untold(self) -> Iterable[ItemRun]:
-        """Return the items of which the log lacks something one could go on from."""
-        return (item for item in self.items.values() if item.untold and not item.recording)
+    def unpublished(self) -> Iterable[ItemRun]:
+        """Return the items of which the log lacks text or tries that a later run goes on from."""
+        return (item for item in self.items.values() if item.unpublished and not item.recording)
 
-    def tell(self, item: ItemRun) -> RecordItem:
-        """Have the log told what was made of an item."""
-        return RecordItem(item.tell(self.name))
+    def progress(self, item: ItemRun) -> RecordItem:
+        """Record what has been made of an item so far."""
+        return RecordItem(item.publish_progress(self.name))
 
     def fail(self, item: ItemRun) -> RecordItem:
-        """Give an item up."""
+        """Record that an item failed."""
         item.recording = True
         return RecordItem(item.failure(self.name))
 
--- a/src/stagewalk/gateway/batches/item_scores.py
+++ b/src/stagewalk/gateway/batches/item_scores.py
@@ -1,19 +1,24 @@
-"""Has items scored whose text is whole; their text and score become one result."""
+"""Scores items whose text is whole; text and score become one result. Pure.
+
+Owns no state: calls are `scoring.core`'s and items the scheduler's. Text and score are one record,
+or a result would stand in the log without its score, or at a position that changes
+(docs/design/0110).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from stagewalk.gateway.batches.attempt_watch import RouteOf
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.messages import RecordItem, SchedulerInstruction
-from stagewalk.gateway.scoring.core import ScoreCalls, ScoreOutcome
+from stagewalk.gateway.scoring.core import RouteOf, ScoreCalls, ScoreOutcome
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, StopScore
 
-TELL_UNSCORED_SECONDS = 0.3
-"""A whole text that waits longer than this for its score is told to the log: whoever takes over
-needs only the score. Most scores come sooner, and then text and score are told once."""
+PUBLISH_UNSCORED_SECONDS = 0.3
+"""A whole text that waits longer than this for its score is recorded by itself: a node that takes
+over needs only the score. Most scores come sooner (95% within 0.092 s, docs/WORTH.md), and then
+text and score are recorded once."""
 
 
 class ItemScores:
@@ -42,7 +47,7 @@
     def text_whole(
         self, run: BatchRun, item: ItemRun, now: float, score: str = ""
     ) -> list[SchedulerInstruction]:
-        """Record an item whose text is whole, or have it scored first.
+        """Record an item whose text is whole, or begin to score it.
 
         Parameters
         ----------
@@ -66,15 +71,15 @@
         return self.due(now)
 
     def drop(self, batch: str, item: str, reason: str) -> list[StopScore]:
-        """Wait for an item's score no more."""
+        """Stop waiting for an item's score."""
         return self._calls.drop(batch, item, reason)
 
     def due(self, now: float) -> list[SchedulerInstruction]:
         """Return the calls to make now."""
         return [*self._calls.due(now)]
 
-    def take(self, event: ScoreAnswered | ScoreBroken, now: float) -> list[SchedulerInstruction]:
-        """Take what became of an attempt at a call."""
+    def handle(self, event: ScoreAnswered | ScoreBroken, now: float) -> list[SchedulerInstruction]:
+        """Handle the end of an attempt at a call."""
         if isinstance(event, ScoreBroken):
             self._calls.broken(event, now)
             return self.due(now)
@@ -90,13 +95,14 @@
                 instructions.append(run.fail(item))
         return [*instructions, *self.due(now)]
 
-    def tell_late(self, now: float) -> list[RecordItem]:
-        """Tell the log of whole texts that wait long for their score."""
+    def publish_overdue(self, now: float) -> list[RecordItem]:
+        """Record whole texts that wait long for their score."""
         if not self.pending:
             return []
         return [
-            run.tell(item)
+            run.progress(item)
             for run in self._runs.values()
-            for item in run.untold
-            if item.scoring_since is not None and now - item.scoring_since > TELL_UNSCORED_SECONDS
+            for item in run.unpublished
+            if item.scoring_since is not None
+            and now - item.scoring_since > PUBLISH_UNSCORED_SECONDS
         ]
--- a/src/stagewalk/node/claims/core.py
+++ b/src/stagewalk/node/claims/core.py
@@ -1,7 +1,8 @@
 """Write-once registers: of all values proposed for a key, at most one is ever decided.
 
-`ClaimCore` is a proposer for its own node and a replica of the partitions placed on it. The
-argument for its safety is in `docs/design/0040-claims.md`.
+`ClaimCore` is a proposer for its own node and a replica of the partitions placed on it, and owns
+both. Relies on the placement, from the log or from peers, for the groups, and on membership for
+addresses. The argument for its safety is in `docs/design/0040-claims.md`.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from stagewalk.common.identities import Address, Incarnation, NodeName
 from stagewalk.node.claims.config import ClaimConfig
 from stagewalk.node.claims.messages import ANSWERS
-from stagewalk.node.claims.notifications import ClaimOutput, PlacementAppendWanted
+from stagewalk.node.claims.notifications import ClaimOutput
 from stagewalk.node.claims.placement import (
     PLACEMENT_STREAM,
     GroupMember,
@@ -32,14 +33,16 @@
     SendPeerMessage,
     Transport,
 )
+from stagewalk.node.log_client.notifications import AppendToStream
 from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimPlacementRequest
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 REPORT_INTERVAL_SECONDS = 30.0
-"""An abandoned recovery is reported again until the log shows it."""
+"""An abandoned recovery is reported again after this, until the log shows it. Chosen, not
+measured."""
 
 ASK_INTERVAL_SECONDS = 2.0
-"""A node that knows no groups asks another peer after this."""
+"""A node that knows no groups asks another peer after this. Chosen, not measured."""
 
 
 class ClaimCore:
@@ -76,8 +79,8 @@
     def group_count(self) -> int:
         """Return how many groups in force this process is a member of.
 
-        A planned stop does well to wait for 0 (the planner replaces a leaving replica) and a
-        second more, in which the successors take over; not for long, and not if the log is down.
+        A planned stop should wait, briefly, for 0 (the planner replaces a leaving replica) and a
+        second more, in which the successors take over; not if the log is down.
         """
         return self._replica.group_count
 
@@ -91,14 +94,9 @@
         """Return an estimate of the memory these take."""
         return self._replica.usage.size_bytes
 
-    @property
-    def proposal_count(self) -> int:
-        """Return how many proposals and reads are under way."""
-        return self._proposer.count
-
     def set_groups(self, placement: GroupPlacement) -> None:
-        """Take up the groups in the log; heeded before anything else is."""
-        self._view.take_log(placement)
+        """Set the groups in the log; they apply before anything else is handled."""
+        self._view.apply_log(placement)
         self._placement_changed = True
 
     def set_members(self, members: Mapping[NodeName, Peer]) -> None:
@@ -111,12 +109,12 @@
         """Try to make `value` the value of a key.
 
         Ends with `ClaimDecided` or `ClaimUndecided`. Proposers must use distinct values, or
-        more than one is told that it won.
+        more than one proposer gets `won`.
 
         Parameters
         ----------
         renewable
-            Whoever proposes this key can do without a decision made before a majority of its
+            The proposers of this key can do without a decision made before a majority of its
             replicas lost their memory: the key may be decided anew after that. Otherwise such
             keys are answered `OUTCOME_UNKNOWN` until the retention has passed.
         """
@@ -125,7 +123,7 @@
         return self._finish(now)
 
     def read(self, key: str, now: float, renewable: bool = False) -> list[ClaimOutput]:
-        """Ask what is decided for a key.
+        """Read what is decided for a key.
 
         Ends with `ClaimDecided`, `ClaimAbsent` or `ClaimUndecided`. `renewable` is as in
         `propose`.
@@ -142,20 +140,20 @@
         message: ClaimMessage,
         now: float,
     ) -> list[ClaimOutput]:
-        """Take a message of another node, that came from address `source`."""
+        """Handle a message of another node, that came from address `source`."""
         self._adopt_placement(now)
         self._dispatch(source, GroupMember(sender, sender_incarnation), message, now)
         return self._finish(now)
 
     def tick(self, now: float) -> list[ClaimOutput]:
-        """Let time pass: resend, retry, give up, expire."""
+        """Resend, retry, give up and expire what is due."""
         self._adopt_placement(now)
         self._proposer.tick(now)
         self._replica.sweep(now)
         for outgoing in self._replica.transfers.tick(now):
             self._send(outgoing)
         self._report_abandonments(now)
-        self._ask_for_placement(now)
+        self._request_placement(now)
         return self._finish(now)
 
     def _adopt_placement(self, now: float) -> None:
@@ -174,10 +172,10 @@
         self._report_at = now + REPORT_INTERVAL_SECONDS
         member = MemberRecord(self._member.name, self._member.incarnation)
         payload = encode_record(RecoveryAbandoned(member=member, groups=groups))
-        self._outputs.append(PlacementAppendWanted(PLACEMENT_STREAM, payload))
+        self._outputs.append(AppendToStream(PLACEMENT_STREAM, payload))
 
-    def _ask_for_placement(self, now: float) -> None:
-        """Ask a peer for the groups while this node knows none: the log may be down."""
+    def _request_placement(self, now: float) -> None:
+        """Request the groups from a peer while this node knows none: the log may be down."""
         if not self._view.is_empty or now < self._ask_at:
             return
         self._ask_at = now + ASK_INTERVAL_SECONDS
@@ -208,7 +206,7 @@
     def _dispatch(
         self, source: Address, sender: GroupMember, message: ClaimMessage, now: float
     ) -> None:
-        if self._view.take_peer(message):
+        if self._view.apply_peer(message):
             self._placement_changed = True
             self._adopt_placement(now)
         body = message.WhichOneof("body")
--- a/src/stagewalk/node/membership/messages.py
+++ b/src/stagewalk/node/membership/messages.py
@@ -1,4 +1,7 @@
-"""Builds the messages of membership, filling datagrams up with waiting updates."""
+"""Builds the messages of membership, filling datagrams up with waiting updates.
+
+Relies on the update queue for what to add and on the member table for digests and whole lists.
+"""
 
 from __future__ import annotations
 
@@ -65,7 +68,8 @@
         )
 
     def _news_for(self, recipient: NodeName | None) -> list[MemberRecord]:
-        """Tell a member that this node does not hold alive, so that it can deny it."""
+        """Return the fact about a recipient that this node does not hold alive, so that it can
+        refute it."""
         fact = self._table.get(recipient) if recipient is not None else None
         if fact is None or fact.state is MemberState.ALIVE:
             return []
--- a/src/stagewalk/node/routing/router.py
+++ b/src/stagewalk/node/routing/router.py
@@ -1,4 +1,8 @@
-"""Chooses the engine for an attempt."""
+"""Chooses the engine for an attempt, and records what becomes of attempts.
+
+Owns the prefix index. Relies on the engine table for evidence, on `outliers` for which engines are
+set aside and on `choice` for the engine.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +21,16 @@
     WeightVersion,
 )
 from stagewalk.node.core.completions import CompletionRequest
+from stagewalk.node.routing.choice import EngineChooser
 from stagewalk.node.routing.config import RouterConfig
 from stagewalk.node.routing.engine_record import EngineRecord
 from stagewalk.node.routing.engine_table import EngineTable, PoolView
 from stagewalk.node.routing.outliers import note_failure, note_success, without_outliers
-from stagewalk.node.routing.policies import make_policy
 from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex, hash_blocks
 from stagewalk.node.routing.scoring import CompletionTimeModel, expected_tokens, shape_of
 
 NO_ENGINE_RETRY_SECONDS = 1.0
+"""Retry-After when no engine may take a request: two polls of each engine. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +49,7 @@
 
 
 def version_suits(request: CompletionRequest, version: WeightVersion | None) -> bool:
-    """Say whether a weight version may serve a request."""
+    """Return whether a weight version may serve a request."""
     if version is None:
         return False
     if request.minimum_version is not None and version < request.minimum_version:
@@ -53,14 +58,14 @@
 
 
 class Router:
-    """Chooses engines by a policy over those with fresh evidence.
+    """Chooses engines among those with fresh evidence.
 
     Parameters
     ----------
     identity
         This node; its place decides the cost of other zones.
     engine_table
-        Evidence about engines; told by this router of all attempts.
+        Evidence about engines; this router records all attempts in it.
     generator
         Source of random choices.
     """
@@ -75,8 +80,8 @@
         self._table = engine_table
         self._config = config
         self._prefix_index = PrefixIndex(config.prefix_index)
-        self._model = CompletionTimeModel(identity.placement, config, self._prefix_index)
-        self._policy = make_policy(config, self._model, self._prefix_index, generator)
+        model = CompletionTimeModel(identity.placement, config, self._prefix_index)
+        self._chooser = EngineChooser(config.choices, model, self._prefix_index, generator)
         self._last_prompt = ""
         self._last_blocks: PrefixBlocks = ()
 
@@ -91,7 +96,7 @@
             return Error(self._no_engine(request, len(serving), len(excluded)))
         candidates = without_outliers(suitable, self._config.outlier, now)
         shape = shape_of(request, self._blocks_of(request.prompt), self._config)
-        chosen = self._policy.select(shape, candidates, now)
+        chosen = self._chooser.choose(shape, candidates, now)
         version = chosen.version
         if version is None:
             return Error(self._no_engine(request, len(serving), len(excluded)))
@@ -104,7 +109,7 @@
     def note_started(
         self, engine: EngineName, attempt: AttemptId, request: CompletionRequest, now: float
     ) -> None:
-        """Note that an attempt was sent."""
+        """Record that an attempt was sent."""
         tokens = expected_tokens(request, self._config.score)
         self._table.note_started(engine, attempt, tokens, now)
         record = self._table.record(engine)
@@ -112,18 +117,18 @@
             self._prefix_index.note_sent(record, self._blocks_of(request.prompt))
 
     def note_progress(self, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt's engine generates."""
+        """Record that an attempt's engine generates."""
         self._table.note_progress(attempt, now)
 
     def note_finished(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt ended whole."""
+        """Record that an attempt ended whole."""
         record = self._table.record(engine)
         self._table.note_ended(attempt, now)
         if record is not None:
             note_success(record)
 
     def note_cancelled(self, attempt: AttemptId, now: float) -> None:
-        """Note that this node cancelled an attempt: no fault of the engine."""
+        """Record that this node cancelled an attempt: no fault of the engine."""
         self._table.note_ended(attempt, now)
 
     def note_refused(
@@ -133,12 +138,12 @@
         retry_after_seconds: float | None,
         now: float,
     ) -> bool:
-        """Note that an engine refused an attempt; return whether it looked full."""
+        """Record that an engine refused an attempt; return whether it looked full."""
         self._table.note_ended(attempt, now)
         return self._table.note_refused(engine, retry_after_seconds, now)
 
     def note_failed(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt failed at an engine or on the way to it."""
+        """Record that an attempt failed at an engine or on the way to it."""
         record = self._table.record(engine)
         self._table.note_ended(attempt, now)
         if record is not None:
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -12,8 +12,9 @@
 import msgspec
 
 from stagewalk.common.identities import Address, Placement
-from stagewalk.gateway.batches.records import BatchItem, ScoreCall
-from stagewalk.gateway.daemon import Dependencies, Gateway
+from stagewalk.gateway.assembly import Dependencies
+from stagewalk.gateway.batches.records import BatchItem
+from stagewalk.gateway.daemon import Gateway
 from stagewalk.gateway.dialect import NamedVersion
 from stagewalk.gateway.routes.route import (
     BackEnd,
@@ -23,6 +24,7 @@
     RouteKind,
     Service,
 )
+from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.settings import GatewaySettings, LogLimits, Timing
 from stagewalk.gateway.tenants.tenant import Tenant
 from tests.gateway.memory_duties import MemoryDuties
