--- a/src/stagewalk/gateway/explain/log_line.py
+++ b/src/stagewalk/gateway/explain/log_line.py
@@ -1,4 +1,7 @@
-"""Reads the lines that `stagewalk.common.logs.lines` writes."""
+"""Reads the lines that `stagewalk.common.logs.lines` writes. Pure.
+
+Owns the reading of one line; relies on that module's form, `key=value` with quoted values.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 
     @property
     def failure(self) -> bool:
-        """Whether it tells of a failure."""
+        """Whether it reports a failure."""
         return self.level in _FAILURE_LEVELS
 
     def get(self, field: str) -> str:
@@ -44,13 +47,13 @@
         return next((value for name, value in self.fields if name == field), "")
 
     def describe(self) -> str:
-        """Return its event and fields as they were written, but for quotes."""
+        """Return its event and fields as they were written, without quotes."""
         fields = " ".join(f"{name}={value}" for name, value in self.fields)
         return f"{self.event} {fields}".rstrip()
 
 
 def parse_line(text: str, source: str) -> LogLine | None:
-    """Return a line of a log, None for anything else; what stands before its time is passed over.
+    """Return a line of a log, None for anything else; text before its time is skipped.
 
     Parameters
     ----------
--- a/src/stagewalk/gateway/explain/steps.py
+++ b/src/stagewalk/gateway/explain/steps.py
@@ -1,7 +1,8 @@
-"""Takes trainers' steps and recoveries apart from the logs of all nodes. Pure.
+"""Where the time of trainers' steps and of recoveries went, from the logs of all nodes. Pure.
 
-A step's time is what its last groups took. For each batch the account tells when it was handed in,
-opened and ended, how long its last results took in each part of their way, and what cut them.
+A step takes as long as its last groups. For each batch the account holds when it was submitted,
+opened and ended, how long its last results took in each part of their way, and what interrupted
+them. Owns the reading of batch and item events; relies on `log_line` for parsed lines.
 """
 
 from __future__ import annotations
@@ -14,15 +15,16 @@
 from stagewalk.gateway.explain.log_line import LogLine
 
 TOGETHER_SECONDS = 1.5
-"""Starts of processes this close belong to one return."""
+"""Starts of processes this close belong to one recovery. Chosen, not measured."""
 
 MOST_NODES_SHARE = 0.8
-"""A return counts as one of all processes if so large a share of all nodes started."""
+"""A recovery counts as one of all processes if this share of all nodes started. Chosen, not
+measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemPath:
-    """How one item of a batch came to its result. Times are seconds since the batch came.
+    """How one item of a batch came to its result. Times are seconds since the batch was submitted.
 
     Attributes
     ----------
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepAccount:
-    """One batch. Times are seconds since it was handed in."""
+    """One batch. Times are seconds since it was submitted."""
 
     batch: str
     step: int
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """The return of all processes.
+    """The restart of all processes.
 
     Attributes
     ----------
@@ -75,7 +77,7 @@
         How many started.
     first_item
         From then to the first item begun, in seconds; negative if one began before the last
-        process was back, infinite if none did.
+        process had started, infinite if none did.
     """
 
     at: float
@@ -84,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class _Gathered:
+class _BatchEvents:
     submitted: LogLine
     opened: list[float] = field(default_factory=list)
     runners: set[str] = field(default_factory=set)
@@ -96,31 +98,31 @@
 
 
 def account_steps(lines: Iterable[LogLine]) -> list[StepAccount]:
-    """Return the account of each batch in the logs, in the order they were handed in."""
+    """Return the account of each batch in the logs, in the order they were submitted."""
     ordered = sorted(lines, key=lambda line: line.at)
-    gathered: dict[str, _Gathered] = {}
+    gathered: dict[str, _BatchEvents] = {}
     attempts: dict[tuple[str, str], tuple[str, str]] = {}
     for line in ordered:
         if line.event == "batch_submitted" and line.get("batch") not in gathered:
-            gathered[line.get("batch")] = _Gathered(line)
+            gathered[line.get("batch")] = _BatchEvents(line)
         if line.event == "item_started":
             attempts[(line.node, line.get("attempt"))] = line.get("batch"), line.get("item")
-        _take(line, gathered, attempts)
+        _apply(line, gathered, attempts)
     return [_account(batch, step) for batch, step in gathered.items()]
 
 
 def find_recoveries(lines: Iterable[LogLine]) -> list[Recovery]:
-    """Return the moments at which (nearly) all processes had come back, but for the first one."""
+    """Return the moments at which (nearly) all processes had restarted, without the first start."""
     ordered = sorted(lines, key=lambda line: line.at)
     starts = [line for line in ordered if line.event == "gateway_started"]
     items = [line.at for line in ordered if line.event == "item_started"]
     nodes = {line.node for line in starts}
-    returns = [
+    restarts = [
         group
         for group in _together(starts)
         if len({line.node for line in group}) >= MOST_NODES_SHARE * len(nodes)
     ]
-    return [_recovery(group, items) for group in returns[1:]]
+    return [_recovery(group, items) for group in restarts[1:]]
 
 
 def _together(starts: Sequence[LogLine]) -> list[list[LogLine]]:
@@ -139,9 +141,9 @@
     return Recovery(at, len({line.node for line in group}), first - at)
 
 
-def _take(
+def _apply(
     line: LogLine,
-    gathered: dict[str, _Gathered],
+    gathered: dict[str, _BatchEvents],
     attempts: dict[tuple[str, str], tuple[str, str]],
 ) -> None:
     batch, item = line.get("batch"), line.get("item")
@@ -168,7 +170,7 @@
             step.finished.setdefault(item, line.at)
 
 
-def _account(batch: str, step: _Gathered) -> StepAccount:
+def _account(batch: str, step: _BatchEvents) -> StepAccount:
     began = step.submitted.at
     paths = [
         ItemPath(
--- a/src/stagewalk/gateway/explain/story.py
+++ b/src/stagewalk/gateway/explain/story.py
@@ -1,7 +1,9 @@
 """Finds one request's, batch's or item's lines among those of many nodes, and what went wrong.
+Pure.
 
-Pure. A story holds the lines that name the id, the attempts made for it, and what its nodes and
-workers went through meanwhile; the first failure among them is where to look.
+A story holds the lines that name the id, the attempts made for it, and the events of its nodes and
+workers meanwhile; the first failure among them is where to look. Owns the rules of which lines
+belong to an id; relies on `log_line` for parsed lines and on the names of the events listed here.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 from stagewalk.gateway.explain.log_line import LogLine
 
 SURROUNDING_SECONDS = 2.0
-"""How long before and after the id's own lines what happened around counts."""
+"""How long before and after the id's own lines other events count. Chosen, not measured."""
 
 NODE_EVENTS = frozenset(
     {
@@ -33,11 +35,11 @@
         "lease_released",
     }
 )
-"""What a node goes through that touches all it does."""
+"""Events of a node that touch all its work."""
 
 WORKER_EVENTS = frozenset({"worker_changed", "worker_cold", "version_order"})
 SYSTEM_EVENTS = frozenset({"lease_held", "version_named", "zone_evacuated", "zone_restored"})
-"""What concerns every batch. Every node tells it; the first one's line is enough."""
+"""Events that concern every batch. Every node logs them; the first line is enough."""
 
 _IDENTIFYING_FIELDS = ("request", "batch", "item", "window", "content")
 
@@ -61,19 +63,19 @@
     Kind.CONTENT: ("request_held_back", "request_cleared", "held_request_lifted"),
     Kind.WINDOW: ("usage_reported",),
 }
-"""Events that tell how what an id names ended."""
+"""Events that end what an id names."""
 
 
 @dataclass(frozen=True, slots=True)
 class Story:
-    """What the logs tell of an id.
+    """What the logs hold on an id.
 
     Attributes
     ----------
     own
         The lines that name it, or an attempt made for it, in time order.
     around
-        What its nodes and workers went through meanwhile, in time order.
+        Events of its nodes and workers meanwhile, in time order.
     unknown
         What the logs at hand leave open, one sentence each.
     """
@@ -98,7 +100,7 @@
 
     @property
     def ending(self) -> LogLine | None:
-        """Return the line that tells how it ended, None if none does."""
+        """Return the line that ended it, None if there is none."""
         ended = [line for line in self.own if line.event in _ENDINGS[self.kind]]
         return ended[-1] if ended else None
 
@@ -109,7 +111,7 @@
     nodes: set[str] = field(default_factory=set)
     workers: set[str] = field(default_factory=set)
 
-    def take(self, line: LogLine) -> None:
+    def add(self, line: LogLine) -> None:
         self.own.append(line)
         self.nodes.add(line.node)
         named = f"{line.get('worker')},{line.get('workers')}".split(",")
@@ -151,11 +153,11 @@
             attempts.add(attempt)
             batches.add(line.get("batch"))
         if named or (not line.get("item") and attempt in attempts):
-            gathered.take(line)
+            gathered.add(line)
     if kind is Kind.ITEM:
         for line in lines:
             if line.get("batch") in batches and not line.get("item"):
-                gathered.take(line)
+                gathered.add(line)
     return gathered
 
 
@@ -164,14 +166,14 @@
     until = own[-1].at + SURROUNDING_SECONDS
     mine = set(map(id, own))
     around: list[LogLine] = []
-    told: set[tuple[str, tuple[tuple[str, str], ...]]] = set()
+    seen: set[tuple[str, tuple[tuple[str, str], ...]]] = set()
     for line in lines:
         if not since <= line.at <= until or id(line) in mine or not _concerns(line, gathered):
             continue
         news = (line.event, line.fields)
-        if line.event in WORKER_EVENTS | SYSTEM_EVENTS and news in told:
+        if line.event in WORKER_EVENTS | SYSTEM_EVENTS and news in seen:
             continue
-        told.add(news)
+        seen.add(news)
         around.append(line)
     return around
 
@@ -185,21 +187,28 @@
 
 
 def _unknown(own: Sequence[LogLine], kind: Kind, lines: Sequence[LogLine]) -> list[str]:
-    """Return what can't be told: runners whose logs are missing, dropped lines, no ending."""
+    """Return what the logs leave open: missing logs of runners, dropped lines, no ending."""
+    sentences = _missing_logs(own, lines) + _dropped_lines(own, lines)
+    endings = {event for events in _ENDINGS.values() for event in events}
+    if not any(line.event in endings for line in own):
+        sentences.append(_without_ending(own[-1], kind, lines))
+    return sorted(sentences)
+
+
+def _missing_logs(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[str]:
     logged = {line.node for line in lines}
     runners = {line.get(name) for line in own for name in ("runner", "from_runner")}
     missing = {_node_of(runner) for runner in runners if runner} - logged
-    sentences = [f"no log of node {node} was given, which ran the batch" for node in missing]
-    dropped = [line for line in lines if line.event == "log_lines_dropped"]
-    sentences += [
+    return [f"no log of node {node} was given, which ran the batch" for node in missing]
+
+
+def _dropped_lines(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[str]:
+    nodes = {line.node for line in own}
+    return [
         f"node {line.node} dropped {line.get('count')} lines of {line.get('kind')}"
-        for line in dropped
-        if line.node in {mine.node for mine in own}
+        for line in lines
+        if line.event == "log_lines_dropped" and line.node in nodes
     ]
-    endings = {event for events in _ENDINGS.values() for event in events}
-    if not any(line.event in endings for line in own):
-        sentences.append(_without_ending(own[-1], kind, lines))
-    return sorted(sentences)
 
 
 def _without_ending(last: LogLine, kind: Kind, lines: Sequence[LogLine]) -> str:
--- a/src/stagewalk/gateway/usage/account.py
+++ b/src/stagewalk/gateway/usage/account.py
@@ -1,4 +1,7 @@
-"""The fold of usage records: what began to run in each window over all processes. Pure."""
+"""The fold of usage records: what began to run in each window over all processes. Pure.
+
+Owns the sums by window, process and tenant; relies on `usage.records` for what one process counted.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from stagewalk.gateway.usage.records import UsageCounted
 
 KEPT_WINDOWS = 60
-"""Windows kept: as many as the log's history is long, 300 s, with windows of 5 s."""
+"""Windows kept: the log's history of 300 s in windows of 5 s. Derived, not measured."""
 
 
 class UsageAccount:
@@ -23,7 +26,7 @@
         return min(self._windows, default=None)
 
     def apply(self, record: UsageCounted) -> None:
-        """Fold a record in; of one process and window the largest sum counts."""
+        """Apply a record; of one process and window the record with the largest sum counts."""
         processes = self._windows.setdefault(record.window, {})
         known = processes.get(record.process, {})
         if sum(record.counts.values()) >= sum(known.values()):
--- a/src/stagewalk/gateway/usage/meter.py
+++ b/src/stagewalk/gateway/usage/meter.py
@@ -1,4 +1,8 @@
-"""Counts what began to run at this process, by window and tenant. Pure."""
+"""Counts what began to run at this process, by window and tenant. Pure.
+
+Owns this process's counts and which of them no record holds yet; relies on its caller for the time
+of day (`usage.wall_clock`).
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,8 @@
 from stagewalk.gateway.usage.records import UsageCounted
 
 KEPT_WINDOWS = 12
-"""Windows whose counts are kept: what is later than that is of no use to anyone."""
+"""Windows whose counts are kept; later counts come after their window's report. Chosen, not
+measured."""
 
 
 def window_of(wall: float, window_seconds: float) -> int:
@@ -44,7 +49,7 @@
         self._changed.add(window)
 
     def take_records(self) -> list[UsageCounted]:
-        """Return records of the windows whose counts changed since this was last asked."""
+        """Return records of the windows whose counts changed since the last call."""
         records = [
             UsageCounted(self._process, window, dict(self._counts[window]))
             for window in sorted(self._changed)
--- a/src/stagewalk/gateway/usage/records.py
+++ b/src/stagewalk/gateway/usage/records.py
@@ -1,4 +1,7 @@
-"""Records of usage in the log."""
+"""Records of usage in the log, and the counts of a report as they are stored.
+
+Owns both stored forms, which stay readable by later releases; relies on `msgspec`.
+"""
 
 from __future__ import annotations
 
@@ -30,12 +33,12 @@
 
 
 def encode_counts(counts: dict[str, int]) -> bytes:
-    """Return the counts of a report as they are written down."""
+    """Return the counts of a report in their stored form."""
     return msgspec.msgpack.encode(dict(sorted(counts.items())))
 
 
 def decode_counts(content: bytes) -> dict[str, int] | None:
-    """Return counts that were written down, None if the bytes spell none."""
+    """Return stored counts, None if the bytes hold none."""
     try:
         return _COUNTS.decode(content)
     except msgspec.DecodeError:
--- a/src/stagewalk/gateway/usage/reporting.py
+++ b/src/stagewalk/gateway/usage/reporting.py
@@ -1,8 +1,12 @@
-"""Decides when a window's usage is summed, written down and sent. Pure.
+"""Decides when a window's usage is summed, stored and sent. Pure.
 
-Only the holder of the lease on duties decides. A window is summed once: what was written down
-under the holder's fence is sent, by whoever holds the lease then, and never summed again. So two
-reports of one window are always the same, whatever became of the call, or of the holder."""
+Only the holder of the lease on duties decides. A window is summed once: what was stored under the
+holder's fencing token is sent, by the holder of that time, and never summed again. So two reports
+of one window are always equal, whatever the outcome of a call or the fate of a holder.
+
+Owns the reports of this process's view and their retries; relies on `usage.account` for the sums
+and on its caller for storing and sending.
+"""
 
 from __future__ import annotations
 
@@ -15,26 +19,27 @@
 
 GATHER_SECONDS = 3.5
 """How long after a window's end it is summed: counts are in the log 0.3 s after a request began,
-and a node that is cut off finds another way to it within 2 s."""
+and a node that is cut off reaches it through another node within 2 s. Derived from these, not
+measured."""
 
 POSTED_SECONDS = 1.5
 """How long after a window's end all its counts are in the log: 1.0 s of requests still under way,
-and 0.3 s until they are told."""
+and 0.3 s until they are appended. Derived, not measured."""
 
 RESERVE_SECONDS = 2.0
-"""So long before a report is due it is made from the counts there are, even if the view of them is
-not current: time for a few tries of the call."""
+"""How long before its due time a report is made from the counts at hand, even if the view of them
+is not current: time for a few tries of the call. Chosen, not measured."""
 
 RETRY_SECONDS = 0.4
-"""Between two tries at a report: three fit into the reserve."""
+"""Between two tries at a report: three fit into the reserve. Chosen, not measured."""
 
 MOST_BEHIND = 24
-"""Windows that are further behind are left out: nobody can use them."""
+"""Windows that are further behind are not reported any more. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteReport:
-    """Write a window's counts down under the holder's fence."""
+    """Store a window's counts under the holder's fencing token."""
 
     window: int
     counts: dict[str, int]
@@ -42,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendReport:
-    """Send a window's counts exactly as they were written down."""
+    """Send a window's counts exactly as they were stored."""
 
     window: int
     counts: dict[str, int]
 
 
 @dataclass(slots=True)
-class _Written:
+class _Report:
     counts: dict[str, int]
     delivered: bool = False
     under_way: bool = False
@@ -58,7 +63,7 @@
 
 @dataclass(slots=True)
 class UsageReporting:
-    """What this process knows of the reports.
+    """The reports of the latest windows, as this process knows them.
 
     Attributes
     ----------
@@ -70,20 +75,20 @@
 
     window_seconds: float
     due_seconds: float
-    _reports: dict[int, _Written] = field(default_factory=dict)
+    _reports: dict[int, _Report] = field(default_factory=dict)
     _begins: int | None = None
-    """The first window to report where none was written down."""
+    """The first window to report where none was stored."""
 
     def written(self, window: int, counts: dict[str, int]) -> None:
-        """Take a report that was written down; the first one of a window stands."""
-        self._reports.setdefault(window, _Written(counts))
+        """Apply a stored report; the first one of a window stands."""
+        self._reports.setdefault(window, _Report(counts))
         for old in sorted(self._reports)[:-MOST_BEHIND]:
             del self._reports[old]
 
     def decide(
         self, account: UsageAccount, wall: float, now: float, seen_to: float
     ) -> list[WriteReport | SendReport]:
-        """Return what to do now.
+        """Return the reports to store and to send now.
 
         Parameters
         ----------
@@ -100,11 +105,11 @@
         return [*steps, *self._sends(wall, now)]
 
     def sending(self, window: int) -> None:
-        """Note that a report is on its way."""
+        """Record that a report is being sent."""
         self._reports[window].under_way = True
 
     def sent(self, window: int, outcome: DutyOutcome, now: float) -> None:
-        """Take what became of a report."""
+        """Record the outcome of sending a report."""
         report = self._reports.get(window)
         if report is None:
             return
--- a/src/stagewalk/gateway/usage/wall_clock.py
+++ b/src/stagewalk/gateway/usage/wall_clock.py
@@ -1,4 +1,7 @@
-"""Time of day that does not follow a clock which jumps and comes back. Pure."""
+"""Time of day that does not follow a clock which jumps and returns. Pure.
+
+Owns the offsets between the two clocks; relies on its caller to read both.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,8 @@
 
 SAMPLES = 120
 SAMPLE_SECONDS = 0.5
-"""A minute of samples: a jump counts once it has lasted for more than half of them."""
+"""A minute of samples: a jump counts once it has lasted for more than half of them. Chosen, not
+measured."""
 
 
 class WallClock:
@@ -19,8 +23,8 @@
         self._sampled_at = steady
 
     def sample(self, wall: float, steady: float) -> None:
-        """Take a reading of both clocks, in seconds; readings close to the last one are left
-        out."""
+        """Record a reading of both clocks, in seconds, unless it comes within `SAMPLE_SECONDS` of
+        the last one."""
         if steady - self._sampled_at < SAMPLE_SECONDS:
             return
         self._sampled_at = steady
