--- a/src/stagewalk/gateway/autoscaling/core.py
+++ b/src/stagewalk/gateway/autoscaling/core.py
@@ -1,10 +1,15 @@
-"""Decides which workers to order. Pure.
+"""Decides which workers to order, and when to repeat an order. Pure.
 
-Workers that were there when the service was first seen are restored if they are lost. Beyond
-them, enough are ordered that each item of the open batches has a place at once: an item that
-waits for one makes its step late, and a step late makes its trainer wait. These are of the
-cheaper kind if the settings say so, and spread over the zones, since the platform takes a whole
-zone's away at a time."""
+Workers that were there when the service was first seen are restored if they are lost. Beyond them,
+enough are ordered that each item of the open batches has a place at once: an item that waits for
+one makes its step late, and a late step makes its trainer wait. These are of the cheaper kind if
+the settings say so, and spread over the zones, since the platform takes a whole zone's away at a
+time.
+
+Owns what was found and ordered in each group, and when workers were taken away; relies on
+`autoscaling.demand` for the peak of open items, on `worker_counts` for the counts, and on its
+caller for storing and sending orders.
+"""
 
 from __future__ import annotations
 
@@ -14,32 +19,36 @@
 from dataclasses import dataclass, field
 
 from stagewalk.gateway.autoscaling.demand import HOLD_SECONDS, Demand
+from stagewalk.gateway.autoscaling.worker_counts import ExtraWorkers, GroupState
 from stagewalk.gateway.ports.duties import DutyOutcome, WorkerGroup, WorkerOrder
 from stagewalk.gateway.routes.route import Scaling, Service
 from stagewalk.gateway.workers.worker import Worker
 
 SETTLE_SECONDS = 4.0
-"""A group's count must have stayed the same for so long to be what was found: workers that start
-together are listed within 2 s of each other."""
+"""How long a group's count must stay the same to be what was found: workers that start together are
+listed within 2 s of each other, doubled. Chosen, not measured."""
 
 REPEAT_MARGIN_SECONDS = 3.0
-"""An order whose workers are not listed so long after their time to boot is sent again: its
-answer may have been lost, or an older order carried out after it."""
+"""An order whose workers are not listed this long after their time to boot is sent again: its
+answer may have been lost, or an older order carried out after it. Chosen, not measured."""
 
 NONE_LEFT_SECONDS = 3.0
-"""A zone that has none to give is asked again after this time; meanwhile others are asked."""
+"""A zone that has none to give is asked again after this time; meanwhile others are asked. Chosen,
+not measured."""
 
 RECLAIM_MEMORY_SECONDS = 600.0
-"""After workers were taken away, ordinary ones are ordered in their place for so long: where that
-happens it happens again, a whole zone at a time, and for some seconds there are none to be had."""
+"""After workers were taken away, ordinary ones are ordered in their place for this long: where that
+happens it happens again, a whole zone at a time, and for some seconds there are none to be had.
+Measured with the sizes of engine sets changed as well (docs/design/0130-shifted-work.md): worth of
+one day 0.446 without and 0.605 with, worker seconds 0.0106 and 0.0119."""
 
 RETRY_SECONDS = 1.0
-"""A zone is asked again so long after any other failure."""
+"""A zone is asked again this long after any other failure. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingPolicy:
-    """What is ordered.
+    """Settings of what is ordered.
 
     Attributes
     ----------
@@ -56,25 +65,12 @@
     spot: bool
 
 
-@dataclass(slots=True)
-class _Group:
-    """Workers of a service and zone, of one kind. Times are of the steady clock."""
-
-    present: int = 0
-    since: float = -math.inf
-    """Since when so many are listed."""
-    found: int | None = None
-    ordered: int | None = None
-    ordered_at: float = -math.inf
-    not_before: float = -math.inf
-
-
 @dataclass(slots=True)
 class Autoscaler:
-    """What is known of the groups, and what is wanted of each."""
+    """Workers of each group, orders sent, and the demand of each service."""
 
     policy: ScalingPolicy
-    _groups: dict[WorkerGroup, _Group] = field(default_factory=dict)
+    _groups: dict[WorkerGroup, GroupState] = field(default_factory=dict)
     _demands: dict[str, Demand] = field(default_factory=dict)
     _watched_since: dict[str, float] = field(default_factory=dict)
     """By service, since when this process has watched its demand."""
@@ -82,7 +78,7 @@
     """By service, when workers of the cheaper kind were last being taken away."""
 
     def planned(self, order: WorkerOrder) -> None:
-        """Take an order that a holder of the lease wrote down, this one or one before it."""
+        """Apply an order that a holder of the lease stored, this one or one before it."""
         group = self._group(order.group)
         group.ordered = order.count
         if not order.group.spot and group.found is None:
@@ -119,17 +115,17 @@
             own = [w for w in workers if w.announcement.service == service.name]
             self._watched_since.setdefault(service.name, now)
             demand = self._demands.setdefault(service.name, Demand())
-            demand.note(open_items.get(service.name, 0), now)
+            demand.record(open_items.get(service.name, 0), now)
             self._count(service.name, service.scaling, own, now)
-            wanted = self._wanted(
+            targets = self._targets(
                 service.name, service.scaling, own, demand.peak, now=now, evacuated=evacuated
             )
-            staying = {g: count for g, count in wanted.items() if g.zone not in evacuated}
+            staying = {g: count for g, count in targets.items() if g.zone not in evacuated}
             orders += self._orders(service.scaling, staying, now)
         return orders
 
     def sent(self, order: WorkerOrder, outcome: DutyOutcome, now: float) -> None:
-        """Take what became of an order."""
+        """Record the outcome of an order."""
         group = self._group(order.group)
         group.ordered_at = now
         if outcome is DutyOutcome.CONFLICT:
@@ -139,11 +135,11 @@
             group.not_before = now + RETRY_SECONDS
             group.ordered_at = -math.inf
 
-    def _group(self, group: WorkerGroup) -> _Group:
-        return self._groups.setdefault(group, _Group())
+    def _group(self, group: WorkerGroup) -> GroupState:
+        return self._groups.setdefault(group, GroupState())
 
     def _count(self, service: str, scaling: Scaling, workers: Sequence[Worker], now: float) -> None:
-        """Take how many workers of each group serve."""
+        """Record how many workers of each group serve."""
         counts = Counter(
             (w.announcement.zone, w.announcement.spot)
             for w in workers
@@ -161,13 +157,13 @@
             self._reclaimed_at[service] = now
 
     def _orders(
-        self, scaling: Scaling, wanted: Mapping[WorkerGroup, int], now: float
+        self, scaling: Scaling, targets: Mapping[WorkerGroup, int], now: float
     ) -> list[WorkerOrder]:
-        """Return orders for the groups whose count is not what is wanted."""
-        orders = [WorkerOrder(group, count) for group, count in sorted(wanted.items())]
+        """Return orders for the groups whose count differs from the target."""
+        orders = [WorkerOrder(group, count) for group, count in sorted(targets.items())]
         return [order for order in orders if self._due(order, scaling, now)]
 
-    def _wanted(
+    def _targets(
         self,
         service: str,
         scaling: Scaling,
@@ -188,81 +184,35 @@
         needed = math.ceil(peak * self.policy.places_per_item / max(1, slots))
         serving = sum(count for zone, count in base.items() if zone not in evacuated)
         missing = max(0, needed - serving)
-        extra = self._extra(service, scaling, base, missing, now=now, evacuated=evacuated)
+        extra = ExtraWorkers(
+            service=service,
+            scaling=scaling,
+            found=base,
+            state=self._group,
+            spot=self._uses_spot(service, scaling, now),
+            evacuated=evacuated,
+            now=now,
+        ).counts(missing)
         return {
             group: count + (0 if group.spot else base[group.zone])
             for group, count in extra.items()
             if group.spot or found[group.zone] is not None
         }
 
-    def _extra(
-        self,
-        service: str,
-        scaling: Scaling,
-        base: Mapping[str, int],
-        missing: int,
-        *,
-        now: float,
-        evacuated: Container[str],
-    ) -> dict[WorkerGroup, int]:
-        """Return how many workers beyond those found each group should have.
-
-        What was ordered is kept while it is needed, whichever kind it is; what is missing besides
-        is of one kind, spread evenly, cheap zones first."""
-        zones = sorted(scaling.zone_prices, key=lambda zone: scaling.zone_prices[zone])
-        spot = self._uses_spot(service, scaling, now)
-        extra: dict[WorkerGroup, int] = {}
-        for group in (WorkerGroup(service, zone, kind) for kind in (False, True) for zone in zones):
-            known = self._group(group)
-            kept = known.ordered or 0
-            if group.spot and not spot:
-                # Those that were taken away don't come back.
-                kept = min(kept, known.present)
-            beyond = kept if group.spot else kept - base[group.zone]
-            if group.zone in evacuated:
-                extra[group] = max(0, beyond)
-                continue
-            extra[group] = max(0, min(beyond, missing))
-            missing -= extra[group]
-        while missing > 0:
-            open_groups = [
-                group
-                for group in (WorkerGroup(service, zone, spot) for zone in zones)
-                if group.zone not in evacuated
-                and self._has_room(group, scaling, base, extra)
-                and now >= self._group(group).not_before
-            ]
-            if not open_groups:
-                break
-            extra[min(open_groups, key=lambda group: extra[group])] += 1
-            missing -= 1
-        return extra
-
-    @staticmethod
-    def _has_room(
-        group: WorkerGroup,
-        scaling: Scaling,
-        base: Mapping[str, int],
-        extra: Mapping[WorkerGroup, int],
-    ) -> bool:
-        """Whether a group's zone may hold one more worker of any kind."""
-        both = (WorkerGroup(group.service, group.zone, spot) for spot in (False, True))
-        return base[group.zone] + sum(extra[kind] for kind in both) < scaling.most
-
     def _uses_spot(self, service: str, scaling: Scaling, now: float) -> bool:
-        """Whether more workers are of the cheaper kind: none was taken away lately."""
+        """Return whether missing workers are of the cheaper kind: none was taken away lately."""
         calm = now - self._reclaimed_at.get(service, -math.inf) > RECLAIM_MEMORY_SECONDS
         return self.policy.spot and scaling.spot_price is not None and calm
 
     def _knows_demand(self, group: WorkerGroup, now: float) -> bool:
-        """Whether the demand was watched long enough to give workers back.
+        """Return whether the demand was watched long enough to give workers back.
 
         A new holder of the lease has seen no peak yet.
         """
         return now - self._watched_since[group.service] >= HOLD_SECONDS
 
     def _due(self, order: WorkerOrder, scaling: Scaling, now: float) -> bool:
-        """Whether an order is to be sent: it is new, or what it asked for did not come."""
+        """Return whether an order is to be sent: it is new, or its workers did not appear."""
         group = self._group(order.group)
         gives_back = order.count < (group.ordered or 0)
         if now < group.not_before or (gives_back and not self._knows_demand(order.group, now)):
--- a/src/stagewalk/gateway/autoscaling/demand.py
+++ b/src/stagewalk/gateway/autoscaling/demand.py
@@ -1,13 +1,16 @@
-"""How many items of a service were open at a time lately. Pure."""
+"""How many items of a service were open at a time lately. Pure.
+
+Owns the peaks of the last `HOLD_SECONDS`; relies on its caller for the counts.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
 HOLD_SECONDS = 120.0
-"""A peak counts for so long: a worker that is given back is missed for its time to boot when the
-load is back, as after a minute in which trainers fell behind. Two minutes of one that isn't
-needed cost less than a step that is late."""
+"""How long a peak counts: a worker that is given back is missed for its time to boot when the load
+returns, as after a minute in which trainers fell behind. Two minutes of one that isn't needed cost
+less than a late step. Chosen, not measured."""
 
 
 class Demand:
@@ -17,8 +20,8 @@
         self._peaks: deque[tuple[float, int]] = deque()
         """Times and counts; the counts fall from left to right."""
 
-    def note(self, open_items: int, now: float) -> None:
-        """Take how many items are open now."""
+    def record(self, open_items: int, now: float) -> None:
+        """Record how many items are open now."""
         while self._peaks and self._peaks[-1][1] <= open_items:
             self._peaks.pop()
         self._peaks.append((now, open_items))
--- a/tests/gateway/autoscaling/test_core.py
+++ b/tests/gateway/autoscaling/test_core.py
@@ -184,9 +184,9 @@
     def test_a_peak_counts_for_a_while(self) -> None:
         demand = Demand()
         for now, items in ((0.0, 5), (1.0, 9), (2.0, 3), (3.0, 4)):
-            demand.note(items, now)
+            demand.record(items, now)
         self.assertEqual(9, demand.peak)
-        demand.note(2, 1.0 + HOLD_SECONDS + 0.1)
+        demand.record(2, 1.0 + HOLD_SECONDS + 0.1)
         self.assertEqual(4, demand.peak)
-        demand.note(1, 4.0 * HOLD_SECONDS)
+        demand.record(1, 4.0 * HOLD_SECONDS)
         self.assertEqual(1, demand.peak)
