--- a/src/stagewalk/gateway/explain/steps.py
+++ b/src/stagewalk/gateway/explain/steps.py
@@ -1,7 +1,8 @@
-"""Accounts for trainers' steps and for recoveries from the logs of all nodes. Pure.
+"""Where the time of trainers' steps and of recoveries went, from the logs of all nodes. Pure.
 
-A step takes as long as its last groups. For each batch the account says when it was submitted,
-opened and ended, how long its last results took from start to score, and what cut them.
+A step takes as long as its last groups. For each batch the account holds when it was submitted,
+opened and ended, how long its last results took in each part of their way, and what interrupted
+them. Owns the reading of batch and item events; relies on `log_line` for parsed lines.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 """Starts of processes this close belong to one recovery. Chosen, not measured."""
 
 MOST_NODES_SHARE = 0.8
-"""A recovery is one of all processes if so large a share of all nodes started. Chosen, not
+"""A recovery counts as one of all processes if this share of all nodes started. Chosen, not
 measured."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemPath:
-    """Times of one item of a batch, in seconds since the batch was submitted.
+    """How one item of a batch came to its result. Times are seconds since the batch was submitted.
 
     Attributes
     ----------
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepAccount:
-    """One batch. Times are seconds since it was submitted, but for `submitted_at` (since 1970)."""
+    """One batch. Times are seconds since it was submitted."""
 
     batch: str
     step: int
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """A recovery of all processes.
+    """The restart of all processes.
 
     Attributes
     ----------
@@ -85,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class _Gathered:
+class _BatchEvents:
     submitted: LogLine
     opened: list[float] = field(default_factory=list)
     runners: set[str] = field(default_factory=set)
@@ -97,31 +98,31 @@
 
 
 def account_steps(lines: Iterable[LogLine]) -> list[StepAccount]:
-    """Return the account of each batch in the logs, in the order of submission."""
+    """Return the account of each batch in the logs, in the order they were submitted."""
     ordered = sorted(lines, key=lambda line: line.at)
-    gathered: dict[str, _Gathered] = {}
+    gathered: dict[str, _BatchEvents] = {}
     attempts: dict[tuple[str, str], tuple[str, str]] = {}
     for line in ordered:
         if line.event == "batch_submitted" and line.get("batch") not in gathered:
-            gathered[line.get("batch")] = _Gathered(line)
+            gathered[line.get("batch")] = _BatchEvents(line)
         if line.event == "item_started":
             attempts[(line.node, line.get("attempt"))] = line.get("batch"), line.get("item")
-        _add_line(line, gathered, attempts)
+        _apply(line, gathered, attempts)
     return [_account(batch, step) for batch, step in gathered.items()]
 
 
 def find_recoveries(lines: Iterable[LogLine]) -> list[Recovery]:
-    """Return the recoveries of (nearly) all processes, without the first start."""
+    """Return the moments at which (nearly) all processes had restarted, without the first start."""
     ordered = sorted(lines, key=lambda line: line.at)
     starts = [line for line in ordered if line.event == "gateway_started"]
     items = [line.at for line in ordered if line.event == "item_started"]
     nodes = {line.node for line in starts}
-    recoveries = [
+    restarts = [
         group
         for group in _together(starts)
         if len({line.node for line in group}) >= MOST_NODES_SHARE * len(nodes)
     ]
-    return [_recovery(group, items) for group in recoveries[1:]]
+    return [_recovery(group, items) for group in restarts[1:]]
 
 
 def _together(starts: Sequence[LogLine]) -> list[list[LogLine]]:
@@ -140,9 +141,9 @@
     return Recovery(at, len({line.node for line in group}), first - at)
 
 
-def _add_line(
+def _apply(
     line: LogLine,
-    gathered: dict[str, _Gathered],
+    gathered: dict[str, _BatchEvents],
     attempts: dict[tuple[str, str], tuple[str, str]],
 ) -> None:
     batch, item = line.get("batch"), line.get("item")
@@ -169,7 +170,7 @@
             step.finished.setdefault(item, line.at)
 
 
-def _account(batch: str, step: _Gathered) -> StepAccount:
+def _account(batch: str, step: _BatchEvents) -> StepAccount:
     began = step.submitted.at
     paths = [
         ItemPath(
--- a/src/stagewalk/gateway/usage/meter.py
+++ b/src/stagewalk/gateway/usage/meter.py
@@ -1,6 +1,7 @@
-"""Counts requests that began to run at this process, by window and tenant. Pure.
+"""Counts what began to run at this process, by window and tenant. Pure.
 
-Owns which windows have counts that no record holds yet.
+Owns this process's counts and which of them no record holds yet; relies on its caller for the time
+of day (`usage.wall_clock`).
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from stagewalk.gateway.usage.records import UsageCounted
 
 KEPT_WINDOWS = 12
-"""Windows whose counts are kept: a request counted later than that is not reported. Chosen, not
+"""Windows whose counts are kept; later counts come after their window's report. Chosen, not
 measured."""
 
 
@@ -22,7 +23,7 @@
 class UsageMeter:
     """The counts of one process.
 
-    Records hold the sum so far of a window, so a doubled or late one changes nothing.
+    Records hold the sum so far of a window, so one that comes twice or late changes nothing.
 
     Parameters
     ----------
--- a/src/stagewalk/gateway/usage/records.py
+++ b/src/stagewalk/gateway/usage/records.py
@@ -1,4 +1,7 @@
-"""Records of usage in the log, and reports as they are written down; the forms are stored ones."""
+"""Records of usage in the log, and the counts of a report as they are stored.
+
+Owns both stored forms, which stay readable by later releases; relies on `msgspec`.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 class UsageCounted(msgspec.Struct, frozen=True, array_like=True, tag="counted"):
-    """Requests that began to run at a process in a window so far, by tenant."""
+    """What began to run at a process in a window, so far, by tenant."""
 
     process: str
     window: int
@@ -30,12 +33,12 @@
 
 
 def encode_counts(counts: dict[str, int]) -> bytes:
-    """Return the counts of a report as they are written down."""
+    """Return the counts of a report in their stored form."""
     return msgspec.msgpack.encode(dict(sorted(counts.items())))
 
 
 def decode_counts(content: bytes) -> dict[str, int] | None:
-    """Return counts that were written down, None if the bytes hold none."""
+    """Return stored counts, None if the bytes hold none."""
     try:
         return _COUNTS.decode(content)
     except msgspec.DecodeError:
