--- a/src/stagewalk/gateway/batches/reusable_texts.py
+++ b/src/stagewalk/gateway/batches/reusable_texts.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, replace
 
 from stagewalk.gateway.batches.records import BatchItem, ItemFinished, ItemProgress
@@ -40,6 +41,10 @@
     score_failures: int = 0
 
 
+FindText = Callable[[BatchItem], ReusableText | None]
+"""Finds what was made of an item before, None if nothing was."""
+
+
 class ReusableTexts:
     """The most that is known of each item's text."""
 
--- a/src/stagewalk/gateway/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -12,7 +12,6 @@
 from __future__ import annotations
 
 import itertools
-from collections.abc import Callable
 
 from stagewalk.gateway.batches.attempt_events import AttemptEvents
 from stagewalk.gateway.batches.attempt_starter import AttemptStarter
@@ -35,7 +34,7 @@
 )
 from stagewalk.gateway.batches.records import BatchItem
 from stagewalk.gateway.batches.retry_rules import is_overdue
-from stagewalk.gateway.batches.reusable_texts import ReusableText
+from stagewalk.gateway.batches.reusable_texts import FindText, ReusableText
 from stagewalk.gateway.batches.version_rules import may_reuse
 from stagewalk.gateway.eligibility.core import Eligibility
 from stagewalk.gateway.policy import ALL_ON, Policy
@@ -130,9 +129,7 @@
         """Return the number of items whose text is whole and whose score is awaited."""
         return self._scores.pending
 
-    def open(
-        self, batch: Batch, reusable_text: Callable[[BatchItem], ReusableText | None], now: float
-    ) -> list[SchedulerInstruction]:
+    def open(self, batch: Batch, reusable_text: FindText, now: float) -> list[SchedulerInstruction]:
         """Begin to run what is left of a batch; `reusable_text` finds what was made of an item."""
         if batch.header.batch in self._runs:
             return []
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 import anyio
 import anyio.abc
 
@@ -18,8 +16,8 @@
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.ledger import LedgerChange
-from stagewalk.gateway.batches.records import BatchItem, BatchReleased
-from stagewalk.gateway.batches.reusable_texts import ReusableText
+from stagewalk.gateway.batches.records import BatchReleased
+from stagewalk.gateway.batches.reusable_texts import FindText
 from stagewalk.gateway.batches.scheduler import BatchScheduler
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.runners.batch_views import BatchViews
@@ -30,7 +28,6 @@
 """Between two looks for a batch's mark while the log does not answer, as between two reads."""
 
 ENDED = "ended"
-ReusableTextOf = Callable[[BatchItem], ReusableText | None]
 
 
 class BatchRunner:
@@ -201,7 +198,7 @@
         taken_over = known.epoch >= epoch and known.runner != self._process
         return not known.open or taken_over
 
-    def _begin(self, batch: Batch, reusable_text: ReusableTextOf) -> None:
+    def _begin(self, batch: Batch, reusable_text: FindText) -> None:
         name = batch.header.batch
         if not batch.open or name in self._scheduler.batches:
             return
--- a/src/stagewalk/gateway/runners/item_sender.py
+++ b/src/stagewalk/gateway/runners/item_sender.py
@@ -18,6 +18,7 @@
     StartItem,
 )
 from stagewalk.gateway.batches.retry_rules import SUCCESS
+from stagewalk.gateway.forwarding.inbound import HOST_HEADER
 from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     OutboundRequest,
@@ -27,8 +28,6 @@
 )
 from stagewalk.gateway.runners.checked_sends import CheckedSends, PlannedSend
 
-HOST_HEADER = "host"
-
 
 class ItemSender:
     """Carries out attempts at items.
--- a/src/stagewalk/gateway/runners/score_sender.py
+++ b/src/stagewalk/gateway/runners/score_sender.py
@@ -7,6 +7,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.forwarding.inbound import HOST_HEADER
 from stagewalk.gateway.ports.workers import OutboundRequest
 from stagewalk.gateway.runners.checked_sends import CheckedSends, PlannedSend
 from stagewalk.gateway.scoring.messages import (
@@ -18,7 +19,6 @@
     score_content,
 )
 
-HOST_HEADER = "host"
 SUCCESS = 200
 
 
