--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -49,7 +49,7 @@
 CATCH_UP_SECONDS = 0.8
 """How long a call may wait for the log to bring a view up to date. Chosen, not measured."""
 
-FOLLOWED_SECONDS = 1.5
+CURRENT_SECONDS = 1.5
 """A followed view younger than this counts as current. Chosen, not measured."""
 
 READ_PAUSE_SECONDS = 0.05
@@ -185,9 +185,9 @@
         """Return a ledger of the batches of a partition that begin at a place or later."""
         return PartialLedger(self._log, Partition(TOPIC, place.partition), place.offset, on_change)
 
-    def followed(self, batch: str, now: float) -> bool:
+    def is_current(self, batch: str, now: float) -> bool:
         """Whether the view of a batch's partition is followed and was complete just now."""
-        return self._following and self.view_age(batch, now) < FOLLOWED_SECONDS
+        return self._following and self.view_age(batch, now) < CURRENT_SECONDS
 
     def appends_stalled(self, batch: str) -> float | None:
         """Return since when the batch's partition takes no appends, None if it does."""
@@ -199,24 +199,6 @@
         with anyio.move_on_after(timeout_seconds):
             await event.wait()
 
-    def _follower(self, batch: str) -> PartitionFollower:
-        return self._followers[self.partition(batch)]
-
-    def _appender(self, batch: str) -> PartitionAppender:
-        return self._appenders[self.partition(batch)]
-
-    def _apply(self, record: PartitionRecord) -> None:
-        decoded = decode_record(record.payload)
-        if decoded is None:
-            log_event("record_unreadable", "warning", topic=TOPIC, offset=record.offset)
-            return
-        self.ledger.apply(decoded, steady_seconds(), record.offset)
-
-    def _lose(self, partition: int) -> None:
-        """Drop what is known of a partition: ends and results may lie in what was not read."""
-        self._lost_at[partition] = steady_seconds()
-        self.ledger.lose([name for name in self.ledger.names if self.partition(name) == partition])
-
     def note_ended(self, batch: str) -> None:
         """Apply the end of a batch that is marked as ended, but was dropped from the log unread."""
         self.ledger.apply(BatchEnded(batch), steady_seconds())
@@ -224,7 +206,7 @@
     def first_offset(self, batch: str, now: float) -> int | None:
         """Return where a batch's records begin; None if they may begin before this node's view."""
         known = self.ledger.get(batch)
-        if known is None or not self.followed(batch, now) or self.lacks_history(batch, now):
+        if known is None or not self.is_current(batch, now) or self.lacks_history(batch, now):
             return None
         return known.first_offset
 
@@ -236,6 +218,24 @@
         """Whether a batch that isn't known here may have begun in records that were not read."""
         return now - self.lost_at(batch) < FORGET_AFTER_SECONDS
 
+    def _follower(self, batch: str) -> PartitionFollower:
+        return self._followers[self.partition(batch)]
+
+    def _appender(self, batch: str) -> PartitionAppender:
+        return self._appenders[self.partition(batch)]
+
+    def _apply(self, record: PartitionRecord) -> None:
+        decoded = decode_record(record.payload)
+        if decoded is None:
+            log_event("record_unreadable", "warning", topic=TOPIC, offset=record.offset)
+            return
+        self.ledger.apply(decoded, steady_seconds(), record.offset)
+
+    def _lose(self, partition: int) -> None:
+        """Drop what is known of a partition: ends and results may lie in what was not read."""
+        self._lost_at[partition] = steady_seconds()
+        self.ledger.lose([name for name in self.ledger.names if self.partition(name) == partition])
+
     def _changed(self, batch: Batch, change: LedgerChange) -> None:
         news = self._news.pop(batch.header.batch, None)
         if news is not None:
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -178,7 +178,7 @@
             await self._reply_known(exchange, known.header.belongs_to(caller.tenant))
             return True
         now = steady_seconds()
-        if self._store.followed(batch, now) and not self._store.lacks_history(batch, now):
+        if self._store.is_current(batch, now) and not self._store.lacks_history(batch, now):
             return False
         place = await self._assignments.known_place(batch)
         if place.is_error():
--- a/src/stagewalk/gateway/runners/batch_assignments.py
+++ b/src/stagewalk/gateway/runners/batch_assignments.py
@@ -131,7 +131,7 @@
             Whether the place where the batch's records begin was noted.
         """
         now = steady_seconds()
-        followed = self._store.followed(run.batch, now)
+        followed = self._store.is_current(run.batch, now)
         log_event(
             "batch_assigned",
             batch=run.batch,
--- a/src/stagewalk/gateway/runners/batch_views.py
+++ b/src/stagewalk/gateway/runners/batch_views.py
@@ -97,7 +97,7 @@
         while ahead is not None and self._ahead.get(batch) is ahead:
             now = steady_seconds()
             known = self._store.ledger.get(batch) is not None
-            own = known and self._store.followed(batch, now)
+            own = known and self._store.is_current(batch, now)
             if not own and now - ahead.partial.confirmed_at >= FOLLOW_SECONDS:
                 await ahead.partial.read()
             if ahead.partial.lost and not known:
--- a/tests/gateway/batch_service/test_ended_batches.py
+++ b/tests/gateway/batch_service/test_ended_batches.py
@@ -23,7 +23,7 @@
 import testtools
 
 from stagewalk.gateway.assembly import NODES
-from stagewalk.gateway.batch_service.batch_store import FOLLOWED_SECONDS, TOPIC
+from stagewalk.gateway.batch_service.batch_store import CURRENT_SECONDS, TOPIC
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.records import BatchEnded, BatchHeader, decode_record, encode_record
 from stagewalk.gateway.batches.takeover import affinity
@@ -184,7 +184,7 @@
             await until(read)
             place = Partition(TOPIC, store.partition("b1"))
             log.follow = anyio.Event()
-            await anyio.sleep(FOLLOWED_SECONDS + 0.4)
+            await anyio.sleep(CURRENT_SECONDS + 0.4)
             record = submitted(
                 *(item(name) for name in MANY), batch="b1", runner=await identity(node), minimum=0
             )
--- a/tests/gateway/batch_service/test_open_batch_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -168,7 +168,7 @@
             offset = await self.append(submitted(item("x"), item("y"), batch="b", runner="n#1"))
             runner = mock.Mock(stopping=False)
             store = mock.Mock(
-                followed=lambda _batch, _now: False,
+                is_current=lambda _batch, _now: False,
                 view_age=lambda _batch, _now: 0.0,
                 read_from=lambda place, _changed: PartialLedger(self.client, PLACE, place.offset),
             )
--- a/tests/gateway/batch_service/test_second_submissions.py
+++ b/tests/gateway/batch_service/test_second_submissions.py
@@ -75,7 +75,7 @@
             store = again.gateway.store
 
             async def followed() -> bool:
-                return store.followed("b1", steady_seconds())
+                return store.is_current("b1", steady_seconds())
 
             await until(followed)
             await anyio.sleep_until(ended_at + BOUND_SECONDS)
--- a/tests/gateway/runners/test_batch_assignments.py
+++ b/tests/gateway/runners/test_batch_assignments.py
@@ -91,7 +91,7 @@
 
             async def scenario(offset: int | None = offset) -> None:
                 store = mock.Mock(
-                    followed=lambda _batch, _now: True,
+                    is_current=lambda _batch, _now: True,
                     view_age=lambda _batch, _now: 0.0,
                     catch_up=mock.AsyncMock(),
                     first_offset=lambda _batch, _now: offset,
--- a/tests/gateway/runners/test_batch_views.py
+++ b/tests/gateway/runners/test_batch_views.py
@@ -52,7 +52,7 @@
     def view_age(self, _batch: str, _now: float) -> float:
         return self.age
 
-    def followed(self, _batch: str, _now: float) -> bool:
+    def is_current(self, _batch: str, _now: float) -> bool:
         return self.age < 1.0
 
 
