--- a/src/stagewalk/gateway/runners/batch_views.py
+++ b/src/stagewalk/gateway/runners/batch_views.py
@@ -20,7 +20,8 @@
 from stagewalk.gateway.ports.denials import Denial
 
 FOLLOW_SECONDS = 0.25
-"""How often a partial view is read on, as often as a follower reads where records come."""
+"""How often a partial view is read on, as often as a follower reads where records come. Derived,
+not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +97,7 @@
         while ahead is not None and self._ahead.get(batch) is ahead:
             now = steady_seconds()
             known = self._store.ledger.get(batch) is not None
-            own = known and self._store.followed(batch, now)
+            own = known and self._store.is_current(batch, now)
             if not own and now - ahead.partial.confirmed_at >= FOLLOW_SECONDS:
                 await ahead.partial.read()
             if ahead.partial.lost and not known:
