--- a/tests/gateway/autoscaling/test_core.py
+++ b/tests/gateway/autoscaling/test_core.py
@@ -20,7 +20,7 @@
 from tests.gateway.workers.support import announcement
 
 BOOT = 4.0
-SERVICE = Service("s", 100, True, Scaling(1, 6, BOOT, 0.2, {"z1": 1.0, "z2": 0.8, "z3": 1.25}))
+SERVICE = Service("s", Scaling(1, 6, BOOT, 0.2, {"z1": 1.0, "z2": 0.8, "z3": 1.25}))
 REGULAR = {zone: WorkerGroup("s", zone, False) for zone in ("z1", "z2", "z3")}
 SPOT = {zone: WorkerGroup("s", zone, True) for zone in ("z1", "z2", "z3")}
 
@@ -173,7 +173,7 @@
         self.assertEqual(orders, self.decide(scaler, listed, 48, 10.0 + NONE_LEFT_SECONDS))
 
     def test_a_service_without_scaling_and_switched_off(self) -> None:
-        plain = Service("s", 100, True)
+        plain = Service("s")
         scaler = Autoscaler(ScalingPolicy(True, 1.0, True))
         self.assertEqual([], scaler.decide([plain], workers(z1=1), {"s": 99}, 9.0))
         off = Autoscaler(ScalingPolicy(False, 1.0, True))
