--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -1,10 +1,14 @@
-"""This node's view of all batches, and appending to it: the ledger behind the log's partitions."""
+"""This node's view of all batches, and appends to their partitions.
+
+Owns the ledger, one follower and one appender a partition, and when records were lost unread.
+Relies on `partitioned_log` for reading and appending, and on `batches.ledger` for what records
+mean.
+"""
 
 from __future__ import annotations
 
 import math
 import uuid
-from collections.abc import Callable
 from functools import partial
 
 import anyio
@@ -14,11 +18,11 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.early_start import PartialLedger
+from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
 from stagewalk.gateway.batch_service.open_batches import BatchPlace
+from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.ledger import (
     FORGET_AFTER_SECONDS,
-    Batch,
     BatchLedger,
     ChangeListener,
     LedgerChange,
@@ -40,10 +44,17 @@
 
 TOPIC = "batches"
 PARTITIONS = 6
+"""Partitions in use, fewer if the log is set up with fewer. A batch's partition follows from its
+name: the same on every node."""
+
 CATCH_UP_SECONDS = 0.8
+"""How long a call may wait for the log to bring a view up to date. Chosen, not measured."""
+
 FOLLOWED_SECONDS = 1.5
+"""A followed view younger than this counts as current. Chosen, not measured."""
+
 READ_PAUSE_SECONDS = 0.05
-"""How long records gather between two reads of a partition."""
+"""How long records gather between two reads of a partition. Chosen, not measured."""
 
 
 class BatchStore:
@@ -59,7 +70,7 @@
     ) -> None:
         self._record_bytes = record_bytes
         self.ledger = BatchLedger(self._changed)
-        self.on_change: Callable[[Batch, LedgerChange], None] = lambda _batch, _change: None
+        self._listener: ChangeListener = lambda _batch, _change: None
         self._news: dict[str, anyio.Event] = {}
         numbers = [Partition(TOPIC, n) for n in range(min(PARTITIONS, partitions))]
         self._log = log
@@ -76,8 +87,19 @@
         self.set_following(False)
         self._appenders = [PartitionAppender(log, p, producer, call_bytes) for p in numbers]
 
-    def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start following and appending."""
+    def start(
+        self,
+        tasks: anyio.abc.TaskGroup,
+        listener: ChangeListener = lambda _batch, _change: None,
+    ) -> None:
+        """Start following and appending.
+
+        Parameters
+        ----------
+        listener
+            Called with each batch and what a record changed in it.
+        """
+        self._listener = listener
         for follower in self._followers:
             tasks.start_soon(follower.run)
         for appender in self._appenders:
@@ -138,7 +160,7 @@
         return await self._appender(header.batch).append(payloads, timeout_seconds)
 
     async def end(self, batch: str, timeout_seconds: float) -> Result[int, AppendOutcome]:
-        """Append that nobody waits for a batch any more."""
+        """Append the end of a batch."""
         payload = encode_record(BatchEnded(batch))
         return await self._appender(batch).append([payload], timeout_seconds)
 
@@ -170,7 +192,7 @@
 
     def appends_stalled(self, batch: str) -> float | None:
         """Return since when the batch's partition takes no appends, None if it does."""
-        return self._appender(batch).struggling_since
+        return self._appender(batch).failing_since
 
     async def wait_for_news(self, batch: str, timeout_seconds: float) -> None:
         """Wait until something of a batch changes."""
@@ -197,7 +219,7 @@
         self.ledger.lose([name for name in self.ledger.names if self.partition(name) == partition])
 
     def note_ended(self, batch: str) -> None:
-        """Take a batch for ended whose end is noted, but was dropped from the log unread."""
+        """Apply the end of a batch that is marked as ended, but was dropped from the log unread."""
         self.ledger.apply(BatchEnded(batch), steady_seconds())
 
     def first_offset(self, batch: str, now: float) -> int | None:
@@ -219,7 +241,7 @@
         news = self._news.pop(batch.header.batch, None)
         if news is not None:
             news.set()
-        self.on_change(batch, change)
+        self._listener(batch, change)
 
 
 def _partition_of(batch: str, partitions: int) -> int:
--- a/src/stagewalk/gateway/batches/item_run.py
+++ b/src/stagewalk/gateway/batches/item_run.py
@@ -1,4 +1,8 @@
-"""One item on its way to a result, across attempts at several workers."""
+"""The state of one item between its start and its result, across attempts at several engines.
+
+Owns the events held, the versions that made them, and what of it the log holds. Relies on the
+scheduler to change it and on `records` for the stored forms.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +11,18 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from stagewalk.gateway.batches.ledger import EVENT_SEPARATOR
 from stagewalk.gateway.batches.records import BatchItem, ItemFinished, ItemProgress
+from stagewalk.gateway.batches.reusable_texts import EVENT_SEPARATOR
 from stagewalk.gateway.quarantine.content import RequestContent
 
 PACE_GAPS = 3
-FAILURE_PAUSE_SECONDS = 0.1
-"""How long an item whose attempt failed waits before the next one."""
-
+"""An engine's pace is the middle one of this many gaps between events: one pause is left out."""
 
 ITEM_METHOD = "POST"
 
 
 def item_content(host: str, item: BatchItem) -> RequestContent:
-    """Return what decides how a worker runs an item: the same in any batch of its route's host."""
+    """Return what an engine's run of an item depends on: the same in any batch of the host."""
     return RequestContent(ITEM_METHOD, host, item.path, item.body)
 
 
@@ -39,7 +41,7 @@
     gaps: deque[float] = field(default_factory=lambda: deque(maxlen=PACE_GAPS))
 
     def pace(self, gap: float) -> float | None:
-        """Take the time since the last event; return the middle one of the last few.
+        """Add the time since the last event; return the middle one of the last few.
 
         One pause (weights that load, a prompt that is read) says nothing of the pace.
         """
@@ -61,16 +63,16 @@
         How often a worker ran it and said it failed.
     recording
         Whether its result is on its way to the log.
-    told
+    published_events
         How many of its events the log holds.
     scoring_since
         When its text was whole and its score was first asked for; None before that.
     score_failures
         How often the service that scores said that it failed.
-    told_score_failures
+    published_score_failures
         What of that the log holds; None while the log does not hold the whole text.
     known_events
-        How many events were made of it in an earlier batch, at least; 0: it did not come back.
+        Events made of it in an earlier batch, at least; 0 for an item that is new.
     """
 
     spec: BatchItem
@@ -82,11 +84,11 @@
     run_failures: int = 0
     recording: bool = False
     last_worker: str = ""
-    told: int = 0
+    published_events: int = 0
     moved_at: float = -math.inf
     scoring_since: float | None = None
     score_failures: int = 0
-    told_score_failures: int | None = None
+    published_score_failures: int | None = None
     known_events: int = 0
 
     @classmethod
@@ -105,14 +107,14 @@
         return self.scoring_since is not None and not self.recording
 
     @property
-    def untold(self) -> bool:
-        """Whether the log lacks something that whoever takes over could go on from."""
+    def unpublished(self) -> bool:
+        """Whether the log lacks text or tries that a node which takes over would go on from."""
         if self.scoring:
-            return self.told_score_failures != self.score_failures
-        return len(self.events) > self.told
+            return self.published_score_failures != self.score_failures
+        return len(self.events) > self.published_events
 
-    def take_event(self, data: str) -> None:
-        """Take the next event, made under the version its attempt is at."""
+    def add_event(self, data: str) -> None:
+        """Append the next event, made under the version its attempt is at."""
         assert self.running is not None
         self.events.append(data)
         version = self.running.version
@@ -121,7 +123,7 @@
             self.versions.sort()
 
     def restart(self) -> None:
-        """Throw away what was made."""
+        """Drop the text made so far."""
         self.events = []
         self.versions = []
 
@@ -129,13 +131,13 @@
         """Go on from text that was made before."""
         self.events = list(events)
         self.versions = sorted(versions)
-        self.told = len(self.events)
+        self.published_events = len(self.events)
 
-    def tell(self, batch: str) -> ItemProgress:
-        """Return what has been made so far, to be told in the log."""
-        self.told = len(self.events)
+    def publish_progress(self, batch: str) -> ItemProgress:
+        """Return the record of what has been made so far; it counts as published."""
+        self.published_events = len(self.events)
         if self.scoring:
-            self.told_score_failures = self.score_failures
+            self.published_score_failures = self.score_failures
         return ItemProgress(
             batch,
             self.spec.item,
--- a/src/stagewalk/gateway/process.py
+++ b/src/stagewalk/gateway/process.py
@@ -1,4 +1,7 @@
-"""Runs a gateway as a process: logs, garbage collection, exit code."""
+"""Runs a gateway as a process.
+
+Owns the process's logs, garbage collection and exit code. Relies on the daemon for the rest.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,8 @@
 from stagewalk.common.logs.budget import LogBudget
 from stagewalk.common.logs.lines import configure_logs, log_event
 from stagewalk.common.logs.writer import LineWriter
-from stagewalk.gateway.daemon import Dependencies, Gateway
+from stagewalk.gateway.assembly import Dependencies
+from stagewalk.gateway.daemon import Gateway
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.settings_reload import SettingsLoader
 
@@ -44,7 +48,7 @@
 
 
 def _soon(call: Callable[[], None]) -> None:
-    """Have a call made in the next turn of the event loop, at once where none runs."""
+    """Make a call in the next turn of the event loop; at once where none runs."""
     try:
         asyncio.get_running_loop().call_soon(call)
     except RuntimeError:
--- a/src/stagewalk/gateway/role_keeper.py
+++ b/src/stagewalk/gateway/role_controller.py
@@ -1,4 +1,8 @@
-"""Gives this node its roles, and has it read as often as they need."""
+"""Applies the roles that this node should have, and the pace of reading that they need.
+
+Owns the transitions: replica of the batch ledger, candidate for the lease on duties, listed to
+callers. Relies on `directory` for the rules that choose them.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +19,24 @@
 from stagewalk.gateway.runners.batch_runner import BatchRunner
 
 
-class RoleKeeper:
-    """Takes roles or gives them up, as the nodes known now suggest."""
+class LogReserve:
+    """A span after the start in which the log's reads are left to runners that resume batches."""
+
+    def __init__(self) -> None:
+        self._ends_at = -math.inf
+
+    def hold_until(self, at: float) -> None:
+        """Reserve the log until a steady time."""
+        self._ends_at = at
+
+    @property
+    def active(self) -> bool:
+        """Whether the log is still reserved."""
+        return steady_seconds() < self._ends_at
+
+
+class RoleController:
+    """Changes this node's roles as the nodes known now require."""
 
     def __init__(
         self,
@@ -25,6 +45,8 @@
         runner: BatchRunner,
         duties: DutyLease,
         published: PublishedRecords,
+        *,
+        log_reserve: LogReserve,
     ) -> None:
         self._nodes = nodes
         self._store = store
@@ -32,36 +54,27 @@
         self._duties = duties
         self._published = published
         self._replica = ReplicaRole()
-        self._follow_from = -math.inf
+        self._log_reserve = log_reserve
         self._pace = LISTED_PACE
 
     @property
     def pace(self) -> ReadPace:
-        """Return how often this node reads now."""
+        """Return the pace of reading in force."""
         return self._pace
 
-    def follow_from(self, at: float) -> None:
-        """Leave the batches to others until a steady time."""
-        self._follow_from = at
-
-    @property
-    def starting(self) -> bool:
-        """Whether the log is left to those that look for open batches."""
-        return steady_seconds() < self._follow_from
-
     def update(self, stopping: bool, now: float) -> None:
-        """Compare the roles this node has with those it should have."""
-        roles = self._nodes.wanted_roles()
+        """Apply the roles that this node should have now."""
+        roles = self._nodes.target_roles()
         self._nodes.set_listed(roles.listed and not stopping)
         busy = self._runner.busy or self._duties.held
         if self._replica.update(roles.replica and not stopping, busy, now):
             serving = len(self._nodes.serving())
             log_event("replica_role", holds=self._replica.announced, serving=serving)
             self._nodes.set_replica(self._replica.announced)
-        attentive = self._replica.following(now)
-        if attentive != self._duties.following:
-            self._duties.set_following(attentive)
-        following = attentive and now >= self._follow_from
+        follows_lease = self._replica.following(now)
+        if follows_lease != self._duties.following:
+            self._duties.set_following(follows_lease)
+        following = follows_lease and not self._log_reserve.active
         if following != self._store.following:
             self._store.set_following(following)
         self._set_pace(read_pace(following, self._nodes.listed))
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -1,4 +1,8 @@
-"""Takes batches over whose runner is gone, and goes on with those this machine ran before."""
+"""Takes over batches whose runner is gone, and resumes those this machine ran before a restart.
+
+Owns the pace of both, and whom to probe. Relies on `batches.takeover` for which batches to claim
+and when, on the batch store for the open ones, and on the runner to run them.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
-from stagewalk.gateway.batches.ledger import NOBODY, Batch
+from stagewalk.gateway.batches.batch import NOBODY, Batch
 from stagewalk.gateway.batches.records import BatchClaimed
 from stagewalk.gateway.batches.takeover import OpenBatch, RunnerState, Takeovers
 from stagewalk.gateway.nodes.identity import ProcessId
@@ -20,19 +24,23 @@
 from stagewalk.gateway.runners.batch_runner import BatchRunner
 
 SUPERVISE_SECONDS = 0.1
+"""How often orphaned batches are looked for: below the step between two ranks (0.3 s). Chosen, not
+measured."""
+
 IDLE_SECONDS = 1.0
 """The same for a node that doesn't follow the batches, and only forgets old ones."""
 
 READ_ATTEMPTS = 10
 READ_RETRY_SECONDS = 0.1
-"""How often a log that refuses is asked for a batch that was run here; then its view must do."""
+"""How often a log that refuses is read for a batch that was run here; after that the node waits for
+its own view. Chosen, not measured."""
 
 PROBERS = 2
-"""So many of the nodes that would take a batch over first ask its runner whether it still runs."""
+"""This many of the nodes that would take a batch over first probe its runner (docs/design/0110)."""
 
 
 class TakeoverService:
-    """Looks after the open batches of all runners."""
+    """Claims orphaned batches, and forgets those that ended long ago."""
 
     def __init__(
         self,
@@ -51,7 +59,7 @@
         self._open_batches = open_batches
         self._policy = policy
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._takeovers = Takeovers(identity.node, nodes.runner_state)
+        self._acceptovers = Takeovers(identity.node, nodes.runner_state)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start looking after batches."""
@@ -59,7 +67,7 @@
         tasks.start_soon(self._supervise)
 
     async def _supervise(self) -> None:
-        """Take over what is without a runner, for ever."""
+        """Claim batches without a runner, for ever."""
         while True:
             await anyio.sleep(SUPERVISE_SECONDS if self._store.following else IDLE_SECONDS)
             now = steady_seconds()
@@ -73,11 +81,11 @@
         assert self._tasks is not None
         replicas = self._replicas()
         for name in self._store.ledger.forget(now):
-            if self._takeovers.place(name, NOBODY, replicas) == 0:
+            if self._acceptovers.place(name, NOBODY, replicas) == 0:
                 self._tasks.start_soon(self._open_batches.drop, name)
 
     async def resume_own(self) -> bool:
-        """Go on with the batches of this machine's last process, before the whole log is read.
+        """Resume the batches of this machine's last process, before the whole log is read.
 
         Returns
         -------
@@ -104,14 +112,14 @@
         for batch in self._store.ledger.open_batches():
             peer = self._nodes.peer_of(batch.runner)
             state = self._nodes.runner_state(batch.runner)
-            place = self._takeovers.place(batch.header.batch, batch.runner, replicas)
+            place = self._acceptovers.place(batch.header.batch, batch.runner, replicas)
             own = batch.runner == str(self._identity) or state is RunnerState.MINE_BEFORE
             if peer is not None and not own and place < PROBERS:
                 targets[batch.runner] = peer
         return targets
 
     async def _resume(self, name: str, place: BatchPlace) -> None:
-        """Go on with a batch from its place; of others that lie there, an end may lie before."""
+        """Resume a batch from its place; an end of others that lie there may lie before it."""
         partial = self._store.read_from(place, self._runner.ahead_changed)
         for _ in range(READ_ATTEMPTS):
             if await partial.read():
@@ -137,7 +145,7 @@
             for name, batch in batches.items()
             if not self._runner.runs(name)
         ]
-        for name in self._takeovers.decide(seen, self._replicas(), now):
+        for name in self._acceptovers.decide(seen, self._replicas(), now):
             self._claim(batches[name], self._nodes.runner_state(batches[name].runner))
 
     def _claim(self, batch: Batch, state: RunnerState, place: BatchPlace | None = None) -> None:
--- a/src/stagewalk/node/configuration/state.py
+++ b/src/stagewalk/node/configuration/state.py
@@ -1,4 +1,7 @@
-"""Lasting state of the configuration fold, its checks against the pool, and its snapshots."""
+"""Lasting state of the configuration fold, its checks against the pool, and its snapshots.
+
+Owns the snapshot's stored form, which other releases read.
+"""
 
 from __future__ import annotations
 
@@ -15,6 +18,7 @@
 """Capacity shares are added up in millionths, so that the sum is exact on every machine."""
 
 SNAPSHOT_FORMAT = 1
+"""Raised when the form of a snapshot changes; other forms are ignored."""
 
 
 class RevisionEntry(msgspec.Struct, frozen=True):
--- a/src/stagewalk/node/membership/members.py
+++ b/src/stagewalk/node/membership/members.py
@@ -1,4 +1,4 @@
-"""What a node knows of itself and of the other nodes."""
+"""What a node knows of itself and of the other nodes: identity, state and status. Plain data."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """The little that every node tells of itself.
+    """The status that every node announces of itself.
 
     Attributes
     ----------
--- a/src/stagewalk/node/membership/notifications.py
+++ b/src/stagewalk/node/membership/notifications.py
@@ -1,4 +1,4 @@
-"""What membership tells the other subsystems."""
+"""What membership returns for the node's other cores."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 class IdentitySuperseded:
     """Another process runs, or ran, under this node's name with a greater incarnation.
 
-    The node can't be heard any more: the others drop what it says of itself. It should stop, or
-    start again with an incarnation above `incarnation`.
+    The other nodes ignore this node's facts about itself. It should stop, or start again with an
+    incarnation above `incarnation`.
     """
 
     incarnation: Incarnation
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -1,7 +1,8 @@
 """The node's pure core: all subsystems' cores composed into one state machine.
 
 It does no I/O, reads no clock and draws no randomness but from the generator it is given,
-so the daemon and the simulation run the same class.
+so the daemon and the simulation run the same class. Owns the dispatch of events and notifications
+by type; relies on the control plane and the data plane for all decisions.
 """
 
 from __future__ import annotations
@@ -17,7 +18,8 @@
     ClaimAbsent,
     ClaimDecided,
     ClaimUndecided,
-    PlacementAppendWanted,
+    ProposeClaim,
+    ReadClaim,
 )
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.control_plane import ControlPlane
@@ -56,8 +58,13 @@
 )
 from stagewalk.node.data_plane import DataPlane
 from stagewalk.node.leases.fold import LEASE_STREAM
-from stagewalk.node.leases.notifications import AppendWanted, LeaseAcquired, LeaseLost
-from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
+from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost
+from stagewalk.node.log_client.notifications import (
+    AppendAbandoned,
+    AppendSettled,
+    AppendToStream,
+    RecordsRead,
+)
 from stagewalk.node.membership.notifications import IdentitySuperseded, MemberChanged
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
@@ -88,7 +95,7 @@
     models
         Models of all tenants in force.
     configuration_offsets
-        Offset in force at each member, as far as gossip has told.
+        Offset in force at each member, as far as gossip has reported it.
     """
 
     name: str
@@ -114,23 +121,17 @@
         The node's own name, incarnation and place.
     generator
         Source of all its random choices; seeded by the simulation.
-    config
-        Settings of its cores.
     """
 
-    def __init__(
-        self,
-        identity: NodeIdentity,
-        generator: random.Random,
-        config: NodeConfig | None = None,
-    ) -> None:
+    def __init__(self, identity: NodeIdentity, generator: random.Random) -> None:
         self.identity = identity
-        self.config = config or NodeConfig()
-        self.control = ControlPlane(identity, self.config, generator)
-        self.data = DataPlane(identity, self.config, generator)
+        config = NodeConfig()
+        self.control = ControlPlane(identity, config, generator)
+        self.data = DataPlane(identity, config, generator)
         self.answers = AnswerExchange(identity, self.data.requests, self.control.membership)
         self._pending: deque[NodeOutput] = deque()
         self._now = float("-inf")
+        self._machine_list_interval_seconds = config.machine_list_interval_seconds
         self._read_machines_at = float("-inf")
         self._machines_known = False
         self._stopping = False
@@ -139,7 +140,7 @@
         self._notification_handlers = self._make_notification_handlers()
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
-        """Take an event at time `now` (seconds, never decreasing) and return what to do."""
+        """Handle an event at time `now` (seconds, never decreasing) and return what to do."""
         self._now = max(now, self._now)
         self._pending.extend(self._event_handlers[type(event)](event, self._now))
         return self._settle()
@@ -170,7 +171,7 @@
         )
 
     def _settle(self) -> list[Instruction]:
-        """Hand notifications to the cores they are for until only instructions are left.
+        """Dispatch notifications to the cores they are for until only instructions are left.
 
         What a notification leads to comes before what was returned after it, so that the
         instructions stand in the order of their causes.
@@ -184,7 +185,7 @@
             elif isinstance(output, INSTRUCTION_TYPES):
                 instructions.append(cast(Instruction, output))
             else:
-                raise TypeError(f"no core takes {type(output).__name__}")
+                raise TypeError(f"no core handles {type(output).__name__}")
         return instructions
 
     def _make_event_handlers(self) -> dict[type, Callable[[Any, float], list[NodeOutput]]]:
@@ -223,25 +224,23 @@
             RecordsRead: control.records_read,
             AppendSettled: _ignore,
             AppendAbandoned: control.append_abandoned,
-            AppendWanted: control.append_wanted,
-            PlacementAppendWanted: control.append_wanted,
+            AppendToStream: control.append,
             ConfigurationChanged: self._configuration_changed,
             LeaseAcquired: control.lease_acquired,
             LeaseLost: control.lease_lost,
             ClaimDecided: self._claim_decided,
             ClaimUndecided: self._claim_undecided,
             ClaimAbsent: _ignore,
-            requests.ClaimWanted: self._request_claim_wanted,
-            requests.AnswerWanted: self.answers.answer_wanted,
+            ProposeClaim: self._propose_claim,
+            ReadClaim: self._read_claim,
+            requests.FetchAnswer: self.answers.fetch,
             requests.RequestJoined: data.request_joined,
             requests.RequestChunk: data.request_chunk,
             requests.RequestFinished: self._request_finished,
             requests.RequestFailed: self._request_failed,
             requests.SubmissionRejected: data.submission_rejected,
-            samples.RequestWanted: data.request_wanted,
-            samples.RequestUnwanted: data.request_unwanted,
-            samples.ClaimWanted: self._sample_claim_wanted,
-            samples.ClaimReadWanted: self._sample_claim_read_wanted,
+            samples.StartRollout: data.start_rollout,
+            samples.CancelRollout: data.cancel_rollout,
         }
 
     # Events that concern both planes
@@ -249,7 +248,7 @@
     def _tick(self, event: Tick, now: float) -> list[NodeOutput]:
         output: list[NodeOutput] = []
         if now >= self._read_machines_at:
-            self._read_machines_at = now + self.config.machine_list_interval_seconds
+            self._read_machines_at = now + self._machine_list_interval_seconds
             output.append(ReadMachines())
         output += self.control.tick(now)
         output += self.data.tick(now)
@@ -336,16 +335,11 @@
         output = self.answers.request_ended(failed.key, failed.error, now)
         return output + self.data.request_failed(failed, now)
 
-    def _request_claim_wanted(self, wanted: requests.ClaimWanted, now: float) -> list[NodeOutput]:
-        return list(self.control.claims.propose(wanted.claim_key, wanted.value, now))
-
-    def _sample_claim_wanted(self, wanted: samples.ClaimWanted, now: float) -> list[NodeOutput]:
-        return list(self.control.claims.propose(wanted.key, wanted.value, now))
+    def _propose_claim(self, proposal: ProposeClaim, now: float) -> list[NodeOutput]:
+        return list(self.control.claims.propose(proposal.key, proposal.value, now))
 
-    def _sample_claim_read_wanted(
-        self, wanted: samples.ClaimReadWanted, now: float
-    ) -> list[NodeOutput]:
-        return list(self.control.claims.read(wanted.key, now))
+    def _read_claim(self, read: ReadClaim, now: float) -> list[NodeOutput]:
+        return list(self.control.claims.read(read.key, now))
 
     def _claim_decided(self, decided: ClaimDecided, now: float) -> list[NodeOutput]:
         if decided.key.startswith(REQUEST_CLAIM_PREFIX):
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -14,6 +14,7 @@
 from stagewalk.common.errors import Ran
 from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
 from stagewalk.history.checker_verdict import Promise
+from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.configuration.fold import ConfigurationFold
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.outcomes import ChangeRejected, RejectionReason
@@ -36,9 +37,13 @@
 )
 from stagewalk.node.core.instructions import ExitProcess, FailCall, Instruction, StartAttempt
 from stagewalk.node.core.platform import EngineState, MachineState
-from stagewalk.node.node_core import NodeCore, NodeIdentity, NodeStatus
+from stagewalk.node.node_core import (
+    REQUEST_CLAIM_PREFIX,
+    NodeCore,
+    NodeIdentity,
+    NodeStatus,
+)
 from stagewalk.node.outputs import NodeOutput
-from stagewalk.node.requests.notifications import ClaimWanted
 from stagewalk.simulation.node_host import CoreFactory
 
 CONFIGURATION_FROZEN_AT_OFFSET = 2
@@ -52,7 +57,7 @@
         self.core = NodeCore(identity, generator)
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
-        """Take an event and return what to do."""
+        """Handle an event and return what to do."""
         altered = self.alter_event(event)
         if altered is None:
             return []
@@ -63,7 +68,7 @@
         return self.core.status(now)
 
     def alter_event(self, event: Event) -> Event | None:
-        """Return what the core is told instead, or None to keep it from it."""
+        """Return the event for the core, or None to drop it."""
         return event
 
     def alter_instructions(
@@ -82,7 +87,7 @@
         self._models: dict[AttemptId, ModelName] = {}
 
     def alter_event(self, event: Event) -> Event | None:
-        """Put the newest version in place of the engine's."""
+        """Replace the engine's version with the newest."""
         if isinstance(event, VersionsRead) and event.versions:
             self._newest[event.model] = max(each.version for each in event.versions)
         if isinstance(event, AttemptChunk):
@@ -110,7 +115,7 @@
         self._asked_at: dict[tuple[str, str, int], WeightVersion] = {}
 
     def alter_event(self, event: Event) -> Event | None:
-        """Put the version at submission in place of the version that a pull names."""
+        """Replace the version that a pull names with the version at submission."""
         if isinstance(event, LotSubmitted):
             lot = event.lot
             self._asked_at.setdefault((lot.tenant, lot.trainer, lot.step), lot.trainer_version)
@@ -172,7 +177,7 @@
     def alter_instructions(
         self, event: Event, instructions: list[Instruction]
     ) -> list[Instruction]:
-        """Turn every `unknown` into `no`."""
+        """Replace every `unknown` with `no`."""
         return [
             replace(each, error=replace(each.error, ran=Ran.NO))
             if isinstance(each, FailCall)
@@ -197,8 +202,10 @@
 class ClaimsNotAsked(NodeCore):
     """Runs a non-repeatable request without asking whether another node has claimed it."""
 
-    def _request_claim_wanted(self, wanted: ClaimWanted, now: float) -> list[NodeOutput]:
-        decided = self.data.requests.claim_decided(wanted.claim_key, wanted.value, True, now)
+    def _propose_claim(self, proposal: ProposeClaim, now: float) -> list[NodeOutput]:
+        if not proposal.key.startswith(REQUEST_CLAIM_PREFIX):
+            return super()._propose_claim(proposal, now)
+        decided = self.data.requests.claim_decided(proposal.key, proposal.value, True, now)
         return list(decided)
 
 
--- a/tests/gateway/batch_service/test_early_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -9,9 +9,13 @@
 import testtools
 from expression import Ok
 
-from stagewalk.gateway.batch_service.early_start import MARGIN_RECORDS, EarlyViews, PartialLedger
 from stagewalk.gateway.batch_service.ledger_messages import EndCall, ItemCall, ResultsCall
 from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batch_views import (
+    MARGIN_RECORDS,
+    OpenBatchViews,
+    PartialLedger,
+)
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
 from stagewalk.gateway.batches.records import (
     BatchEnded,
@@ -22,11 +26,11 @@
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.policy import ALL_ON
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
-from stagewalk.gateway.runners.runner_choice import RunnerChoice
+from stagewalk.gateway.runners.batch_assignments import BatchAssignments
 from stagewalk.gateway.runners.runner_messages import RunBatch
-from stagewalk_standins.partitioned_log import MemoryLog
-from stagewalk_standins.plain_dialect import PlainDialect
 from tests.gateway.batches.support import item, submitted
+from tests.gateway.memory_log import MemoryLog
+from tests.gateway.plain_dialect import PlainDialect
 
 TOPIC = "batches"
 PLACE = Partition(TOPIC, 0)
@@ -74,10 +78,10 @@
         self.log = MemoryLog()
         self.client = self.log.client()
         self.places = OpenBatches(self.client)
-        self.early = EarlyViews(self.client, TOPIC, self.places)
+        self.early = OpenBatchViews(self.client, TOPIC, self.places)
         self.store = UnreadStore()
         self.reads = LedgerReads(
-            self.store, PlainDialect(), self.places, early=self.early, starting=lambda: True
+            self.store, PlainDialect(), self.places, open_views=self.early, starting=lambda: True
         )
 
     async def append(self, *records: BatchRecord) -> int:
@@ -171,19 +175,19 @@
                 view_age=lambda _batch, _now: 0.0,
                 read_from=lambda place, _changed: PartialLedger(self.client, PLACE, place.offset),
             )
-            choice = RunnerChoice(
+            assignments = BatchAssignments(
                 identity=ProcessId("n", 1),
                 nodes=mock.Mock(known=True),
                 store=store,
                 runner=runner,
-                client=mock.Mock(),
+                calls=mock.Mock(),
                 open_batches=self.places,
                 policy=ALL_ON,
             )
-            await choice._take(RunBatch("b", 0, offset))
+            await assignments.accept(RunBatch("b", 0, offset))
             runner.begin_ahead.assert_called_once()
             runner.begin_ahead.reset_mock()
-            await choice._take(RunBatch("b", 0, 0))
+            await assignments.accept(RunBatch("b", 0, 0))
             runner.begin_ahead.assert_not_called()
 
         anyio.run(scenario)
--- a/tests/gateway/batch_service/test_second_submissions.py
+++ b/tests/gateway/batch_service/test_second_submissions.py
@@ -8,9 +8,9 @@
 
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import PARTITIONS, TOPIC, BatchStore
-from stagewalk.gateway.batch_service.early_start import EarlyViews
 from stagewalk.gateway.batch_service.ledger_messages import ResultsCall
 from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
 from stagewalk.gateway.batches.records import (
     BatchEnded,
@@ -22,8 +22,6 @@
 )
 from stagewalk.gateway.batches.takeover import affinity
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
-from stagewalk_standins.partitioned_log import MemoryLog
-from stagewalk_standins.plain_dialect import PlainDialect
 from tests.gateway.batch_service.test_ended_batches import (
     BOUND_SECONDS,
     MANY,
@@ -32,6 +30,8 @@
 )
 from tests.gateway.batches.support import item, submitted
 from tests.gateway.hindered_logs import SlowHistoryLog, append, write_history
+from tests.gateway.memory_log import MemoryLog
+from tests.gateway.plain_dialect import PlainDialect
 from tests.gateway.support import Site, run, until
 
 LONGER_SECONDS = 4.0
@@ -193,7 +193,7 @@
             places = OpenBatches(client)
             await places.note("b", BatchPlace(0, await put(second), "n#1"))
             await put(ItemFinished("b", "y", True, "t", (1,)))
-            batch = await EarlyViews(log.client(), TOPIC, places).find("b")
+            batch = await OpenBatchViews(log.client(), TOPIC, places).find("b")
             if batch is not None:
                 shown = [result.item for result in batch.results]
                 self.assertEqual(["x", "y"][: len(shown)], shown)
--- a/tests/gateway/nodes/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -8,14 +8,14 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.nodes.crash_watch import MOST_UNSENT, CrashWatch
+from stagewalk.gateway.nodes.crash_watch import MOST_UNAPPENDED, CrashWatch
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, ContactLoss
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.quarantine.core import MOST_CRASHES, CrashSuspects
 from stagewalk.gateway.quarantine.crash_reports import SentRequest
 from stagewalk.gateway.workers.table import WorkerTable
-from stagewalk_standins.partitioned_log import MemoryLog
+from tests.gateway.memory_log import MemoryLog
 from tests.gateway.workers.support import announcement
 
 NODES = Partition("keyed.nodes", 0)
@@ -37,6 +37,7 @@
             suspects=self.suspects,
             workers=self.table,
             probe=mock.AsyncMock(return_value=False),
+            renew_view=mock.AsyncMock(return_value=False),
         )
 
     async def end(self, worker: str, content: RequestContent = CONTENT) -> None:
@@ -102,7 +103,7 @@
                     self.watch.publish(content)
             self.watch.step(steady_seconds())
             self.assertLessEqual(len(self.watch._unpublished), MOST_CRASHES)
-            self.assertLessEqual(len(self.watch._unsent), MOST_UNSENT)
+            self.assertLessEqual(len(self.watch._unappended), MOST_UNAPPENDED)
             self.assertLessEqual(self.watch.suspects, MOST_CRASHES)
 
         anyio.run(scenario)
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -8,7 +8,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.cold_lease_service import COLD_STARTS
 from stagewalk.gateway.routes.route import Service
-from stagewalk_standins.memory_workers import Arrival
+from tests.gateway.memory_workers import Arrival
 from tests.gateway.support import Running, Site, run, until
 
 RATE = 4.0
@@ -46,7 +46,7 @@
 
         async def warm() -> bool:
             answers = [await ask(site, node, "q") for node in nodes]
-            leases = [n.gateway._eligibility_services.cold_leases(steady_seconds()) for n in nodes]
+            leases = [n.gateway._sends.cold_leases(steady_seconds()) for n in nodes]
             return answers == [200] * count and not any(leases)
 
         await anyio.sleep(2.0)
