--- a/src/stagewalk/gateway/eligibility/retry_after.py
+++ b/src/stagewalk/gateway/eligibility/retry_after.py
@@ -27,8 +27,8 @@
 """Seconds by the reason why no worker might get the request. An evacuation or the loss of a region
 lasts for seconds at least: a caller that retried four times a second would use up its attempts
 before anything changes. A request that is held back is run once more after 15 s at the earliest
-(`quarantine.core.FIRST_HOLD_SECONDS`). Half of the span over which a cold worker's requests count
-is over in 0.5 s, and a lease on one is won in 0.3 s."""
+(`quarantine.hold_rule.FIRST_HOLD_SECONDS`). Half of the span over which a cold worker's requests
+count is over in 0.5 s, and a lease on one is won in 0.3 s."""
 
 
 def retry_after_seconds(
--- a/src/stagewalk/gateway/forwarding/inbound.py
+++ b/src/stagewalk/gateway/forwarding/inbound.py
@@ -1,4 +1,7 @@
-"""A caller's request as it is forwarded."""
+"""A caller's request as it is forwarded.
+
+Owns the type; `entry` builds it, the forwarders send it.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
     priority: int | None = None
 
     content: RequestContent = field(init=False)
-    """What decides how a worker runs it."""
+    """What makes it the same request to a worker, whoever sends it."""
 
     def __post_init__(self) -> None:
         host = next((value for name, value in self.headers if name.lower() == HOST_HEADER), "")
--- a/src/stagewalk/gateway/nodes/crash_watch.py
+++ b/src/stagewalk/gateway/nodes/crash_watch.py
@@ -20,8 +20,9 @@
 from stagewalk.gateway.ports.send_permits import WorkerTarget
 from stagewalk.gateway.ports.workers import AttemptFailure, ContactLoss
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import CrashSuspects, HeldContent, count_after
+from stagewalk.gateway.quarantine.core import CrashSuspects, HeldContent
 from stagewalk.gateway.quarantine.crash_reports import SentRequest
+from stagewalk.gateway.quarantine.hold_rule import count_after
 from stagewalk.gateway.quarantine.losses import Loss, LossWatch, WorkerStart
 from stagewalk.gateway.quarantine.records import KEY_PREFIX, CrashRecord, decode_crash_record
 from stagewalk.gateway.workers.table import WorkerTable
--- a/src/stagewalk/gateway/policy.py
+++ b/src/stagewalk/gateway/policy.py
@@ -1,4 +1,9 @@
-"""Which mechanisms of decision are in use. All are, unless a setting says otherwise."""
+"""Which optional mechanisms of decision are in use. All are, unless a setting says otherwise.
+
+Owns their switches, which are the fields of the settings' section `policy`. The rules that read
+them are in `forwarding`, `batches`, `batch_service`, `scoring`, `runners`, `directory` and
+`version_rollouts`.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +11,7 @@
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One switch for each mechanism that can be done without; no promise hangs on any of them.
+    """One switch for each mechanism that only improves results; no promise depends on any of them.
 
     Attributes
     ----------
--- a/src/stagewalk/gateway/quarantine/core.py
+++ b/src/stagewalk/gateway/quarantine/core.py
@@ -1,55 +1,23 @@
 """Which requests crash the workers that run them, as far as one node knows. Pure.
 
-Owns the rule by which a content is held back, and run once more. Inputs: crash records of this node
-and of others, and which contents were answered. A worker runs several requests as its process ends,
-and all of them lose it; a rack that loses power ends many workers at once. So what counts is not
-the number of crashes that a content was part of, but of consecutive ones: each was sent when the
-crash before it was known, and nothing of that content ran whole in between. The count of a request
-that crashes every worker grows with each run; that of a bystander is cleared by its first answer.
-Measured in seeded loads of 90 s in which all workers are lost every 9 s, of some 215,000 proper
-requests: this rule refuses 1,917, counting crashes without regard to order 55,807
-(`docs/design/0150`).
-Relies on `quarantine.records` and `quarantine.content`; `nodes.crash_watch` supplies the records.
+Owns the crash records of each content, of this node and of others, and which contents are held back
+now. Relies on `quarantine.hold_rule` for how many crashes it takes and for how long a content is
+held back; `nodes.crash_watch` supplies the records.
 """
 
 from __future__ import annotations
 
-import zlib
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.records import MOST_CONSECUTIVE_CRASHES, CrashRecord
-
-HELD_AFTER_CRASHES = 3
-"""Consecutive crashes after which a request is held back: the bound that users set on it."""
-
-HELD_AFTER_CRASHES_OF_ITEM = 5
-"""The same for an item of a batch, whose whole group is lost with it: within the three further runs
-that users forgive."""
-
-HELD_AFTER_CRASHES_AT_ONE_ADDRESS = 5
-"""The same where all crashes were at one address: that worker may be at fault, but a service may
-also have only one."""
-
-SUSPECT_SECONDS = 600.0
-"""How long crashes count of a content that is not held back: long enough for a caller that retries
-every few seconds, or minutes; too short for a request that lost a worker twice a day."""
-
-FIRST_HOLD_SECONDS = 15.0
-LATER_HOLD_SECONDS = 6 * 3600.0
-LATER_HOLD_FACTOR = 4.0
-"""A request that is held back is run once more soon, in case it was only unlucky: a
-popular one is served again then (60 s in place of 15 s refused 2.9 times as many requests in
-seeded losses of all workers). If that run crashes its worker too, the next comes after six hours,
-then after a day."""
-
-MOST_LATER_HOLDS = 4
-"""After so many the length grows no more: 64 days."""
-
-HOLD_JITTER = 0.5
-"""A node's hold is up to this part of its length longer, each node's by another amount, so that not
-all nodes try at once: the first one publishes the outcome. Chosen, not measured."""
+from stagewalk.gateway.quarantine.hold_rule import (
+    crashes_needed,
+    hold_seconds,
+    jittered,
+    remembered_seconds,
+)
+from stagewalk.gateway.quarantine.records import CrashRecord
 
 MOST_CRASHES = 2048
 """Crash records remembered, of 0.65 KB each as measured: 1.3 MB of a node's 64 MB."""
@@ -218,7 +186,7 @@
             content
             for content, suspect in self._suspects.items()
             if unix_seconds
-            > suspect.newest_seconds + self._jittered(content, _remembered_seconds(suspect))
+            > suspect.newest_seconds + self._jittered(content, self._remembered_seconds(suspect))
         ]
         return [crash for content in faded for crash in self.clear(content)]
 
@@ -227,9 +195,11 @@
         return suspect.newest_seconds + self._jittered(content, seconds)
 
     def _jittered(self, content: str, seconds: float) -> float:
-        """Return a time that differs from node to node, up to half as long again."""
-        share = zlib.crc32(f"{self._node}/{content}".encode()) / 2**32
-        return seconds * (1.0 + HOLD_JITTER * share)
+        return jittered(seconds, f"{self._node}/{content}")
+
+    @staticmethod
+    def _remembered_seconds(suspect: _Suspect) -> float:
+        return remembered_seconds(suspect.consecutive - _needed_crashes(suspect, item=False))
 
     def _forget_oldest(self) -> None:
         """Make room: contents that are not held back go first, the oldest of them before others."""
@@ -245,35 +215,9 @@
         return _reached(suspect, item=False), suspect.newest_milliseconds
 
 
-def count_after(known: int) -> int:
-    """Return the consecutive crashes with one more, whose request was sent when `known` were."""
-    return min(known + 1, MOST_CONSECUTIVE_CRASHES)
-
-
-def hold_seconds(further: int) -> float:
-    """Return how many seconds a request is held back.
-
-    Parameters
-    ----------
-    further
-        Consecutive crashes beyond those that it took to be held back.
-    """
-    if further <= 0:
-        return FIRST_HOLD_SECONDS
-    return LATER_HOLD_SECONDS * LATER_HOLD_FACTOR ** min(further - 1, MOST_LATER_HOLDS)
-
-
 def _needed_crashes(suspect: _Suspect, item: bool) -> int:
-    """Return how many consecutive crashes it takes for a content to be held back."""
-    needed = HELD_AFTER_CRASHES_OF_ITEM if item else HELD_AFTER_CRASHES
-    return max(needed, HELD_AFTER_CRASHES_AT_ONE_ADDRESS) if suspect.one_address else needed
+    return crashes_needed(one_address=suspect.one_address, item=item)
 
 
 def _reached(suspect: _Suspect, item: bool) -> bool:
     return suspect.consecutive >= _needed_crashes(suspect, item)
-
-
-def _remembered_seconds(suspect: _Suspect) -> float:
-    """Return how many seconds a content's crashes count: twice as long as they may hold it back."""
-    further = suspect.consecutive - _needed_crashes(suspect, item=False)
-    return max(SUSPECT_SECONDS, 2.0 * (1.0 + HOLD_JITTER) * hold_seconds(further))
--- a/src/stagewalk/gateway/tenants/tenant.py
+++ b/src/stagewalk/gateway/tenants/tenant.py
@@ -1,11 +1,14 @@
-"""A tenant as operators publish it."""
+"""A tenant as operators publish it.
+
+Owns the type; `tenants.key_table` holds the tenants in force.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 ANONYMOUS = ""
-"""Stands for the tenant of a call that came without a known key, on a route that asks for none."""
+"""Tenant of a call without a known key, on a route that requires none."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/gateway/nodes/test_crashing_requests.py
+++ b/tests/gateway/nodes/test_crashing_requests.py
@@ -28,7 +28,7 @@
 
 from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import HELD_AFTER_CRASHES_OF_ITEM
+from stagewalk.gateway.quarantine.hold_rule import HELD_AFTER_CRASHES_OF_ITEM
 from tests.gateway.support import HOST, Running, Site, run, until
 from tests.node.running_node import free_address
 
--- a/tests/gateway/quarantine/loads.py
+++ b/tests/gateway/quarantine/loads.py
@@ -16,7 +16,8 @@
 from dataclasses import dataclass, field
 
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import CrashSuspects, count_after
+from stagewalk.gateway.quarantine.core import CrashSuspects
+from stagewalk.gateway.quarantine.hold_rule import count_after
 from stagewalk.gateway.quarantine.records import CrashRecord
 
 NODES = 10
--- a/tests/gateway/quarantine/test_core.py
+++ b/tests/gateway/quarantine/test_core.py
@@ -7,15 +7,14 @@
 import testtools
 
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import (
+from stagewalk.gateway.quarantine.core import MOST_CRASHES, CrashSuspects
+from stagewalk.gateway.quarantine.hold_rule import (
     FIRST_HOLD_SECONDS,
     HELD_AFTER_CRASHES_AT_ONE_ADDRESS,
     HELD_AFTER_CRASHES_OF_ITEM,
     HOLD_JITTER,
     LATER_HOLD_SECONDS,
-    MOST_CRASHES,
     SUSPECT_SECONDS,
-    CrashSuspects,
     count_after,
     hold_seconds,
 )
