--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -29,7 +29,7 @@
 from stagewalk.gateway.nodes.own_node import OwnNode
 from stagewalk.gateway.nodes.relay_choice import choose_relay_peers
 from stagewalk.gateway.nodes.runner_state import judge_runner
-from stagewalk.gateway.partitioned_log.follower import KeyedFollower
+from stagewalk.gateway.partitioned_log.keyed_follower import KeyedFollower
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.ports.keyed_records import KeyedRecords
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -23,8 +23,8 @@
     RESTING_PACE,
     ReadPace,
 )
-from stagewalk.gateway.partitioned_log.follower import KeyedFollower
 from stagewalk.gateway.partitioned_log.freshness import Freshness
+from stagewalk.gateway.partitioned_log.keyed_follower import KeyedFollower
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, PartitionedLog
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
--- a/tests/gateway/partitioned_log/test_follower.py
+++ b/tests/gateway/partitioned_log/test_follower.py
@@ -10,7 +10,8 @@
 import testtools
 from expression import Ok, Result
 
-from stagewalk.gateway.partitioned_log.follower import KeyedFollower, PartitionFollower
+from stagewalk.gateway.partitioned_log.follower import PartitionFollower
+from stagewalk.gateway.partitioned_log.keyed_follower import KeyedFollower
 from stagewalk.gateway.ports.partitioned_log import (
     KeyedPage,
     KeyedRecord,
