--- /dev/null
+++ b/tests/common/http/test_asgi.py
@@ -0,0 +1,92 @@
+"""Dispatch of ASGI connections, and what becomes of an exchange whose handler fails."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from functools import partial
+from unittest import mock
+
+import anyio
+import testtools
+
+from stagewalk.common.http.asgi import (
+    POLICY_VIOLATION,
+    BrokenResponseError,
+    run_exchange,
+    serve_connection,
+)
+from stagewalk.common.http.body_budget import BodyBudget
+from stagewalk.common.http.exchange import Exchange
+from stagewalk.common.settings.fields import Limits
+
+SCOPE = {
+    "type": "http",
+    "method": "GET",
+    "path": "/x",
+    "query_string": b"",
+    "http_version": "1.1",
+    "headers": [],
+}
+
+
+class AsgiTests(testtools.TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        self.sent: list[dict] = []
+        self.crashes: list[str] = []
+        patched = mock.patch("stagewalk.common.http.asgi.log_event", self.log)
+        patched.start()
+        self.addCleanup(patched.stop)
+
+    def log(self, event: str, _level: str, **_fields: object) -> None:
+        self.crashes.append(event)
+
+    async def send(self, message: dict) -> None:
+        self.sent.append(message)
+
+    async def receive(self) -> dict:
+        await anyio.sleep_forever()
+        raise AssertionError("unreachable")
+
+    def run_handler(self, handle: Callable[[Exchange], Awaitable[None]]) -> None:
+        async def main() -> None:
+            limits = Limits(body_bytes=10, buffered_body_bytes=10)
+            exchange = Exchange(
+                SCOPE, self.receive, self.send, limits, BodyBudget(10), last=lambda: False
+            )
+            await run_exchange(
+                exchange, partial(handle, exchange), partial(exchange.begin, 500, ())
+            )
+
+        anyio.run(main)
+
+    def test_a_websocket_is_closed(self) -> None:
+        async def unreached(*_arguments: object) -> None:
+            self.fail("served as HTTP")
+
+        anyio.run(serve_connection, {"type": "websocket"}, self.receive, self.send, unreached)
+        self.assertEqual([POLICY_VIOLATION], [message["code"] for message in self.sent])
+
+    def test_a_crash_before_the_status_is_logged_and_answered(self) -> None:
+        async def crash(_exchange: Exchange) -> None:
+            raise ValueError("a fault of the code")
+
+        self.run_handler(crash)
+        self.assertEqual(["exchange_failed"], self.crashes)
+        self.assertEqual([500], [message["status"] for message in self.sent])
+
+    def test_a_crash_after_the_status_is_only_logged(self) -> None:
+        async def crash(exchange: Exchange) -> None:
+            await exchange.begin(200, ())
+            raise ValueError("a fault of the code")
+
+        self.run_handler(crash)
+        self.assertEqual(["exchange_failed"], self.crashes)
+        self.assertEqual([200], [message["status"] for message in self.sent])
+
+    def test_a_broken_response_breaks_its_connection(self) -> None:
+        async def break_off(_exchange: Exchange) -> None:
+            raise BrokenResponseError("r")
+
+        self.assertRaises(BaseExceptionGroup, self.run_handler, break_off)
+        self.assertEqual([], self.crashes)
