--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -248,7 +248,7 @@
             ),
             rollouts=cluster.rollouts,
             starting=lambda: log_reserve.active,
-            on_item_started=self._metrics.item_view_age.observe,
+            on_item_started=self._metrics.item_started,
         )
 
     def _published(self, log: LogAccess, cluster: ClusterState) -> PublishedRecords:
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -234,7 +234,7 @@
         due = steady_seconds() + seconds
         await anyio.sleep(seconds)
         lag = steady_seconds() - due
-        self._metrics.loop_lag.observe(lag)
+        self._metrics.loop_woke_late(lag)
         if lag > STALL_SECONDS:
             log_event("loop_stalled", "warning", seconds=lag)
 
--- a/src/stagewalk/gateway/entry/app.py
+++ b/src/stagewalk/gateway/entry/app.py
@@ -135,9 +135,9 @@
             if caller is not None:
                 await self._serve_batch(exchange, caller)
         else:
-            admitted = await self._authenticator.admit_to_route(exchange)
-            if admitted is not None:
-                await self._serve_route(exchange, *admitted)
+            call = await self._authenticator.admit_to_route(exchange)
+            if call is not None:
+                await self._serve_route(exchange, call.caller, call.route)
 
     async def _serve_batch(self, exchange: OpaqueExchange, caller: Caller) -> None:
         path, prefix = exchange.path, self._spelling.batches_prefix
--- a/src/stagewalk/gateway/entry/caller_authentication.py
+++ b/src/stagewalk/gateway/entry/caller_authentication.py
@@ -51,6 +51,14 @@
     tenant: str | None
 
 
+@dataclass(frozen=True, slots=True)
+class RoutedCall:
+    """A call that was admitted: who makes it, and by which route."""
+
+    caller: Caller
+    route: Route
+
+
 class CallerAuthenticator:
     """Decides from the configuration in force who calls, and by which route.
 
@@ -72,8 +80,8 @@
         self._renew_view = renew_view
         self._request_header = request_header
 
-    async def admit_to_route(self, exchange: OpaqueExchange) -> tuple[Caller, Route] | None:
-        """Return who calls and the route of the call; None if it was rejected."""
+    async def admit_to_route(self, exchange: OpaqueExchange) -> RoutedCall | None:
+        """Return the caller and route of a call; None if it was rejected."""
         known = self._look_up(exchange)
         if known is not None:
             return known
@@ -100,10 +108,10 @@
     async def _renew(self) -> bool:
         return await self._renew_view(REJECTION_VIEW_SECONDS, REJECTION_READ_SECONDS)
 
-    def _look_up(self, exchange: OpaqueExchange) -> tuple[Caller, Route] | None:
+    def _look_up(self, exchange: OpaqueExchange) -> RoutedCall | None:
         route = self._routes.find(exchange.host, exchange.path)
         caller = None if route is None else self._identify(exchange, route.public)
-        return None if route is None or caller is None else (caller, route)
+        return None if route is None or caller is None else RoutedCall(caller, route)
 
     def _identify(self, exchange: OpaqueExchange, public: bool) -> Caller | None:
         keys = self._routes.keys
--- a/src/stagewalk/gateway/metrics.py
+++ b/src/stagewalk/gateway/metrics.py
@@ -136,13 +136,13 @@
             ["reason"],
             registry=self._registry,
         )
-        self.loop_lag = Histogram(
+        self._loop_lag = Histogram(
             "stagewalk_loop_lag_seconds",
             "How late the process's event loop came back to a task that slept.",
             buckets=_LAG_BUCKETS,
             registry=self._registry,
         )
-        self.item_view_age = Histogram(
+        self._item_view_age = Histogram(
             "stagewalk_item_view_age_seconds",
             "Age of the view by which a batch was open, as its items were started.",
             buckets=_VIEW_AGE_BUCKETS,
@@ -162,6 +162,14 @@
         """Count a request that was denied a worker."""
         self._denials.labels(denial.value).inc()
 
+    def loop_woke_late(self, seconds: float) -> None:
+        """Record how late the event loop woke a task that slept."""
+        self._loop_lag.observe(seconds)
+
+    def item_started(self, view_age_seconds: float) -> None:
+        """Record the age of the view by which an item was started."""
+        self._item_view_age.observe(view_age_seconds)
+
     def render(self) -> bytes:
         """Return all metrics in Prometheus' text format."""
         return generate_latest(self._registry)
