--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -72,7 +72,7 @@
         self._parts = parts
         self._identity = parts.identity
         self._routes, self._workers = parts.cluster.routes, parts.cluster.workers
-        self._rules = parts.cluster.rules
+        self._eligibility_services = parts.cluster.eligibility_services
         self._nodes, self._crashes = parts.cluster.nodes, parts.cluster.crashes
         self._batches, self._runner = parts.batches, parts.batches.runner
         self.store = parts.batches.store
@@ -114,7 +114,7 @@
         self._published.start(tasks)
         self._nodes.start(tasks)
         self._batches.start(tasks)
-        tasks.start_soon(self._rules.cold_lease_service.run)
+        tasks.start_soon(self._eligibility_services.cold_lease_service.run)
         tasks.start_soon(self._crashes.run)
         self._duties.start(tasks)
         tasks.start_soon(self._housekeep)
@@ -151,7 +151,7 @@
 
     def _build_endpoints(self) -> Endpoints:
         forwarders, metrics_address = self._parts.forwarders, self.settings.metrics
-        evacuations = self._rules.evacuations
+        evacuations = self._eligibility_services.evacuations
         return Endpoints(
             forwarded=ForwardedCalls(
                 self._routes,
@@ -197,8 +197,8 @@
             running_batches=self._runner.running_batches,
             running_attempts=self._runner.running_attempts,
             awaited_scores=self._runner.awaited_scores,
-            evacuated_zones=len(self._rules.evacuations.zones),
-            cold_leases=self._rules.cold_leases(now),
+            evacuated_zones=len(self._eligibility_services.evacuations.zones),
+            cold_leases=self._eligibility_services.cold_leases(now),
             worker_ends=self._crashes.suspects,
             requests_held_back=len(self._crashes.held_contents()),
             view_ages={freshness.name: freshness.age(now) for freshness in followers},
@@ -215,7 +215,7 @@
             self._roles.update(self._stopping, steady_seconds())
             await self._sleep_and_measure_lag(self._roles.pace.housekeeping)
             self._workers.expire(steady_seconds())
-            self._rules.expire(steady_seconds())
+            self._eligibility_services.expire(steady_seconds())
             self._crashes.step(steady_seconds())
             self._duties.sample_clock()
             self._log_dropped_lines()
--- a/src/stagewalk/gateway/explain/log_line.py
+++ b/src/stagewalk/gateway/explain/log_line.py
@@ -1,4 +1,7 @@
-"""Parses the lines that `stagewalk.common.logs.lines` writes. Pure."""
+"""Reads the lines that `stagewalk.common.logs.lines` writes. Pure.
+
+Owns the reading of one line; relies on that module's form, `key=value` with quoted values.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +53,7 @@
 
 
 def parse_line(text: str, source: str) -> LogLine | None:
-    """Return a line of a log, None for anything else; text before its time is ignored.
+    """Return a line of a log, None for anything else; text before its time is skipped.
 
     Parameters
     ----------
--- a/src/stagewalk/gateway/explain/story.py
+++ b/src/stagewalk/gateway/explain/story.py
@@ -1,7 +1,9 @@
 """Finds one request's, batch's or item's lines among those of many nodes, and what went wrong.
+Pure.
 
-Pure. A story holds the lines that name the id, the attempts made for it, and the events of its
-nodes and workers at that time; the first failure among them is where to look.
+A story holds the lines that name the id, the attempts made for it, and the events of its nodes and
+workers meanwhile; the first failure among them is where to look. Owns the rules of which lines
+belong to an id; relies on `log_line` for parsed lines and on the names of the events listed here.
 """
 
 from __future__ import annotations
@@ -13,8 +15,7 @@
 from stagewalk.gateway.explain.log_line import LogLine
 
 SURROUNDING_SECONDS = 2.0
-"""How long before and after the id's own lines other events belong to its story. Chosen, not
-measured."""
+"""How long before and after the id's own lines other events count. Chosen, not measured."""
 
 NODE_EVENTS = frozenset(
     {
@@ -34,11 +35,11 @@
         "lease_released",
     }
 )
-"""Events of a node that affect all it does."""
+"""Events of a node that touch all its work."""
 
 WORKER_EVENTS = frozenset({"worker_changed", "worker_cold", "version_order"})
 SYSTEM_EVENTS = frozenset({"lease_held", "version_named", "zone_evacuated", "zone_restored"})
-"""Events that concern every batch. Every node logs them; the first line of each is enough."""
+"""Events that concern every batch. Every node logs them; the first line is enough."""
 
 _IDENTIFYING_FIELDS = ("request", "batch", "item", "window", "content")
 
@@ -67,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Story:
-    """What the logs hold about an id.
+    """What the logs hold on an id.
 
     Attributes
     ----------
     own
         The lines that name it, or an attempt made for it, in time order.
     around
-        Events of its nodes and workers at that time, in time order.
+        Events of its nodes and workers meanwhile, in time order.
     unknown
         What the logs at hand leave open, one sentence each.
     """
@@ -99,7 +100,7 @@
 
     @property
     def ending(self) -> LogLine | None:
-        """Return the line of its end, None if there is none."""
+        """Return the line that ended it, None if there is none."""
         ended = [line for line in self.own if line.event in _ENDINGS[self.kind]]
         return ended[-1] if ended else None
 
@@ -169,10 +170,10 @@
     for line in lines:
         if not since <= line.at <= until or id(line) in mine or not _concerns(line, gathered):
             continue
-        key = (line.event, line.fields)
-        if line.event in WORKER_EVENTS | SYSTEM_EVENTS and key in seen:
+        news = (line.event, line.fields)
+        if line.event in WORKER_EVENTS | SYSTEM_EVENTS and news in seen:
             continue
-        seen.add(key)
+        seen.add(news)
         around.append(line)
     return around
 
@@ -186,21 +187,28 @@
 
 
 def _unknown(own: Sequence[LogLine], kind: Kind, lines: Sequence[LogLine]) -> list[str]:
-    """Return what is unknown: runners whose logs are missing, dropped lines, no ending."""
+    """Return what the logs leave open: missing logs of runners, dropped lines, no ending."""
+    sentences = _missing_logs(own, lines) + _dropped_lines(own, lines)
+    endings = {event for events in _ENDINGS.values() for event in events}
+    if not any(line.event in endings for line in own):
+        sentences.append(_without_ending(own[-1], kind, lines))
+    return sorted(sentences)
+
+
+def _missing_logs(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[str]:
     logged = {line.node for line in lines}
     runners = {line.get(name) for line in own for name in ("runner", "from_runner")}
     missing = {_node_of(runner) for runner in runners if runner} - logged
-    sentences = [f"no log of node {node} was given, which ran the batch" for node in missing]
-    dropped = [line for line in lines if line.event == "log_lines_dropped"]
-    sentences += [
+    return [f"no log of node {node} was given, which ran the batch" for node in missing]
+
+
+def _dropped_lines(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[str]:
+    nodes = {line.node for line in own}
+    return [
         f"node {line.node} dropped {line.get('count')} lines of {line.get('kind')}"
-        for line in dropped
-        if line.node in {mine.node for mine in own}
+        for line in lines
+        if line.event == "log_lines_dropped" and line.node in nodes
     ]
-    endings = {event for events in _ENDINGS.values() for event in events}
-    if not any(line.event in endings for line in own):
-        sentences.append(_without_ending(own[-1], kind, lines))
-    return sorted(sentences)
 
 
 def _without_ending(last: LogLine, kind: Kind, lines: Sequence[LogLine]) -> str:
--- a/tests/gateway/batch_service/test_open_batch_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -11,12 +11,9 @@
 
 from stagewalk.gateway.batch_service.ledger_messages import EndCall, ItemCall, ResultsCall
 from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
-from stagewalk.gateway.batch_service.open_batch_views import (
-    MARGIN_RECORDS,
-    OpenBatchViews,
-    PartialLedger,
-)
+from stagewalk.gateway.batch_service.open_batch_views import MARGIN_RECORDS, OpenBatchViews
 from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.records import (
     BatchEnded,
     BatchRecord,
@@ -171,7 +168,7 @@
             offset = await self.append(submitted(item("x"), item("y"), batch="b", runner="n#1"))
             runner = mock.Mock(stopping=False)
             store = mock.Mock(
-                followed=lambda _batch, _now: False,
+                is_current=lambda _batch, _now: False,
                 view_age=lambda _batch, _now: 0.0,
                 read_from=lambda place, _changed: PartialLedger(self.client, PLACE, place.offset),
             )
