--- a/src/stagewalk/node/samples/core.py
+++ b/src/stagewalk/node/samples/core.py
@@ -29,10 +29,9 @@
 from stagewalk.node.samples.cursor import decode_cursor
 from stagewalk.node.samples.delivery import Delivery, OpenPull
 from stagewalk.node.samples.housekeeping import LotMaintenance
-from stagewalk.node.samples.lots import Lot, LotKey, SlotPhase, lot_digest, lot_key, make_lot
+from stagewalk.node.samples.lots import Lot, LotKey, lot_digest, lot_key, make_lot
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.settlement import LotOutput, SampleSettlement
-from stagewalk.node.samples.status import LotStatus
 from stagewalk.node.samples.store import LotStore
 from stagewalk.node.samples.timers import Timer
 from stagewalk.node.samples.validation import check_lot, check_pull, invalid, unknown_lot
@@ -203,10 +202,6 @@
                 output += self._maintenance.check(lot, now)
         return output
 
-    def status(self, now: float) -> tuple[LotStatus, ...]:
-        """Return what operators may see of each lot."""
-        return tuple(self._lot_status(lot, now) for lot in self._store.lots.values())
-
     def _add(self, lot: RolloutLot, now: float) -> Lot:
         added = make_lot(lot, self._config.maximum_outstanding_per_lot, now)
         self._store.lots[added.key] = added
@@ -255,24 +250,3 @@
             return []
         output = self._delivery.answer_parked_if_full(lot, now)
         return output + list(self._scheduler.dispatch(lot, now))
-
-    def _lot_status(self, lot: Lot, now: float) -> LotStatus:
-        underway = (SlotPhase.RUNNING, SlotPhase.SCORING, SlotPhase.CLAIMING)
-        ready = [lot.slots[index] for index in lot.indices[SlotPhase.READY]]
-        failing = self._config.stuck_after_failures
-        return LotStatus(
-            tenant=lot.key.tenant,
-            trainer=lot.key.trainer,
-            step=lot.key.step,
-            slots=len(lot.slots),
-            acknowledged=lot.acknowledged.bit_count(),
-            ready=len(ready),
-            running=sum(lot.count(phase) for phase in underway),
-            waiting=lot.count(SlotPhase.WAITING),
-            stuck=sum(1 for slot in lot.slots if slot.failures >= failing),
-            stale_reruns=lot.stale_reruns,
-            duplicates=lot.duplicates,
-            unclaimed=sum(1 for slot in ready if not slot.decided),
-            trainer_version=self._store.trainer_version(lot.key),
-            seconds_since_pull=now - lot.active_at,
-        )
--- a/src/stagewalk/node/samples/lots.py
+++ b/src/stagewalk/node/samples/lots.py
@@ -138,7 +138,6 @@
     paused: bool = False
     completed_at: float | None = None
     durations: list[float] = field(default_factory=list)
-    stale_reruns: int = 0
     duplicates: int = 0
     held_until: float = 0.0
     moved: bool = False
--- a/src/stagewalk/node/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -204,7 +204,6 @@
             slot.generation += 1
             slot.sample = None
             slot.decided = False
-        lot.stale_reruns += 1
         lot.move(index, SlotPhase.WAITING)
         self._scheduler.enqueue(lot, index)
         fields: LogFields = {
