--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -38,6 +38,13 @@
 from stagewalk.node.requests.retained import RetainedOutcome
 from stagewalk.node.requests.states import Cause, RequestState
 from stagewalk.node.requests.store import RequestStore
+from stagewalk.node.requests.submission_rules import (
+    NodeLoad,
+    Resubmission,
+    ran_before,
+    refusal_of,
+    resubmission,
+)
 from stagewalk.node.requests.tenancy import apply_parameters
 from stagewalk.node.requests.timers import Timer, TimerKind
 from stagewalk.node.routing.router import Router
@@ -229,19 +236,19 @@
         request: CompletionRequest,
         fingerprint: str,
     ) -> bool:
-        """Answer from a retained outcome; return False if the request is to be run (again)."""
-        if outcome.fingerprint != fingerprint:
-            ran = Ran.UNKNOWN if outcome.may_have_run else Ran.NO
-            self._reject(key, faults.duplicate(self._identity.name, ran))
-            return True
-        if outcome.result is not None:
-            self._store.answer_again(key, outcome.result, request.stream)
-            return True
-        if outcome.repeatable or not outcome.may_have_run:
-            return False
-        detail = "it was sent before, and may not be sent again"
-        error = faults.outcome_unknown(Step.EXECUTION, str(self._identity.name), detail)
-        self._reject(key, outcome.error or error)
+        """Answer from a retained outcome; return False if the request is to be run."""
+        match resubmission(outcome, fingerprint):
+            case Resubmission.OTHER_REQUEST:
+                self._reject(key, faults.duplicate(self._identity.name, ran_before(outcome)))
+            case Resubmission.ANSWER:
+                assert outcome.result is not None
+                self._store.answer_again(key, outcome.result, request.stream)
+            case Resubmission.ERROR:
+                detail = "it was sent before, and may not be sent again"
+                error = faults.outcome_unknown(Step.EXECUTION, str(self._identity.name), detail)
+                self._reject(key, outcome.error or error)
+            case Resubmission.RUN:
+                return False
         return True
 
     def _open(
@@ -265,7 +272,8 @@
             may_have_run=outcome is not None and outcome.may_have_run,
             claim=None if outcome is None else outcome.claim,
         )
-        refusal = self._refusal(record, now)
+        memory = self._config.memory
+        refusal = refusal_of(record, self._load(), memory, self._identity.name, now)
         if refusal is not None:
             self._reject(key, refusal)
             return
@@ -277,21 +285,13 @@
         else:
             self._gate.propose(record)
 
-    def _refusal(self, record: RequestRecord, now: float) -> StagewalkError | None:
-        """Return why a new request is refused before anything is done for it; None if it isn't."""
-        node = self._identity.name
-        memory = self._config.memory
-        if self._stopping:
-            return faults.stopping(node, record.ran)
-        if now >= record.request.deadline:
-            return faults.deadline_passed(record, node, Step.VALIDATION)
-        if len(self._store.records) >= memory.maximum_requests:
-            return faults.too_many(node, record.ran, "too many requests are in progress")
-        if self._store.held_characters >= memory.maximum_held_characters:
-            return faults.too_many(node, record.ran, "too much text is held")
-        if not record.request.repeatable and len(self._gate) >= memory.maximum_claiming:
-            return faults.too_many(node, record.ran, "too many claims are being decided")
-        return None
+    def _load(self) -> NodeLoad:
+        return NodeLoad(
+            requests=len(self._store.records),
+            claiming=len(self._gate),
+            held_characters=self._store.held_characters,
+            stopping=self._stopping,
+        )
 
     def _admit(self, record: RequestRecord, now: float) -> None:
         self._refresh_pool(record.request.model, now)
--- /dev/null
+++ b/src/stagewalk/node/requests/submission_rules.py
@@ -0,0 +1,81 @@
+"""The rules for a submission: refuse it, answer it from an earlier one's outcome, or run it.
+
+Pure functions. Inputs: the request, what the node holds in memory, and how an earlier submission
+of the same id ended here, if that is still known. The bounds are fields of `MemoryConfig`.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum, auto
+
+from stagewalk.common.errors import Ran, StagewalkError, Step
+from stagewalk.common.identities import NodeName
+from stagewalk.node.requests import faults
+from stagewalk.node.requests.config import MemoryConfig
+from stagewalk.node.requests.record import RequestRecord
+from stagewalk.node.requests.retained import RetainedOutcome
+
+
+@dataclass(frozen=True, slots=True)
+class NodeLoad:
+    """What a node holds of requests in progress.
+
+    Attributes
+    ----------
+    claiming
+        Requests whose claim is being decided.
+    held_characters
+        Prompts and answers of all requests.
+    """
+
+    requests: int
+    claiming: int
+    held_characters: int
+    stopping: bool
+
+
+class Resubmission(Enum):
+    """What a submission gets whose id ended here before."""
+
+    OTHER_REQUEST = auto()
+    """An error: the id belongs to a request of other content."""
+    ANSWER = auto()
+    """The retained answer."""
+    ERROR = auto()
+    """An error: it may have run, and must not run again."""
+    RUN = auto()
+    """It is run, as if it were new."""
+
+
+def refusal_of(
+    record: RequestRecord, load: NodeLoad, memory: MemoryConfig, node: NodeName, now: float
+) -> StagewalkError | None:
+    """Return why a new request is refused before anything is done for it; None if it isn't."""
+    if load.stopping:
+        return faults.stopping(node, record.ran)
+    if now >= record.request.deadline:
+        return faults.deadline_passed(record, node, Step.VALIDATION)
+    if load.requests >= memory.maximum_requests:
+        return faults.too_many(node, record.ran, "too many requests are in progress")
+    if load.held_characters >= memory.maximum_held_characters:
+        return faults.too_many(node, record.ran, "too much text is held")
+    if not record.request.repeatable and load.claiming >= memory.maximum_claiming:
+        return faults.too_many(node, record.ran, "too many claims are being decided")
+    return None
+
+
+def resubmission(outcome: RetainedOutcome, fingerprint: str) -> Resubmission:
+    """Return what a submission gets after an earlier one of its id ended with an outcome."""
+    if outcome.fingerprint != fingerprint:
+        return Resubmission.OTHER_REQUEST
+    if outcome.result is not None:
+        return Resubmission.ANSWER
+    if outcome.repeatable or not outcome.may_have_run:
+        return Resubmission.RUN
+    return Resubmission.ERROR
+
+
+def ran_before(outcome: RetainedOutcome) -> Ran:
+    """Return what may be said of an ended request to a submission of other content."""
+    return Ran.UNKNOWN if outcome.may_have_run else Ran.NO
