--- a/examples/leases_example.py
+++ b/examples/leases_example.py
@@ -49,7 +49,7 @@
         core = self.cores[name]
         for offset in range(self.folded[name], len(self.log)):
             record = LogRecord(offset, RecordId(f"record-{offset}"), self.log[offset])
-            self.carry_out(name, core.fold(record, self.now))
+            self.carry_out(name, core.fold(record))
         self.folded[name] = len(self.log)
         self.carry_out(name, core.note_caught_up(self.now))
 
--- a/examples/membership_example.py
+++ b/examples/membership_example.py
@@ -36,7 +36,7 @@
             core = MembershipCore(identity, MembershipConfig(), random.Random(number))
             self._nodes[address] = core
         for core in self._nodes.values():
-            self._carry_out(core, core.handle_machines(self._machine_list(), self.now))
+            core.handle_machines(self._machine_list(), self.now)
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -212,7 +212,7 @@
             case ScoreSample(sample_id=sample_id):
                 return self._core.handle(SampleScored(sample_id, 1.0), LATER)
             case ProposeClaim(key=key, value=value):
-                return self._core.claim_decided(key, value, True, LATER)
+                return self._core.claim_decided(key, value, LATER)
         return []
 
 
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -81,7 +81,7 @@
         machines = [self._machine(name) for name in sorted(names or self.cores)]
         for name in sorted(self.cores):
             if name not in self.paused:
-                self._carry_out(name, self.cores[name].handle_machines(machines, self.now))
+                self.cores[name].handle_machines(machines, self.now)
 
     def run(self, seconds: float) -> None:
         """Run all deliveries and ticks of a time."""
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -139,7 +139,7 @@
         reached_head = not event.records or event.records[-1].offset + 1 >= event.head
         return list(self.leases.note_caught_up(now)) if reached_head else []
 
-    def handle_machines(self, machines: tuple[Machine, ...], now: float) -> list[NodeOutput]:
+    def handle_machines(self, machines: tuple[Machine, ...], now: float) -> None:
         """Apply the platform's machine list."""
         leaving = frozenset(
             machine.name
@@ -149,10 +149,8 @@
         if leaving != self._leaving_machines:
             self._leaving_machines = leaving
             self.members_changed()
-        output: list[NodeOutput] = []
-        output += self.membership.handle_machines(machines, now)
-        output += self.weights.handle_machines(machines, now)
-        return output
+        self.membership.handle_machines(machines, now)
+        self.weights.handle_machines(machines, now)
 
     # Notifications
 
@@ -163,7 +161,7 @@
         if read.stream == CONFIGURATION_STREAM:
             return list(self.follower.handle_records(read.records, now, read.head))
         if read.stream == LEASE_STREAM:
-            return [output for record in read.records for output in self.leases.fold(record, now)]
+            return [output for record in read.records for output in self.leases.fold(record)]
         return self._fold_placement(read.records)
 
     def append(self, record: AppendToStream, now: float) -> list[NodeOutput]:
--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -92,10 +92,10 @@
         self.requests.set_tenants(tenants)
         self.lots.set_tenants({tenant.name: tenant for tenant in tenants})
 
-    def stop(self, now: float) -> list[NodeOutput]:
+    def stop(self) -> None:
         """Refuse new work from now on."""
         self._stopping = True
-        return list(self.requests.stop(now))
+        self.requests.stop()
 
     def idle(self) -> bool:
         """Return whether nothing that a caller waits for is in flight."""
@@ -145,7 +145,8 @@
         """Drop a call whose caller went away, and its request if no other call waits for it."""
         open_call = self._open_calls.get(event.call)
         if open_call is None:
-            return list(self.lots.abandon(event.call, now))
+            self.lots.abandon(event.call)
+            return []
         self._forget_call(event.call)
         key = open_call.key
         if self._calls_of_key.get(key) or key.request_id in self._rollouts:
--- a/src/stagewalk/node/leases/core.py
+++ b/src/stagewalk/node/leases/core.py
@@ -101,7 +101,7 @@
             self._members = dict(members)
             self._check_at = float("-inf")
 
-    def fold(self, record: LogRecord, now: float) -> list[LeaseOutput]:
+    def fold(self, record: LogRecord) -> list[LeaseOutput]:
         """Apply the next record of the lease stream, in order and without gaps."""
         outcome = self._fold.apply(record)
         if outcome.lease is None:
@@ -136,7 +136,7 @@
                 outputs.extend(self._acquire(duty, now))
         return outputs
 
-    def release_all(self, now: float) -> list[LeaseOutput]:
+    def release_all(self) -> list[LeaseOutput]:
         """Release all duties at once, and acquire no more: the process is about to stop."""
         self._stopping = True
         outputs: list[LeaseOutput] = []
--- a/src/stagewalk/node/membership/core.py
+++ b/src/stagewalk/node/membership/core.py
@@ -112,12 +112,11 @@
         self._own_fact = replace(self._own_fact, status=status)
         self._table.apply(self._own_fact, 0.0)
 
-    def handle_machines(self, machines: Iterable[Machine], now: float) -> list[MembershipOutput]:
+    def handle_machines(self, machines: Iterable[Machine], now: float) -> None:
         """Apply the platform's machine list as a list of addresses to contact."""
         self._contacts.set_machines(machines)
         if len(self._table.present()) <= 1:
             self._next_contact_at = now
-        return []
 
     def handle_message(
         self, source: Address, sender: NodeName, message: MembershipMessage, now: float
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -263,7 +263,7 @@
         return output + self.control.weights.handle_report(event.report, now)
 
     def _engine_report_failed(self, event: EngineReportFailed, now: float) -> list[NodeOutput]:
-        self.data.engine_table.handle_report_failed(event.engine, now)
+        self.data.engine_table.handle_report_failed(event.engine)
         return []
 
     def _order_answered(self, event: OrderAnswered, now: float) -> list[NodeOutput]:
@@ -273,15 +273,15 @@
     def _machines_read(self, event: MachinesRead, now: float) -> list[NodeOutput]:
         self._machines_known = True
         self.data.handle_machines(event.machines, now)
-        return self.control.handle_machines(event.machines, now)
+        self.control.handle_machines(event.machines, now)
+        return []
 
     def _versions_read(self, event: VersionsRead, now: float) -> list[NodeOutput]:
-        output: list[NodeOutput] = []
-        output += self.control.weights.handle_versions(event.model, event.versions, now)
+        self.control.weights.handle_versions(event.model, event.versions)
         newest = max((published.version for published in event.versions), default=None)
-        if newest is not None:
-            output += self.data.lots.versions_known(event.model, newest, now)
-        return output
+        if newest is None:
+            return []
+        return list(self.data.lots.versions_known(event.model, newest, now))
 
     def _peer_message_received(self, event: PeerMessageReceived, now: float) -> list[NodeOutput]:
         if event.envelope.WhichOneof("body") == "answers":
@@ -305,10 +305,8 @@
         if self._stopping:
             return []
         self._stopping = True
-        output: list[NodeOutput] = [LogEvent("node_stopping", {})]
-        output += self.data.stop(now)
-        output += self.control.leases.release_all(now)
-        return output
+        self.data.stop()
+        return [LogEvent("node_stopping", {}), *self.control.leases.release_all()]
 
     # Notifications that concern both planes
 
@@ -345,7 +343,7 @@
         if decided.key.startswith(REQUEST_CLAIM_PREFIX):
             requests_core = self.data.requests
             return list(requests_core.claim_decided(decided.key, decided.value, decided.won, now))
-        return list(self.data.lots.claim_decided(decided.key, decided.value, decided.won, now))
+        return list(self.data.lots.claim_decided(decided.key, decided.value, now))
 
     def _claim_undecided(self, undecided: ClaimUndecided, now: float) -> list[NodeOutput]:
         if undecided.key.startswith(REQUEST_CLAIM_PREFIX):
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -224,7 +224,7 @@
         delay = now - attempt.started_at
         self._delays.add(delay)
         self._admission.note_first_token(record.request.model, delay, now)
-        self._router.note_progress(attempt.attempt, now)
+        self._router.note_progress(attempt.attempt)
         if record.request.repeatable:
             self._set_stall_timer(record, attempt)
 
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -195,10 +195,9 @@
         self._release(now)
         return self._store.drain()
 
-    def stop(self, now: float) -> list[RequestOutput]:
+    def stop(self) -> None:
         """Refuse new requests from now on; those in progress run to their end."""
         self._stopping = True
-        return []
 
     def tick(self, now: float) -> list[RequestOutput]:
         """Handle due timers, admit waiting requests and drop what has expired."""
--- a/src/stagewalk/node/routing/engine_table.py
+++ b/src/stagewalk/node/routing/engine_table.py
@@ -85,7 +85,7 @@
         if record is not None:
             evidence.apply_report(record, report, self._config, now)
 
-    def handle_report_failed(self, engine: EngineName, now: float) -> None:
+    def handle_report_failed(self, engine: EngineName) -> None:
         """Record that a poll failed: the engine's evidence goes on expiring."""
         record = self._records.get(engine)
         if record is not None:
@@ -105,7 +105,7 @@
         record.begin_attempt(attempt, AttemptLoad(now, expected_tokens))
         self._attempts[attempt] = engine
 
-    def note_progress(self, attempt: AttemptId, now: float) -> None:
+    def note_progress(self, attempt: AttemptId) -> None:
         """Record that an attempt's engine generates: it is not failing."""
         record = self._record_of(attempt)
         if record is not None:
--- a/src/stagewalk/node/routing/router.py
+++ b/src/stagewalk/node/routing/router.py
@@ -116,9 +116,9 @@
         if record is not None:
             self._prefix_index.note_sent(record, self._blocks_of(request.prompt))
 
-    def note_progress(self, attempt: AttemptId, now: float) -> None:
+    def note_progress(self, attempt: AttemptId) -> None:
         """Record that an attempt's engine generates."""
-        self._table.note_progress(attempt, now)
+        self._table.note_progress(attempt)
 
     def note_finished(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
         """Record that an attempt ended whole."""
--- a/src/stagewalk/node/samples/core.py
+++ b/src/stagewalk/node/samples/core.py
@@ -116,10 +116,9 @@
         lots = self._store.lots_of_trainer(lot.key)
         return output + list(self._scheduler.dispatch_all(lots, now))
 
-    def abandon(self, call: CallId, now: float) -> list[LotOutput]:
+    def abandon(self, call: CallId) -> None:
         """Drop a call whose caller went away; the samples it would have got stay ready."""
         self._delivery.abandon(call)
-        return []
 
     def request_finished(
         self, request_id: RequestId, result: CompletionResult, now: float
@@ -145,8 +144,8 @@
             return output + self._advance(lot, now)
         return self._settlement.scoring_failed(event.sample_id, event.error, now)
 
-    def claim_decided(self, key: str, value: bytes, won: bool, now: float) -> list[LotOutput]:
-        """Handle a claim's value; `won` says whether this node proposed it."""
+    def claim_decided(self, key: str, value: bytes, now: float) -> list[LotOutput]:
+        """Handle the value decided for a claim, this node's or another's."""
         place = self._store.claims.get(key)
         output = self._settlement.claim_decided(key, value, now)
         lot = None if place is None else self._store.lots.get(place.lot)
@@ -188,7 +187,7 @@
             if lot is None or lot.slots[timer.index].change != timer.change:
                 continue
             touched[timer.lot] = lot
-            output += self._settlement.timer_due(timer.kind, lot, timer.index, now)
+            output += self._settlement.timer_due(timer.kind, lot, timer.index)
         for lot in touched.values():
             output += self._advance(lot, now)
         for lot in self._store.lots.values():
--- a/src/stagewalk/node/samples/delivery.py
+++ b/src/stagewalk/node/samples/delivery.py
@@ -136,7 +136,7 @@
                     samples.append(sample)
                     handed |= 1 << index
                 case Freshness.STALE:
-                    output += self._settlement.run_again(lot, index, "too stale at hand-over", now)
+                    output += self._settlement.run_again(lot, index, "too stale at hand-over")
         complete = handed == lot.all_slots
         if not samples and not complete and now < opened.pull.wait_until:
             self._parked[lot.key] = opened
--- a/src/stagewalk/node/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -72,7 +72,7 @@
         fault = self._answer_fault(lot, result, now)
         if fault is not None:
             del self._store.requests[request_id]
-            return output + self.run_again(lot, index, fault, now)
+            return output + self.run_again(lot, index, fault)
         slot.candidate_id = request_id
         slot.candidate = result
         lot.move(index, SlotPhase.SCORING)
@@ -122,7 +122,8 @@
         slot.decided = False
         lot.move(index, SlotPhase.CLAIMING)
         if len(encode_sample(slot.sample)) > self._config.maximum_claim_bytes:
-            return self._stop_waiting_for_claim(lot, index)
+            self._stop_waiting_for_claim(lot, index)
+            return []
         wait_until = now + self._config.claim_wait_seconds
         self._set_timer(wait_until, TimerKind.CLAIM_WAIT, lot, index)
         return [self._propose(lot, index, slot.sample)]
@@ -169,13 +170,14 @@
         hopeless = error.kind is ErrorKind.INVALID_REQUEST
         if hopeless or slot.phase not in {SlotPhase.CLAIMING, SlotPhase.READY}:
             del self._store.claims[key]
-            return self._stop_waiting_for_claim(lot, place.index)
+            self._stop_waiting_for_claim(lot, place.index)
+            return []
         slot.failures += 1
         delay = self._retry_delay(slot.failures)
         self._set_timer(now + delay, TimerKind.CLAIM, lot, place.index)
         return []
 
-    def timer_due(self, kind: TimerKind, lot: Lot, index: int, now: float) -> list[LotOutput]:
+    def timer_due(self, kind: TimerKind, lot: Lot, index: int) -> list[LotOutput]:
         """Handle a due timer of a slot."""
         slot = lot.slots[index]
         match kind:
@@ -191,9 +193,10 @@
                     return []
                 return [self._propose(lot, index, slot.sample)]
             case TimerKind.CLAIM_WAIT:
-                return self._stop_waiting_for_claim(lot, index)
+                self._stop_waiting_for_claim(lot, index)
+                return []
 
-    def run_again(self, lot: Lot, index: int, reason: str, now: float) -> list[LotOutput]:
+    def run_again(self, lot: Lot, index: int, reason: str) -> list[LotOutput]:
         """Open a slot again whose answer or sample is too stale to be delivered.
 
         Staleness only grows, so if the sample was the chosen one, its generation is dead.
@@ -233,7 +236,7 @@
         )
         return "too stale when it finished" if verdict is Freshness.STALE else None
 
-    def _stop_waiting_for_claim(self, lot: Lot, index: int) -> list[LotOutput]:
+    def _stop_waiting_for_claim(self, lot: Lot, index: int) -> None:
         """Make a sample ready without a decided claim.
 
         The cursor alone keeps the trainer from taking two samples for a slot; the claim only
@@ -242,7 +245,6 @@
         """
         if lot.slots[index].phase is SlotPhase.CLAIMING:
             lot.move(index, SlotPhase.READY, keep_timers=True)
-        return []
 
     def _propose(self, lot: Lot, index: int, sample: Sample) -> ProposeClaim:
         slot = lot.slots[index]
--- a/src/stagewalk/node/weights/core.py
+++ b/src/stagewalk/node/weights/core.py
@@ -69,7 +69,7 @@
         for rollout in self._pools.values():
             rollout.set_tenants(self._tenants)
 
-    def handle_machines(self, machines: tuple[Machine, ...], now: float) -> list[Instruction]:
+    def handle_machines(self, machines: tuple[Machine, ...], now: float) -> None:
         """Apply the machine list: where engines are, not whether they live."""
         self._machines = {
             EngineName(machine.name): machine
@@ -78,7 +78,6 @@
         }
         for rollout in self._pools.values():
             self._list_engines(rollout, now)
-        return []
 
     def handle_report(self, report: EngineReport, now: float) -> list[Instruction]:
         """Apply an engine's report."""
@@ -90,16 +89,13 @@
         rollout = self._pools.get(report.model)
         return [] if rollout is None else rollout.apply_report(report, now)
 
-    def handle_versions(
-        self, model: ModelName, versions: tuple[PublishedVersion, ...], now: float
-    ) -> list[Instruction]:
+    def handle_versions(self, model: ModelName, versions: tuple[PublishedVersion, ...]) -> None:
         """Apply the store's list of a model's versions."""
         published = tuple(sorted(item.version for item in versions))
         self._published[model] = published
         rollout = self._pools.get(model)
         if rollout is not None:
             rollout.set_published(published)
-        return []
 
     def handle_order_answer(
         self, engine: EngineName, order_id: str, outcome: OrderOutcome, now: float
--- a/tests/node/leases/test_leases.py
+++ b/tests/node/leases/test_leases.py
@@ -73,7 +73,7 @@
             offset = self.folded[name]
             record = LogRecord(offset, RecordId(str(offset)), self.log[offset])
             self.folded[name] += 1
-            self.take(name, core.fold(record, self.now))
+            self.take(name, core.fold(record))
         self.take(name, core.note_caught_up(self.now))
 
     def take(self, name: str, outputs: list[LeaseOutput]) -> None:
@@ -99,7 +99,7 @@
         elif kind == "log":
             self.log_down = not self.log_down
         elif name not in self.dead | self.paused:
-            self.take(name, self.cores[name].release_all(self.now))
+            self.take(name, self.cores[name].release_all())
 
     def holders(self, duty: str) -> list[str]:
         live = sorted(set(self.cores) - self.dead)
@@ -140,7 +140,7 @@
         pool = Pool("abcd")
         pool.run(2.0)
         (holder,) = pool.holders("placement")
-        pool.take(holder, pool.cores[holder].release_all(pool.now))
+        pool.take(holder, pool.cores[holder].release_all())
         self.assertEqual({}, pool.cores[holder].held())
         pool.dead.add(holder)
         pool.run(0.5)
--- a/tests/node/requests/test_request_core.py
+++ b/tests/node/requests/test_request_core.py
@@ -236,7 +236,7 @@
     def test_stopping_node_refuses_new_and_finishes_the_rest(self) -> None:
         driver = Driver()
         driver.submit()
-        driver.take(driver.core.stop(driver.now))
+        driver.core.stop()
         driver.submit(request_id="late")
         late = RequestKey(TENANT, RequestId("late"))
         self.assertEqual([ErrorKind.STOPPING], [error.kind for error in driver.errors(late)])
@@ -257,7 +257,7 @@
 
     def test_refusal_of_a_request_sent_before_is_not_called_not_run(self) -> None:
         driver = Driver()
-        driver.take(driver.core.stop(driver.now))
+        driver.core.stop()
         driver.submit(resent=True)
         driver.submit(tenant="nobody", resent=True)
         ran = [output.error.ran for output in driver.outputs]
--- a/tests/node/requests/test_request_states.py
+++ b/tests/node/requests/test_request_states.py
@@ -120,7 +120,7 @@
     "a while": lambda driver: driver.advance(1.0, step=0.5) and None,  # type: ignore[func-returns-value]
     "deadline": lambda driver: driver.advance(25.0, step=2.4) and None,  # type: ignore[func-returns-value]
     "caller gone": lambda driver: driver.take(driver.core.abandon(KEY, driver.now)) and None,  # type: ignore[func-returns-value]
-    "planned stop": lambda driver: driver.take(driver.core.stop(driver.now)) and None,  # type: ignore[func-returns-value]
+    "planned stop": lambda driver: driver.core.stop(),
 }
 
 
--- a/tests/node/samples/test_exactly_once.py
+++ b/tests/node/samples/test_exactly_once.py
@@ -294,11 +294,11 @@
                 self._take(name, core.handle(SampleScored(sample_id, 0.5), self.now))
             case ProposeClaim(key=key, value=value):
                 chosen = self.register.setdefault(key, value)
-                decided = core.claim_decided(key, chosen, chosen == value, self.now)
+                decided = core.claim_decided(key, chosen, self.now)
                 self._take(name, decided)
             case ReadClaim(key=key):
                 if key in self.register:
-                    decided = core.claim_decided(key, self.register[key], False, self.now)
+                    decided = core.claim_decided(key, self.register[key], self.now)
                     self._take(name, decided)
 
     def _take(self, name: str, output: list[LotOutput]) -> None:
--- a/tests/node/samples/world.py
+++ b/tests/node/samples/world.py
@@ -138,12 +138,11 @@
             self.undecided.append(wanted)
             return
         chosen = self.register.setdefault(wanted.key, wanted.value)
-        won = chosen == wanted.value
-        self.take(self.core.claim_decided(wanted.key, chosen, won, now), now)
+        self.take(self.core.claim_decided(wanted.key, chosen, now), now)
 
     def _read_claim(self, key: str, now: float) -> None:
         if key in self.register:
-            self.take(self.core.claim_decided(key, self.register[key], False, now), now)
+            self.take(self.core.claim_decided(key, self.register[key], now), now)
 
     def _call(self) -> CallId:
         self.calls += 1
--- a/tests/node/weights/world.py
+++ b/tests/node/weights/world.py
@@ -180,7 +180,7 @@
                         PublishedVersion(model, WeightVersion(version), 1, 0.0)
                         for version in self.published
                     )
-                    self._carry_out(core, core.handle_versions(model, published, self.now))
+                    core.handle_versions(model, published)
                 case OrderEngine():
                     self.orders.append((self.now, item))
                     outcome = self._obey(self.engines[item.engine], item.order)
