--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -33,10 +33,14 @@
                 self.assertEqual(ChangeAccepted(1), publish(fold, record), path)
 
     def test_counts_are_those_of_today_and_of_the_plan(self) -> None:
-        counts = {name: load(name).engine_count for name in ("amman", "thornfield", "two_year")}
+        counts = {
+            name: sum(service.count for service in load(name).engine_services)
+            for name in ("amman", "thornfield", "two_year")
+        }
         self.assertEqual({"amman": 5, "thornfield": 6, "two_year": 600}, counts)
         plan = load("two_year")
-        self.assertEqual((420, 7), (plan.node_count, sum(len(r.zones) for r in plan.regions)))
+        nodes = sum(s.count for s in (*plan.caller_services, *plan.trainer_services))
+        self.assertEqual((420, 7), (nodes, sum(len(r.zones) for r in plan.regions)))
         steps = [s.prompts_per_step * s.samples_per_prompt for s in plan.trainer_services]
         self.assertEqual([4096, 4096], steps)
         self.assertEqual(3200.0, sum(s.requests_per_second for s in plan.caller_services))
