--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -13,6 +13,7 @@
 from stagewalk.gateway.batch_services import BatchServices
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.duty_services import DutyServices
+from stagewalk.gateway.eligibility_services import EligibilityServices
 from stagewalk.gateway.forwarding.forwarder import Forwarder
 from stagewalk.gateway.forwarding.stream_forwarder import StreamForwarder
 from stagewalk.gateway.log_relay.relayed_log import RelayedLog, RelayPeers
@@ -20,6 +21,7 @@
 from stagewalk.gateway.nodes.crash_watch import CrashWatch
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.nodes.own_node import OwnNode
 from stagewalk.gateway.partitioned_log.measured_log import MeasuredLog
 from stagewalk.gateway.peer_calls.client import PeerClient
 from stagewalk.gateway.ports.duties import DutyClient
@@ -29,7 +31,6 @@
 from stagewalk.gateway.role_controller import LogReserve, RoleController
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.runners.runner_service import WorkerAccess
-from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.settings_reload import LiveSettings
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
 from stagewalk.gateway.workers.table import WorkerTable
@@ -68,11 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterState:
-    """What this node knows of routes, workers and other nodes, and the rules that use it."""
+    """What this node knows of routes, workers and other nodes, and what judges sends by it."""
 
     routes: RouteTable
     workers: WorkerTable
-    rules: SendRules
+    eligibility_services: EligibilityServices
     rollouts: VersionRollouts
     nodes: NodeService
     crashes: CrashWatch
@@ -105,7 +106,8 @@
     """Calls between parts that need each other, bound once both are built.
 
     - The log relays through nodes, and nodes are known from the log.
-    - Send rules judge the age of the published records, which update the state of those rules.
+    - Eligibility depends on the age of the published records, which update the state it is
+      judged by.
     - A suspect is sent only after the nodes' partition was read again, and that partition's
       follower hands worker ends to the part that suspects.
     """
@@ -180,7 +182,7 @@
     def _cluster(self, log: LogAccess) -> ClusterState:
         routes = RouteTable(self._settings.name)
         workers = WorkerTable()
-        rules = SendRules(
+        eligibility_services = EligibilityServices(
             settings=self._settings,
             log=log.relayed,
             producer=self._producer,
@@ -193,19 +195,21 @@
         rollouts = VersionRollouts(
             workers,
             self._settings.policy,
-            lambda: rules.evacuations.zones,
+            lambda: eligibility_services.evacuations.zones,
             lambda service: routes.service(service) is not None,
         )
-        crashes = self._crashes(log, rules, workers)
+        crashes = self._crashes(log, eligibility_services, workers)
         nodes = self._nodes(log, routes, crashes)
-        return ClusterState(routes, workers, rules, rollouts, nodes, crashes)
+        return ClusterState(routes, workers, eligibility_services, rollouts, nodes, crashes)
 
-    def _crashes(self, log: LogAccess, rules: SendRules, workers: WorkerTable) -> CrashWatch:
+    def _crashes(
+        self, log: LogAccess, eligibility_services: EligibilityServices, workers: WorkerTable
+    ) -> CrashWatch:
         return CrashWatch(
             log=log.relayed,
             partition=NODES,
             node=self._settings.name,
-            suspects=rules.suspects,
+            suspects=eligibility_services.suspects,
             workers=workers,
             probe=self._dependencies.workers.is_listening,
             renew_view=self._links.renew_nodes,
@@ -215,11 +219,13 @@
         return NodeService(
             log=log.relayed,
             partition=NODES,
-            identity=self._identity,
-            front=self._settings.front,
-            peer=self._settings.peers,
-            placement=self._settings.placement,
-            capacity=self._settings.processor.capacity,
+            own=OwnNode(
+                identity=self._identity,
+                front=self._settings.front,
+                peer=self._settings.peers,
+                placement=self._settings.placement,
+                capacity=self._settings.processor.capacity,
+            ),
             policy=self._settings.policy,
             batch_regions=lambda: routes.batch_regions,
             worker_ends=crashes,
@@ -240,7 +246,7 @@
                 self._dependencies.workers,
                 cluster.workers,
                 cluster.routes,
-                cluster.rules,
+                cluster.eligibility_services,
                 cluster.crashes,
             ),
             rollouts=cluster.rollouts,
@@ -255,8 +261,8 @@
             cluster.routes,
             cluster.workers,
             cluster.rollouts,
-            evacuations=cluster.rules.evacuations,
-            cold=cluster.rules.cold,
+            evacuations=cluster.eligibility_services.evacuations,
+            cold=cluster.eligibility_services.cold,
         )
 
     def _duties(
@@ -278,20 +284,22 @@
             workers=cluster.workers,
             published=published,
             store=batches.store,
-            evacuations=cluster.rules.evacuations,
+            evacuations=cluster.eligibility_services.evacuations,
         )
 
     def _forwarders(self, cluster: ClusterState, duties: DutyServices) -> Forwarders:
-        client, rules = self._dependencies.workers, cluster.rules
+        client, eligibility_services = self._dependencies.workers, cluster.eligibility_services
         begun = duties.count_begun
         return Forwarders(
             Forwarder(
                 client,
-                rules.eligibility,
+                eligibility_services.eligibility,
                 cluster.routes,
                 cluster.crashes,
                 policy=self._settings.policy,
                 on_begun=begun,
             ),
-            StreamForwarder(client, rules.eligibility, cluster.routes, cluster.crashes, begun),
+            StreamForwarder(
+                client, eligibility_services.eligibility, cluster.routes, cluster.crashes, begun
+            ),
         )
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -124,7 +124,7 @@
         return None
 
     async def _append(self, exchange: OpaqueExchange, batch: Submission, runner: str) -> None:
-        """Append a batch to the log, notify its runner, and reply what became of it."""
+        """Append a batch to the log, notify its runner, and reply with the outcome."""
         header = batch.header
         outcome = await self._store.submit(batch, runner, SUBMIT_SECONDS)
         log_event(
@@ -178,7 +178,7 @@
             await self._reply_known(exchange, known.header.belongs_to(caller.tenant))
             return True
         now = steady_seconds()
-        if self._store.followed(batch, now) and not self._store.lacks_history(batch, now):
+        if self._store.is_current(batch, now) and not self._store.lacks_history(batch, now):
             return False
         place = await self._assignments.known_place(batch)
         if place.is_error():
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -143,7 +143,7 @@
         if published is None:
             log_event("published_unreadable", "warning", key=record.key, offset=record.offset)
         elif isinstance(published, ZoneEvacuation):
-            self._evacuations.take(published.zone, published.in_force, steady_seconds())
+            self._evacuations.apply(published.zone, published.in_force, steady_seconds())
         elif isinstance(published, NamedVersion):
             if self._rollouts.name_version(published.model, published.version):
                 log_event("version_named", model=published.model, version=published.version)
@@ -199,7 +199,7 @@
         self._cold.mark_cold(worker, seconds, now)
 
     def worker_changed(self, worker: str, change: WorkerChange) -> None:
-        """Log a change of belief, where requests may depend on it.
+        """Log a change of a worker's state, where requests may depend on it.
 
         Most of all lines would be those of resting nodes on each worker: what such a node reads,
         and whole listings, are logged in one line.
--- a/src/stagewalk/gateway/runners/batch_views.py
+++ b/src/stagewalk/gateway/runners/batch_views.py
@@ -15,12 +15,13 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.view_lease import longest_view_age, longest_view_age_at_send
 from stagewalk.gateway.ports.denials import Denial
 
 FOLLOW_SECONDS = 0.25
-"""How often a partial view is read on, as often as a follower reads where records come."""
+"""How often a partial view is read on, as often as a follower reads where records come. Derived,
+not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +97,7 @@
         while ahead is not None and self._ahead.get(batch) is ahead:
             now = steady_seconds()
             known = self._store.ledger.get(batch) is not None
-            own = known and self._store.followed(batch, now)
+            own = known and self._store.is_current(batch, now)
             if not own and now - ahead.partial.confirmed_at >= FOLLOW_SECONDS:
                 await ahead.partial.read()
             if ahead.partial.lost and not known:
