--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -155,18 +155,16 @@
 
     def lot_submitted(self, event: LotSubmitted, now: float) -> list[NodeOutput]:
         """Submit a trainer's lot."""
-        if self._stopping:
-            return [FailCall(event.call, self._stopping_error())]
-        if not self._configured:
-            return [FailCall(event.call, self._starting_error())]
+        refusal = self._refusal()
+        if refusal is not None:
+            return [FailCall(event.call, refusal)]
         return list(self.lots.submit(event.call, event.lot, now))
 
     def samples_pulled(self, event: SamplesPulled, now: float) -> list[NodeOutput]:
         """Answer a trainer's pull, now or when samples are there."""
-        if self._stopping:
-            return [FailCall(event.call, self._stopping_error())]
-        if not self._configured:
-            return [FailCall(event.call, self._starting_error())]
+        refusal = self._refusal()
+        if refusal is not None:
+            return [FailCall(event.call, refusal)]
         return list(self.lots.pull(event.call, event.pull, now))
 
     # Engines
@@ -271,6 +269,12 @@
             return list(self.lots.request_failed(key.request_id, outcome, now))
         return list(self.lots.request_finished(key.request_id, outcome, now))
 
+    def _refusal(self) -> StagewalkError | None:
+        """Return why a trainer's call is refused now; None if it isn't."""
+        if self._stopping:
+            return self._stopping_error()
+        return None if self._configured else self._starting_error()
+
     def _starting_error(self) -> StagewalkError:
         return StagewalkError(
             ErrorKind.STARTING,
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -80,7 +80,7 @@
 
     def handle_chunk(self, event: AttemptChunk, now: float) -> None:
         """Handle a piece of an answer; one of an unknown attempt is late or foreign."""
-        record = self._store.owners.get(event.attempt)
+        record = self._store.by_attempt.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
@@ -100,7 +100,7 @@
 
     def handle_finished(self, event: AttemptFinished, now: float) -> None:
         """Handle the final frame: the answer is whole only if the count agrees."""
-        record = self._store.owners.get(event.attempt)
+        record = self._store.by_attempt.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
@@ -113,7 +113,7 @@
 
     def handle_refused(self, event: AttemptRefused, now: float) -> None:
         """Handle a refusal; one after the first token contradicts itself and proves nothing."""
-        record = self._store.owners.get(event.attempt)
+        record = self._store.by_attempt.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
@@ -135,7 +135,7 @@
 
     def handle_failed(self, event: AttemptFailed, now: float) -> None:
         """Handle the end of an attempt without a final frame."""
-        record = self._store.owners.get(event.attempt)
+        record = self._store.by_attempt.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
@@ -194,7 +194,7 @@
         self._store.move(record, cause)
         record.attempts[attempt.attempt] = attempt
         record.attempt_count += 1
-        self._store.owners[attempt.attempt] = record
+        self._store.by_attempt[attempt.attempt] = record
         self._router.note_started(choice.engine, attempt.attempt, request, now)
         self._set_attempt_timers(record, attempt, now)
         self._store.output(
@@ -351,7 +351,7 @@
 
     def _forget(self, record: RequestRecord, attempt: Attempt) -> None:
         del record.attempts[attempt.attempt]
-        del self._store.owners[attempt.attempt]
+        del self._store.by_attempt[attempt.attempt]
 
     def _fail(self, record: RequestRecord, cause: Cause, error: StagewalkError, now: float) -> None:
         self.cancel_all(record, now)
--- a/src/stagewalk/node/requests/store.py
+++ b/src/stagewalk/node/requests/store.py
@@ -31,11 +31,23 @@
 
 
 class RequestStore:
-    """Records, timers, retained outcomes and pending outputs, with their memory counted."""
+    """Records, timers, retained outcomes and pending outputs, with their memory counted.
+
+    Attributes
+    ----------
+    records
+        Requests in progress.
+    by_attempt
+        The request of each attempt under way.
+    retained
+        Outcomes of ended requests.
+    held_characters
+        Text held by all records; `count_characters` keeps it.
+    """
 
     def __init__(self, config: RequestConfig) -> None:
         self.records: dict[RequestKey, RequestRecord] = {}
-        self.owners: dict[AttemptId, RequestRecord] = {}
+        self.by_attempt: dict[AttemptId, RequestRecord] = {}
         self._timers: DueQueue[Timer] = DueQueue()
         self.retained = RetainedOutcomes(config.memory)
         self.held_characters = 0
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -195,7 +195,7 @@
         """Forget that an attempt was sent and has answered."""
         if not isinstance(event, AttemptFailed):
             return event
-        record = self.core.data.requests._store.owners.get(event.attempt)
+        record = self.core.data.requests._store.by_attempt.get(event.attempt)
         if record is not None:
             record.attempts[event.attempt].last_chunk_at = None
         return replace(event, sent=False)
--- a/tests/node/requests/test_request_states.py
+++ b/tests/node/requests/test_request_states.py
@@ -144,7 +144,7 @@
     def end(self, driver: Driver, name: str, repeatable: bool, may_have_run: set[str]) -> None:
         """Let what still runs end well, then judge the whole life of the request."""
         driver.advance(5.0, step=1.0)
-        self.assertTrue(repeatable or not may_have_run or not driver.core._store.owners, name)
+        self.assertTrue(repeatable or not may_have_run or not driver.core._store.by_attempt, name)
         for start in driver.of(StartAttempt):
             held = start.resume_offset
             driver.handle(chunk(start, held, 8, sequence=99))
@@ -163,7 +163,7 @@
         driver = reach(state, repeatable)
         may_have_run: set[str] = set()
         for each in (event, twice):
-            running = set(driver.core._store.owners)
+            running = set(driver.core._store.by_attempt)
             EVENTS[each](driver)
             if each in ("engine killed", "truncated") and state != "waiting":
                 may_have_run |= running
@@ -219,7 +219,7 @@
         self.assertEqual((ErrorKind.ENGINE_FAILED, Ran.UNKNOWN), judged(once))
 
         waiting = reach("waiting", repeatable=True)
-        for attempt in list(waiting.core._store.owners):
+        for attempt in list(waiting.core._store.by_attempt):
             waiting.handle(AttemptFinished(attempt, 0, "stop"))
         self.assertEqual(KEY.request_id, waiting.last_start().request.request_id)
 
