--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -26,6 +26,8 @@
 from stagewalk.node.requests.timers import Timer, TimerKind
 from stagewalk.node.routing.router import EngineChoice, Router
 
+AttemptEvent = AttemptChunk | AttemptFinished | AttemptRefused | AttemptFailed
+
 FINISH_REASON_LENGTH = "length"
 
 
@@ -78,12 +80,52 @@
         record.no_engine_since = None
         self._start(record, request, choice.ok, Cause.DISPATCHED, now)
 
-    def handle_chunk(self, event: AttemptChunk, now: float) -> None:
-        """Handle a piece of an answer; one of an unknown attempt is late or foreign."""
+    def handle(self, event: AttemptEvent, now: float) -> None:
+        """Handle what became of an attempt; an event of an unknown one is late or foreign."""
         record = self._store.by_attempt.get(event.attempt)
         if record is None:
             return
         attempt = record.attempts[event.attempt]
+        match event:
+            case AttemptChunk():
+                self._handle_chunk(record, attempt, event, now)
+            case AttemptFinished():
+                self._handle_finished(record, attempt, event, now)
+            case AttemptRefused():
+                self._handle_refused(record, attempt, event, now)
+            case AttemptFailed():
+                self._handle_failed(record, attempt, event, now)
+
+    def handle_hedge_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
+        """Start a second attempt if the first has not answered by now."""
+        first = record.attempts.get(timer.attempt) if timer.attempt is not None else None
+        if first is None or not attempt_rules.may_hedge_now(record, first):
+            return
+        excluded = frozenset({*record.excluded, first.engine})
+        choice = self._router.choose(record.request, excluded, now)
+        if choice.is_error() or not self._budget.spend(record.key.tenant):
+            return
+        self._start(record, record.request, choice.ok, Cause.HEDGED, now)
+
+    def handle_stall_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
+        """Give up an attempt that has been silent for too long; its request is resumed."""
+        attempt = record.attempts.get(timer.attempt) if timer.attempt is not None else None
+        if attempt is None or timer.at != attempt.stall_timer_at:
+            return
+        if now >= attempt_rules.silent_until(attempt, self._config):
+            self._give_up_attempt(record, attempt, "the engine fell silent", now)
+            return
+        self._set_stall_timer(record, attempt)
+
+    def cancel_all(self, record: RequestRecord, now: float) -> None:
+        """Cancel a record's attempts; they may have run."""
+        for attempt in list(record.attempts.values()):
+            self._cancel(record, attempt, now)
+
+    def _handle_chunk(
+        self, record: RequestRecord, attempt: Attempt, event: AttemptChunk, now: float
+    ) -> None:
+        """Handle a piece of an answer."""
         before = attempt.assembly.characters
         taken = attempt.assembly.add(event.chunk)
         self._store.count_characters(record, attempt.assembly.characters - before)
@@ -98,12 +140,10 @@
             self._note_first_token(record, attempt, now)
         self._stream(record, attempt, taken.ok)
 
-    def handle_finished(self, event: AttemptFinished, now: float) -> None:
+    def _handle_finished(
+        self, record: RequestRecord, attempt: Attempt, event: AttemptFinished, now: float
+    ) -> None:
         """Handle the final frame: the answer is whole only if the count agrees."""
-        record = self._store.by_attempt.get(event.attempt)
-        if record is None:
-            return
-        attempt = record.attempts[event.attempt]
         if attempt.assembly.whole(event.token_count):
             self._finish(record, attempt, event.finish_reason, now)
             return
@@ -111,12 +151,10 @@
         detail = f"the answer is truncated: {held} of {event.token_count} tokens came"
         self._attempt_ended(record, attempt, AttemptClass.MAY_HAVE_RUN, detail, now)
 
-    def handle_refused(self, event: AttemptRefused, now: float) -> None:
+    def _handle_refused(
+        self, record: RequestRecord, attempt: Attempt, event: AttemptRefused, now: float
+    ) -> None:
         """Handle a refusal; one after the first token contradicts itself and proves nothing."""
-        record = self._store.by_attempt.get(event.attempt)
-        if record is None:
-            return
-        attempt = record.attempts[event.attempt]
         if attempt.last_chunk_at is not None:
             detail = f"refused after it had begun: {event.detail}"
             self._attempt_ended(record, attempt, AttemptClass.MAY_HAVE_RUN, detail, now)
@@ -133,42 +171,14 @@
             retry_after_seconds=retry_after,
         )
 
-    def handle_failed(self, event: AttemptFailed, now: float) -> None:
+    def _handle_failed(
+        self, record: RequestRecord, attempt: Attempt, event: AttemptFailed, now: float
+    ) -> None:
         """Handle the end of an attempt without a final frame."""
-        record = self._store.by_attempt.get(event.attempt)
-        if record is None:
-            return
-        attempt = record.attempts[event.attempt]
         began = event.sent or attempt.last_chunk_at is not None
         outcome = AttemptClass.MAY_HAVE_RUN if began else AttemptClass.NOT_SENT
         self._attempt_ended(record, attempt, outcome, event.detail, now)
 
-    def handle_hedge_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
-        """Start a second attempt if the first has not answered by now."""
-        first = record.attempts.get(timer.attempt) if timer.attempt is not None else None
-        if first is None or not attempt_rules.may_hedge_now(record, first):
-            return
-        excluded = frozenset({*record.excluded, first.engine})
-        choice = self._router.choose(record.request, excluded, now)
-        if choice.is_error() or not self._budget.spend(record.key.tenant):
-            return
-        self._start(record, record.request, choice.ok, Cause.HEDGED, now)
-
-    def handle_stall_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
-        """Give up an attempt that has been silent for too long; its request is resumed."""
-        attempt = record.attempts.get(timer.attempt) if timer.attempt is not None else None
-        if attempt is None or timer.at != attempt.stall_timer_at:
-            return
-        if now >= attempt_rules.silent_until(attempt, self._config):
-            self._give_up_attempt(record, attempt, "the engine fell silent", now)
-            return
-        self._set_stall_timer(record, attempt)
-
-    def cancel_all(self, record: RequestRecord, now: float) -> None:
-        """Cancel a record's attempts; they may have run."""
-        for attempt in list(record.attempts.values()):
-            self._cancel(record, attempt, now)
-
     def _start(
         self,
         record: RequestRecord,
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -24,9 +24,9 @@
 from stagewalk.node.admission.pool import PoolCapacity
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
-from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
+from stagewalk.node.core.events import AttemptChunk
 from stagewalk.node.requests import faults
-from stagewalk.node.requests.attempts import AttemptRunner
+from stagewalk.node.requests.attempts import AttemptEvent, AttemptRunner
 from stagewalk.node.requests.claim_gate import ClaimGate
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.notifications import (
@@ -49,8 +49,6 @@
 from stagewalk.node.requests.timers import Timer, TimerKind
 from stagewalk.node.routing.router import Router
 
-AttemptEvent = AttemptChunk | AttemptFinished | AttemptRefused | AttemptFailed
-
 POOL_VIEW_SECONDS = 0.1
 """Least time between two views of a pool: a fifth of the poll interval. Chosen, not measured."""
 
@@ -122,15 +120,7 @@
 
     def handle(self, event: AttemptEvent, now: float) -> list[RequestOutput]:
         """Handle what became of an attempt."""
-        match event:
-            case AttemptChunk():
-                self._runner.handle_chunk(event, now)
-            case AttemptFinished():
-                self._runner.handle_finished(event, now)
-            case AttemptRefused():
-                self._runner.handle_refused(event, now)
-            case AttemptFailed():
-                self._runner.handle_failed(event, now)
+        self._runner.handle(event, now)
         if not isinstance(event, AttemptChunk):
             self._release(now)
         return self._store.drain()
