--- a/src/stagewalk/node/adapters/engine_stream.py
+++ b/src/stagewalk/node/adapters/engine_stream.py
@@ -46,6 +46,7 @@
 _STREAM_END = "[DONE]"
 _DUPLICATE_STATUS = 409
 _PROBLEM_BYTES = 4096
+"""Bytes of a refusal that are read; the rest can only be text. Chosen, not measured."""
 
 
 class AttemptStream:
--- a/src/stagewalk/node/samples/scheduler.py
+++ b/src/stagewalk/node/samples/scheduler.py
@@ -25,6 +25,7 @@
 """Finished rollouts of a lot needed before any other counts as a straggler."""
 
 _STRAGGLER_PERCENTILE = 0.9
+"""Of a lot's durations: the usual longest, which `straggler_factor` multiplies. Chosen."""
 
 MINIMUM_WINDOW = 4
 """Rollouts of a lot that may run at once even if they are refused: they notice free room."""
