--- a/src/stagewalk/gateway/autoscaling/core.py
+++ b/src/stagewalk/gateway/autoscaling/core.py
@@ -39,8 +39,9 @@
 RECLAIM_MEMORY_SECONDS = 600.0
 """After workers were taken away, ordinary ones are ordered in their place for this long: where that
 happens it happens again, a whole zone at a time, and for some seconds there are none to be had.
-Measured with the sizes of engine sets changed as well (docs/design/0130-shifted-work.md): worth of
-one day 0.446 without and 0.605 with, worker seconds 0.0106 and 0.0119."""
+Measured
+together with sets of engines by demand: 0.0119 of worth for worker seconds with it, 0.0106 without,
+for steps that came in time (docs/design/0130-shifted-work.md)."""
 
 RETRY_SECONDS = 1.0
 """A zone is asked again this long after any other failure. Chosen, not measured."""
--- a/src/stagewalk/gateway/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -1,9 +1,12 @@
 """Decides which engine is ordered to which version, and when. Pure.
 
 Engines load fastest few at a time, and each load costs. With several models each has a set of
-engines of its own (`engine_sets`). A step that names the version before
-as good enough can run on engines that hold either; so an engine that is one version behind is
-left alone while others are further behind, and half of the engines change with each version.
+engines of its own (`engine_sets`). A step that accepts the version before can run on engines that
+hold either; so an engine that is one version behind is left alone while others are further behind,
+and half of the engines change with each version (`change_counts`).
+
+Owns the newest named versions, the lag that batches allow, and orders under way; relies on the
+worker table for what engines hold and on its caller to send orders.
 """
 
 from __future__ import annotations
@@ -13,6 +16,7 @@
 from dataclasses import dataclass
 
 from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.version_rollouts.change_counts import ChangeRule, loads_at_once
 from stagewalk.gateway.version_rollouts.engine_sets import (
     ModelDemand,
     SetSizes,
@@ -22,19 +26,15 @@
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
 
-LEAST_LOADS_AT_ONCE = 2
-LOADING_SHARE = 0.4
-"""So many engines, and this share of them where there are many, load at the same time: the
-others serve meanwhile, and each load is still at full speed."""
-
-LEAST_SHARES = 2
-"""With each version one engine in so many changes, or one in as many as there are models."""
-
 LOAD_SECONDS = 0.9
+"""How long an engine is expected to load, and to serve meanwhile what it can. Chosen, not
+measured."""
+
 ORDER_DEADLINE_SECONDS = 3.0
-"""An order whose effect isn't seen after this time is looked into again."""
+"""An order whose effect isn't seen after this time may be sent again. Chosen, not measured."""
 
 RETRY_SECONDS = 0.3
+"""Pause after an order that failed. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 
 
 class VersionRollouts:
-    """Keeps the newest named version of each model and the orders under way.
+    """The newest named version of each model, and the orders under way.
 
     Parameters
     ----------
@@ -86,7 +86,7 @@
         """By the models that engines hold."""
 
     def name_version(self, model: str, version: int) -> bool:
-        """Take a named version; return whether it is the newest."""
+        """Apply a named version; return whether it is the newest."""
         if version <= self._named.get(model, 0):
             return False
         self._named[model] = version
@@ -97,10 +97,10 @@
         return self._named.get(model, 0)
 
     def note_minimum(self, model: str, minimum_version: int) -> None:
-        """Learn from a submitted batch how far behind the newest version it lets engines be.
+        """Record from a submitted batch how far behind the newest version it lets engines be.
 
         Batches are read again after a restart, old ones too and in any order: only one that asks
-        for no older versions than those before it tells anything.
+        for no older versions than those before it counts.
         """
         if minimum_version < self._minimum.get(model, 0):
             return
@@ -108,48 +108,45 @@
         self._lag[model] = max(0, self._named.get(model, 1) - minimum_version)
 
     def note_open_items(self, open_items: Mapping[str, int], now: float) -> None:
-        """Take how many items of each model run or wait to."""
-        self._demand.note(open_items, now)
+        """Record how many items of each model run or wait to."""
+        self._demand.record(open_items, now)
 
     def pending(self, worker: str) -> bool:
-        """Whether an engine has an order under way."""
+        """Return whether an engine has an order under way."""
         return worker in self._pending
 
     def order_started(self, order: OrderVersion, now: float) -> None:
-        """Note that an order is being sent."""
+        """Record that an order is being sent."""
         until = now + ORDER_DEADLINE_SECONDS
         self._pending[order.worker] = _Pending(order.model, order.version, until)
 
     def expect_load(self, worker: str, model: str, version: int, now: float) -> None:
-        """Note that an engine is being ordered, by whoever holds the lease."""
+        """Record that the holder of the lease is ordering an engine."""
         known = self._workers.worker(worker)
         if known is not None and known.versions.get(model, 0) < version:
             known.loading_until[model] = now + LOAD_SECONDS
 
     def order_failed(self, worker: str, now: float) -> None:
-        """Note that an order came to nothing; it is tried again after a pause."""
+        """Record that an order failed; it is tried again after a pause."""
         self._pending.pop(worker, None)
         self._not_before[worker] = now + RETRY_SECONDS
 
     def decide(self, now: float) -> list[OrderVersion]:
         """Return the orders to send now."""
         self._settle(now)
-        room = self._loads_at_once() - len(self._pending)
+        loaded = sum(1 for worker in self._engines() if worker.versions)
+        room = loads_at_once(loaded) - len(self._pending)
         if room <= 0:
             return []
-        wanted = sorted(self._wanted(now), key=lambda pair: pair[0])
+        candidates = sorted(self._candidates(now), key=lambda pair: pair[0])
         orders: list[OrderVersion] = []
         chosen: set[str] = set()
-        for _, order in wanted:
+        for _, order in candidates:
             if order.worker not in chosen and len(orders) < room:
                 orders.append(order)
                 chosen.add(order.worker)
         return orders
 
-    def _loads_at_once(self) -> int:
-        engines = sum(1 for worker in self._engines() if worker.versions)
-        return max(LEAST_LOADS_AT_ONCE, int(LOADING_SHARE * engines))
-
     def _settle(self, now: float) -> None:
         """Forget orders whose effect is seen, or that took too long."""
         for name, pending in list(self._pending.items()):
@@ -160,8 +157,9 @@
                 if worker is not None:
                     worker.loading_until.pop(pending.model, None)
 
-    def _wanted(self, now: float) -> list[tuple[tuple[int, float, str], OrderVersion]]:
-        wanted: list[tuple[tuple[int, float, str], OrderVersion]] = []
+    def _candidates(self, now: float) -> list[tuple[tuple[int, float, str], OrderVersion]]:
+        """Return possible orders with their ranks: furthest behind first, then least loaded."""
+        candidates: list[tuple[tuple[int, float, str], OrderVersion]] = []
         models = self._models()
         sets = self._sets(models)
         for model, version in self._named.items():
@@ -177,9 +175,9 @@
                 if name in self._pending or self._not_before.get(name, -math.inf) > now:
                     continue
                 held = worker.versions[model]
-                key = (held - version, worker.occupancy(now), name)
-                wanted.append((key, OrderVersion(name, model, version)))
-        return wanted
+                rank = (held - version, worker.occupancy(now), name)
+                candidates.append((rank, OrderVersion(name, model, version)))
+        return candidates
 
     def _engines(self) -> list[Worker]:
         """Return the listed workers that may get work."""
@@ -206,27 +204,15 @@
         return sets
 
     def _due(self, engines: list[Worker], model: str, version: int) -> list[Worker]:
-        """Return the engines to change, the least loaded of the oldest first.
-
-        A share of them changes with each version, and as many again still hold the one before:
-        steps that allow it run on both. With one or two models on the engines that is all of
-        them; with more, an engine that is too old for one model serves the others meanwhile.
-        """
-        share = len(engines)
-        if self._policy.half_change:
-            share //= max(LEAST_SHARES, len(self._named))
-        lag = self._lag.get(model, 0)
-        own_set = self._policy.engine_sets and len(self._models()) > 1
-        if own_set and self._policy.half_change:
-            share = -(-len(engines) // (lag + 1))
+        """Return the engines to change, the least loaded of the oldest first."""
+        rule = ChangeRule(
+            models=len(self._named),
+            lag=self._lag.get(model, 0),
+            own_set=self._policy.engine_sets and len(self._models()) > 1,
+            half_change=self._policy.half_change,
+        )
         behind = [engine for engine in engines if not self._newest(engine, model, version)]
-        too_old = [engine for engine in behind if engine.versions[model] < version - lag]
-        needed = len(engines)
-        if lag > 0 and len(self._named) > LEAST_SHARES and not own_set:
-            needed = min(needed, (lag + 1) * share)
-        usable = len(engines) - len(too_old)
-        must = max(0, needed - usable)
-        wanted = max(must, share - (len(engines) - len(behind)))
+        too_old = sum(1 for engine in behind if engine.versions[model] < version - rule.lag)
         oldest_first = sorted(
             behind,
             key=lambda engine: (
@@ -235,10 +221,10 @@
                 engine.announcement.worker,
             ),
         )
-        return oldest_first[:wanted]
+        return oldest_first[: rule.changes(len(engines), len(behind), too_old)]
 
     def _newest(self, engine: Worker, model: str, version: int) -> bool:
-        """Whether an engine holds a version, or is being brought to it."""
+        """Return whether an engine holds a version, or is being brought to it."""
         pending = self._pending.get(engine.announcement.worker)
         if pending is not None and (pending.model, pending.version) == (model, version):
             return True
--- a/src/stagewalk/gateway/version_rollouts/engine_sets.py
+++ b/src/stagewalk/gateway/version_rollouts/engine_sets.py
@@ -3,7 +3,11 @@
 Each engine holds all models, but a load brings one of them to a version. Were all engines brought
 to all versions, loads would grow with models times engines. So each model has a set of engines of
 its own, as large as its part of the open items; the others serve it as long as what they hold
-fits."""
+fits. Measured: 465 loads without sets, 316 with (docs/design/0130-shifted-work.md).
+
+Owns the smoothed demand and the sizes of the sets; relies on the workers' versions for who is in
+one.
+"""
 
 from __future__ import annotations
 
@@ -16,13 +20,15 @@
 from stagewalk.gateway.workers.worker import Worker
 
 DEMAND_SECONDS = 20.0
-"""Demand is averaged over some steps of a trainer, which come every 4 s."""
+"""Time constant of the average: some steps of a trainer, which come every 4 s. Chosen, not
+measured."""
 
 LEAST_SHARE = 0.5
-"""No model gets fewer engines than this part of what it would get if all were alike."""
+"""No model gets fewer engines than this part of an equal share. Chosen, not measured."""
 
 RESIZE_ENGINES = 1.5
-"""A set that is off by less keeps its size: each engine that changes sets takes a load."""
+"""A set that is off by fewer engines keeps its size: each engine that changes sets takes a load.
+Chosen, not measured."""
 
 
 class ModelDemand:
@@ -32,8 +38,8 @@
         self._open: dict[str, float] = {}
         self._at = -math.inf
 
-    def note(self, open_items: Mapping[str, int], now: float) -> None:
-        """Take how many items of each model run or wait to."""
+    def record(self, open_items: Mapping[str, int], now: float) -> None:
+        """Record how many items of each model run or wait to."""
         kept = math.exp(-(now - self._at) / DEMAND_SECONDS) if self._open else 0.0
         self._at = now
         for model in self._open.keys() | open_items.keys():
@@ -89,8 +95,8 @@
 ) -> dict[str, str]:
     """Return the model of each engine that is to be kept at that model's versions.
 
-    An engine belongs to the model of which its version is the least behind, so who decides next
-    finds the same sets, and engines that come or go move few.
+    An engine belongs to the model of which its version is the least behind, so the next
+    decider finds the same sets, and engines that come or go move few.
 
     Parameters
     ----------
--- a/tests/gateway/version_rollouts/test_core.py
+++ b/tests/gateway/version_rollouts/test_core.py
@@ -5,9 +5,8 @@
 import testtools
 
 from stagewalk.gateway.policy import Policy
+from stagewalk.gateway.version_rollouts.change_counts import LEAST_LOADS_AT_ONCE, LOADING_SHARE
 from stagewalk.gateway.version_rollouts.core import (
-    LEAST_LOADS_AT_ONCE,
-    LOADING_SHARE,
     ORDER_DEADLINE_SECONDS,
     OrderVersion,
     VersionRollouts,
--- a/tests/gateway/version_rollouts/test_engine_sets.py
+++ b/tests/gateway/version_rollouts/test_engine_sets.py
@@ -128,7 +128,7 @@
 
     def test_a_model_without_open_items_keeps_half_of_an_equal_part(self) -> None:
         demand = ModelDemand()
-        demand.note({"m": 0, "n": 90}, 0.0)
+        demand.record({"m": 0, "n": 90}, 0.0)
         shares = demand.shares(["m", "n"])
         self.assertAlmostEqual(0.2, shares["m"])
         self.assertEqual({"m": 0.5, "n": 0.5}, ModelDemand().shares(["m", "n"]))
