--- a/src/stagewalk/cli/explain.py
+++ b/src/stagewalk/cli/explain.py
@@ -12,7 +12,7 @@
 from stagewalk.cli.log_files import add_log_arguments, read_logs
 from stagewalk.gateway.explain.story import Story, find_story
 
-EXIT_TOLD = 0
+EXIT_FOUND = 0
 EXIT_UNKNOWN_ID = 1
 EXIT_BAD_ARGUMENTS = 2
 
@@ -34,7 +34,7 @@
         print(f"no line names {arguments.id}; nodes in the logs: {nodes}", file=sys.stderr)
         return EXIT_UNKNOWN_ID
     print("\n".join(render_story(story)))
-    return EXIT_TOLD
+    return EXIT_FOUND
 
 
 def render_story(story: Story) -> list[str]:
--- a/src/stagewalk/cli/steps.py
+++ b/src/stagewalk/cli/steps.py
@@ -11,7 +11,7 @@
 from stagewalk.cli.log_files import add_log_arguments, read_logs
 from stagewalk.gateway.explain.steps import StepAccount, account_steps, find_recoveries
 
-EXIT_TOLD = 0
+EXIT_DONE = 0
 EXIT_BAD_ARGUMENTS = 2
 LAST_ITEMS = 5
 
@@ -37,7 +37,7 @@
             f"all back at {recovery.at - began:.3f} s ({recovery.nodes} nodes), "
             f"first item {recovery.first_item:+.3f} s"
         )
-    return EXIT_TOLD
+    return EXIT_DONE
 
 
 def render_step(account: StepAccount, began: float, last: int) -> list[str]:
--- a/src/stagewalk/gateway/usage/wall_clock.py
+++ b/src/stagewalk/gateway/usage/wall_clock.py
@@ -9,10 +9,12 @@
 from statistics import median_low
 
 SAMPLES = 120
-SAMPLE_SECONDS = 0.5
 """A minute of samples: a jump counts once it has lasted for more than half of them. Chosen, not
 measured."""
 
+SAMPLE_SECONDS = 0.5
+"""Least time between two samples. Chosen, not measured."""
+
 
 class WallClock:
     """Time of day by the steady clock, with the median of the offsets seen between the two."""
--- a/src/stagewalk/gateway/version_rollouts/change_counts.py
+++ b/src/stagewalk/gateway/version_rollouts/change_counts.py
@@ -9,9 +9,11 @@
 from dataclasses import dataclass
 
 LEAST_LOADS_AT_ONCE = 2
+"""Engines that may load at the same time where there are few. Chosen, not measured."""
+
 LOADING_SHARE = 0.4
-"""At most this many engines, and this share of them where there are many, load at the same time:
-the others serve meanwhile, and each load is still at full speed. Chosen, not measured."""
+"""Share of the engines that may load at the same time where there are many: the others serve
+meanwhile, and each load is still at full speed. Chosen, not measured."""
 
 LEAST_SHARES = 2
 """With each version one engine in this many changes, or one in as many as there are models: a batch
