--- a/src/stagewalk/gateway/autoscaling/core.py
+++ b/src/stagewalk/gateway/autoscaling/core.py
@@ -140,20 +140,16 @@
 
     def _count(self, service: str, scaling: Scaling, workers: Sequence[Worker], now: float) -> None:
         """Record how many workers of each group serve."""
-        counts = Counter(
-            (w.announcement.zone, w.announcement.spot)
-            for w in workers
-            if not w.announcement.draining
-        )
+        announcements = [worker.announcement for worker in workers]
+        counts = Counter((a.zone, a.spot) for a in announcements if not a.draining)
         for zone in scaling.zone_prices:
             for spot in (False, True):
                 group = self._group(WorkerGroup(service, zone, spot))
-                if counts[(zone, spot)] != group.present:
-                    group.present, group.since = counts[(zone, spot)], now
+                group.update(counts[(zone, spot)], now)
                 settled = group.present > 0 and now - group.since >= SETTLE_SECONDS
                 if not spot and settled and group.present > (group.ordered or 0):
                     group.found = group.present
-        if any(w.announcement.spot and w.announcement.draining for w in workers):
+        if any(a.spot and a.draining for a in announcements):
             self._reclaimed_at[service] = now
 
     def _orders(
--- a/src/stagewalk/gateway/autoscaling/worker_counts.py
+++ b/src/stagewalk/gateway/autoscaling/worker_counts.py
@@ -38,6 +38,11 @@
     ordered_at: float = -math.inf
     not_before: float = -math.inf
 
+    def update(self, present: int, now: float) -> None:
+        """Set how many are listed now."""
+        if present != self.present:
+            self.present, self.since = present, now
+
 
 @dataclass(frozen=True, slots=True)
 class ExtraWorkers:
--- a/src/stagewalk/gateway/explain/story.py
+++ b/src/stagewalk/gateway/explain/story.py
@@ -155,12 +155,17 @@
         if named or (not line.get("item") and attempt in attempts):
             gathered.add(line)
     if kind is Kind.ITEM:
-        for line in lines:
-            if line.get("batch") in batches and not line.get("item"):
-                gathered.add(line)
+        _add_batch_lines(gathered, batches, lines)
     return gathered
 
 
+def _add_batch_lines(gathered: _Gathered, batches: set[str], lines: Sequence[LogLine]) -> None:
+    """Add the lines of an item's batches that name no item."""
+    for line in lines:
+        if line.get("batch") in batches and not line.get("item"):
+            gathered.add(line)
+
+
 def _around(gathered: _Gathered, own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[LogLine]:
     since = own[0].at - SURROUNDING_SECONDS
     until = own[-1].at + SURROUNDING_SECONDS
