--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -91,7 +91,7 @@
         ledger = LedgerCalls(
             self._reads,
             peer_client,
-            access.rules.proximity,
+            access.eligibility_services.eligibility.proximity,
             nodes.replicas,
             lambda: self.store.following,
             may_hold=lambda: nodes.may_hold_batches,
--- a/src/stagewalk/gateway/runners/runner_service.py
+++ b/src/stagewalk/gateway/runners/runner_service.py
@@ -15,6 +15,7 @@
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.scheduler import BatchScheduler
+from stagewalk.gateway.eligibility_services import EligibilityServices
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.peer_calls.client import PeerClient
@@ -32,7 +33,6 @@
 from stagewalk.gateway.runners.runner_probes import RunnerProbes
 from stagewalk.gateway.runners.scheduler_loop import SchedulerLoop
 from stagewalk.gateway.runners.takeover_service import TakeoverService
-from stagewalk.gateway.send_rules import SendRules
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
 from stagewalk.gateway.workers.table import WorkerTable
 
@@ -44,7 +44,7 @@
     client: WorkerClient
     workers: WorkerTable
     routes: RouteTable
-    rules: SendRules
+    eligibility_services: EligibilityServices
     crashes: CrashReports
 
 
@@ -133,7 +133,7 @@
         access.workers,
         access.routes.find,
         lambda route: access.routes.choose_back_end(route).service,
-        access.rules.eligibility,
+        access.eligibility_services.eligibility,
         policy,
         may_start=views.may_start,
     )
@@ -141,5 +141,9 @@
 
 def _build_sends(access: WorkerAccess, views: BatchViews) -> CheckedSends:
     return CheckedSends(
-        access.client, access.workers, access.rules.eligibility, views, access.crashes
+        access.client,
+        access.workers,
+        access.eligibility_services.eligibility,
+        views,
+        access.crashes,
     )
--- a/src/stagewalk/gateway/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -1,12 +1,11 @@
 """Decides which engine is ordered to which version, and when. Pure.
 
-Engines load fastest few at a time, and each load costs. With several models each has a set of
-engines of its own (`engine_sets`). A step that accepts the version before can run on engines that
-hold either; so an engine that is one version behind is left alone while others are further behind,
-and half of the engines change with each version (`change_counts`).
-
-Owns the newest named versions, the lag that batches allow, and orders under way; relies on the
-worker table for what engines hold and on its caller to send orders.
+Inputs: listed engines and the versions they hold, named versions, the oldest version that batches
+accept, evacuated zones, and the time in seconds of the steady clock. Rule: engines load fastest few
+at a time, and each load costs. With several models each has a set of engines of its own
+(`engine_sets`). A step that accepts the version before can run on engines that hold either; so an
+engine that is one version behind is left alone while others are further behind, and half of the
+engines change with each version.
 """
 
 from __future__ import annotations
@@ -27,14 +26,13 @@
 from stagewalk.gateway.workers.worker import Worker
 
 LOAD_SECONDS = 0.9
-"""How long an engine is expected to load, and to serve meanwhile what it can. Chosen, not
-measured."""
+"""How long an announced load is expected to keep its engine busy. Chosen, not measured."""
 
 ORDER_DEADLINE_SECONDS = 3.0
 """An order whose effect isn't seen after this time may be sent again. Chosen, not measured."""
 
 RETRY_SECONDS = 0.3
-"""Pause after an order that failed. Chosen, not measured."""
+"""Pause after a failed order to an engine. Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,6 +44,20 @@
     version: int
 
 
+@dataclass(frozen=True, slots=True)
+class _Candidate:
+    """An order that may be sent.
+
+    Attributes
+    ----------
+    urgency
+        Sorts first what is more urgent: versions behind (negative), occupancy, engine's name.
+    """
+
+    urgency: tuple[int, float, str]
+    order: OrderVersion
+
+
 @dataclass(slots=True)
 class _Pending:
     model: str
@@ -54,7 +66,7 @@
 
 
 class VersionRollouts:
-    """The newest named version of each model, and the orders under way.
+    """Keeps the newest named version of each model and the orders under way.
 
     Parameters
     ----------
@@ -86,7 +98,7 @@
         """By the models that engines hold."""
 
     def name_version(self, model: str, version: int) -> bool:
-        """Apply a named version; return whether it is the newest."""
+        """Record a named version; return whether it is the newest."""
         if version <= self._named.get(model, 0):
             return False
         self._named[model] = version
@@ -97,10 +109,10 @@
         return self._named.get(model, 0)
 
     def note_minimum(self, model: str, minimum_version: int) -> None:
-        """Record from a submitted batch how far behind the newest version it lets engines be.
+        """Record, from a submitted batch, how far behind the newest version engines may be.
 
-        Batches are read again after a restart, old ones too and in any order: only one that asks
-        for no older versions than those before it counts.
+        Batches are read again after a restart, old ones too and in any order: one that accepts
+        older versions than a batch before it is ignored.
         """
         if minimum_version < self._minimum.get(model, 0):
             return
@@ -108,11 +120,11 @@
         self._lag[model] = max(0, self._named.get(model, 1) - minimum_version)
 
     def note_open_items(self, open_items: Mapping[str, int], now: float) -> None:
-        """Record how many items of each model run or wait to."""
+        """Record how many items of each model are unfinished."""
         self._demand.record(open_items, now)
 
     def pending(self, worker: str) -> bool:
-        """Return whether an engine has an order under way."""
+        """Whether an engine has an order under way."""
         return worker in self._pending
 
     def order_started(self, order: OrderVersion, now: float) -> None:
@@ -121,7 +133,7 @@
         self._pending[order.worker] = _Pending(order.model, order.version, until)
 
     def expect_load(self, worker: str, model: str, version: int, now: float) -> None:
-        """Record that the holder of the lease is ordering an engine."""
+        """Record a load that the holder of the lease announced."""
         known = self._workers.worker(worker)
         if known is not None and known.versions.get(model, 0) < version:
             known.loading_until[model] = now + LOAD_SECONDS
@@ -132,20 +144,16 @@
         self._not_before[worker] = now + RETRY_SECONDS
 
     def decide(self, now: float) -> list[OrderVersion]:
-        """Return the orders to send now."""
+        """Return the orders to send now: one an engine, the engines furthest behind first."""
         self._settle(now)
         loaded = sum(1 for worker in self._engines() if worker.versions)
         room = loads_at_once(loaded) - len(self._pending)
         if room <= 0:
             return []
-        candidates = sorted(self._candidates(now), key=lambda pair: pair[0])
-        orders: list[OrderVersion] = []
-        chosen: set[str] = set()
-        for _, order in candidates:
-            if order.worker not in chosen and len(orders) < room:
-                orders.append(order)
-                chosen.add(order.worker)
-        return orders
+        orders: dict[str, OrderVersion] = {}
+        for candidate in sorted(self._candidates(now), key=lambda candidate: candidate.urgency):
+            orders.setdefault(candidate.order.worker, candidate.order)
+        return list(orders.values())[:room]
 
     def _settle(self, now: float) -> None:
         """Forget orders whose effect is seen, or that took too long."""
@@ -157,11 +165,11 @@
                 if worker is not None:
                     worker.loading_until.pop(pending.model, None)
 
-    def _candidates(self, now: float) -> list[tuple[tuple[int, float, str], OrderVersion]]:
-        """Return possible orders with their ranks: furthest behind first, then least loaded."""
-        candidates: list[tuple[tuple[int, float, str], OrderVersion]] = []
+    def _candidates(self, now: float) -> list[_Candidate]:
+        """Return the orders that may be sent now, as if each were alone."""
         models = self._models()
         sets = self._sets(models)
+        candidates: list[_Candidate] = []
         for model, version in self._named.items():
             engines = [
                 worker
@@ -174,9 +182,8 @@
                 name = worker.announcement.worker
                 if name in self._pending or self._not_before.get(name, -math.inf) > now:
                     continue
-                held = worker.versions[model]
-                rank = (held - version, worker.occupancy(now), name)
-                candidates.append((rank, OrderVersion(name, model, version)))
+                urgency = (worker.versions[model] - version, worker.occupancy(now), name)
+                candidates.append(_Candidate(urgency, OrderVersion(name, model, version)))
         return candidates
 
     def _engines(self) -> list[Worker]:
@@ -224,7 +231,7 @@
         return oldest_first[: rule.changes(len(engines), len(behind), too_old)]
 
     def _newest(self, engine: Worker, model: str, version: int) -> bool:
-        """Return whether an engine holds a version, or is being brought to it."""
+        """Whether an engine holds a version, or is being brought to it."""
         pending = self._pending.get(engine.announcement.worker)
         if pending is not None and (pending.model, pending.version) == (model, version):
             return True
--- a/src/stagewalk/gateway/version_rollouts/engine_sets.py
+++ b/src/stagewalk/gateway/version_rollouts/engine_sets.py
@@ -5,8 +5,7 @@
 its own, as large as its part of the open items; the others serve it as long as what they hold
 fits. Measured: 465 loads without sets, 316 with (docs/design/0130-shifted-work.md).
 
-Owns the smoothed demand and the sizes of the sets; relies on the workers' versions for who is in
-one.
+Owns the sizes of the sets and which engine belongs to which.
 """
 
 from __future__ import annotations
@@ -20,15 +19,14 @@
 from stagewalk.gateway.workers.worker import Worker
 
 DEMAND_SECONDS = 20.0
-"""Time constant of the average: some steps of a trainer, which come every 4 s. Chosen, not
-measured."""
+"""Demand is averaged over five steps of a trainer, which come every 4 s."""
 
 LEAST_SHARE = 0.5
 """No model gets fewer engines than this part of an equal share. Chosen, not measured."""
 
 RESIZE_ENGINES = 1.5
-"""A set that is off by fewer engines keeps its size: each engine that changes sets takes a load.
-Chosen, not measured."""
+"""A set that is off by less keeps its size: each engine that changes sets has to load. Chosen, not
+measured."""
 
 
 class ModelDemand:
@@ -39,7 +37,7 @@
         self._at = -math.inf
 
     def record(self, open_items: Mapping[str, int], now: float) -> None:
-        """Record how many items of each model run or wait to."""
+        """Record how many items of each model are unfinished."""
         kept = math.exp(-(now - self._at) / DEMAND_SECONDS) if self._open else 0.0
         self._at = now
         for model in self._open.keys() | open_items.keys():
@@ -95,8 +93,8 @@
 ) -> dict[str, str]:
     """Return the model of each engine that is to be kept at that model's versions.
 
-    An engine belongs to the model of which its version is the least behind, so the next
-    decider finds the same sets, and engines that come or go move few.
+    An engine belongs to the model of which its version is the least behind, so the next holder
+    finds the same sets, and engines that come or go move few.
 
     Parameters
     ----------
--- a/tests/gateway/runners/test_batch_views.py
+++ b/tests/gateway/runners/test_batch_views.py
@@ -10,7 +10,7 @@
 from expression import Result
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.open_batch_views import PartialLedger
+from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.evidence import note_refusal
 from stagewalk.gateway.batches.messages import StartItem
 from stagewalk.gateway.batches.records import BatchEnded, encode_record
@@ -52,7 +52,7 @@
     def view_age(self, _batch: str, _now: float) -> float:
         return self.age
 
-    def followed(self, _batch: str, _now: float) -> bool:
+    def is_current(self, _batch: str, _now: float) -> bool:
         return self.age < 1.0
 
 
