--- a/src/stagewalk/gateway/forwarding/attempts.py
+++ b/src/stagewalk/gateway/forwarding/attempts.py
@@ -35,6 +35,15 @@
 GOOD_OUTCOMES = frozenset({"answered_200", "stream_200"})
 
 
+@dataclass(slots=True)
+class Forwarding:
+    """A request on its way to a service, with the state of its attempts."""
+
+    request: InboundRequest
+    state: ForwardedRequest
+    service: str
+
+
 @dataclass(frozen=True, slots=True)
 class Attempt:
     """One send of a request to one worker; its permit is asked for as it is to go.
@@ -76,22 +85,20 @@
         self._crashes = crashes
         self._prefer_warm = prefer_warm
 
-    async def next_worker(
-        self, request: InboundRequest, service: str, state: ForwardedRequest
-    ) -> Worker | None:
+    async def next_worker(self, forwarding: Forwarding) -> Worker | None:
         """Return the worker of the next attempt, None if there is to be no other attempt."""
-        state.withheld = await self._crashes.denial(request.content)
+        state = forwarding.state
+        state.withheld = await self._crashes.denial(forwarding.request.content)
         if state.withheld is not None:
             return None
-        worker = self.choose(request, service, state)
+        worker = self.choose(forwarding)
         return worker if state.may_try_again(steady_seconds()) else None
 
-    def choose(
-        self, request: InboundRequest, service: str, state: ForwardedRequest
-    ) -> Worker | None:
+    def choose(self, forwarding: Forwarding) -> Worker | None:
         """Return the best worker that the request may be sent to and was not sent to yet."""
-        now = steady_seconds()
-        found = self._eligibility.candidates(service, request.scope(state.route), now)
+        state, now = forwarding.state, steady_seconds()
+        scope = forwarding.request.scope(state.route)
+        found = self._eligibility.candidates(forwarding.service, scope, now)
         self._eligibility.request_leases(found, now)
         state.denied = found.denied
         # Only repeatable requests may go over a kept connection.
@@ -112,11 +119,7 @@
         worker.note_sent()
 
     def prepare(
-        self,
-        request: InboundRequest,
-        state: ForwardedRequest,
-        worker: Worker,
-        resume_after: int | None = None,
+        self, forwarding: Forwarding, worker: Worker, resume_after: int | None = None
     ) -> Attempt:
         """Return a started attempt as it is to be sent.
 
@@ -125,7 +128,7 @@
         resume_after
             As in `OutboundRequest`.
         """
-        now = steady_seconds()
+        request, state, now = forwarding.request, forwarding.state, steady_seconds()
         outbound = OutboundRequest(
             request_id=request.request_id,
             method=request.method,
@@ -191,9 +194,7 @@
     )
 
 
-def log_request_end(
-    request: InboundRequest, state: ForwardedRequest, configuration: int, outcome: str
-) -> None:
+def log_request_end(forwarding: Forwarding, configuration: int, outcome: str) -> None:
     """Log how a forwarded request ended, which workers it went to and what chose them.
 
     Parameters
@@ -201,6 +202,7 @@
     configuration
         Version of the configuration in force.
     """
+    request, state = forwarding.request, forwarding.state
     good = outcome in GOOD_OUTCOMES
     content = {} if good or not state.may_have_run else {"content": request.content.digest}
     log_event(
--- a/src/stagewalk/gateway/forwarding/forwarder.py
+++ b/src/stagewalk/gateway/forwarding/forwarder.py
@@ -21,6 +21,7 @@
     Attempt,
     Attempts,
     BegunListener,
+    Forwarding,
     ignore_begun,
     log_request_end,
     record_denied,
@@ -44,8 +45,8 @@
 
 
 @dataclass(slots=True)
-class _Settled:
-    """Where attempts leave the answer that wins."""
+class _Whole(Forwarding):
+    """A request whose caller gets one whole answer: the one that an attempt left here."""
 
     answer: WorkerAnswer | None = None
 
@@ -83,53 +84,39 @@
             Steady time.
         """
         state = ForwardedRequest(route, deadline_at, steady_seconds())
-        service = self._routes.choose_back_end(route).service
-        settled = _Settled()
+        whole = _Whole(request, state, self._routes.choose_back_end(route).service)
         try:
             with anyio.move_on_at(anyio.current_time() + max(0.0, deadline_at - steady_seconds())):
-                await self._attempt_until_settled(request, state, service, settled)
+                await self._attempt_until_answered(whole)
         finally:
-            if settled.answer is None:
+            if whole.answer is None:
                 self._crashes.publish(request.content)
             if state.began_running is not None:
                 self._on_begun(request.tenant, state.began_running)
         now = steady_seconds()
-        if settled.answer is not None:
-            outcome = f"answered_{settled.answer.status}"
-            log_request_end(request, state, self._routes.version, outcome)
-            return Ok(settled.answer)
+        if whole.answer is not None:
+            log_request_end(whole, self._routes.version, f"answered_{whole.answer.status}")
+            return Ok(whole.answer)
         await self._crashes.wait_published(request.content)
         ending = state.ending(now)
-        log_request_end(request, state, self._routes.version, ending.value)
+        log_request_end(whole, self._routes.version, ending.value)
         return Error(state.unanswered(ending))
 
-    async def _attempt_until_settled(
-        self,
-        request: InboundRequest,
-        state: ForwardedRequest,
-        service: str,
-        settled: _Settled,
-    ) -> None:
-        while settled.answer is None:
-            worker = await self._attempts.next_worker(request, service, state)
+    async def _attempt_until_answered(self, whole: _Whole) -> None:
+        while whole.answer is None:
+            worker = await self._attempts.next_worker(whole)
             if worker is None:
                 return
-            await self._attempt_with_hedge(request, state, service, worker, settled)
+            await self._attempt_with_hedge(whole, worker)
 
-    async def _attempt_with_hedge(
-        self,
-        request: InboundRequest,
-        state: ForwardedRequest,
-        service: str,
-        worker: Worker,
-        settled: _Settled,
-    ) -> None:
+    async def _attempt_with_hedge(self, whole: _Whole, worker: Worker) -> None:
         """Run one attempt, and a second one beside it if it is slow, until none is left."""
+        state = whole.state
         async with anyio.create_task_group() as tasks:
 
             async def attempt(chosen: Worker) -> None:
-                await self._attempt(request, state, chosen, settled)
-                if settled.answer is not None or state.under_way == 0:
+                await self._attempt(whole, chosen)
+                if whole.answer is not None or state.under_way == 0:
                     tasks.cancel_scope.cancel()
 
             now = steady_seconds()
@@ -137,21 +124,15 @@
             self._attempts.start(state, worker)
             tasks.start_soon(attempt, worker)
             await anyio.sleep(delay)
-            state.suspected = self._crashes.known_crashes(request.content) > 0
-            second = self._attempts.choose(request, service, state)
+            state.suspected = self._crashes.known_crashes(whole.request.content) > 0
+            second = self._attempts.choose(whole)
             if second is not None and state.may_hedge(steady_seconds()):
                 self._attempts.start(state, second)
                 tasks.start_soon(attempt, second)
 
-    async def _attempt(
-        self,
-        request: InboundRequest,
-        state: ForwardedRequest,
-        worker: Worker,
-        settled: _Settled,
-    ) -> None:
-        attempt = self._attempts.prepare(request, state, worker)
-        permit = self._eligibility.permit(worker, attempt.scope, attempt.began_at, state.late)
+    async def _attempt(self, whole: _Whole, worker: Worker) -> None:
+        attempt = self._attempts.prepare(whole, worker)
+        permit = self._eligibility.permit(worker, attempt.scope, attempt.began_at, whole.state.late)
         if permit.is_error():
             record_denied(attempt, permit.error)
             return
@@ -159,10 +140,10 @@
         if result.is_error():
             await self._attempts.record_unanswered(attempt, result.error)
         else:
-            self._handle_answer(attempt, result.ok, settled)
+            self._handle_answer(whole, attempt, result.ok)
 
-    def _handle_answer(self, attempt: Attempt, answer: WorkerAnswer, settled: _Settled) -> None:
-        state, worker = attempt.state, attempt.worker
+    def _handle_answer(self, whole: _Whole, attempt: Attempt, answer: WorkerAnswer) -> None:
+        state, worker = whole.state, attempt.worker
         now = steady_seconds()
         state.note_run(attempt.began_at)
         worker.note_load(answer.load, now)
@@ -174,7 +155,7 @@
         worker.note_success(now - attempt.began_at, now)
         self._attempts.record_answered(attempt)
         if state.accepts(answer, now):
-            settled.answer = answer
+            whole.answer = answer
 
 
 async def _run(attempt: Attempt, send: _Send) -> Result[WorkerAnswer, AttemptFailure]:
--- a/src/stagewalk/gateway/forwarding/policy.py
+++ b/src/stagewalk/gateway/forwarding/policy.py
@@ -89,7 +89,7 @@
     deadline_at
         When the caller, or the route, stops waiting.
     began_at
-        When the request was taken in.
+        When the request arrived.
     tried
         Workers it was sent to, or tried to be.
     evidence
--- a/src/stagewalk/gateway/forwarding/stream_forwarder.py
+++ b/src/stagewalk/gateway/forwarding/stream_forwarder.py
@@ -20,6 +20,7 @@
     Attempt,
     Attempts,
     BegunListener,
+    Forwarding,
     ignore_begun,
     log_request_end,
     record_denied,
@@ -49,14 +50,20 @@
 
 
 @dataclass(slots=True)
-class _Progress:
-    """What the caller has got.
-
-    `last_event` is the number of the last event passed on, or the one the caller resumes after.
+class _Streamed(Forwarding):
+    """A request whose caller gets events as they arrive.
+
+    Attributes
+    ----------
+    started
+        Whether the caller has got the stream's head.
+    last_event
+        Number of the last event passed on, or of the one that the caller resumes after.
     """
 
+    consume: StreamConsumer
+    last_event: int
     started: bool = False
-    last_event: int = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -105,46 +112,42 @@
         """
         state = ForwardedRequest(route, deadline_at, steady_seconds())
         service = self._routes.choose_back_end(route).service
-        progress = _Progress(last_event=resume_after)
+        streamed = _Streamed(request, state, service, consume, resume_after)
         ended: StreamEnd | None = None
         try:
             with anyio.move_on_at(anyio.current_time() + max(0.0, deadline_at - steady_seconds())):
-                while ended is None:
-                    worker = await self._attempts.next_worker(request, service, state)
-                    if worker is None:
-                        break
-                    ended = await self._attempt(request, state, worker, progress, consume)
+                ended = await self._attempt_until_ended(streamed)
         finally:
             if ended is None:
                 self._crashes.publish(request.content)
         if ended is not None:
-            log_request_end(request, state, self._routes.version, f"stream_{ended.status}")
+            log_request_end(streamed, self._routes.version, f"stream_{ended.status}")
             return Ok(ended)
         await self._crashes.wait_published(request.content)
         ending = state.ending(steady_seconds())
-        if progress.started and ending is Ending.NOT_RUN:
+        if streamed.started and ending is Ending.NOT_RUN:
             ending = Ending.UNKNOWN
-        log_request_end(request, state, self._routes.version, ending.value)
+        log_request_end(streamed, self._routes.version, ending.value)
         return Error(state.unanswered(ending))
 
-    async def _attempt(
-        self,
-        request: InboundRequest,
-        state: ForwardedRequest,
-        worker: Worker,
-        progress: _Progress,
-        consume: StreamConsumer,
-    ) -> StreamEnd | None:
+    async def _attempt_until_ended(self, streamed: _Streamed) -> StreamEnd | None:
+        ended: StreamEnd | None = None
+        while ended is None:
+            worker = await self._attempts.next_worker(streamed)
+            if worker is None:
+                return None
+            ended = await self._attempt(streamed, worker)
+        return ended
+
+    async def _attempt(self, streamed: _Streamed, worker: Worker) -> StreamEnd | None:
+        state = streamed.state
         self._attempts.start(state, worker)
-        attempt = self._attempts.prepare(request, state, worker, progress.last_event or None)
+        attempt = self._attempts.prepare(streamed, worker, streamed.last_event or None)
         permit = self._eligibility.permit(worker, attempt.scope, attempt.began_at, state.late)
         if permit.is_error():
             record_denied(attempt, permit.error)
             return None
-
-        async def deliver(part: StreamPart) -> None:
-            await self._pass_on(part, worker, progress, consume, request.tenant)
-
+        deliver = partial(self._deliver, streamed, worker)
         stream = partial(self._client.stream, permit.ok, attempt.outbound, deliver)
         result = await self._run(attempt, stream)
         if result.is_ok():
@@ -174,22 +177,16 @@
             if stream.worker.announcement.zone == zone and stream.state.may_move(now):
                 stream.moved.cancel()
 
-    async def _pass_on(
-        self,
-        part: StreamPart,
-        worker: Worker,
-        progress: _Progress,
-        consume: StreamConsumer,
-        tenant: str | None,
-    ) -> None:
+    async def _deliver(self, streamed: _Streamed, worker: Worker, part: StreamPart) -> None:
+        """Pass a part of a stream on to the caller: its first head, and each event once."""
         if isinstance(part, StreamHead):
             worker.note_load(part.load, steady_seconds())
-            if part.status == SUCCESS and not progress.started:
-                progress.started = True
-                self._on_begun(tenant, steady_seconds())
-                await consume(part)
+            if part.status == SUCCESS and not streamed.started:
+                streamed.started = True
+                self._on_begun(streamed.request.tenant, steady_seconds())
+                await streamed.consume(part)
             return
-        if part.number != progress.last_event + 1:
-            raise OutOfOrderError(f"event {part.number} after {progress.last_event}")
-        progress.last_event = part.number
-        await consume(part)
+        if part.number != streamed.last_event + 1:
+            raise OutOfOrderError(f"event {part.number} after {streamed.last_event}")
+        streamed.last_event = part.number
+        await streamed.consume(part)
--- a/src/stagewalk/gateway/policy.py
+++ b/src/stagewalk/gateway/policy.py
@@ -34,7 +34,7 @@
     score_hedges
         Ask another scorer beside a late one.
     ask_runner
-        Ask a node before it is given a batch, and tell it of the batch.
+        Ask a node before it is given a batch, and notify it of the batch.
     probe_runners
         Ask runners whether they still run.
     resume_first
--- a/src/stagewalk/gateway/routes/table.py
+++ b/src/stagewalk/gateway/routes/table.py
@@ -45,7 +45,7 @@
         return self._configuration
 
     def apply(self, configuration: RouteConfiguration) -> bool:
-        """Put a configuration in force unless it is older; return whether it was taken."""
+        """Put a configuration in force; return whether it is newer than the one that was."""
         if configuration.version <= self.version:
             return False
         self._configuration = configuration
@@ -91,7 +91,7 @@
     def regions_of(self, route: Route, tenant: str | None) -> AllowedRegions:
         """Return where a tenant's requests on a route may be served.
 
-        The route as a request was taken by binds it, and the route of that name now in force.
+        The route that the request matched binds it, and the route of that name now in force.
         """
         now = self._by_name.get(route.name, route)
         known = None if tenant is None else self.keys.named(tenant)
