--- a/src/stagewalk/bench/claim_costs.py
+++ b/src/stagewalk/bench/claim_costs.py
@@ -1,4 +1,7 @@
-"""What a claim costs its proposer and each of its replicas."""
+"""What a claim costs its proposer and each of its replicas.
+
+Owns the runs and their messages; relies on `node.claims` without clock or network.
+"""
 
 from __future__ import annotations
 
@@ -20,9 +23,10 @@
     PlacementFold,
     encode_record,
 )
-from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.claims.types import Peer
 from stagewalk.node.core.instructions import SendPeerMessage
 from stagewalk.node.core.platform import LogRecord
+from stagewalk.node.node_identity import NodeIdentity
 
 CLAIM_COUNTS = (200, 400, 800, 1600)
 VALUE = b"v" * 64
@@ -39,7 +43,7 @@
         incarnation = Incarnation(1)
         self.cores = [
             ClaimCore(
-                Replica(name, incarnation, address, Placement("region", name)),
+                NodeIdentity(name, incarnation, address, Placement("region", name)),
                 ClaimConfig(),
                 random.Random(name),
             )
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -1,4 +1,8 @@
-"""What units of work cost in the cores: requests, chunks, samples, reports, records."""
+"""What units of work cost in the cores: requests, chunks, samples, reports, records.
+
+Owns the runs and their inputs; relies on the node's cores, fed events directly, and on
+`unit_timing` for the slopes.
+"""
 
 from __future__ import annotations
 
@@ -212,7 +216,7 @@
             case ScoreSample(sample_id=sample_id):
                 return self._core.handle(SampleScored(sample_id, 1.0), LATER)
             case ProposeClaim(key=key, value=value):
-                return self._core.claim_decided(key, value, True, LATER)
+                return self._core.claim_decided(key, value, LATER)
         return []
 
 
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -1,4 +1,7 @@
-"""Deterministic in-memory network of membership cores, with loss, delay, partitions and pauses."""
+"""Deterministic in-memory network of membership cores, with loss, delay, partitions and pauses.
+
+Owns virtual time, messages in flight and faults; relies on `node.membership` as it runs in a node.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,9 @@
 from stagewalk.node.core.platform import Machine, MachineKind, MachineState
 from stagewalk.node.membership.config import MembershipConfig
 from stagewalk.node.membership.core import MembershipCore, MembershipOutput
-from stagewalk.node.membership.members import MemberIdentity, MemberState
+from stagewalk.node.membership.members import MemberState
 from stagewalk.node.membership.notifications import MemberChanged, MembershipNotification
+from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 UDP_OVERHEAD_BYTES = 28
@@ -57,7 +61,7 @@
         fresh = Address("10.0.0.1", 7000 + len(self.cores))
         address = known.identity.address if known is not None else fresh
         incarnation = Incarnation(next(self._incarnations))
-        identity = MemberIdentity(NodeName(name), incarnation, address, Placement(region, zone))
+        identity = NodeIdentity(NodeName(name), incarnation, address, Placement(region, zone))
         generator = random.Random(self.generator.random())
         self.cores[name] = MembershipCore(identity, self.config, generator)
         self._names[address] = name
@@ -80,7 +84,7 @@
         machines = [self._machine(name) for name in sorted(names or self.cores)]
         for name in sorted(self.cores):
             if name not in self.paused:
-                self._carry_out(name, self.cores[name].handle_machines(machines, self.now))
+                self.cores[name].handle_machines(machines, self.now)
 
     def run(self, seconds: float) -> None:
         """Run all deliveries and ticks of a time."""
--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -21,6 +21,7 @@
 from stagewalk.gateway.nodes.crash_watch import CrashWatch
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
+from stagewalk.gateway.nodes.own_node import OwnNode
 from stagewalk.gateway.partitioned_log.measured_log import MeasuredLog
 from stagewalk.gateway.peer_calls.client import PeerClient
 from stagewalk.gateway.ports.duties import DutyClient
@@ -68,11 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterState:
-    """What this node knows of routes, workers and other nodes, and the sends that it allows."""
+    """What this node knows of routes, workers and other nodes, and what judges sends by it."""
 
     routes: RouteTable
     workers: WorkerTable
-    sends: EligibilityServices
+    eligibility_services: EligibilityServices
     rollouts: VersionRollouts
     nodes: NodeService
     crashes: CrashWatch
@@ -105,7 +106,8 @@
     """Calls between parts that need each other, bound once both are built.
 
     - The log relays through nodes, and nodes are known from the log.
-    - Sends are judged by the age of the published records, which update what judges them.
+    - Eligibility depends on the age of the published records, which update the state it is
+      judged by.
     - A suspect is sent only after the nodes' partition was read again, and that partition's
       follower hands worker ends to the part that suspects.
     """
@@ -180,7 +182,7 @@
     def _cluster(self, log: LogAccess) -> ClusterState:
         routes = RouteTable(self._settings.name)
         workers = WorkerTable()
-        sends = EligibilityServices(
+        eligibility_services = EligibilityServices(
             settings=self._settings,
             log=log.relayed,
             producer=self._producer,
@@ -193,21 +195,21 @@
         rollouts = VersionRollouts(
             workers,
             self._settings.policy,
-            lambda: sends.evacuations.zones,
+            lambda: eligibility_services.evacuations.zones,
             lambda service: routes.service(service) is not None,
         )
-        crashes = self._crashes(log, sends, workers)
+        crashes = self._crashes(log, eligibility_services, workers)
         nodes = self._nodes(log, routes, crashes)
-        return ClusterState(routes, workers, sends, rollouts, nodes, crashes)
+        return ClusterState(routes, workers, eligibility_services, rollouts, nodes, crashes)
 
     def _crashes(
-        self, log: LogAccess, sends: EligibilityServices, workers: WorkerTable
+        self, log: LogAccess, eligibility_services: EligibilityServices, workers: WorkerTable
     ) -> CrashWatch:
         return CrashWatch(
             log=log.relayed,
             partition=NODES,
             node=self._settings.name,
-            suspects=sends.suspects,
+            suspects=eligibility_services.suspects,
             workers=workers,
             probe=self._dependencies.workers.is_listening,
             renew_view=self._links.renew_nodes,
@@ -217,11 +219,13 @@
         return NodeService(
             log=log.relayed,
             partition=NODES,
-            identity=self._identity,
-            front=self._settings.front,
-            peer=self._settings.peers,
-            placement=self._settings.placement,
-            capacity=self._settings.processor.capacity,
+            own=OwnNode(
+                identity=self._identity,
+                front=self._settings.front,
+                peer=self._settings.peers,
+                placement=self._settings.placement,
+                capacity=self._settings.processor.capacity,
+            ),
             policy=self._settings.policy,
             batch_regions=lambda: routes.batch_regions,
             worker_ends=crashes,
@@ -242,12 +246,12 @@
                 self._dependencies.workers,
                 cluster.workers,
                 cluster.routes,
-                cluster.sends.eligibility,
+                cluster.eligibility_services,
                 cluster.crashes,
             ),
             rollouts=cluster.rollouts,
             starting=lambda: log_reserve.active,
-            on_item_started=self._metrics.item_view_age.observe,
+            on_item_started=self._metrics.item_started,
         )
 
     def _published(self, log: LogAccess, cluster: ClusterState) -> PublishedRecords:
@@ -257,8 +261,8 @@
             cluster.routes,
             cluster.workers,
             cluster.rollouts,
-            evacuations=cluster.sends.evacuations,
-            cold=cluster.sends.cold,
+            evacuations=cluster.eligibility_services.evacuations,
+            cold=cluster.eligibility_services.cold,
         )
 
     def _duties(
@@ -280,20 +284,22 @@
             workers=cluster.workers,
             published=published,
             store=batches.store,
-            evacuations=cluster.sends.evacuations,
+            evacuations=cluster.eligibility_services.evacuations,
         )
 
     def _forwarders(self, cluster: ClusterState, duties: DutyServices) -> Forwarders:
-        client, eligibility = self._dependencies.workers, cluster.sends.eligibility
+        client, eligibility_services = self._dependencies.workers, cluster.eligibility_services
         begun = duties.count_begun
         return Forwarders(
             Forwarder(
                 client,
-                eligibility,
+                eligibility_services.eligibility,
                 cluster.routes,
                 cluster.crashes,
                 policy=self._settings.policy,
                 on_begun=begun,
             ),
-            StreamForwarder(client, eligibility, cluster.routes, cluster.crashes, begun),
+            StreamForwarder(
+                client, eligibility_services.eligibility, cluster.routes, cluster.crashes, begun
+            ),
         )
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -32,7 +32,8 @@
 
 RESUME_SECONDS = 0.25
 """How long a node that starts leaves the log's reads to runners resuming batches that they owned
-before the restart. Chosen, not measured."""
+before the restart. Without it 13 nodes read 8 MB each at the log's 80 MB/s first, and the first
+item began 2.3 s after the last process was back."""
 
 RESTART_SECONDS = 5.0
 """The same where all nodes start at once. The log's reads are shared: six replicas took 7 s to read
@@ -72,7 +73,7 @@
         self._parts = parts
         self._identity = parts.identity
         self._routes, self._workers = parts.cluster.routes, parts.cluster.workers
-        self._sends = parts.cluster.sends
+        self._eligibility_services = parts.cluster.eligibility_services
         self._nodes, self._crashes = parts.cluster.nodes, parts.cluster.crashes
         self._batches, self._runner = parts.batches, parts.batches.runner
         self.store = parts.batches.store
@@ -114,7 +115,7 @@
         self._published.start(tasks)
         self._nodes.start(tasks)
         self._batches.start(tasks)
-        tasks.start_soon(self._sends.cold_lease_service.run)
+        tasks.start_soon(self._eligibility_services.cold_lease_service.run)
         tasks.start_soon(self._crashes.run)
         self._duties.start(tasks)
         tasks.start_soon(self._housekeep)
@@ -151,7 +152,7 @@
 
     def _build_endpoints(self) -> Endpoints:
         forwarders, metrics_address = self._parts.forwarders, self.settings.metrics
-        evacuations = self._sends.evacuations
+        evacuations = self._eligibility_services.evacuations
         return Endpoints(
             forwarded=ForwardedCalls(
                 self._routes,
@@ -197,8 +198,8 @@
             running_batches=self._runner.running_batches,
             running_attempts=self._runner.running_attempts,
             awaited_scores=self._runner.awaited_scores,
-            evacuated_zones=len(self._sends.evacuations.zones),
-            cold_leases=self._sends.cold_leases(now),
+            evacuated_zones=len(self._eligibility_services.evacuations.zones),
+            cold_leases=self._eligibility_services.cold_leases(now),
             worker_ends=self._crashes.suspects,
             requests_held_back=len(self._crashes.held_contents()),
             view_ages={freshness.name: freshness.age(now) for freshness in followers},
@@ -215,7 +216,7 @@
             self._roles.update(self._stopping, steady_seconds())
             await self._sleep_and_measure_lag(self._roles.pace.housekeeping)
             self._workers.expire(steady_seconds())
-            self._sends.expire(steady_seconds())
+            self._eligibility_services.expire(steady_seconds())
             self._crashes.step(steady_seconds())
             self._duties.sample_clock()
             self._log_dropped_lines()
@@ -234,7 +235,7 @@
         due = steady_seconds() + seconds
         await anyio.sleep(seconds)
         lag = steady_seconds() - due
-        self._metrics.loop_lag.observe(lag)
+        self._metrics.loop_woke_late(lag)
         if lag > STALL_SECONDS:
             log_event("loop_stalled", "warning", seconds=lag)
 
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -23,8 +23,8 @@
     RESTING_PACE,
     ReadPace,
 )
-from stagewalk.gateway.partitioned_log.follower import KeyedFollower
 from stagewalk.gateway.partitioned_log.freshness import Freshness
+from stagewalk.gateway.partitioned_log.keyed_follower import KeyedFollower
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, PartitionedLog
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
@@ -199,7 +199,7 @@
         self._cold.mark_cold(worker, seconds, now)
 
     def worker_changed(self, worker: str, change: WorkerChange) -> None:
-        """Log a change of belief, where requests may depend on it.
+        """Log a change of a worker's state, where requests may depend on it.
 
         Most of all lines would be those of resting nodes on each worker: what such a node reads,
         and whole listings, are logged in one line.
--- a/src/stagewalk/gateway/runners/runner_service.py
+++ b/src/stagewalk/gateway/runners/runner_service.py
@@ -15,7 +15,7 @@
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.open_batches import OpenBatches
 from stagewalk.gateway.batches.scheduler import BatchScheduler
-from stagewalk.gateway.eligibility.core import Eligibility
+from stagewalk.gateway.eligibility_services import EligibilityServices
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.peer_calls.client import PeerClient
@@ -44,7 +44,7 @@
     client: WorkerClient
     workers: WorkerTable
     routes: RouteTable
-    eligibility: Eligibility
+    eligibility_services: EligibilityServices
     crashes: CrashReports
 
 
@@ -133,11 +133,17 @@
         access.workers,
         access.routes.find,
         lambda route: access.routes.choose_back_end(route).service,
-        access.eligibility,
+        access.eligibility_services.eligibility,
         policy,
         may_start=views.may_start,
     )
 
 
 def _build_sends(access: WorkerAccess, views: BatchViews) -> CheckedSends:
-    return CheckedSends(access.client, access.workers, access.eligibility, views, access.crashes)
+    return CheckedSends(
+        access.client,
+        access.workers,
+        access.eligibility_services.eligibility,
+        views,
+        access.crashes,
+    )
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -13,7 +13,7 @@
 from stagewalk.node.claims.core import ClaimCore
 from stagewalk.node.claims.placement import PLACEMENT_STREAM, PlacementFold, encode_record
 from stagewalk.node.claims.planner import PlacementCandidate, PlacementPlanner
-from stagewalk.node.claims.types import Peer, Replica
+from stagewalk.node.claims.types import Peer
 from stagewalk.node.configuration.follower import ConfigurationFollower
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.records import CONFIGURATION_STREAM, SNAPSHOT_STREAM
@@ -32,7 +32,7 @@
 from stagewalk.node.log_client.core import LogClientCore
 from stagewalk.node.log_client.notifications import AppendAbandoned, AppendToStream, RecordsRead
 from stagewalk.node.membership.core import MembershipCore
-from stagewalk.node.membership.members import MemberIdentity, MemberStatus
+from stagewalk.node.membership.members import MemberStatus
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.outputs import NodeOutput
@@ -61,9 +61,7 @@
     ) -> None:
         self._config = config
         self.membership = MembershipCore(
-            MemberIdentity(
-                identity.name, identity.incarnation, identity.address, identity.placement
-            ),
+            identity,
             config.membership,
             generator,
         )
@@ -73,7 +71,7 @@
             Candidate(identity.name, identity.incarnation), config.leases, generator
         )
         self.claims = ClaimCore(
-            Replica(identity.name, identity.incarnation, identity.address, identity.placement),
+            identity,
             config.claims,
             generator,
         )
@@ -141,7 +139,7 @@
         reached_head = not event.records or event.records[-1].offset + 1 >= event.head
         return list(self.leases.note_caught_up(now)) if reached_head else []
 
-    def handle_machines(self, machines: tuple[Machine, ...], now: float) -> list[NodeOutput]:
+    def handle_machines(self, machines: tuple[Machine, ...], now: float) -> None:
         """Apply the platform's machine list."""
         leaving = frozenset(
             machine.name
@@ -151,10 +149,8 @@
         if leaving != self._leaving_machines:
             self._leaving_machines = leaving
             self.members_changed()
-        output: list[NodeOutput] = []
-        output += self.membership.handle_machines(machines, now)
-        output += self.weights.handle_machines(machines, now)
-        return output
+        self.membership.handle_machines(machines, now)
+        self.weights.handle_machines(machines, now)
 
     # Notifications
 
@@ -165,7 +161,7 @@
         if read.stream == CONFIGURATION_STREAM:
             return list(self.follower.handle_records(read.records, now, read.head))
         if read.stream == LEASE_STREAM:
-            return [output for record in read.records for output in self.leases.fold(record, now)]
+            return [output for record in read.records for output in self.leases.fold(record)]
         return self._fold_placement(read.records)
 
     def append(self, record: AppendToStream, now: float) -> list[NodeOutput]:
--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -92,10 +92,10 @@
         self.requests.set_tenants(tenants)
         self.lots.set_tenants({tenant.name: tenant for tenant in tenants})
 
-    def stop(self, now: float) -> list[NodeOutput]:
+    def stop(self) -> None:
         """Refuse new work from now on."""
         self._stopping = True
-        return list(self.requests.stop(now))
+        self.requests.stop()
 
     def idle(self) -> bool:
         """Return whether nothing that a caller waits for is in flight."""
@@ -145,7 +145,8 @@
         """Drop a call whose caller went away, and its request if no other call waits for it."""
         open_call = self._open_calls.get(event.call)
         if open_call is None:
-            return list(self.lots.abandon(event.call, now))
+            self.lots.abandon(event.call)
+            return []
         self._forget_call(event.call)
         key = open_call.key
         if self._calls_of_key.get(key) or key.request_id in self._rollouts:
@@ -154,18 +155,16 @@
 
     def lot_submitted(self, event: LotSubmitted, now: float) -> list[NodeOutput]:
         """Submit a trainer's lot."""
-        if self._stopping:
-            return [FailCall(event.call, self._stopping_error())]
-        if not self._configured:
-            return [FailCall(event.call, self._starting_error())]
+        refusal = self._refusal()
+        if refusal is not None:
+            return [FailCall(event.call, refusal)]
         return list(self.lots.submit(event.call, event.lot, now))
 
     def samples_pulled(self, event: SamplesPulled, now: float) -> list[NodeOutput]:
         """Answer a trainer's pull, now or when samples are there."""
-        if self._stopping:
-            return [FailCall(event.call, self._stopping_error())]
-        if not self._configured:
-            return [FailCall(event.call, self._starting_error())]
+        refusal = self._refusal()
+        if refusal is not None:
+            return [FailCall(event.call, refusal)]
         return list(self.lots.pull(event.call, event.pull, now))
 
     # Engines
@@ -270,6 +269,12 @@
             return list(self.lots.request_failed(key.request_id, outcome, now))
         return list(self.lots.request_finished(key.request_id, outcome, now))
 
+    def _refusal(self) -> StagewalkError | None:
+        """Return why a trainer's call is refused now; None if it isn't."""
+        if self._stopping:
+            return self._stopping_error()
+        return None if self._configured else self._starting_error()
+
     def _starting_error(self) -> StagewalkError:
         return StagewalkError(
             ErrorKind.STARTING,
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -24,10 +24,9 @@
 from stagewalk.node.admission.pool import PoolCapacity
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
-from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
+from stagewalk.node.core.events import AttemptChunk
 from stagewalk.node.requests import faults
-from stagewalk.node.requests.attempts import AttemptRunner
-from stagewalk.node.requests.book import RequestBook
+from stagewalk.node.requests.attempts import AttemptEvent, AttemptRunner
 from stagewalk.node.requests.claim_gate import ClaimGate
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.notifications import (
@@ -38,12 +37,18 @@
 from stagewalk.node.requests.record import RequestRecord, fingerprint_of
 from stagewalk.node.requests.retained import RetainedOutcome
 from stagewalk.node.requests.states import Cause, RequestState
+from stagewalk.node.requests.store import RequestStore
+from stagewalk.node.requests.submission_rules import (
+    NodeLoad,
+    Resubmission,
+    ran_before,
+    refusal_of,
+    resubmission,
+)
 from stagewalk.node.requests.tenancy import apply_parameters
 from stagewalk.node.requests.timers import Timer, TimerKind
 from stagewalk.node.routing.router import Router
 
-AttemptEvent = AttemptChunk | AttemptFinished | AttemptRefused | AttemptFailed
-
 POOL_VIEW_SECONDS = 0.1
 """Least time between two views of a pool: a fifth of the poll interval. Chosen, not measured."""
 
@@ -75,11 +80,11 @@
         self._router = router
         self._admission = admission
         self._config = config
-        self._book = RequestBook(config)
+        self._store = RequestStore(config)
         self._runner = AttemptRunner(
-            identity, self._book, router, admission, config, generator=generator
+            identity, self._store, router, admission, config, generator=generator
         )
-        self._gate = ClaimGate(identity, self._book, config, generator)
+        self._gate = ClaimGate(identity, self._store, config, generator)
         self._tenants: dict[TenantName, TenantParameters] = {}
         self._pool_views_at: dict[ModelName, float] = {}
         self._stopping = False
@@ -100,52 +105,44 @@
         parameters = self._tenants.get(request.tenant)
         if parameters is None or request.model not in parameters.models:
             self._reject(key, self._unknown(request, parameters))
-            return self._book.drain()
+            return self._store.drain()
         request = apply_parameters(request, parameters)
         fingerprint = fingerprint_of(request)
-        record = self._book.records.get(key)
+        record = self._store.records.get(key)
         if record is not None:
             self._join(record, request, fingerprint)
-            return self._book.drain()
-        outcome = self._book.retained.get(key, now)
+            return self._store.drain()
+        outcome = self._store.retained.get(key, now)
         if outcome is not None and self._answer_from(outcome, key, request, fingerprint):
-            return self._book.drain()
+            return self._store.drain()
         self._open(request, parameters, fingerprint, outcome, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def handle(self, event: AttemptEvent, now: float) -> list[RequestOutput]:
         """Handle what became of an attempt."""
-        match event:
-            case AttemptChunk():
-                self._runner.handle_chunk(event, now)
-            case AttemptFinished():
-                self._runner.handle_finished(event, now)
-            case AttemptRefused():
-                self._runner.handle_refused(event, now)
-            case AttemptFailed():
-                self._runner.handle_failed(event, now)
+        self._runner.handle(event, now)
         if not isinstance(event, AttemptChunk):
             self._release(now)
-        return self._book.drain()
+        return self._store.drain()
 
     def claim_decided(self, key: str, value: bytes, won: bool, now: float) -> list[RequestOutput]:
         """Handle a claim's decision: the request may be sent only if this claim won."""
         record = self._gate.decided(key, value, won, now)
         if record is not None:
             self._admit(record, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def claim_undecided(self, key: str, error: StagewalkError, now: float) -> list[RequestOutput]:
         """Fail a request whose claim nobody can vouch for, at once; it is never sent later."""
         self._gate.undecided(key, error, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def answer_fetched(
         self, key: RequestKey, result: CompletionResult | None, detail: str, now: float
     ) -> list[RequestOutput]:
         """Handle the answer of a claim's owner, or None and why there is none."""
         self._gate.answer_fetched(key, result, detail, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def hand_over_claim(self, key: RequestKey, nonce: str, now: float) -> bool:
         """Hand over the claim of a request that never ran here; return whether it was."""
@@ -156,54 +153,51 @@
         record = self._gate.handed_over(key, query_id)
         if record is not None:
             self._admit(record, now)
-        return self._book.drain()
+        return self._store.drain()
 
     def retained(self, key: RequestKey, now: float) -> RetainedOutcome | None:
         """Return how a request ended at this node, if that is still known."""
-        return self._book.retained.get(key, now)
+        return self._store.retained.get(key, now)
 
     def in_progress(self, key: RequestKey) -> bool:
         """Return whether a request is in progress at this node."""
-        return key in self._book.records
+        return key in self._store.records
 
     def in_flight_count(self) -> int:
         """Return how many requests are in progress: a planned stop waits until none is."""
-        return len(self._book.records)
+        return len(self._store.records)
 
     def abandon(self, key: RequestKey, now: float) -> list[RequestOutput]:
         """Handle that the last call of a request has gone.
 
         One that may not run again, and runs, is kept running so that its answer is retained.
         """
-        record = self._book.records.get(key)
+        record = self._store.records.get(key)
         if record is None:
             return []
         if record.state is RequestState.RUNNING and not record.request.repeatable:
-            self._book.move(record, Cause.DETACHED)
+            self._store.move(record, Cause.DETACHED)
             return []
         self._runner.cancel_all(record, now)
         self._gate.forget(record)
         self._admission.withdraw(key)
-        self._book.abandon(record, now)
+        self._store.abandon(record, now)
         self._release(now)
-        return self._book.drain()
+        return self._store.drain()
 
-    def stop(self, now: float) -> list[RequestOutput]:
+    def stop(self) -> None:
         """Refuse new requests from now on; those in progress run to their end."""
         self._stopping = True
-        return []
 
     def tick(self, now: float) -> list[RequestOutput]:
         """Handle due timers, admit waiting requests and drop what has expired."""
-        for timer in self._book.timers.due(now):
-            record = self._book.records.get(timer.key)
-            if record is not None and record.serial == timer.serial:
-                self._handle_timer(record, timer, now)
+        for record, timer in self._store.due_timers(now):
+            self._handle_timer(record, timer, now)
         self._refresh_pools(now)
         self._release(now)
-        self._book.retained.expire(now)
-        self._book.compact_timers()
-        return self._book.drain()
+        self._store.retained.expire(now)
+        self._store.compact_timers()
+        return self._store.drain()
 
     def _join(self, record: RequestRecord, request: CompletionRequest, fingerprint: str) -> None:
         if fingerprint != record.fingerprint:
@@ -222,7 +216,7 @@
                 text=text[: record.streamed_characters],
                 version=spans[-1].version,
             )
-        self._book.output(RequestJoined(record.key, held))
+        self._store.output(RequestJoined(record.key, held))
 
     def _answer_from(
         self,
@@ -231,19 +225,19 @@
         request: CompletionRequest,
         fingerprint: str,
     ) -> bool:
-        """Answer from a retained outcome; return False if the request is to be run (again)."""
-        if outcome.fingerprint != fingerprint:
-            ran = Ran.UNKNOWN if outcome.may_have_run else Ran.NO
-            self._reject(key, faults.duplicate(self._identity.name, ran))
-            return True
-        if outcome.result is not None:
-            self._book.answer_again(key, outcome.result, request.stream)
-            return True
-        if outcome.repeatable or not outcome.may_have_run:
-            return False
-        detail = "it was sent before, and may not be sent again"
-        error = faults.outcome_unknown(Step.EXECUTION, str(self._identity.name), detail)
-        self._reject(key, outcome.error or error)
+        """Answer from a retained outcome; return False if the request is to be run."""
+        match resubmission(outcome, fingerprint):
+            case Resubmission.OTHER_REQUEST:
+                self._reject(key, faults.duplicate(self._identity.name, ran_before(outcome)))
+            case Resubmission.ANSWER:
+                assert outcome.result is not None
+                self._store.answer_again(key, outcome.result, request.stream)
+            case Resubmission.ERROR:
+                detail = "it was sent before, and may not be sent again"
+                error = faults.outcome_unknown(Step.EXECUTION, str(self._identity.name), detail)
+                self._reject(key, outcome.error or error)
+            case Resubmission.RUN:
+                return False
         return True
 
     def _open(
@@ -257,7 +251,7 @@
         key = RequestKey(request.tenant, request.request_id)
         record = RequestRecord(
             key=key,
-            serial=self._book.next_serial(),
+            serial=self._store.next_serial(),
             request=request,
             fingerprint=fingerprint,
             mixed_versions=parameters.allow_mixed_versions,
@@ -267,47 +261,40 @@
             may_have_run=outcome is not None and outcome.may_have_run,
             claim=None if outcome is None else outcome.claim,
         )
-        refusal = self._refusal(record, now)
+        memory = self._config.memory
+        refusal = refusal_of(record, self._load(), memory, self._identity.name, now)
         if refusal is not None:
             self._reject(key, refusal)
             return
-        self._book.add(record)
+        self._store.add(record)
         self._runner.record_submission(key.tenant)
-        self._book.timers.add(request.deadline, TimerKind.DEADLINE, key, record.serial)
+        self._store.set_timer(record, TimerKind.DEADLINE, request.deadline)
         if request.repeatable:
             self._admit(record, now)
         else:
             self._gate.propose(record)
 
-    def _refusal(self, record: RequestRecord, now: float) -> StagewalkError | None:
-        """Return why a new request is refused before anything is done for it; None if it isn't."""
-        node = self._identity.name
-        memory = self._config.memory
-        if self._stopping:
-            return faults.stopping(node, record.ran)
-        if now >= record.request.deadline:
-            return faults.deadline_passed(record, node, Step.VALIDATION)
-        if len(self._book.records) >= memory.maximum_requests:
-            return faults.too_many(node, record.ran, "too many requests are in progress")
-        if self._book.held_characters >= memory.maximum_held_characters:
-            return faults.too_many(node, record.ran, "too much text is held")
-        if not record.request.repeatable and len(self._gate) >= memory.maximum_claiming:
-            return faults.too_many(node, record.ran, "too many claims are being decided")
-        return None
+    def _load(self) -> NodeLoad:
+        return NodeLoad(
+            requests=len(self._store.records),
+            claiming=len(self._gate),
+            held_characters=self._store.held_characters,
+            stopping=self._stopping,
+        )
 
     def _admit(self, record: RequestRecord, now: float) -> None:
         self._refresh_pool(record.request.model, now)
         admission = self._admission.admit(record.key, record.request, now)
         if admission.is_error():
             refusal = replace(admission.error, ran=record.ran)
-            self._book.fail(record, Cause.REFUSED, refusal, now)
+            self._store.fail(record, Cause.REFUSED, refusal, now)
             return
         if admission.ok is Admission.WAITING:
-            self._book.move(record, Cause.QUEUED)
+            self._store.move(record, Cause.QUEUED)
             shed_at = self._admission.latest_start(record.request)
-            self._book.timers.add(shed_at, TimerKind.SHED, record.key, record.serial)
+            self._store.set_timer(record, TimerKind.SHED, shed_at)
             return
-        self._book.move(record, Cause.ADMITTED)
+        self._store.move(record, Cause.ADMITTED)
         self._runner.dispatch(record, now)
 
     def _release(self, now: float) -> None:
@@ -315,8 +302,8 @@
         if not self._admission.waiting_count():
             return
         for key in self._admission.release(now):
-            record = self._book.records[key]
-            self._book.move(record, Cause.ADMITTED)
+            record = self._store.records[key]
+            self._store.move(record, Cause.ADMITTED)
             self._runner.dispatch(record, now)
 
     def _handle_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
@@ -347,14 +334,14 @@
         self._runner.cancel_all(record, now)
         self._admission.withdraw(record.key)
         error = faults.deadline_passed(record, self._identity.name, step)
-        self._book.fail(record, Cause.DEADLINE, error, now)
+        self._store.fail(record, Cause.DEADLINE, error, now)
 
     def _shed(self, record: RequestRecord, now: float) -> None:
         """Fail a waiting request as soon as it can't be answered in time any more."""
         wait = self._admission.expected_wait_seconds(record.request.model, record.request.priority)
         self._admission.withdraw(record.key)
         error = faults.shed(self._identity.name, record.ran, wait)
-        self._book.fail(record, Cause.SHED, error, now)
+        self._store.fail(record, Cause.SHED, error, now)
 
     def _refresh_pools(self, now: float) -> None:
         for model in self._admission.models():
@@ -369,7 +356,7 @@
         self._admission.set_pool(model, PoolCapacity(view.slots, view.load))
 
     def _reject(self, key: RequestKey, error: StagewalkError) -> None:
-        self._book.output(SubmissionRejected(key, error))
+        self._store.output(SubmissionRejected(key, error))
 
     def _unknown(
         self, request: CompletionRequest, parameters: TenantParameters | None
--- a/src/stagewalk/node/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -12,10 +12,11 @@
 from stagewalk.common.errors import ErrorKind, StagewalkError
 from stagewalk.common.identities import RequestId, SlotKey
 from stagewalk.node.claims.notifications import ProposeClaim
+from stagewalk.node.core.backoff import retry_delay
 from stagewalk.node.core.completions import CompletionResult
+from stagewalk.node.core.due_queue import DueQueue
 from stagewalk.node.core.instructions import Instruction, LogEvent, LogFields, ScoreSample
 from stagewalk.node.core.rollouts import Sample
-from stagewalk.node.samples.backoff import retry_delay
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
 from stagewalk.node.samples.notifications import LotNotification
@@ -23,7 +24,7 @@
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.staleness import Freshness, judge_freshness
 from stagewalk.node.samples.store import LotStore, SlotPlace
-from stagewalk.node.samples.timers import TimerKind, TimerQueue
+from stagewalk.node.samples.timers import Timer, TimerKind
 
 _UNFINISHED = frozenset({SlotPhase.WAITING, SlotPhase.RUNNING})
 
@@ -44,7 +45,7 @@
         self,
         store: LotStore,
         scheduler: RolloutScheduler,
-        timers: TimerQueue,
+        timers: DueQueue[Timer],
         config: LotConfig,
         generator: random.Random,
     ) -> None:
@@ -71,7 +72,7 @@
         fault = self._answer_fault(lot, result, now)
         if fault is not None:
             del self._store.requests[request_id]
-            return output + self.run_again(lot, index, fault, now)
+            return output + self.run_again(lot, index, fault)
         slot.candidate_id = request_id
         slot.candidate = result
         lot.move(index, SlotPhase.SCORING)
@@ -97,7 +98,7 @@
             self._scheduler.refused(lot, now)
         if error.kind in _SOON_AGAIN:
             limit = self._config.no_room_retry_seconds
-        delay = retry_delay(self._config, failures, self._generator)
+        delay = self._retry_delay(failures)
         delay = min(limit, max(delay, error.retry_after_seconds or 0.0))
         self._set_timer(now + delay, TimerKind.RUN, lot, place.index)
         return self._log_if_stuck(lot, slot, error, now)
@@ -121,7 +122,8 @@
         slot.decided = False
         lot.move(index, SlotPhase.CLAIMING)
         if len(encode_sample(slot.sample)) > self._config.maximum_claim_bytes:
-            return self._stop_waiting_for_claim(lot, index)
+            self._stop_waiting_for_claim(lot, index)
+            return []
         wait_until = now + self._config.claim_wait_seconds
         self._set_timer(wait_until, TimerKind.CLAIM_WAIT, lot, index)
         return [self._propose(lot, index, slot.sample)]
@@ -136,7 +138,7 @@
         if slot.phase is not SlotPhase.SCORING or slot.candidate_id != sample_id:
             return []
         slot.failures += 1
-        delay = retry_delay(self._config, slot.failures, self._generator)
+        delay = self._retry_delay(slot.failures)
         self._set_timer(now + delay, TimerKind.SCORE, lot, place.index)
         return self._log_if_stuck(lot, slot, error, now)
 
@@ -168,13 +170,14 @@
         hopeless = error.kind is ErrorKind.INVALID_REQUEST
         if hopeless or slot.phase not in {SlotPhase.CLAIMING, SlotPhase.READY}:
             del self._store.claims[key]
-            return self._stop_waiting_for_claim(lot, place.index)
+            self._stop_waiting_for_claim(lot, place.index)
+            return []
         slot.failures += 1
-        delay = retry_delay(self._config, slot.failures, self._generator)
+        delay = self._retry_delay(slot.failures)
         self._set_timer(now + delay, TimerKind.CLAIM, lot, place.index)
         return []
 
-    def timer_due(self, kind: TimerKind, lot: Lot, index: int, now: float) -> list[LotOutput]:
+    def timer_due(self, kind: TimerKind, lot: Lot, index: int) -> list[LotOutput]:
         """Handle a due timer of a slot."""
         slot = lot.slots[index]
         match kind:
@@ -190,9 +193,10 @@
                     return []
                 return [self._propose(lot, index, slot.sample)]
             case TimerKind.CLAIM_WAIT:
-                return self._stop_waiting_for_claim(lot, index)
+                self._stop_waiting_for_claim(lot, index)
+                return []
 
-    def run_again(self, lot: Lot, index: int, reason: str, now: float) -> list[LotOutput]:
+    def run_again(self, lot: Lot, index: int, reason: str) -> list[LotOutput]:
         """Open a slot again whose answer or sample is too stale to be delivered.
 
         Staleness only grows, so if the sample was the chosen one, its generation is dead.
@@ -203,7 +207,6 @@
             slot.generation += 1
             slot.sample = None
             slot.decided = False
-        lot.stale_reruns += 1
         lot.move(index, SlotPhase.WAITING)
         self._scheduler.enqueue(lot, index)
         fields: LogFields = {
@@ -233,7 +236,7 @@
         )
         return "too stale when it finished" if verdict is Freshness.STALE else None
 
-    def _stop_waiting_for_claim(self, lot: Lot, index: int) -> list[LotOutput]:
+    def _stop_waiting_for_claim(self, lot: Lot, index: int) -> None:
         """Make a sample ready without a decided claim.
 
         The cursor alone keeps the trainer from taking two samples for a slot; the claim only
@@ -242,7 +245,6 @@
         """
         if lot.slots[index].phase is SlotPhase.CLAIMING:
             lot.move(index, SlotPhase.READY, keep_timers=True)
-        return []
 
     def _propose(self, lot: Lot, index: int, sample: Sample) -> ProposeClaim:
         slot = lot.slots[index]
@@ -251,7 +253,11 @@
         return ProposeClaim(key, encode_sample(sample))
 
     def _set_timer(self, due: float, kind: TimerKind, lot: Lot, index: int) -> None:
-        self._timers.set(due, kind, lot.key, index, lot.slots[index].change)
+        self._timers.add(due, Timer(kind, lot.key, index, lot.slots[index].change))
+
+    def _retry_delay(self, failures: int) -> float:
+        base, limit = self._config.retry_base_seconds, self._config.retry_limit_seconds
+        return retry_delay(base, limit, failures, self._generator.random())
 
     def _log_if_stuck(
         self, lot: Lot, slot: Slot, error: StagewalkError, now: float
--- a/tests/node/samples/test_exactly_once.py
+++ b/tests/node/samples/test_exactly_once.py
@@ -198,7 +198,7 @@
     @invariant()
     def memory_is_bounded(self) -> None:
         for node in self.nodes.values():
-            assert len(node.core.status(self.now)) <= CONFIG.retained_steps + 2
+            assert len(node.core._store.lots) <= CONFIG.retained_steps + 2
 
     def teardown(self) -> None:
         """With all faults over, the step is completed."""
@@ -294,11 +294,11 @@
                 self._take(name, core.handle(SampleScored(sample_id, 0.5), self.now))
             case ProposeClaim(key=key, value=value):
                 chosen = self.register.setdefault(key, value)
-                decided = core.claim_decided(key, chosen, chosen == value, self.now)
+                decided = core.claim_decided(key, chosen, self.now)
                 self._take(name, decided)
             case ReadClaim(key=key):
                 if key in self.register:
-                    decided = core.claim_decided(key, self.register[key], False, self.now)
+                    decided = core.claim_decided(key, self.register[key], self.now)
                     self._take(name, decided)
 
     def _take(self, name: str, output: list[LotOutput]) -> None:
