--- a/src/stagewalk/bench/slopes.py
+++ b/src/stagewalk/bench/slopes.py
@@ -6,11 +6,10 @@
 from __future__ import annotations
 
 import math
+import statistics
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-import numpy
-
 
 @dataclass(frozen=True, slots=True)
 class Line:
@@ -44,14 +43,14 @@
 
 def fit(positions: Sequence[float], values: Sequence[float]) -> Line:
     """Fit a line; two points at least, at different positions."""
-    x = numpy.asarray(positions, dtype=float)
-    y = numpy.asarray(values, dtype=float)
-    slope, intercept = numpy.polyfit(x, y, 1)
-    spread = float(((x - x.mean()) ** 2).sum())
-    freedom = len(x) - 2
+    slope, intercept = statistics.linear_regression(positions, values)
+    mean = statistics.fmean(positions)
+    spread = sum((position - mean) ** 2 for position in positions)
+    freedom = len(positions) - 2
     deviation = math.inf
     if freedom > 0:
-        residuals = y - (intercept + slope * x)
-        deviation = math.sqrt(float((residuals**2).sum()) / freedom)
+        pairs = zip(positions, values, strict=True)
+        residuals = [value - (intercept + slope * position) for position, value in pairs]
+        deviation = math.sqrt(sum(residual**2 for residual in residuals) / freedom)
     error = deviation / math.sqrt(spread)
-    return Line(float(intercept), float(slope), error, deviation, float(x.mean()), spread, len(x))
+    return Line(intercept, slope, error, deviation, mean, spread, len(positions))
