--- a/tests/platform_adapter/test_dialect.py
+++ b/tests/platform_adapter/test_dialect.py
@@ -87,6 +87,21 @@
         self.assertEqual(["s3", "s1"], [service.name for service in decoded.services])
         self.assertEqual(16_384, decoded.limits.header_bytes)
 
+    def test_fields_that_the_gateway_has_no_use_for_are_still_checked(self) -> None:
+        unused = {"max_connections": 7, "engine": {"models": ["m"]}}
+        times = {"header_timeout_ms": 1.0, "idle_timeout_ms": 2.0}
+        service = {"name": "s", **unused}
+        kept = self.dialect.operator_record(
+            record("config", {**CONFIGURATION, "services": [service], "limits": times})
+        )
+        self.assertEqual(["s"], [service.name for service in kept.services])
+        for limits in ({"header_timeout_ms": "soon"}, {"idle_timeout_ms": None}):
+            published = {**CONFIGURATION, "limits": limits}
+            self.assertIsNone(self.dialect.operator_record(record("config", published)))
+        for field in ({"max_connections": "many"}, {"max_connections": 1.5}):
+            published = {**CONFIGURATION, "services": [{"name": "s", **field}]}
+            self.assertIsNone(self.dialect.operator_record(record("config", published)))
+
     def test_tenants_with_their_keys_and_public_routes(self) -> None:
         tenants = [{"name": "huka270", "api_keys": ["k1", "k2"], "priority": 1}, {"name": "empty"}]
         routes = [{**CONFIGURATION["routes"][0], "public": True}, CONFIGURATION["routes"][1]]
