--- a/tests/node/running_node.py
+++ b/tests/node/running_node.py
@@ -4,8 +4,10 @@
 
 import contextlib
 import functools
+import os
 import random
 import socket
+from collections import deque
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
@@ -26,12 +28,27 @@
 PATIENCE_SECONDS = 10.0
 
 
+FIRST_PORT = 20_000
+SLICES = 8
+SLICE_PORTS = 1_500
+"""Ports outside the range that outgoing connections take theirs from, cut up by process: test runs
+beside each other seldom try the same ones."""
+
+_recent_ports: deque[int] = deque(maxlen=256)
+"""A port is free until its listener is bound, so those that were given out lately are not given out
+again: two listeners of one node would get the same one."""
+
+
 def free_address() -> Address:
-    """Return an address outside the range that outgoing connections take their ports from."""
+    """Return an address that nobody listens on, and that was not returned lately."""
+    first = FIRST_PORT + os.getpid() % SLICES * SLICE_PORTS
     while True:
-        port = random.randrange(20_000, 32_000)
+        port = random.randrange(first, first + SLICE_PORTS)
+        if port in _recent_ports:
+            continue
         with contextlib.suppress(OSError), socket.socket() as probe:
             probe.bind(("127.0.0.1", port))
+            _recent_ports.append(port)
             return Address("127.0.0.1", port)
 
 
