--- a/src/stagewalk/gateway/batches/item_scores.py
+++ b/src/stagewalk/gateway/batches/item_scores.py
@@ -17,7 +17,7 @@
 
 PUBLISH_UNSCORED_SECONDS = 0.3
 """A whole text that waits longer than this for its score is recorded by itself: a node that takes
-over needs only the score. Most scores come sooner (95% within 0.092 s, docs/WORTH.md), and then
+over needs only the score. Most scores come sooner (95% within 0.092 s, docs/design/0162), and then
 text and score are recorded once."""
 
 
--- a/src/stagewalk/gateway/scoring/retry_rules.py
+++ b/src/stagewalk/gateway/scoring/retry_rules.py
@@ -16,11 +16,11 @@
 
 LONGEST_ATTEMPT_SECONDS = 1.5
 """What a worker may take: little of the time a step has, so that another attempt still counts.
-Chosen, not measured; of 1,295 calls the longest took 0.225 s (docs/WORTH.md)."""
+Chosen, not measured; of 1,295 calls the longest took 0.225 s (docs/design/0162)."""
 
 MOST_AT_ONCE = 3
 """Attempts at one call under way together: each next one is begun beside a late one. Chosen, not
-measured: 1,295 calls for 1,284 texts show that hedges are rarely needed (docs/WORTH.md)."""
+measured: 1,295 calls for 1,284 texts show that hedges are rarely needed (docs/design/0162)."""
 
 FAILURE_PAUSE_SECONDS = 0.05
 LONGEST_PAUSE_SECONDS = 0.8
