--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -85,6 +85,12 @@
             [("k", b"value"), ("k", None)], [(r.key, r.value) for r in result.ok.records]
         )
 
+    def test_a_listing_whose_value_cannot_be_decoded_is_a_failure(self) -> None:
+        items = [{"key": "a", "value": "x", "offset": 9}]
+        content = answer("200 OK", items=items, more=False, end=10)
+        result, _ = self.call(lambda log: log.newest(PLACE), content)
+        self.assertEqual(LogFault.REJECTED, result.error.fault)
+
     def test_a_listing_goes_on_a_key_and_is_followed_from_its_first_end(self) -> None:
         def listing(key: str, offset: int, end: int, more: bool) -> bytes:
             value = base64.b64encode(b"v").decode()
