--- a/tests/node/test_free_address.py
+++ b/tests/node/test_free_address.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import itertools
+from collections import deque
 from unittest import mock
 
 import testtools
@@ -11,7 +13,9 @@
 
 class FreeAddressTest(testtools.TestCase):
     def test_a_port_that_was_given_out_and_not_bound_yet_is_not_given_out_again(self) -> None:
-        first = running_node.free_address().port
-        drawn = mock.Mock(side_effect=[first, first, first + 1, first + 2])
-        with mock.patch.object(running_node.random, "randrange", drawn):
-            self.assertNotEqual(first, running_node.free_address().port)
+        every_port = range(running_node.FIRST_PORT, 32_000)
+        with mock.patch.object(running_node, "_recent_ports", deque(maxlen=256)):
+            first = running_node.free_address().port
+            drawn = mock.Mock(side_effect=itertools.chain([first, first], every_port))
+            with mock.patch.object(running_node.random, "randrange", drawn):
+                self.assertNotEqual(first, running_node.free_address().port)
