--- a/examples/claims_example.py
+++ b/examples/claims_example.py
@@ -17,7 +17,7 @@
     GroupChange,
     MemberRecord,
     PlacementChange,
-    PlacementFold,
+    PlacementStateMachine,
     encode_record,
 )
 from stagewalk.node.claims.types import Peer
@@ -36,7 +36,7 @@
         self.now = 0.0
         self.incarnations = dict.fromkeys(NAMES, 1)
         self.messages: deque[SendPeerMessage] = deque()
-        self.fold = PlacementFold(partition_count=1)
+        self.fold = PlacementStateMachine(partition_count=1)
         self.fold.apply(first_placement())
         self.cores = {name: self.start(name) for name in NAMES}
 
@@ -49,7 +49,7 @@
             Placement("region", name),
         )
         core = ClaimCore(identity, ClaimConfig(), random.Random(name))
-        core.set_groups(self.fold.placement)
+        core.set_placement(self.fold.placement)
         return core
 
     def run(self, seconds: float) -> None:
@@ -63,7 +63,7 @@
                         for other, incarnation in self.incarnations.items()
                     }
                 )
-                self.carry_out(name, core.tick(self.now))
+                self.execute(name, core.tick(self.now))
             self.deliver()
 
     def deliver(self) -> None:
@@ -80,9 +80,9 @@
                 envelope.claims,
                 self.now,
             )
-            self.carry_out(name, outputs)
+            self.execute(name, outputs)
 
-    def carry_out(self, name: str, outputs: list[ClaimOutput]) -> None:
+    def execute(self, name: str, outputs: list[ClaimOutput]) -> None:
         """Send messages, and print what a node was told."""
         for output in outputs:
             if isinstance(output, SendPeerMessage):
@@ -105,13 +105,13 @@
     cluster.run(0.2)
     for name in ("north", "east"):
         core = cluster.cores[name]
-        cluster.carry_out(name, core.propose("request/7", f"run by {name}".encode(), cluster.now))
+        cluster.execute(name, core.propose("request/7", f"run by {name}".encode(), cluster.now))
     cluster.run(2.0)
     cluster.incarnations["north"] += 1
     cluster.cores["north"] = cluster.start("north")
     cluster.run(2.0)
     print(f"north restarted; it votes again: {cluster.cores['north'].ready}")
-    cluster.carry_out("north", cluster.cores["north"].read("request/7", cluster.now))
+    cluster.execute("north", cluster.cores["north"].read("request/7", cluster.now))
     cluster.run(1.0)
 
 
--- a/examples/leases_example.py
+++ b/examples/leases_example.py
@@ -11,7 +11,7 @@
 from stagewalk.common.identities import Incarnation, NodeName, RecordId
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.leases.config import LeaseConfig
-from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
+from stagewalk.node.leases.core import LeaseCandidate, LeaseCore, LiveMember
 from stagewalk.node.leases.notifications import LeaseOutput
 from stagewalk.node.log_client.notifications import AppendToStream
 
@@ -29,7 +29,7 @@
         self.paused: set[str] = set()
         self.cores: dict[str, LeaseCore] = {}
         for name in NAMES:
-            identity = Candidate(NodeName(name), Incarnation(1))
+            identity = LeaseCandidate(NodeName(name), Incarnation(1))
             self.cores[name] = LeaseCore(identity, LeaseConfig(), random.Random(name))
             self.cores[name].set_duties([DUTY])
 
@@ -41,7 +41,7 @@
             for name in live:
                 core = self.cores[name]
                 core.set_members({NodeName(other): LiveMember(Incarnation(1)) for other in live})
-                self.carry_out(name, core.tick(self.now))
+                self.execute(name, core.tick(self.now))
                 self.read_log(name)
 
     def read_log(self, name: str) -> None:
@@ -49,11 +49,11 @@
         core = self.cores[name]
         for offset in range(self.folded[name], len(self.log)):
             record = LogRecord(offset, RecordId(f"record-{offset}"), self.log[offset])
-            self.carry_out(name, core.fold(record))
+            self.execute(name, core.fold(record))
         self.folded[name] = len(self.log)
-        self.carry_out(name, core.note_caught_up(self.now))
+        self.execute(name, core.record_caught_up(self.now))
 
-    def carry_out(self, name: str, outputs: list[LeaseOutput]) -> None:
+    def execute(self, name: str, outputs: list[LeaseOutput]) -> None:
         """Append records, and print what a node was told."""
         for output in outputs:
             if isinstance(output, AppendToStream):
--- a/examples/membership_example.py
+++ b/examples/membership_example.py
@@ -44,7 +44,7 @@
         while self.now < ends_at:
             self.now += TICK_SECONDS
             for core in list(self._nodes.values()):
-                self._carry_out(core, core.tick(self.now))
+                self._execute(core, core.tick(self.now))
             while self._messages:
                 self._deliver(self._messages.popleft())
 
@@ -75,9 +75,9 @@
         outputs = receiver.handle_message(
             message.address, NodeName(envelope.sender), envelope.membership, self.now
         )
-        self._carry_out(receiver, outputs)
+        self._execute(receiver, outputs)
 
-    def _carry_out(self, core: MembershipCore, outputs: list[MembershipOutput]) -> None:
+    def _execute(self, core: MembershipCore, outputs: list[MembershipOutput]) -> None:
         for output in outputs:
             if isinstance(output, SendPeerMessage):
                 self._messages.append(output)
--- a/src/stagewalk/bench/capacity_model.py
+++ b/src/stagewalk/bench/capacity_model.py
@@ -14,8 +14,8 @@
 from stagewalk.bench.core_costs import CHUNK_TOKENS, REPORTED_ENGINES
 from stagewalk.bench.slopes import Line, fit
 from stagewalk.node.claims.config import ClaimConfig
-from stagewalk.node.claims.placement import GROUP_SIZE
-from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.claims.placement import REPLICATION_FACTOR
+from stagewalk.node.weights.config import WeightRolloutConfig
 
 PERCENT_PER_MICROSECOND = 100 / 1e6
 MEGABYTE = 1024 * 1024
@@ -243,7 +243,7 @@
 
 def _replica(data: CapacityData) -> RoleLoad:
     unit = data.unit("claim_replica")
-    rate = planned.CLAIMS_PER_SECOND * GROUP_SIZE / planned.NODES
+    rate = planned.CLAIMS_PER_SECOND * REPLICATION_FACTOR / planned.NODES
     held = rate * ClaimConfig().retention_seconds
     memory = None if unit is None else held * unit.memory_bytes / MEGABYTE
     limit = ClaimConfig().maximum_entries
@@ -260,7 +260,7 @@
 
 
 def _weights_holder(data: CapacityData) -> RoleLoad:
-    config = RolloutConfig()
+    config = WeightRolloutConfig()
     evaluations = planned.ENGINES / config.evaluation_interval_seconds
     polls = planned.ENGINES / config.idle_poll_seconds
     busy = planned.ENGINES / config.busy_poll_seconds
--- a/src/stagewalk/bench/capacity_page.py
+++ b/src/stagewalk/bench/capacity_page.py
@@ -211,7 +211,7 @@
     known = [time for time in times if time is not None]
     title = "change in force, one node in ten at the log, s (slowest size)"
     worst = max(known) if known and len(known) == len(times) else None
-    return _limit_row(title, worst, planned.IN_FORCE_SECONDS)
+    return _limit_row(title, worst, planned.CONFIGURATION_DEADLINE_SECONDS)
 
 
 def _faults(data: CapacityData) -> str:
--- a/src/stagewalk/bench/claim_costs.py
+++ b/src/stagewalk/bench/claim_costs.py
@@ -16,11 +16,11 @@
 from stagewalk.node.claims.core import ClaimCore
 from stagewalk.node.claims.notifications import ClaimOutput
 from stagewalk.node.claims.placement import (
-    GROUP_SIZE,
+    REPLICATION_FACTOR,
     GroupChange,
     MemberRecord,
     PlacementChange,
-    PlacementFold,
+    PlacementStateMachine,
     encode_record,
 )
 from stagewalk.node.claims.types import Peer
@@ -38,7 +38,7 @@
     """A proposer that is no replica, and the three replicas of one partition."""
 
     def __init__(self) -> None:
-        names = [NodeName(f"node-{index}") for index in range(1 + GROUP_SIZE)]
+        names = [NodeName(f"node-{index}") for index in range(1 + REPLICATION_FACTOR)]
         self._addresses = [Address("10.0.0.1", 7000 + index) for index in range(len(names))]
         incarnation = Incarnation(1)
         self.cores = [
@@ -49,7 +49,7 @@
             )
             for name, address in zip(names, self._addresses, strict=True)
         ]
-        fold = PlacementFold(1)
+        fold = PlacementStateMachine(1)
         replicas = tuple(MemberRecord(name, incarnation) for name in names[1:])
         change = GroupChange(partition=0, base_epoch=0, members=replicas)
         payload = encode_record(PlacementChange(fence=1, changes=(change,)))
@@ -63,7 +63,7 @@
         self._queue: deque[tuple[int, SendPeerMessage]] = deque()
         for core in self.cores:
             core.set_members(peers)
-            core.set_groups(fold.placement)
+            core.set_placement(fold.placement)
         self.now = 0.0
         for _ in range(50):
             self.now += 0.1
@@ -111,7 +111,7 @@
         for index in range(count):
             group.claim(f"request/tenant/{count}-{index}")
         proposer.add(count, group.seconds[PROPOSER])
-        replica.add(count, sum(group.seconds[1:]) / GROUP_SIZE)
+        replica.add(count, sum(group.seconds[1:]) / REPLICATION_FACTOR)
     count = CLAIM_COUNTS[-1]
     proposer_out = group.bytes_sent[PROPOSER] / count
     replicas_out = sum(group.bytes_sent[1:]) / count
@@ -130,8 +130,8 @@
             unit="claim",
             cpu_microseconds=replica.microseconds,
             cpu_error=replica.error,
-            bytes_out=replicas_out / GROUP_SIZE,
-            bytes_in=proposer_out / GROUP_SIZE,
+            bytes_out=replicas_out / REPLICATION_FACTOR,
+            bytes_in=proposer_out / REPLICATION_FACTOR,
             memory_bytes=holder.size_bytes / max(1, holder.entry_count),
         ),
     )
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -26,7 +26,7 @@
     WeightVersion,
 )
 from stagewalk.node.claims.notifications import ProposeClaim
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.configuration.records import ChangeParameters, CreateTenant, encode_change
 from stagewalk.node.core.completions import (
@@ -52,8 +52,8 @@
 from stagewalk.node.samples.core import LotCore
 from stagewalk.node.samples.notifications import StartRollout
 from stagewalk.node.samples.settlement import LotOutput
-from stagewalk.node.weights.config import RolloutConfig
-from stagewalk.node.weights.core import RolloutCore
+from stagewalk.node.weights.config import WeightRolloutConfig
+from stagewalk.node.weights.core import WeightRolloutCore
 
 NODES_IN_LIST = 70
 CHUNK_TOKENS = 8
@@ -231,7 +231,7 @@
     """A duty holder whose engines all run the newest version."""
 
     def __init__(self, engine_count: int) -> None:
-        self._core = RolloutCore(node_identities(1)[0], RolloutConfig())
+        self._core = WeightRolloutCore(node_identities(1)[0], WeightRolloutConfig())
         self._core.set_tenants({TENANT: _tenant()})
         machines = [
             machine
@@ -278,7 +278,7 @@
         records = _records(count)
 
         def fold_all(_: int, all_of: list[LogRecord] = records) -> None:
-            fold = ConfigurationFold()
+            fold = ConfigurationStateMachine()
             for record in all_of:
                 fold.apply(record)
 
--- a/src/stagewalk/bench/fault_costs.py
+++ b/src/stagewalk/bench/fault_costs.py
@@ -22,7 +22,7 @@
 STEP_SECONDS = 1.0
 LONGEST_SECONDS = 90.0
 RACK_NODES = 10
-LARGEST_CUT = 210
+REGION_PARTITION_NODE_LIMIT = 210
 """Most nodes with which the regions are cut: beyond, the run takes minutes."""
 
 ONE_WAY_SECONDS = 0.002
@@ -48,7 +48,7 @@
         self.network.list_machines()
         self.network.run(JOIN_SECONDS)
 
-    def names_in(self, zone: str) -> list[str]:
+    def names_in_zone(self, zone: str) -> list[str]:
         """Return the nodes of a zone."""
         return [name for name, place in self.placements.items() if place.zone == zone]
 
@@ -89,15 +89,15 @@
     """Apply one fault after another to a network and measure how it settles."""
     bench = _FaultBench(node_count)
     zone = next(iter(bench.placements.values())).zone
-    one = bench.names_in(zone)[:1]
-    rack = bench.names_in(zone)[:RACK_NODES]
+    one = bench.names_in_zone(zone)[:1]
+    rack = bench.names_in_zone(zone)[:RACK_NODES]
     measured = [
         _measure(bench, "a machine fails", lambda: bench.kill(one)),
         _measure(bench, "a process starts anew", lambda: bench.restart(one)),
         _measure(bench, "a rack fails", lambda: bench.kill(rack)),
         _measure(bench, "the rack comes back", lambda: bench.restart(rack)),
-        _measure(bench, "a zone fails", lambda: bench.kill(bench.names_in(zone))),
-        _measure(bench, "the zone comes back", lambda: bench.restart(bench.names_in(zone))),
+        _measure(bench, "a zone fails", lambda: bench.kill(bench.names_in_zone(zone))),
+        _measure(bench, "the zone comes back", lambda: bench.restart(bench.names_in_zone(zone))),
     ]
     if with_regions:
         measured.append(_measure(bench, "regions lose each other", bench.cut_regions))
@@ -109,14 +109,14 @@
     network = bench.network
     network.notifications.clear()
     before = _read(network)
-    began_at = network.now
+    started_at = network.now
     cause()
     settled = False
-    while not settled and network.now - began_at < LONGEST_SECONDS:
+    while not settled and network.now - started_at < LONGEST_SECONDS:
         network.run(STEP_SECONDS)
         settled = bench.views_settled()
     after = _read(network)
-    seconds = network.now - began_at
+    seconds = network.now - started_at
     count = len(network.cores)
     gone = set(network.paused)
     false_deaths = {
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -77,7 +77,7 @@
 
     def leave(self, name: str) -> None:
         """Announce that a node leaves."""
-        self._carry_out(name, self.cores[name].leave(self.now))
+        self._execute(name, self.cores[name].leave(self.now))
 
     def list_machines(self, names: Iterable[str] | None = None) -> None:
         """Show every running node a machine list."""
@@ -125,7 +125,7 @@
         self.now = max(self.now, at)
         heapq.heapreplace(self._ticks, (at + TICK_INTERVAL_SECONDS, name))
         if name not in self.paused:
-            self._carry_out(name, self.cores[name].tick(self.now))
+            self._execute(name, self.cores[name].tick(self.now))
 
     def _deliver(
         self, at: float, order: int, receiver: str, source: Address, payload: bytes
@@ -137,9 +137,9 @@
         outputs = self.cores[receiver].handle_message(
             source, NodeName(envelope.sender), envelope.membership, self.now
         )
-        self._carry_out(receiver, outputs)
+        self._execute(receiver, outputs)
 
-    def _carry_out(self, name: str, outputs: list[MembershipOutput]) -> None:
+    def _execute(self, name: str, outputs: list[MembershipOutput]) -> None:
         for output in outputs:
             if isinstance(output, SendPeerMessage):
                 self._send(name, output)
--- a/src/stagewalk/cli/bench.py
+++ b/src/stagewalk/cli/bench.py
@@ -99,10 +99,12 @@
 
 
 def _measure_faults(data: CapacityData, sizes: tuple[int, ...]) -> CapacityData:
-    from stagewalk.bench.fault_costs import LARGEST_CUT, measure_faults
+    from stagewalk.bench.fault_costs import REGION_PARTITION_NODE_LIMIT, measure_faults
 
     faults = [
-        fault for size in sizes for fault in measure_faults(size, with_regions=size <= LARGEST_CUT)
+        fault
+        for size in sizes
+        for fault in measure_faults(size, with_regions=size <= REGION_PARTITION_NODE_LIMIT)
     ]
     return msgspec.structs.replace(data, faults=tuple(faults))
 
--- a/src/stagewalk/cli/config_log.py
+++ b/src/stagewalk/cli/config_log.py
@@ -16,13 +16,13 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import RecordId
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted, ChangeRejected
 from stagewalk.node.configuration.records import (
+    CONFIGURATION_SNAPSHOT_STREAM,
     CONFIGURATION_STREAM,
-    SNAPSHOT_STREAM,
     AnyChange,
     encode_change,
 )
@@ -35,7 +35,7 @@
 
 CALL_TIMEOUT_SECONDS = 5.0
 PAUSE_SECONDS = 0.02
-READ_LIMIT = 500
+MAXIMUM_RECORDS_PER_READ = 500
 
 
 class _ReadRecord(msgspec.Struct):
@@ -81,7 +81,7 @@
     """
 
     def __init__(self, url: str, client_id: str, timeout_seconds: float) -> None:
-        self.fold = ConfigurationFold()
+        self.fold = ConfigurationStateMachine()
         self._http = httpx.Client(base_url=url, timeout=CALL_TIMEOUT_SECONDS)
         self._url = url
         self._timeout = timeout_seconds
@@ -99,14 +99,14 @@
     def catch_up(self) -> Result[int, StagewalkError]:
         """Fold the stream, from the latest snapshot on, up to its head; return that offset."""
         deadline = time.monotonic() + self._timeout
-        self._client.follow_latest(SNAPSHOT_STREAM, 1)
+        self._client.follow_latest(CONFIGURATION_SNAPSHOT_STREAM, 1)
         while not self._snapshots_read:
             if not self._step(deadline):
-                return Error(self._failure(Step.LOG_READ, Ran.NO))
+                return Error(self._failure(ErrorStep.LOG_READ, ExecutionStatus.NO))
         self._client.follow(CONFIGURATION_STREAM, self.fold.offset)
         while self._head is None or self.fold.offset < self._head:
             if not self._step(deadline):
-                return Error(self._failure(Step.LOG_READ, Ran.NO))
+                return Error(self._failure(ErrorStep.LOG_READ, ExecutionStatus.NO))
         return Ok(self.fold.offset)
 
     def publish(self, change: AnyChange) -> Result[Published, StagewalkError]:
@@ -121,16 +121,20 @@
             return Error(queued.error)
         self._settled = None
         record_id = queued.ok.record_id
-        self._carry_out(queued.ok.output)
+        self._execute(queued.ok.output)
         while True:
             outcome = self.fold.outcome_of(record_id)
             if outcome is not None:
                 return Ok(Published(record_id, self._offset_of(record_id), outcome))
             if isinstance(self._settled, AppendAbandoned):
-                ran = Ran.UNKNOWN if self._settled.outcome_unknown else Ran.NO
-                return Error(self._failure(Step.LOG_APPEND, ran, record_id))
+                ran = (
+                    ExecutionStatus.UNKNOWN if self._settled.outcome_unknown else ExecutionStatus.NO
+                )
+                return Error(self._failure(ErrorStep.LOG_APPEND, ran, record_id))
             if not self._step(deadline):
-                return Error(self._failure(Step.LOG_APPEND, Ran.UNKNOWN, record_id))
+                return Error(
+                    self._failure(ErrorStep.LOG_APPEND, ExecutionStatus.UNKNOWN, record_id)
+                )
 
     def _offset_of(self, record_id: RecordId) -> int:
         return next(entry.offset for entry in self.fold.history if entry.record_id == record_id)
@@ -143,10 +147,10 @@
         output = self._client.tick(now)
         if not output:
             time.sleep(PAUSE_SECONDS)
-        self._carry_out(output)
+        self._execute(output)
         return True
 
-    def _carry_out(self, output: list[LogClientOutput]) -> None:
+    def _execute(self, output: list[LogClientOutput]) -> None:
         """Carry instructions out one by one, with those that follow from their answers."""
         waiting = deque(output)
         while waiting:
@@ -167,7 +171,7 @@
         return self._client.handle(event, time.monotonic())
 
     def _fold_records(self, read: RecordsRead) -> None:
-        if read.stream == SNAPSHOT_STREAM:
+        if read.stream == CONFIGURATION_SNAPSHOT_STREAM:
             self._snapshots_read = True
             if read.records:
                 self.fold.restore(read.records[-1].payload)
@@ -177,7 +181,7 @@
         self._head = read.head
 
     def _read(self, item: ReadLog) -> LogRead | LogReadFailed:
-        parameters = {"offset": item.offset, "limit": READ_LIMIT, "wait_seconds": 0}
+        parameters = {"offset": item.offset, "limit": MAXIMUM_RECORDS_PER_READ, "wait_seconds": 0}
         try:
             response = self._http.get(f"/streams/{item.stream}/records", params=parameters)
             if not response.is_success:
@@ -215,8 +219,12 @@
         except (msgspec.MsgspecError, IndexError) as error:
             return AppendFailed(stream, record_id, True, _describe(error))
 
-    def _failure(self, step: Step, ran: Ran, record_id: RecordId | None = None) -> StagewalkError:
-        kind = ErrorKind.OUTCOME_UNKNOWN if ran is Ran.UNKNOWN else ErrorKind.UNREACHABLE
+    def _failure(
+        self, step: ErrorStep, ran: ExecutionStatus, record_id: RecordId | None = None
+    ) -> StagewalkError:
+        kind = (
+            ErrorKind.OUTCOME_UNKNOWN if ran is ExecutionStatus.UNKNOWN else ErrorKind.UNREACHABLE
+        )
         record = f" for record {record_id}" if record_id else ""
         detail = f"no result within {self._timeout:g} s{record}; last: {self._last_failure}"
         return StagewalkError(kind, step, self._url, detail, ran)
--- a/src/stagewalk/cli/config_publish.py
+++ b/src/stagewalk/cli/config_publish.py
@@ -24,7 +24,7 @@
     progress_text,
 )
 from stagewalk.common.identities import TenantName
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted
 from stagewalk.node.configuration.records import (
     AnyChange,
@@ -63,7 +63,7 @@
 def roll_back(arguments: argparse.Namespace) -> int:
     """Publish an earlier revision again, as a new one."""
 
-    def change(fold: ConfigurationFold, base: int) -> AnyChange:
+    def change(fold: ConfigurationStateMachine, base: int) -> AnyChange:
         to_revision = arguments.to_revision
         if to_revision is None:
             earlier = [each.revision for each in fold.revisions(tenant) if each.revision < base]
@@ -83,7 +83,7 @@
 def delete(arguments: argparse.Namespace) -> int:
     """Delete a tenant."""
 
-    def change(fold: ConfigurationFold, base: int) -> AnyChange:
+    def change(fold: ConfigurationStateMachine, base: int) -> AnyChange:
         return DeleteTenant(
             operator=arguments.operator,
             partner=arguments.partner,
@@ -96,7 +96,10 @@
 
 
 def _desired_change(
-    arguments: argparse.Namespace, desired: DesiredTenant, fold: ConfigurationFold, base: int
+    arguments: argparse.Namespace,
+    desired: DesiredTenant,
+    fold: ConfigurationStateMachine,
+    base: int,
 ) -> AnyChange:
     """Return the record that creates the file's tenant, or changes it if it exists."""
     if desired.file.tenant in fold.tenants:
@@ -120,7 +123,7 @@
 def _publish_change(
     arguments: argparse.Namespace,
     tenant: TenantName,
-    change: Callable[[ConfigurationFold, int], AnyChange],
+    change: Callable[[ConfigurationStateMachine, int], AnyChange],
 ) -> int:
     """Publish the change that follows from what is in force; print its outcome."""
     if arguments.wait and not arguments.nodes:
--- a/src/stagewalk/cli/config_show.py
+++ b/src/stagewalk/cli/config_show.py
@@ -22,7 +22,7 @@
     print_error,
     progress_text,
 )
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 
 
 def status(arguments: argparse.Namespace) -> int:
@@ -48,7 +48,7 @@
     return exit_code
 
 
-def _differs(node: NodeProgress, fold: ConfigurationFold) -> bool:
+def _differs(node: NodeProgress, fold: ConfigurationStateMachine) -> bool:
     return node.offset == fold.offset and node.digest not in ("", fold.digest())
 
 
--- a/src/stagewalk/cli/explain.py
+++ b/src/stagewalk/cli/explain.py
@@ -11,7 +11,7 @@
 from datetime import UTC, datetime
 
 from stagewalk.cli.log_files import add_log_arguments, read_logs
-from stagewalk.gateway.explain.story import Story, find_story
+from stagewalk.gateway.explain.story import Timeline, find_timeline
 from stagewalk.gateway.explain.waits import describe_waits
 
 EXIT_FOUND = 0
@@ -30,36 +30,36 @@
     lines = read_logs(arguments.logs)
     if lines is None:
         return EXIT_BAD_ARGUMENTS
-    story = find_story(arguments.id, lines)
-    if story is None:
+    timeline = find_timeline(arguments.id, lines)
+    if timeline is None:
         nodes = ", ".join(sorted({line.node for line in lines})) or "none"
         print(f"no line names {arguments.id}; nodes in the logs: {nodes}", file=sys.stderr)
         return EXIT_UNKNOWN_ID
-    print("\n".join(render_story(story)))
+    print("\n".join(render_story(timeline)))
     return EXIT_FOUND
 
 
-def render_story(story: Story) -> list[str]:
+def render_story(timeline: Timeline) -> list[str]:
     """Return a story as lines of text: its lines in time order, then what follows from them."""
-    began = story.own[0].at
-    own = set(map(id, story.own))
-    text = [f"{story.kind.value} {story.identity}, from {_moment(began)}"]
-    for line in story.lines:
+    began = timeline.own[0].at
+    own = set(map(id, timeline.own))
+    text = [f"{timeline.kind.value} {timeline.identity}, from {_moment(began)}"]
+    for line in timeline.lines:
         mark = "!" if line.failure else " "
         place = line.node if id(line) in own else f"({line.node})"
         text.append(f"{mark} {line.at - began:+8.3f} s  {place}  {line.describe()}")
-    first = story.first_failure
+    first = timeline.first_failure
     text.append("")
     text.append(
         "nothing went wrong in these logs"
         if first is None
         else f"first failure: {first.at - began:+.3f} s at {first.node}: {first.describe()}"
     )
-    text += describe_waits(story.own)
-    ending = story.ending
+    text += describe_waits(timeline.own)
+    ending = timeline.ending
     if ending is not None:
         text.append(f"ended: {ending.at - began:+.3f} s at {ending.node}: {ending.describe()}")
-    text += [f"unknown: {sentence}" for sentence in story.unknown]
+    text += [f"unknown: {sentence}" for sentence in timeline.unknown]
     return text
 
 
--- a/src/stagewalk/cli/steps.py
+++ b/src/stagewalk/cli/steps.py
@@ -9,7 +9,7 @@
 import argparse
 
 from stagewalk.cli.log_files import add_log_arguments, read_logs
-from stagewalk.gateway.explain.steps import StepAccount, account_steps, find_recoveries
+from stagewalk.gateway.explain.steps import StepSummary, find_recoveries, summarize_steps
 
 EXIT_DONE = 0
 EXIT_BAD_ARGUMENTS = 2
@@ -30,7 +30,7 @@
     if lines is None:
         return EXIT_BAD_ARGUMENTS
     began = min((line.at for line in lines), default=0.0)
-    for account in account_steps(lines):
+    for account in summarize_steps(lines):
         print("\n".join(render_step(account, began, arguments.last)))
     for recovery in find_recoveries(lines):
         print(
@@ -40,7 +40,7 @@
     return EXIT_DONE
 
 
-def render_step(account: StepAccount, began: float, last: int) -> list[str]:
+def render_step(account: StepSummary, began: float, last: int) -> list[str]:
     """Return a step's account as lines of text.
 
     Parameters
--- a/src/stagewalk/common/errors.py
+++ b/src/stagewalk/common/errors.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 
-class Ran(StrEnum):
+class ExecutionStatus(StrEnum):
     """Whether the work behind a failed request may have been executed."""
 
     NO = "no"
@@ -18,7 +18,7 @@
     """An engine may have executed it."""
 
 
-class Step(StrEnum):
+class ErrorStep(StrEnum):
     """Where on its way a request, a record or an order failed."""
 
     VALIDATION = "validation"
@@ -82,10 +82,10 @@
     """
 
     kind: ErrorKind
-    step: Step
+    step: ErrorStep
     peer: str
     detail: str
-    ran: Ran = Ran.NO
+    ran: ExecutionStatus = ExecutionStatus.NO
     field: str | None = None
     retry_after_seconds: float | None = None
 
--- a/src/stagewalk/common/http/asgi.py
+++ b/src/stagewalk/common/http/asgi.py
@@ -17,7 +17,7 @@
 from stagewalk.common.http.lifespan import serve_lifespan
 from stagewalk.common.logs.lines import log_event
 
-POLICY_VIOLATION = 1008
+WEBSOCKET_POLICY_VIOLATION = 1008
 """WebSocket close code (RFC 6455, 7.4.1): this server accepts no WebSockets."""
 
 HttpHandler = Callable[[HTTPScope, ASGIReceiveCallable, ASGISendCallable], Awaitable[None]]
@@ -36,7 +36,7 @@
     elif scope["type"] == "http":
         await serve_http(scope, receive, send)
     else:
-        await send({"type": "websocket.close", "code": POLICY_VIOLATION, "reason": None})
+        await send({"type": "websocket.close", "code": WEBSOCKET_POLICY_VIOLATION, "reason": None})
 
 
 async def run_exchange(
--- a/src/stagewalk/common/http/body_budget.py
+++ b/src/stagewalk/common/http/body_budget.py
@@ -11,10 +11,10 @@
     def admits(self, announced_bytes: int) -> bool:
         """Whether a body of an announced length would fit now."""
 
-    def take(self, count: int) -> bool:
+    def reserve_bytes(self, count: int) -> bool:
         """Use bytes of the budget; return whether there were enough."""
 
-    def give_back(self, count: int) -> None:
+    def release_bytes(self, count: int) -> None:
         """Return bytes to the budget: the body was handed on, or dropped."""
 
 
@@ -28,13 +28,13 @@
         """Return true: a body is refused once it finds too few bytes as it arrives."""
         return True
 
-    def take(self, count: int) -> bool:
+    def reserve_bytes(self, count: int) -> bool:
         """Use bytes of the budget; return whether there were enough."""
         if count > self._free_bytes:
             return False
         self._free_bytes -= count
         return True
 
-    def give_back(self, count: int) -> None:
+    def release_bytes(self, count: int) -> None:
         """Return bytes to the budget."""
         self._free_bytes += count
--- a/src/stagewalk/common/http/calls.py
+++ b/src/stagewalk/common/http/calls.py
@@ -18,10 +18,10 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import Address
 
-Answer = TypeVar("Answer")
+ResponseBody = TypeVar("ResponseBody")
 
 NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 """Failures before any byte of a request was written."""
@@ -32,19 +32,19 @@
 POOL_TIMEOUT_SECONDS = 2.0
 """Longest wait for a free connection of a pool."""
 
-KEEPALIVE_SECONDS = 4.0
+KEEPALIVE_EXPIRY_SECONDS = 4.0
 """Idle connections are dropped before usual servers close them, so that none breaks in use."""
 
-SILENT_MILLISECONDS = 1_500
+TCP_USER_TIMEOUT_MILLISECONDS = 1_500
 """A connection without an acknowledgement for so long counts as lost: by then a lost packet was
 sent again three times (after 0.2, 0.6 and 1.4 s)."""
 
-SILENCE_OPTIONS = (
+TCP_KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MILLISECONDS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLISECONDS),
 )
 """Options of sockets to other processes. A kept connection may go silent for good without a reset.
 The kernel asks a peer once a second whether it is still there, so such a connection is dropped
@@ -68,7 +68,7 @@
 def open_transport(
     maximum_connections: int,
     maximum_idle: int,
-    keepalive_seconds: float = KEEPALIVE_SECONDS,
+    keepalive_seconds: float = KEEPALIVE_EXPIRY_SECONDS,
 ) -> httpx.AsyncHTTPTransport:
     """Return a pool of connections for short calls.
 
@@ -85,7 +85,7 @@
         verify=_BARE_TLS_CONTEXT,
         limits=limits,
         trust_env=False,
-        socket_options=SILENCE_OPTIONS,
+        socket_options=TCP_KEEPALIVE_OPTIONS,
     )
 
 
@@ -94,13 +94,13 @@
     return httpx.Timeout(read_seconds, connect=CONNECT_TIMEOUT_SECONDS, pool=POOL_TIMEOUT_SECONDS)
 
 
-def process_url(address: Address, path: str) -> str:
+def url_for(address: Address, path: str) -> str:
     """Return the URL of a path at a process's address."""
     host = f"[{address.host}]" if ":" in address.host else address.host
     return f"http://{host}:{address.port}{path}"
 
 
-def path_part(name: str) -> str:
+def quote_path_segment(name: str) -> str:
     """Return a name quoted as one segment of a URL's path."""
     return quote(name, safe="")
 
@@ -137,12 +137,12 @@
     method: str,
     url: str,
     *,
-    answer: type[Answer],
-    step: Step,
+    answer: type[ResponseBody],
+    step: ErrorStep,
     peer: str,
     read_seconds: float,
     body: object | None = None,
-) -> Result[Answer, StagewalkError]:
+) -> Result[ResponseBody, StagewalkError]:
     """Send a JSON body (if any) and decode the JSON answer.
 
     The error's `ran` is `no` only if the request was never sent or the peer refused it (4xx).
@@ -153,14 +153,14 @@
         return Error(transport_error(error, step, peer))
     if not response.is_success:
         return Error(status_error(response, step, peer))
-    return decode_answer(response, answer, step, peer)
+    return decode_response(response, answer, step, peer)
 
 
 @dataclass(frozen=True, slots=True)
-class ChangedAnswer(Generic[Answer]):
+class ChangedResponse(Generic[ResponseBody]):
     """An answer that differs from the one known, and the tag to ask with next time."""
 
-    value: Answer
+    value: ResponseBody
     entity_tag: str | None
 
 
@@ -169,11 +169,11 @@
     url: str,
     entity_tag: str | None,
     *,
-    answer: type[Answer],
-    step: Step,
+    answer: type[ResponseBody],
+    step: ErrorStep,
     peer: str,
     read_seconds: float,
-) -> Result[ChangedAnswer[Answer] | None, StagewalkError]:
+) -> Result[ChangedResponse[ResponseBody] | None, StagewalkError]:
     """Read a JSON answer unless it still has a known entity tag; None if it has."""
     known = None if entity_tag is None else {"if-none-match": entity_tag}
     try:
@@ -184,36 +184,38 @@
         return Ok(None)
     if not response.is_success:
         return Error(status_error(response, step, peer))
-    return decode_answer(response, answer, step, peer).map(
-        lambda value: ChangedAnswer(value, response.headers.get("etag"))
+    return decode_response(response, answer, step, peer).map(
+        lambda value: ChangedResponse(value, response.headers.get("etag"))
     )
 
 
-def decode_answer(
-    response: httpx.Response, answer: type[Answer], step: Step, peer: str
-) -> Result[Answer, StagewalkError]:
+def decode_response(
+    response: httpx.Response, answer: type[ResponseBody], step: ErrorStep, peer: str
+) -> Result[ResponseBody, StagewalkError]:
     """Decode the JSON of a successful response."""
     try:
         return Ok(msgspec.json.decode(response.content, type=answer))
     except msgspec.DecodeError as error:
         return Error(
-            StagewalkError(ErrorKind.REJECTED, step, peer, f"bad answer: {error}", Ran.UNKNOWN)
+            StagewalkError(
+                ErrorKind.REJECTED, step, peer, f"bad answer: {error}", ExecutionStatus.UNKNOWN
+            )
         )
 
 
-def transport_error(error: httpx.HTTPError, step: Step, peer: str) -> StagewalkError:
+def transport_error(error: httpx.HTTPError, step: ErrorStep, peer: str) -> StagewalkError:
     """Return the error value for a connection that failed."""
     timed_out = isinstance(error, httpx.TimeoutException)
     return StagewalkError(
         kind=ErrorKind.TIMEOUT if timed_out else ErrorKind.UNREACHABLE,
         step=step,
         peer=peer,
-        detail=describe(error),
-        ran=Ran.NO if isinstance(error, NOT_SENT_ERRORS) else Ran.UNKNOWN,
+        detail=describe_exception(error),
+        ran=ExecutionStatus.NO if isinstance(error, NOT_SENT_ERRORS) else ExecutionStatus.UNKNOWN,
     )
 
 
-def status_error(response: httpx.Response, step: Step, peer: str) -> StagewalkError:
+def status_error(response: httpx.Response, step: ErrorStep, peer: str) -> StagewalkError:
     """Return the error value for an answer whose status is not 2xx."""
     detail = response.content[:_DETAIL_CHARACTERS].decode(errors="replace")
     refused = response.is_client_error and response.status_code != _REQUEST_TIMEOUT_STATUS
@@ -222,10 +224,10 @@
         step=step,
         peer=peer,
         detail=f"status {response.status_code}: {detail}",
-        ran=Ran.NO if refused else Ran.UNKNOWN,
+        ran=ExecutionStatus.NO if refused else ExecutionStatus.UNKNOWN,
     )
 
 
-def describe(error: BaseException) -> str:
+def describe_exception(error: BaseException) -> str:
     """Return an exception as one short text, never empty."""
     return f"{type(error).__name__}: {error}"[:_DETAIL_CHARACTERS]
--- a/src/stagewalk/common/http/exchange.py
+++ b/src/stagewalk/common/http/exchange.py
@@ -14,9 +14,9 @@
 from expression import Error, Ok, Result
 from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.http.body_budget import ByteBudget
-from stagewalk.common.http.peer_names import BUSY_RETRY_SECONDS, CALLER_PEER, EDGE_PEER
+from stagewalk.common.http.peer_names import BUSY_RETRY_AFTER_SECONDS, CALLER_PEER, EDGE_PEER
 from stagewalk.common.http.problems import (
     BODY_FIELD,
     problem_headers,
@@ -26,10 +26,10 @@
 from stagewalk.common.http.server_connection import transport_of
 from stagewalk.common.settings.fields import Limits
 
-JSON_CONTENT = "application/json"
-PROBLEM_CONTENT = "application/problem+json"
+JSON_CONTENT_TYPE = "application/json"
+PROBLEM_CONTENT_TYPE = "application/problem+json"
 
-LINGER_SECONDS = 2.0
+LINGERING_CLOSE_SECONDS = 2.0
 """How long an answered caller may go on sending its body before the connection is closed."""
 
 WRITE_BUFFER_BYTES = 16_384
@@ -128,7 +128,7 @@
 
     def release_body(self) -> None:
         """Release the memory of what has arrived of the body."""
-        self._budget.give_back(len(self._body))
+        self._budget.release_bytes(len(self._body))
         self._body = bytearray()
 
     async def respond(
@@ -137,34 +137,37 @@
         """Send a whole response, at once even if the caller is still sending its body.
 
         Closing then would reset the connection under the response, so the rest of the body is
-        read and discarded for `LINGER_SECONDS` at most.
+        read and discarded for `LINGERING_CLOSE_SECONDS` at most.
         """
         length = ("content-length", str(len(body)))
         await self.start(status, content_type, (length, *headers))
         await self.write(body)
-        with anyio.move_on_after(LINGER_SECONDS):
+        with anyio.move_on_after(LINGERING_CLOSE_SECONDS):
             await self._body_ended.wait()
         await self.write(b"", last=True)
 
     async def fail(self, error: StagewalkError) -> None:
         """Send an error as the whole response."""
-        error = self.truthful(error)
+        error = self.adjust_for_resend(error)
         await self.respond(
-            problem_status(error), PROBLEM_CONTENT, render_problem(error), problem_headers(error)
+            problem_status(error),
+            PROBLEM_CONTENT_TYPE,
+            render_problem(error),
+            problem_headers(error),
         )
 
-    def truthful(self, error: StagewalkError) -> StagewalkError:
+    def adjust_for_resend(self, error: StagewalkError) -> StagewalkError:
         """Return an error that says "not run" only of a request that was not sent before.
 
         What this node did not run may well have run when it was sent the first time.
         """
-        return dataclasses.replace(error, ran=Ran.UNKNOWN) if self.resent else error
+        return dataclasses.replace(error, ran=ExecutionStatus.UNKNOWN) if self.resent else error
 
     async def start(self, status: int, content_type: str, headers: Headers = ()) -> None:
         """Send the response's status and headers."""
-        await self.begin(status, (("content-type", content_type), *headers))
+        await self.start_response(status, (("content-type", content_type), *headers))
 
-    async def begin(self, status: int, headers: Headers) -> None:
+    async def start_response(self, status: int, headers: Headers) -> None:
         """Send the response's status and headers, whatever its content is."""
         self.started = True
         closing = (("connection", "close"),) if self._last() and self._persistent else ()
@@ -219,7 +222,7 @@
     def _keep(self, part: bytes) -> StagewalkError | None:
         if len(self._body) + len(part) > self._limits.body_bytes:
             return _too_large(self._limits)
-        if not self._budget.take(len(part)):
+        if not self._budget.reserve_bytes(len(part)):
             return _too_many_bodies()
         self._body += part
         return None
@@ -238,12 +241,12 @@
 def _too_many_bodies() -> StagewalkError:
     return StagewalkError(
         kind=ErrorKind.OVERLOADED,
-        step=Step.ADMISSION,
+        step=ErrorStep.ADMISSION,
         peer=EDGE_PEER,
         detail="too many bodies are arriving at once",
-        retry_after_seconds=BUSY_RETRY_SECONDS,
+        retry_after_seconds=BUSY_RETRY_AFTER_SECONDS,
     )
 
 
 def _body_error(kind: ErrorKind, detail: str) -> StagewalkError:
-    return StagewalkError(kind, Step.VALIDATION, CALLER_PEER, detail, field=BODY_FIELD)
+    return StagewalkError(kind, ErrorStep.VALIDATION, CALLER_PEER, detail, field=BODY_FIELD)
--- a/src/stagewalk/common/http/listener_filter.py
+++ b/src/stagewalk/common/http/listener_filter.py
@@ -14,7 +14,7 @@
 SO_ATTACH_FILTER = 26
 """Socket option of Linux, see socket(7); `socket` has no name for it."""
 
-RETURN_CONSTANT = 0x06
+BPF_RETURN_CONSTANT = 0x06
 """Filter instruction: keep as many bytes of the packet as the constant says."""
 
 
@@ -37,7 +37,7 @@
 
 def drop_new_connections(listener: socket.socket) -> None:
     """Drop packets for the listener itself; does nothing on a system without such filters."""
-    drop_all = _FilterInstruction(RETURN_CONSTANT, 0, 0, 0)
+    drop_all = _FilterInstruction(BPF_RETURN_CONSTANT, 0, 0, 0)
     program = _FilterProgram(1, ctypes.pointer(drop_all))
     with contextlib.suppress(OSError):
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, bytes(program))
--- a/src/stagewalk/common/http/problems.py
+++ b/src/stagewalk/common/http/problems.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError
+from stagewalk.common.errors import ErrorKind, ExecutionStatus, StagewalkError
 
 BODY_FIELD = "body"
 PROBLEM_TYPE_PREFIX = "urn:stagewalk:error:"
@@ -71,7 +71,7 @@
     headers = []
     if error.retry_after_seconds is not None:
         headers.append(("retry-after", str(math.ceil(error.retry_after_seconds))))
-    if error.ran is Ran.UNKNOWN:
+    if error.ran is ExecutionStatus.UNKNOWN:
         headers.append(("x-should-retry", "false"))
     return tuple(headers)
 
--- a/src/stagewalk/common/http/server.py
+++ b/src/stagewalk/common/http/server.py
@@ -16,16 +16,16 @@
 
 from stagewalk.common.identities import Address
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 """Connections the kernel accepts ahead of the server."""
 
 MAXIMUM_HEAD_BYTES = 64 * 1024
 """Longest head of a request; well above the header limits that routes publish."""
 
-KEEP_ALIVE_SECONDS = 75.0
+SERVER_KEEP_ALIVE_SECONDS = 75.0
 """Longer than clients usually keep idle connections, so that it is they who close them."""
 
-GRACEFUL_SECONDS = 3.0
+GRACEFUL_TIMEOUT_SECONDS = 3.0
 """How long requests under way may go on once the listener is closed."""
 
 EXIT_LINGER_SECONDS = 0.5
@@ -38,7 +38,9 @@
 def open_listener(address: Address) -> socket.socket:
     """Bind and return the listening socket; raises `OSError` if the address is taken."""
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
-    listener = socket.create_server((address.host, address.port), family=family, backlog=BACKLOG)
+    listener = socket.create_server(
+        (address.host, address.port), family=family, backlog=LISTEN_BACKLOG
+    )
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, STALLED_WRITE_MILLISECONDS)
     return listener
@@ -56,7 +58,7 @@
     server has not, and requests on their way; so new connections are dropped first.
 
     `hypercorn` can't be cancelled half-way through its shutdown, so a cancellation of this call
-    sets `stop` and waits for the orderly end, at most `GRACEFUL_SECONDS`.
+    sets `stop` and waits for the orderly end, at most `GRACEFUL_TIMEOUT_SECONDS`.
 
     Parameters
     ----------
@@ -93,9 +95,9 @@
     config.bind = [f"fd://{listener.detach()}"]
     config.accesslog = None
     config.errorlog = logging.getLogger("hypercorn.error")
-    config.backlog = BACKLOG
-    config.keep_alive_timeout = KEEP_ALIVE_SECONDS
-    config.graceful_timeout = GRACEFUL_SECONDS
+    config.backlog = LISTEN_BACKLOG
+    config.keep_alive_timeout = SERVER_KEEP_ALIVE_SECONDS
+    config.graceful_timeout = GRACEFUL_TIMEOUT_SECONDS
     config.include_server_header = False
     config.h11_max_incomplete_size = MAXIMUM_HEAD_BYTES
     return config
--- a/src/stagewalk/common/identities.py
+++ b/src/stagewalk/common/identities.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class SlotKey:
+class SampleSlotKey:
     """The place of one sample in a training step.
 
     A step of a tenant's trainer asks for `samples_per_prompt` samples of each prompt;
--- a/src/stagewalk/common/logs/budget.py
+++ b/src/stagewalk/common/logs/budget.py
@@ -20,10 +20,10 @@
 FAILURE_BURST_LINES = 1_000.0
 """The same for lines of level `warning` and above."""
 
-MOST_KINDS = 256
+MAXIMUM_EVENT_KINDS = 256
 """Kinds of events counted separately; any further ones share a budget."""
 
-OTHER_KINDS = "other"
+OTHER_EVENT_KINDS = "other"
 
 
 @dataclass(slots=True)
@@ -31,13 +31,13 @@
     per_second: float
     most: float
     level: float
-    filled_at: float
+    refilled_at: float
 
     def take(self, now: float) -> bool:
         """Take one token if there is one."""
-        gained = max(0.0, now - self.filled_at) * self.per_second
+        gained = max(0.0, now - self.refilled_at) * self.per_second
         self.level = min(self.most, self.level + gained)
-        self.filled_at = now
+        self.refilled_at = now
         if self.level < 1.0:
             return False
         self.level -= 1.0
@@ -64,8 +64,8 @@
     def allows(self, event: str, failure: bool, now: float) -> bool:
         """Whether a line may be written now; one that may not is counted."""
         kind = event
-        if event not in self._ordinary and len(self._ordinary) >= MOST_KINDS:
-            kind = OTHER_KINDS
+        if event not in self._ordinary and len(self._ordinary) >= MAXIMUM_EVENT_KINDS:
+            kind = OTHER_EVENT_KINDS
         self._events[(kind, failure)] += 1
         if failure and self._failure_bucket(kind, now).take(now):
             return True
@@ -74,11 +74,11 @@
         self._dropped[kind] += 1
         return False
 
-    def note_lost(self, event: str) -> None:
+    def record_lost(self, event: str) -> None:
         """Count a line that was allowed but found no room at the writer."""
         self._dropped[event] += 1
 
-    def take_dropped(self) -> dict[str, int]:
+    def pop_dropped_counts(self) -> dict[str, int]:
         """Return how many lines of each kind were dropped since this was last asked."""
         dropped = dict(self._dropped)
         self._dropped.clear()
--- a/src/stagewalk/common/logs/lines.py
+++ b/src/stagewalk/common/logs/lines.py
@@ -22,7 +22,7 @@
 
 LogValue = str | int | float | bool | None
 
-LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
+LOG_LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 LIBRARY_MESSAGE_INTERVAL_SECONDS = 10.0
 """Shortest time between two lines of the same message of a library."""
@@ -47,7 +47,7 @@
     Parameters
     ----------
     minimum_level
-        One of `LEVELS`.
+        One of `LOG_LEVELS`.
     write
         Takes a line; one that returns False had no room for it.
     node
@@ -60,7 +60,7 @@
     Callable
         Removes the destination again.
     """
-    destination = _LineDestination(LEVELS[minimum_level], write, node, budget)
+    destination = _LineDestination(LOG_LEVELS[minimum_level], write, node, budget)
     handler = _LibraryHandler()
     eliot.add_destinations(destination)
     logging.getLogger().addHandler(handler)
@@ -123,17 +123,17 @@
         self._budget = budget
 
     def __call__(self, message: Mapping[str, Any]) -> None:
-        level = LEVELS.get(message.get("level", "info"), LEVELS["error"])
+        level = LOG_LEVELS.get(message.get("level", "info"), LOG_LEVELS["error"])
         if level < self._minimum:
             return
         event = str(message.get("message_type", "message"))
         budget = self._budget
-        failure = level >= LEVELS["warning"]
+        failure = level >= LOG_LEVELS["warning"]
         if budget is not None and not budget.allows(event, failure, steady_seconds()):
             return
         taken = self._write(format_line(message, self._node) + "\n")
         if budget is not None and taken is False:
-            budget.note_lost(event)
+            budget.record_lost(event)
 
 
 class _LibraryHandler(logging.Handler):
--- a/src/stagewalk/common/logs/writer.py
+++ b/src/stagewalk/common/logs/writer.py
@@ -10,10 +10,10 @@
 from collections import deque
 from collections.abc import Callable
 
-MOST_WAITING_BYTES = 1_000_000
+MAXIMUM_BUFFERED_BYTES = 1_000_000
 """Most bytes that wait for the reader; a line beyond that is dropped, and counted."""
 
-WRITE_BYTES = 4_096
+MAXIMUM_WRITE_BYTES = 4_096
 """A pipe that has room takes at least so much at once without blocking (POSIX `PIPE_BUF`)."""
 
 
@@ -49,9 +49,9 @@
     def write(self, line: str) -> bool:
         """Write a line now or soon; return whether there was room for it."""
         encoded = line.encode(errors="replace")
-        if self._waiting_bytes + len(encoded) > MOST_WAITING_BYTES:
+        if self._waiting_bytes + len(encoded) > MAXIMUM_BUFFERED_BYTES:
             self.flush()
-            if self._waiting_bytes + len(encoded) > MOST_WAITING_BYTES:
+            if self._waiting_bytes + len(encoded) > MAXIMUM_BUFFERED_BYTES:
                 return False
         self._waiting.append(encoded)
         self._waiting_bytes += len(encoded)
@@ -83,14 +83,15 @@
         return any(events & select.POLLOUT for _, events in self._poll.poll(0))
 
     def _next_piece(self) -> bytes:
-        """Return lines of up to `WRITE_BYTES` together, or the beginning of a longer one."""
+        """Return lines of up to `MAXIMUM_WRITE_BYTES` together, or the beginning of a longer
+        one."""
         first = self._waiting.popleft()
-        if len(first) > WRITE_BYTES:
-            self._waiting.appendleft(first[WRITE_BYTES:])
-            return first[:WRITE_BYTES]
+        if len(first) > MAXIMUM_WRITE_BYTES:
+            self._waiting.appendleft(first[MAXIMUM_WRITE_BYTES:])
+            return first[:MAXIMUM_WRITE_BYTES]
         parts = [first]
         size = len(first)
-        while self._waiting and size + len(self._waiting[0]) <= WRITE_BYTES:
+        while self._waiting and size + len(self._waiting[0]) <= MAXIMUM_WRITE_BYTES:
             size += len(self._waiting[0])
             parts.append(self._waiting.popleft())
         return b"".join(parts)
--- a/src/stagewalk/common/settings/addresses.py
+++ b/src/stagewalk/common/settings/addresses.py
@@ -10,7 +10,7 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
 from stagewalk.common.identities import Address
 
 SETTINGS_PEER = "settings"
@@ -21,7 +21,7 @@
     """Return the error for a settings field, by its path in the file."""
     return StagewalkError(
         kind=ErrorKind.INVALID_REQUEST,
-        step=Step.SETTINGS,
+        step=ErrorStep.SETTINGS,
         peer=SETTINGS_PEER,
         detail=detail,
         field=field,
--- a/src/stagewalk/gateway/admission/decisions.py
+++ b/src/stagewalk/gateway/admission/decisions.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from stagewalk.gateway.admission.fair_queue import QueuedRequest, Waiting
+from stagewalk.gateway.admission.fair_queue import AdmissionRequest, QueueEntry
 
 
 class RejectionReason(StrEnum):
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Expectation:
+class WaitEstimate:
     """What a request in the queue is judged by. Times are in seconds.
 
     Attributes
@@ -56,18 +56,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Admitted:
     """A request may start at once, and keeps a place of its service until it ends."""
 
-    request: QueuedRequest
+    request: AdmissionRequest
 
 
 @dataclass(frozen=True, slots=True)
 class Queued:
     """A request waits."""
 
-    waiting: Waiting
-    expectation: Expectation
+    waiting: QueueEntry
+    wait_estimate: WaitEstimate
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
 
     reason: RejectionReason
     retry_after_seconds: float
-    expectation: Expectation
+    wait_estimate: WaitEstimate
 
 
-Decision = Place | Queued | Rejection
+Decision = Admitted | Queued | Rejection
--- a/src/stagewalk/gateway/admission/fair_queue.py
+++ b/src/stagewalk/gateway/admission/fair_queue.py
@@ -32,23 +32,23 @@
 OVERDUE_EACH = 4
 """Of so many starts one is an overdue request's, while others wait too."""
 
-MOST_LEAD = 1.0
+MAXIMUM_TENANT_LEAD = 1.0
 """A returning request whose tenant is this far ahead of the others' shares waits for them, in
 requests of usual cost."""
 
-MOST_COST = 8.0
+MAXIMUM_RELATIVE_COST = 8.0
 """Most that one request moves its tenant back, in parts of the usual."""
 
-TURN_MEMORY_SECONDS = 1.0
+TENANT_HISTORY_SECONDS = 1.0
 """How long a start moves its tenant back: within an answer's usual target. Over a longer time each
 tenant of a node that starts few would be behind all others in turn, and wait for them."""
 
-MOST_IDLE_TENANTS = 256
+MAXIMUM_IDLE_TENANTS = 256
 """Tenants remembered beyond those that wait; the ones that are not ahead of others go first."""
 
 
 @dataclass(frozen=True, slots=True)
-class QueuedRequest:
+class AdmissionRequest:
     """A forwarded request as it asks for a place. Times are of the steady clock.
 
     Attributes
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class QueueEntry:
     """A request in the queue.
 
     Attributes
@@ -94,7 +94,7 @@
         Whether it has its place.
     """
 
-    request: QueuedRequest
+    request: AdmissionRequest
     cost: float
     returning: bool
     committed: bool = False
@@ -105,7 +105,7 @@
 class _TenantQueue:
     """A tenant's requests by when they are due, and its turns in their order."""
 
-    requests: list[tuple[float, int, Waiting]] = field(default_factory=list)
+    requests: list[tuple[float, int, QueueEntry]] = field(default_factory=list)
     turns: list[tuple[float, int, str]] = field(default_factory=list)
 
 
@@ -116,11 +116,11 @@
         self.now = 0.0
         self._next: dict[str, tuple[float, float]] = {}
         """By tenant, its next turn, and the steady time at which it took the one before."""
-        self._prune_at = MOST_IDLE_TENANTS
+        self._prune_at = MAXIMUM_IDLE_TENANTS
 
     def next_turn(self, tenant: str, now: float) -> float:
         at, taken_at = self._next.get(tenant, (0.0, -math.inf))
-        return max(self.now, at) if now - taken_at < TURN_MEMORY_SECONDS else self.now
+        return max(self.now, at) if now - taken_at < TENANT_HISTORY_SECONDS else self.now
 
     def take_turn(self, tenant: str, cost: float, now: float) -> float:
         """Return a tenant's next turn; the one after it is later by the cost."""
@@ -128,7 +128,7 @@
         self._next[tenant] = at + cost, now
         if len(self._next) > self._prune_at:
             self._next = {t: turn for t, turn in self._next.items() if self._counts(turn, now)}
-            self._prune_at = MOST_IDLE_TENANTS + 2 * len(self._next)
+            self._prune_at = MAXIMUM_IDLE_TENANTS + 2 * len(self._next)
         return at
 
     def give_back(self, tenant: str, cost: float) -> None:
@@ -138,7 +138,7 @@
             self._next[tenant] = at - cost, taken_at
 
     def _counts(self, turn: tuple[float, float], now: float) -> bool:
-        return turn[0] > self.now and now - turn[1] < TURN_MEMORY_SECONDS
+        return turn[0] > self.now and now - turn[1] < TENANT_HISTORY_SECONDS
 
     def advance(self, at: float) -> None:
         self.now = max(self.now, at)
@@ -156,7 +156,7 @@
     def __len__(self) -> int:
         return len(self._turns)
 
-    def add(self, waiting: Waiting, now: float) -> None:
+    def add(self, waiting: QueueEntry, now: float) -> None:
         tenant = waiting.request.tenant
         queue = self._tenants.setdefault(tenant, _TenantQueue())
         at = self._clock.take_turn(tenant, waiting.cost, now)
@@ -166,7 +166,7 @@
         insort(queue.turns, (at, number, tenant))
         insort(self._turns, (at, number, tenant))
 
-    def pop(self) -> Waiting:
+    def pop(self) -> QueueEntry:
         turn = self._turns.pop(0)
         tenant = turn[2]
         queue = self._tenants[tenant]
@@ -177,18 +177,18 @@
         self._clock.advance(turn[0])
         return waiting
 
-    def remove(self, waiting: Waiting) -> bool:
+    def remove(self, waiting: QueueEntry) -> bool:
         """Remove a request that won't start, and its tenant's last turn; return if it was there."""
         if not self._remove(waiting, -1):
             return False
         self._clock.give_back(waiting.request.tenant, waiting.cost)
         return True
 
-    def start(self, waiting: Waiting) -> bool:
+    def start(self, waiting: QueueEntry) -> bool:
         """Remove a request that starts out of order, and its tenant's first turn."""
         return self._remove(waiting, 0)
 
-    def _remove(self, waiting: Waiting, turn_place: int) -> bool:
+    def _remove(self, waiting: QueueEntry, turn_place: int) -> bool:
         tenant = waiting.request.tenant
         queue = self._tenants.get(tenant, _TenantQueue())
         places = (i for i, entry in enumerate(queue.requests) if entry[2] is waiting)
@@ -207,15 +207,15 @@
         """Return the earliest turn, infinite if nobody waits."""
         return self._turns[0][0] if self._turns else math.inf
 
-    def ahead_of(self, request: QueuedRequest, now: float) -> int:
+    def ahead_of(self, request: AdmissionRequest, now: float) -> int:
         """Return how many start before a request."""
         return bisect_left(self._turns, self._turn(request, now))
 
-    def is_behind(self, request: QueuedRequest, now: float) -> bool:
+    def is_behind(self, request: AdmissionRequest, now: float) -> bool:
         """Whether later requests of other tenants may start before a request."""
         return self._turn(request, now)[0] > self._clock.now
 
-    def _turn(self, request: QueuedRequest, now: float) -> tuple[float, int, str]:
+    def _turn(self, request: AdmissionRequest, now: float) -> tuple[float, int, str]:
         """Return the turn of a request: its tenant's next one if it doesn't wait yet."""
         queue = self._tenants.get(request.tenant)
         own = 0 if queue is None else bisect_left(queue.requests, request.due_at, key=_due)
@@ -244,13 +244,13 @@
     def line(self, returning: bool) -> _Line:
         return self.returning if returning else self.new
 
-    def pop(self) -> Waiting:
+    def pop(self) -> QueueEntry:
         self._starts += 1
         lead = self.returning.first_turn - self.new.first_turn
-        turn_of_returning = self._starts % RETURNING_EACH == 0 and lead <= MOST_LEAD
+        turn_of_returning = self._starts % RETURNING_EACH == 0 and lead <= MAXIMUM_TENANT_LEAD
         return self.line(turn_of_returning or len(self.new) == 0).pop()
 
-    def ahead_of(self, request: QueuedRequest, returning: bool, now: float) -> int:
+    def ahead_of(self, request: AdmissionRequest, returning: bool, now: float) -> int:
         ahead = self.line(returning).ahead_of(request, now)
         if returning:
             return ahead + min(len(self.new), (RETURNING_EACH - 1) * (ahead + 1))
@@ -263,7 +263,7 @@
     def __init__(self) -> None:
         self._classes: dict[int, _Class] = {}
         """By urgency."""
-        self._overdue: deque[Waiting] = deque()
+        self._overdue: deque[QueueEntry] = deque()
         self._size = 0
         self._starts = 0
 
@@ -271,35 +271,35 @@
         """Return how many wait."""
         return self._size
 
-    def note_start(self, waiting: Waiting, now: float) -> None:
+    def record_start(self, waiting: QueueEntry, now: float) -> None:
         """Count a request that starts without waiting."""
         request = waiting.request
         clock = self._class(request.urgency).clock
         clock.advance(clock.take_turn(request.tenant, waiting.cost, now))
 
-    def push(self, waiting: Waiting, now: float) -> None:
+    def push(self, waiting: QueueEntry, now: float) -> None:
         """Add a request."""
         self._line(waiting).add(waiting, now)
         self._size += 1
 
-    def pop(self) -> Waiting:
+    def pop(self) -> QueueEntry:
         """Remove and return the request that starts next; raises `ValueError` if none waits."""
         self._starts += 1
         self._size -= 1
         overdue = self._pop_overdue() if self._starts % OVERDUE_EACH == 0 else None
         return overdue or self._classes[self._most_urgent()].pop()
 
-    def remove(self, waiting: Waiting) -> bool:
+    def remove(self, waiting: QueueEntry) -> bool:
         """Remove a request; return whether it was there."""
         removed = self._line(waiting).remove(waiting)
         self._size -= removed
         return removed
 
-    def add_overdue(self, waiting: Waiting) -> None:
+    def add_overdue(self, waiting: QueueEntry) -> None:
         """Have a request that waits start out of order, if its turn doesn't come before."""
         self._overdue.append(waiting)
 
-    def ahead_of(self, waiting: Waiting, now: float) -> int:
+    def ahead_of(self, waiting: QueueEntry, now: float) -> int:
         """Return how many of those that wait start before a request, whether it waits or not."""
         request = waiting.request
         urgency = request.urgency
@@ -308,7 +308,7 @@
         ahead += group.ahead_of(request, waiting.returning, now)
         return ahead + min(len(self._overdue), (ahead + 1) // (OVERDUE_EACH - 1))
 
-    def is_behind(self, waiting: Waiting, now: float) -> bool:
+    def is_behind(self, waiting: QueueEntry, now: float) -> bool:
         """Whether later requests of other tenants of its class may start before a request."""
         return self._line(waiting).is_behind(waiting.request, now)
 
@@ -317,14 +317,14 @@
         groups = self._classes.values()
         return sum(g.new.waiting_of(tenant) + g.returning.waiting_of(tenant) for g in groups)
 
-    def _pop_overdue(self) -> Waiting | None:
+    def _pop_overdue(self) -> QueueEntry | None:
         while self._overdue:
             waiting = self._overdue.popleft()
             if self._line(waiting).start(waiting):
                 return waiting
         return None
 
-    def _line(self, waiting: Waiting) -> _Line:
+    def _line(self, waiting: QueueEntry) -> _Line:
         return self._class(waiting.request.urgency).line(waiting.returning)
 
     def _class(self, urgency: int) -> _Class:
@@ -337,5 +337,5 @@
         return min(urgency for urgency, group in self._classes.items() if len(group) > 0)
 
 
-def _due(entry: tuple[float, int, Waiting]) -> float:
+def _due(entry: tuple[float, int, QueueEntry]) -> float:
     return entry[0]
--- a/src/stagewalk/gateway/admission/limit.py
+++ b/src/stagewalk/gateway/admission/limit.py
@@ -15,7 +15,7 @@
 
 from stagewalk.gateway.admission.recent_values import SpanMaximum
 
-LEAST_STARTS_PER_SECOND = 4.0
+MINIMUM_STARTS_PER_SECOND = 4.0
 """The bound never holds a node below this rate: a node with three requests a second sees too few
 answers to learn from, and one that sends nothing learns nothing."""
 
@@ -23,13 +23,13 @@
 """Most requests under way for each slot of the service: a worker has the next one as a slot gets
 free, and no queue of its own."""
 
-REFUSED_FACTOR = 0.8
+REFUSAL_DECREASE_FACTOR = 0.8
 """What is left of the bound after a full worker's refusal."""
 
-QUEUED_FACTOR = 0.9
+CONGESTION_DECREASE_FACTOR = 0.9
 """What is left of it after an answer from a worker with a queue, or one that took too long."""
 
-GROWTH = 0.5
+ADDITIVE_INCREASE = 0.5
 """Added to the bound over as many answers without congestion as it has places."""
 
 USED_SHARE = 0.5
@@ -45,10 +45,10 @@
 SMOOTHING = 0.1
 """Weight of the newest time in the smoothed ones."""
 
-LEAST_ANSWERS = 10
+MINIMUM_ANSWERS = 10
 """Answers before their smoothed time says anything."""
 
-LEAST_DECREASE_SECONDS = 0.05
+MINIMUM_DECREASE_SECONDS = 0.05
 """Between two decreases pass this time and that of an answer: one moment of congestion counts
 once."""
 
@@ -74,7 +74,7 @@
     @property
     def value(self) -> float:
         """Return the bound, in requests under way; below 1 it is a share of the time."""
-        floor = LEAST_STARTS_PER_SECOND * (self._holding or 0.0)
+        floor = MINIMUM_STARTS_PER_SECOND * (self._holding or 0.0)
         return min(self._ceiling, max(floor, self._limit))
 
     @property
@@ -111,16 +111,16 @@
         holding = otherwise if self._holding is None else self._holding
         return holding / self.value
 
-    def note_started(self, now: float) -> None:
+    def record_started(self, now: float) -> None:
         """Record that a request started."""
         self._started_at = now
 
-    def note_held(self, seconds: float) -> None:
+    def note_holding_time(self, seconds: float) -> None:
         """Record how long a request kept its place."""
         before = self._holding
         self._holding = seconds if before is None else before + SMOOTHING * (seconds - before)
 
-    def note_refused(self, in_flight: int, now: float) -> None:
+    def record_refused(self, in_flight: int, now: float) -> None:
         """Record that a full worker refused a request.
 
         Parameters
@@ -128,9 +128,9 @@
         in_flight
             Requests that this node had under way at the service, the refused one among them.
         """
-        self._decrease(REFUSED_FACTOR, in_flight, now)
+        self._decrease(REFUSAL_DECREASE_FACTOR, in_flight, now)
 
-    def note_answered(
+    def record_answered(
         self, seconds: float | None, queued_share: float, in_flight: int, now: float
     ) -> None:
         """Record an answer.
@@ -150,9 +150,11 @@
         if not used:
             return
         if slow or queued_share >= QUEUED_SHARE:
-            self._decrease(QUEUED_FACTOR, in_flight, now)
+            self._decrease(CONGESTION_DECREASE_FACTOR, in_flight, now)
         else:
-            self._limit = self.value + GROWTH * min(1.0, self.value) / max(1.0, self.value)
+            self._limit = self.value + ADDITIVE_INCREASE * min(1.0, self.value) / max(
+                1.0, self.value
+            )
 
     def forget(self, now: float) -> None:
         """Give the bound up if there was no congestion of late; asked while nobody waits."""
@@ -163,15 +165,15 @@
         self._answers += 1
         weight = max(SMOOTHING, 1.0 / self._answers)
         self._latency += weight * (seconds - self._latency)
-        if self._answers < LEAST_ANSWERS:
+        if self._answers < MINIMUM_ANSWERS:
             return False
-        self._shortest.note(-self._latency, now)
+        self._shortest.observe(-self._latency, now)
         return self._latency > LATENCY_FACTOR * -self._shortest.value
 
     def _decrease(self, factor: float, in_flight: int, now: float) -> None:
         """Shrink the bound to a part of itself, or of what was under way if that was less."""
         self._congested_at = now
-        pause = max(LEAST_DECREASE_SECONDS, self._holding or 0.0)
+        pause = max(MINIMUM_DECREASE_SECONDS, self._holding or 0.0)
         if now - self._decreased_at < pause:
             return
         self._decreased_at = now
--- a/src/stagewalk/gateway/admission/recent_values.py
+++ b/src/stagewalk/gateway/admission/recent_values.py
@@ -7,7 +7,7 @@
 
 import math
 
-MEMORY_SECONDS = 1.0
+DECAY_SECONDS = 1.0
 """An event counts for about so long. Long against the time of a short request, short against that
 of a change of load."""
 
@@ -28,12 +28,12 @@
         self._at = now
 
     def value(self, now: float) -> float:
-        """Return about how many events there were in the last `MEMORY_SECONDS`."""
-        return self._count * math.exp(min(0.0, (self._at - now) / MEMORY_SECONDS))
+        """Return about how many events there were in the last `DECAY_SECONDS`."""
+        return self._count * math.exp(min(0.0, (self._at - now) / DECAY_SECONDS))
 
     def rate(self, now: float) -> float:
         """Return the events a second."""
-        return self.value(now) / MEMORY_SECONDS
+        return self.value(now) / DECAY_SECONDS
 
 
 class SpanMaximum:
@@ -44,7 +44,7 @@
         self._current = -math.inf
         self._before = -math.inf
 
-    def note(self, value: float, now: float) -> None:
+    def observe(self, value: float, now: float) -> None:
         """Record a value."""
         if now - self._began >= SPAN_SECONDS:
             recent = now - self._began < 2.0 * SPAN_SECONDS
--- a/src/stagewalk/gateway/admission/return_times.py
+++ b/src/stagewalk/gateway/admission/return_times.py
@@ -14,10 +14,10 @@
 
 from stagewalk.gateway.admission.recent_values import RecentCount
 
-LEAST_RETURN_SECONDS = 0.05
+MINIMUM_RETURN_SECONDS = 0.05
 """Shortest time: a new connection of the caller takes some of it."""
 
-MOST_SHARE_OF_TIME_LEFT = 0.33
+MAXIMUM_SHARE_OF_TIME_LEFT = 0.33
 """Most of its time left that a caller is asked to spend: it needs the rest to wait and be served,
 and may try again twice."""
 
@@ -56,10 +56,10 @@
         count = self._refused.setdefault(urgency, RecentCount())
         count.add(now)
         before = sum(c.value(now) for u, c in self._refused.items() if u < urgency)
-        earliest = max(LEAST_RETURN_SECONDS, too_long_seconds, before * seconds_per_start)
-        span = max(LEAST_RETURN_SECONDS, count.value(now) * seconds_per_start)
+        earliest = max(MINIMUM_RETURN_SECONDS, too_long_seconds, before * seconds_per_start)
+        span = max(MINIMUM_RETURN_SECONDS, count.value(now) * seconds_per_start)
         seconds = earliest + span * self._rng.random()
-        most = MOST_SHARE_OF_TIME_LEFT * max(0.0, left_seconds)
+        most = MAXIMUM_SHARE_OF_TIME_LEFT * max(0.0, left_seconds)
         if seconds <= most:
             return seconds
-        return max(LEAST_RETURN_SECONDS, most * (1.0 - LATEST_SPREAD * self._rng.random()))
+        return max(MINIMUM_RETURN_SECONDS, most * (1.0 - LATEST_SPREAD * self._rng.random()))
--- a/src/stagewalk/gateway/admission/service_admission.py
+++ b/src/stagewalk/gateway/admission/service_admission.py
@@ -20,32 +20,32 @@
 from itertools import count
 
 from stagewalk.gateway.admission.decisions import (
+    Admitted,
     Decision,
-    Expectation,
-    Place,
     Queued,
     Rejection,
     RejectionReason,
+    WaitEstimate,
 )
 from stagewalk.gateway.admission.fair_queue import (
-    MOST_COST,
+    MAXIMUM_RELATIVE_COST,
     RETURNING_EACH,
+    AdmissionRequest,
     FairQueue,
-    QueuedRequest,
-    Waiting,
+    QueueEntry,
 )
 from stagewalk.gateway.admission.limit import SMOOTHING, ConcurrencyLimit
 from stagewalk.gateway.admission.recent_values import RecentCount, SpanMaximum
 from stagewalk.gateway.admission.return_times import ReturnTimes
 from stagewalk.gateway.admission.tenant_rates import TenantRates
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
+from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 from stagewalk.gateway.workers.worker import Worker
 
 PATIENCE_SHARE = 0.1
 """Part of its target after which a request is refused or committed: callers need to know within an
 eighth, and timers are late."""
 
-MOST_WAIT_SHARE = 0.33
+MAXIMUM_WAIT_SHARE = 0.33
 """Most of its target, and of the time that its deadline leaves, that a request is expected to wait:
 a third to wait, a third for the worker, a third for what the expectation is off by."""
 
@@ -54,16 +54,16 @@
 and a node that starts few a second would refuse all that come while one is under way. Which was
 told to wait: it is refused once its expectation is worse by more than its error."""
 
-DEADLINE_RESERVE_SECONDS = 0.05
+START_DEADLINE_RESERVE_SECONDS = 0.05
 """Left of the deadline for the way of the answer and what a worker takes beyond the usual."""
 
 UNKNOWN_HOLDING_SHARE = 0.5
 """Part of its target that a request is expected to take before any has ended."""
 
-MOST_WAITING = 1024
+MAXIMUM_QUEUE_LENGTH = 1024
 """Most requests in the queue of a service, whenever they start: bounds memory and tasks."""
 
-LEAST_LEFT_SHARE = 0.05
+MINIMUM_LEFT_SHARE = 0.05
 """Part of all starts that a class is expected to have at least, while more urgent ones take all."""
 
 NEW_SHARE = 0.9
@@ -81,16 +81,16 @@
 """A worker that has fewer requests for each slot gets another one, whatever the bound is: a bound
 that was learned from little must not leave workers idle."""
 
-LOOK_SECONDS = 0.1
+RECHECK_SECONDS = 0.1
 """A request that waits is looked at again after so long: all workers may be gone."""
 
-MOST_LOOKS_PER_SECOND = 500.0
+MAXIMUM_RECHECKS_PER_SECOND = 500.0
 """With many waiting, each is looked at less often: bounds what a long queue costs."""
 
-LEAST_LOOK_SECONDS = 0.002
+MINIMUM_RECHECK_SECONDS = 0.002
 """Shortest time between two looks at it: less than that is a busy loop."""
 
-SURVEY_SECONDS = 0.02
+WORKER_SUMMARY_VALID_SECONDS = 0.02
 """How long a look at all workers of the service counts."""
 
 
@@ -126,7 +126,7 @@
         """By route, the longest time until the deadline that a request came with."""
         self._route_seconds: dict[str, float] = {}
         """By route, how long its requests keep their places, smoothed."""
-        self._committed: list[tuple[float, int, Waiting]] = []
+        self._committed: list[tuple[float, int, QueueEntry]] = []
         """Committed requests by the time at which they should have started at the latest."""
         self._numbers = count()
         self._stopping = False
@@ -146,44 +146,44 @@
         """Return how many have a place."""
         return self._in_flight
 
-    def offer(self, request: QueuedRequest, now: float) -> Decision:
+    def offer(self, request: AdmissionRequest, now: float) -> Decision:
         """Return whether a request that comes now starts, waits or is refused."""
         returning = self._is_returning(request, now)
-        waiting = Waiting(request, self._cost(request), returning)
+        waiting = QueueEntry(request, self._cost(request), returning)
         if self._current_survey(now).workers > 0 and not self._queue:
             self._committed.clear()
             self._limit.forget(now)
             if self._has_place(now):
-                self._queue.note_start(waiting, now)
+                self._queue.record_start(waiting, now)
                 self._start(waiting, now)
-                return Place(request)
-        expectation = self._expect(waiting, now)
-        reason = self._reason_to_end(request, now) or self._reason_to_refuse(expectation, now)
+                return Admitted(request)
+        wait_estimate = self._expect(waiting, now)
+        reason = self._reason_to_end(request, now) or self._reason_to_refuse(wait_estimate, now)
         if reason is not None:
-            return self._reject(request, reason, expectation, now)
+            return self._reject(request, reason, wait_estimate, now)
         self._queue.push(waiting, now)
-        return Queued(waiting, expectation)
+        return Queued(waiting, wait_estimate)
 
-    def review(self, waiting: Waiting, now: float) -> Rejection | None:
+    def recheck(self, waiting: QueueEntry, now: float) -> Rejection | None:
         """Judge a request that waits once more; remove it if it is refused."""
         request = waiting.request
         reason = self._reason_to_end(request, now)
         if waiting.committed and reason is None:
             return None
-        expectation = self._expect(waiting, now, told=True)
-        reason = reason or self._reason_to_refuse(expectation, now)
+        wait_estimate = self._expect(waiting, now, told=True)
+        reason = reason or self._reason_to_refuse(wait_estimate, now)
         if reason is not None:
             self._queue.remove(waiting)
-            return self._reject(request, reason, expectation, now)
+            return self._reject(request, reason, wait_estimate, now)
         if now >= patience_ends_at(request):
             waiting.committed = True
-            latest = now + expectation.allowed_seconds
+            latest = now + wait_estimate.allowed_seconds
             heappush(self._committed, (latest, next(self._numbers), waiting))
         return None
 
-    def start_due(self, now: float) -> list[Waiting]:
+    def start_due(self, now: float) -> list[QueueEntry]:
         """Return the requests that start now, in order; each of them has its place."""
-        started: list[Waiting] = []
+        started: list[QueueEntry] = []
         while self._queue and self._has_place(now):
             self._mark_overdue(now)
             waiting = self._queue.pop()
@@ -191,7 +191,7 @@
             started.append(waiting)
         return started
 
-    def withdraw(self, waiting: Waiting) -> None:
+    def withdraw(self, waiting: QueueEntry) -> None:
         """Remove a request whose caller left; it gives back its place if it has one."""
         if waiting.started:
             self.release()
@@ -202,9 +202,9 @@
         """Give back a place."""
         self._in_flight -= 1
 
-    def note_held(self, route: str, seconds: float) -> None:
+    def note_holding_time(self, route: str, seconds: float) -> None:
         """Record how long a request that workers ran kept its place."""
-        self._limit.note_held(seconds)
+        self._limit.note_holding_time(seconds)
         before = self._route_seconds.get(route, seconds)
         self._route_seconds[route] = before + SMOOTHING * (seconds - before)
 
@@ -216,7 +216,7 @@
         """Refuse from now on whatever can't start at once."""
         self._stopping = True
 
-    def seconds_until_turn(self, waiting: Waiting, now: float) -> float:
+    def seconds_until_recheck(self, waiting: QueueEntry, now: float) -> float:
         """Return after how many seconds a request that waits is to be looked at again.
 
         Something may have changed that no ended request tells: its patience, its time, or that of
@@ -229,30 +229,30 @@
         paced = self._limit.next_start_at
         if paced > now:
             next_at = min(next_at, paced)
-        look = max(LOOK_SECONDS, len(self._queue) / MOST_LOOKS_PER_SECOND)
-        return max(LEAST_LOOK_SECONDS, min(next_at - now, look))
+        look = max(RECHECK_SECONDS, len(self._queue) / MAXIMUM_RECHECKS_PER_SECOND)
+        return max(MINIMUM_RECHECK_SECONDS, min(next_at - now, look))
 
-    def retry_after(self, request: QueuedRequest, now: float) -> float:
+    def retry_after(self, request: AdmissionRequest, now: float) -> float:
         """Return when a caller may return whose request all workers that got it refused."""
         returning = self._is_returning(request, now)
-        waiting = Waiting(request, self._cost(request), returning)
-        expectation = self._expect(waiting, now)
-        return self._choose_return(request, expectation, now)
+        waiting = QueueEntry(request, self._cost(request), returning)
+        wait_estimate = self._expect(waiting, now)
+        return self._choose_return(request, wait_estimate, now)
 
-    def _start(self, waiting: Waiting, now: float) -> None:
+    def _start(self, waiting: QueueEntry, now: float) -> None:
         waiting.started = True
         self._in_flight += 1
-        self._limit.note_started(now)
+        self._limit.record_started(now)
         key = (waiting.request.urgency, waiting.returning)
         self._starts.setdefault(key, RecentCount()).add(now)
-        self._tenants.note_start(waiting.request.tenant, now)
+        self._tenants.record_start(waiting.request.tenant, now)
 
-    def _is_returning(self, request: QueuedRequest, now: float) -> bool:
+    def _is_returning(self, request: AdmissionRequest, now: float) -> bool:
         allowed = request.deadline_at - request.arrived_at
         longest = self._longest.get(request.route)
         if longest is None:
             longest = self._longest[request.route] = SpanMaximum()
-        longest.note(allowed, now)
+        longest.observe(allowed, now)
         return allowed < NEW_SHARE * longest.value
 
     def _has_place(self, now: float) -> bool:
@@ -266,19 +266,19 @@
 
     def _current_survey(self, now: float) -> _Survey:
         survey = self._survey
-        if now - survey.at >= SURVEY_SECONDS:
+        if now - survey.at >= WORKER_SUMMARY_VALID_SECONDS:
             workers = self._workers()
             survey.at, survey.workers = now, len(workers)
             survey.spare = sum(_spare_places(worker, now) for worker in workers)
             self._limit.set_slots(sum(worker.announcement.slots for worker in workers))
         return survey
 
-    def _expect(self, waiting: Waiting, now: float, *, told: bool = False) -> Expectation:
+    def _expect(self, waiting: QueueEntry, now: float, *, told: bool = False) -> WaitEstimate:
         """Return what a request is judged by; `told`: it was told to wait before."""
         request = waiting.request
         ahead = self._queue.ahead_of(waiting, now)
         seconds = self._seconds_per_start(request, now) / self._left_share(waiting, now)
-        return Expectation(
+        return WaitEstimate(
             ahead=ahead,
             ahead_of_tenant=self._queue.waiting_of(request.tenant),
             wait_seconds=(ahead + CURRENT_START) * seconds,
@@ -287,7 +287,7 @@
             limit=self._limit.value,
         )
 
-    def _reason_to_end(self, request: QueuedRequest, now: float) -> RejectionReason | None:
+    def _reason_to_end(self, request: AdmissionRequest, now: float) -> RejectionReason | None:
         """Return why a request is refused even if it was committed."""
         if self._current_survey(now).workers == 0:
             return RejectionReason.NO_WORKER
@@ -295,20 +295,22 @@
             return RejectionReason.STOPPING
         return RejectionReason.TOO_LATE if now > self._last_start(request) else None
 
-    def _reason_to_refuse(self, expectation: Expectation, now: float) -> RejectionReason | None:
-        if len(self._queue) > MOST_WAITING:
+    def _reason_to_refuse(self, wait_estimate: WaitEstimate, now: float) -> RejectionReason | None:
+        if len(self._queue) > MAXIMUM_QUEUE_LENGTH:
             return RejectionReason.QUEUE_FULL
-        return None if expectation.in_time else RejectionReason.TOO_LATE
+        return None if wait_estimate.in_time else RejectionReason.TOO_LATE
 
     def _reject(
-        self, request: QueuedRequest, reason: RejectionReason, expected: Expectation, now: float
+        self, request: AdmissionRequest, reason: RejectionReason, expected: WaitEstimate, now: float
     ) -> Rejection:
         return Rejection(reason, self._choose_return(request, expected, now), expected)
 
-    def _choose_return(self, request: QueuedRequest, expected: Expectation, now: float) -> float:
+    def _choose_return(
+        self, request: AdmissionRequest, expected: WaitEstimate, now: float
+    ) -> float:
         too_long = expected.wait_seconds - max(0.0, expected.allowed_seconds)
         if self._current_survey(now).workers == 0:
-            too_long = max(too_long, RETRY_AFTER_SECONDS)
+            too_long = max(too_long, DEFAULT_RETRY_AFTER_SECONDS)
         return self._returns.choose(
             request.urgency,
             too_long_seconds=too_long,
@@ -317,7 +319,7 @@
             now=now,
         )
 
-    def _left_share(self, waiting: Waiting, now: float) -> float:
+    def _left_share(self, waiting: QueueEntry, now: float) -> float:
         """Return the share of all starts that is left to a request by those that come meanwhile.
 
         These are the more urgent ones, the new ones if it returns, and if its tenant is behind
@@ -329,40 +331,40 @@
         if most == 0.0:
             return 1.0
         more_urgent = sum(rate for (u, _), rate in rates.items() if u < urgency)
-        left = max(LEAST_LEFT_SHARE, 1.0 - more_urgent / most)
+        left = max(MINIMUM_LEFT_SHARE, 1.0 - more_urgent / most)
         new = rates.get((urgency, False), 0.0) / most
         if waiting.returning:
             left = max(left / RETURNING_EACH, left - new)
         if not self._queue.is_behind(waiting, now):
             return left
         others = self._tenants.before(waiting.request.tenant, now) / most
-        return max(LEAST_LEFT_SHARE * left, left - others)
+        return max(MINIMUM_LEFT_SHARE * left, left - others)
 
-    def _seconds_per_start(self, request: QueuedRequest, now: float) -> float:
+    def _seconds_per_start(self, request: AdmissionRequest, now: float) -> float:
         self._current_survey(now)
         return self._limit.seconds_per_start(UNKNOWN_HOLDING_SHARE * request.target_seconds)
 
-    def _holding(self, request: QueuedRequest) -> float:
+    def _holding(self, request: AdmissionRequest) -> float:
         unknown = UNKNOWN_HOLDING_SHARE * request.target_seconds
         return self._route_seconds.get(request.route, self._limit.holding_seconds or unknown)
 
-    def _cost(self, request: QueuedRequest) -> float:
+    def _cost(self, request: AdmissionRequest) -> float:
         usual = self._limit.holding_seconds
-        return 1.0 if not usual else min(MOST_COST, self._holding(request) / usual)
+        return 1.0 if not usual else min(MAXIMUM_RELATIVE_COST, self._holding(request) / usual)
 
-    def _latest_start(self, request: QueuedRequest, *, sure: bool) -> float:
+    def _latest_start(self, request: AdmissionRequest, *, sure: bool) -> float:
         """Return until when it is to start: for its target, but patience is granted to all."""
         target = request.target_seconds
-        share = SURE_WAIT_SHARE if sure else MOST_WAIT_SHARE
+        share = SURE_WAIT_SHARE if sure else MAXIMUM_WAIT_SHARE
         wait = share * target
         if not request.streamed:
             wait = min(wait, target - self._holding(request))
         of_deadline = share * (self._last_start(request) - request.arrived_at)
         return request.arrived_at + min(max(wait, PATIENCE_SHARE * target), of_deadline)
 
-    def _last_start(self, request: QueuedRequest) -> float:
+    def _last_start(self, request: AdmissionRequest) -> float:
         """Return until when it may start for its deadline."""
-        return request.deadline_at - DEADLINE_RESERVE_SECONDS - self._holding(request)
+        return request.deadline_at - START_DEADLINE_RESERVE_SECONDS - self._holding(request)
 
     def _mark_overdue(self, now: float) -> None:
         while self._committed and self._committed[0][0] <= now:
@@ -371,7 +373,7 @@
                 self._queue.add_overdue(waiting)
 
 
-def patience_ends_at(request: QueuedRequest) -> float:
+def patience_ends_at(request: AdmissionRequest) -> float:
     """Return when a request that waits is refused or committed."""
     return request.arrived_at + PATIENCE_SHARE * request.target_seconds
 
--- a/src/stagewalk/gateway/admission/tenant_rates.py
+++ b/src/stagewalk/gateway/admission/tenant_rates.py
@@ -13,7 +13,7 @@
 
 from stagewalk.gateway.admission.recent_values import RecentCount
 
-MOST_TENANTS = 2048
+MAXIMUM_TENANTS = 2048
 """Tenants whose starts are counted; with more, those that had the fewest go."""
 
 SUM_SECONDS = 0.1
@@ -30,11 +30,11 @@
         """Of all tenants, the lowest first."""
         self._sums: list[float] = [0.0]
 
-    def note_start(self, tenant: str, now: float) -> None:
+    def record_start(self, tenant: str, now: float) -> None:
         """Count a start."""
         count = self._counts.get(tenant)
         if count is None:
-            if len(self._counts) >= MOST_TENANTS:
+            if len(self._counts) >= MAXIMUM_TENANTS:
                 self._forget_half(now)
             count = self._counts[tenant] = RecentCount()
         count.add(now)
@@ -57,5 +57,5 @@
 
     def _forget_half(self, now: float) -> None:
         ordered = sorted(self._counts, key=lambda tenant: self._counts[tenant].value(now))
-        for tenant in ordered[: MOST_TENANTS // 2]:
+        for tenant in ordered[: MAXIMUM_TENANTS // 2]:
             del self._counts[tenant]
--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -23,7 +23,7 @@
 from stagewalk.gateway.forwarding.forwarder import Forwarder
 from stagewalk.gateway.forwarding.stream_forwarder import StreamForwarder
 from stagewalk.gateway.held_memory.budget import MemoryBudget
-from stagewalk.gateway.held_memory.readers import CutOff, Readers
+from stagewalk.gateway.held_memory.readers import CutOff, ResponseReaders
 from stagewalk.gateway.log_relay.relayed_log import RelayedLog, RelayPeers
 from stagewalk.gateway.metrics import GatewayMetrics
 from stagewalk.gateway.nodes.crash_watch import CrashWatch
@@ -43,7 +43,7 @@
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
 from stagewalk.gateway.workers.table import WorkerTable
 
-NODES = Partition("keyed.nodes", 0)
+NODES_PARTITION = Partition("keyed.nodes", 0)
 """Compacted partition of the nodes' announcements and of the worker ends that they report."""
 
 
@@ -113,7 +113,7 @@
     roles: RoleController
     log_reserve: LogReserve
     forwarders: Forwarders
-    readers: Readers | None
+    readers: ResponseReaders | None
 
 
 class _Links:
@@ -197,7 +197,7 @@
 
     def _cluster(self, log: LogAccess) -> ClusterState:
         routes = RouteTable(self._settings.name)
-        workers = WorkerTable(reads_pace=self._settings.policy.reported_pace)
+        workers = WorkerTable(uses_reported_pace=self._settings.policy.reported_pace)
         eligibility_services = EligibilityServices(
             settings=self._settings,
             log=log.relayed,
@@ -223,7 +223,7 @@
     ) -> CrashWatch:
         return CrashWatch(
             log=log.relayed,
-            partition=NODES,
+            partition=NODES_PARTITION,
             node=self._settings.name,
             suspects=eligibility_services.suspects,
             workers=workers,
@@ -234,7 +234,7 @@
     def _nodes(self, log: LogAccess, routes: RouteTable, crashes: CrashWatch) -> NodeService:
         return NodeService(
             log=log.relayed,
-            partition=NODES,
+            partition=NODES_PARTITION,
             own=OwnNode(
                 identity=self._identity,
                 front=self._settings.front,
@@ -303,16 +303,16 @@
             evacuations=cluster.eligibility_services.evacuations,
         )
 
-    def _readers(self) -> Readers | None:
+    def _readers(self) -> ResponseReaders | None:
         """Return the callers that answers are held for, None if the node's memory is not known."""
         budget = self._dependencies.memory
         if budget is None:
             return None
-        readers = Readers(budget, self._note_cut_off)
-        budget.reclaim_by(lambda missing: readers.make_room(missing, steady_seconds()))
+        readers = ResponseReaders(budget, self._record_cut_off)
+        budget.set_reclaimer(lambda missing: readers.make_room(missing, steady_seconds()))
         return readers
 
-    def _note_cut_off(self, cut_off: CutOff) -> None:
+    def _record_cut_off(self, cut_off: CutOff) -> None:
         self._metrics.reader_cut_off(cut_off.reason.value)
         log_event(
             "reader_cut_off",
@@ -326,7 +326,7 @@
         )
 
     def _forwarders(
-        self, cluster: ClusterState, duties: DutyServices, readers: Readers | None
+        self, cluster: ClusterState, duties: DutyServices, readers: ResponseReaders | None
     ) -> Forwarders:
         client, eligibility_services = self._dependencies.workers, cluster.eligibility_services
         begun = duties.count_begun
--- a/src/stagewalk/gateway/autoscaling/core.py
+++ b/src/stagewalk/gateway/autoscaling/core.py
@@ -18,7 +18,7 @@
 from collections.abc import Container, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from stagewalk.gateway.autoscaling.demand import HOLD_SECONDS, Demand
+from stagewalk.gateway.autoscaling.demand import PEAK_RETENTION_SECONDS, Demand
 from stagewalk.gateway.autoscaling.worker_counts import ExtraWorkers, GroupState
 from stagewalk.gateway.ports.duties import DutyOutcome, WorkerGroup, WorkerOrder
 from stagewalk.gateway.routes.route import Scaling, Service
@@ -35,7 +35,7 @@
 NONE_LEFT_SECONDS = 3.0
 """A zone that has none to give is asked again after this time; meanwhile others are asked."""
 
-RECLAIM_MEMORY_SECONDS = 600.0
+SPOT_AVOIDANCE_SECONDS = 600.0
 """After workers were taken away, ordinary ones are ordered in their place for this long: where that
 happens it happens again, a whole zone at a time, and for some seconds there are none to be had."""
 
@@ -74,7 +74,7 @@
     _reclaimed_at: dict[str, float] = field(default_factory=dict)
     """By service, when workers of the cheaper kind were last being taken away."""
 
-    def planned(self, order: WorkerOrder) -> None:
+    def apply_planned_order(self, order: WorkerOrder) -> None:
         """Apply an order that a holder of the lease stored, this one or one before it."""
         group = self._group(order.group)
         group.ordered = order.count
@@ -194,7 +194,7 @@
 
     def _uses_spot(self, service: str, scaling: Scaling, now: float) -> bool:
         """Return whether missing workers are of the cheaper kind: none was taken away lately."""
-        calm = now - self._reclaimed_at.get(service, -math.inf) > RECLAIM_MEMORY_SECONDS
+        calm = now - self._reclaimed_at.get(service, -math.inf) > SPOT_AVOIDANCE_SECONDS
         return self.policy.spot and scaling.spot_price is not None and calm
 
     def _knows_demand(self, group: WorkerGroup, now: float) -> bool:
@@ -202,7 +202,7 @@
 
         A new holder of the lease has seen no peak yet.
         """
-        return now - self._watched_since[group.service] >= HOLD_SECONDS
+        return now - self._watched_since[group.service] >= PEAK_RETENTION_SECONDS
 
     def _due(self, order: WorkerOrder, scaling: Scaling, now: float) -> bool:
         """Return whether an order is to be sent: it is new, or its workers did not appear."""
--- a/src/stagewalk/gateway/autoscaling/demand.py
+++ b/src/stagewalk/gateway/autoscaling/demand.py
@@ -1,13 +1,13 @@
 """How many items of a service were open at a time lately. Pure.
 
-Owns the peaks of the last `HOLD_SECONDS`; relies on its caller for the counts.
+Owns the peaks of the last `PEAK_RETENTION_SECONDS`; relies on its caller for the counts.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-HOLD_SECONDS = 120.0
+PEAK_RETENTION_SECONDS = 120.0
 """How long a peak counts: a worker that is given back is missed for its time to boot when the load
 returns, as after a minute in which trainers fell behind. Two minutes of one that isn't needed cost
 less than a late step."""
@@ -25,7 +25,7 @@
         while self._peaks and self._peaks[-1][1] <= open_items:
             self._peaks.pop()
         self._peaks.append((now, open_items))
-        while now - self._peaks[0][0] > HOLD_SECONDS:
+        while now - self._peaks[0][0] > PEAK_RETENTION_SECONDS:
             self._peaks.popleft()
 
     @property
--- a/src/stagewalk/gateway/batch_service/batch_lookup.py
+++ b/src/stagewalk/gateway/batch_service/batch_lookup.py
@@ -16,9 +16,9 @@
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.ledger_messages import LedgerAnswer, LedgerCall, refusal
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.batch import Batch
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
+from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 
 NO_SUCH_BATCH = "there is no such batch"
 RECORDS_DROPPED = "the batch's records are no longer all kept"
@@ -41,7 +41,7 @@
     def __init__(
         self,
         store: BatchStore,
-        places: OpenBatches,
+        places: BatchIndex,
         open_views: OpenBatchViews | None,
         starting: Callable[[], bool],
     ) -> None:
@@ -91,15 +91,15 @@
         if batch is not None:
             return Ok(batch)
         if self._starting():
-            return Error(refusal(503, "the log is being read", RETRY_AFTER_SECONDS))
+            return Error(refusal(503, "the log is being read", DEFAULT_RETRY_AFTER_SECONDS))
         current = await self._store.catch_up(name)
         batch = self._store.ledger.get(name)
         if batch is not None:
             return Ok(batch)
         if not current:
-            return Error(refusal(503, VIEW_TOO_OLD, RETRY_AFTER_SECONDS))
+            return Error(refusal(503, VIEW_TOO_OLD, DEFAULT_RETRY_AFTER_SECONDS))
         if not await self._is_absent(name):
-            return Error(refusal(503, RECORDS_DROPPED, RETRY_AFTER_SECONDS))
+            return Error(refusal(503, RECORDS_DROPPED, DEFAULT_RETRY_AFTER_SECONDS))
         return Error(refusal(404, NO_SUCH_BATCH))
 
     async def _is_absent(self, name: str) -> bool:
--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -36,20 +36,20 @@
     encode_record,
 )
 from stagewalk.gateway.dialect import Submission
-from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
+from stagewalk.gateway.partitioned_log.appender import AppendFailure, PartitionAppender
 from stagewalk.gateway.partitioned_log.follower import PartitionFollower
 from stagewalk.gateway.partitioned_log.freshness import Freshness
 from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
 
-TOPIC = "batches"
+BATCHES_TOPIC = "batches"
 PARTITIONS = 6
 """Partitions in use, fewer if the log is set up with fewer. A batch's partition follows from its
 name: the same on every node."""
 
-CATCH_UP_SECONDS = 0.8
+CATCH_UP_TIMEOUT_SECONDS = 0.8
 """How long a call may wait for the log to bring a view up to date."""
 
-CURRENT_SECONDS = 1.5
+MAXIMUM_CURRENT_VIEW_AGE_SECONDS = 1.5
 """A followed view younger than this counts as current."""
 
 READ_PAUSE_SECONDS = 0.05
@@ -71,7 +71,7 @@
         self.ledger = BatchLedger(self._changed)
         self._listener: ChangeListener = lambda _batch, _change: None
         self._news: dict[str, anyio.Event] = {}
-        numbers = [Partition(TOPIC, n) for n in range(min(PARTITIONS, partitions))]
+        numbers = [Partition(BATCHES_TOPIC, n) for n in range(min(PARTITIONS, partitions))]
         self._log = log
         self._followers = [
             PartitionFollower(
@@ -146,11 +146,11 @@
 
     async def catch_up(self, batch: str) -> bool:
         """Bring the view of a batch's partition up to now; return whether that worked."""
-        return await self._follower(batch).catch_up(CATCH_UP_SECONDS)
+        return await self._follower(batch).catch_up(CATCH_UP_TIMEOUT_SECONDS)
 
     async def submit(
         self, submission: Submission, runner: str, timeout_seconds: float
-    ) -> Result[int, AppendOutcome]:
+    ) -> Result[int, AppendFailure]:
         """Append a submission."""
         header = submission.header
         payloads = split_submission(
@@ -158,7 +158,7 @@
         )
         return await self._appender(header.batch).append(payloads, timeout_seconds)
 
-    async def end(self, batch: str, timeout_seconds: float) -> Result[int, AppendOutcome]:
+    async def end(self, batch: str, timeout_seconds: float) -> Result[int, AppendFailure]:
         """Append the end of a batch."""
         payload = encode_record(BatchEnded(batch))
         return await self._appender(batch).append([payload], timeout_seconds)
@@ -183,13 +183,15 @@
 
     def read_from(self, place: BatchPlace, on_change: ChangeListener) -> PartialLedger:
         """Return a ledger of the batches of a partition that begin at a place or later."""
-        return PartialLedger(self._log, Partition(TOPIC, place.partition), place.offset, on_change)
+        return PartialLedger(
+            self._log, Partition(BATCHES_TOPIC, place.partition), place.offset, on_change
+        )
 
     def is_current(self, batch: str, now: float) -> bool:
         """Whether the view of a batch's partition is followed and was complete just now."""
-        return self._following and self.view_age(batch, now) < CURRENT_SECONDS
+        return self._following and self.view_age(batch, now) < MAXIMUM_CURRENT_VIEW_AGE_SECONDS
 
-    def appends_stalled(self, batch: str) -> float | None:
+    def appends_stalled_since(self, batch: str) -> float | None:
         """Return since when the batch's partition takes no appends, None if it does."""
         return self._appender(batch).failing_since
 
@@ -199,7 +201,7 @@
         with anyio.move_on_after(timeout_seconds):
             await event.wait()
 
-    def note_ended(self, batch: str) -> None:
+    def record_ended(self, batch: str) -> None:
         """Apply the end of a batch that is marked as ended, but was dropped from the log unread."""
         self.ledger.apply(BatchEnded(batch), steady_seconds())
 
@@ -227,7 +229,7 @@
     def _apply(self, record: PartitionRecord) -> None:
         decoded = decode_record(record.payload)
         if decoded is None:
-            log_event("record_unreadable", "warning", topic=TOPIC, offset=record.offset)
+            log_event("record_unreadable", "warning", topic=BATCHES_TOPIC, offset=record.offset)
             return
         self.ledger.apply(decoded, steady_seconds(), record.offset)
 
--- a/src/stagewalk/gateway/batch_service/ledger_calls.py
+++ b/src/stagewalk/gateway/batch_service/ledger_calls.py
@@ -19,14 +19,14 @@
     encode_message,
     refusal,
 )
-from stagewalk.gateway.batch_service.ledger_reads import END_SECONDS, LedgerReads
+from stagewalk.gateway.batch_service.ledger_reads import END_SECONDS, LedgerCallHandler
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
+from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 from stagewalk.gateway.peer_calls.client import PeerClient
 from stagewalk.gateway.zones.distance import Proximity
 
 LEDGER_PATH = "/ledger"
-ANSWER_SECONDS = 1.0
+RESPONSE_TIMEOUT_SECONDS = 1.0
 """How long another node may take beyond the time a call offers to wait."""
 
 REPLICAS_TRIED = 2
@@ -36,7 +36,7 @@
 """A replica that did not answer is asked last for this long."""
 
 
-class LedgerCalls:
+class LedgerCallRouter:
     """Answers calls about batches on any node.
 
     A node without a replica asks one, and another one if that fails. Only where none answers at
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        local: LedgerReads,
+        local: LedgerCallHandler,
         client: PeerClient,
         proximity: Proximity,
         replicas: Callable[[], list[NodeAnnouncement]],
@@ -70,7 +70,7 @@
     async def call(self, call: LedgerCall) -> LedgerAnswer:
         """Return the answer to a call."""
         if self._following():
-            return await self._local.carry_out(call)
+            return await self._local.execute(call)
         unsure: LedgerAnswer | None = None
         for replica in self._nearest()[:REPLICAS_TRIED]:
             answer = await self._ask(replica, call)
@@ -87,8 +87,10 @@
                 status=0 if answer is None else answer.status,
             )
         if unsure is None and not self._may_hold():
-            return refusal(503, "no node that may hold the batch answers", RETRY_AFTER_SECONDS)
-        return unsure or await self._local.carry_out(call)
+            return refusal(
+                503, "no node that may hold the batch answers", DEFAULT_RETRY_AFTER_SECONDS
+            )
+        return unsure or await self._local.execute(call)
 
     def _nearest(self) -> list[NodeAnnouncement]:
         """Return the replicas in the order to ask them: sound ones first, then near ones."""
@@ -104,7 +106,7 @@
         address = replica.peer_address
         if address is None:
             return None
-        seconds = ANSWER_SECONDS
+        seconds = RESPONSE_TIMEOUT_SECONDS
         if isinstance(call, ResultsCall):
             seconds += call.wait_seconds
         else:
--- a/src/stagewalk/gateway/batch_service/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_reads.py
@@ -24,7 +24,7 @@
     refusal,
 )
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batch_service.read_rules import (
     MAXIMUM_RELAYED_AGE_SECONDS,
     MAXIMUM_VIEW_AGE_SECONDS,
@@ -32,8 +32,8 @@
 from stagewalk.gateway.batch_service.result_reads import ResultReads
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.dialect import Dialect
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
-from stagewalk.gateway.partitioned_log.appender import AppendOutcome
+from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
+from stagewalk.gateway.partitioned_log.appender import AppendFailure
 
 END_SECONDS = 2.0
 """How long an end may wait for the log, its mark and its record together."""
@@ -42,7 +42,7 @@
 LOG_SILENT = "the log did not answer"
 
 
-class LedgerReads:
+class LedgerCallHandler:
     """Serves batch calls, local or relayed.
 
     Parameters
@@ -63,7 +63,7 @@
         self,
         store: BatchStore,
         dialect: Dialect,
-        open_batches: OpenBatches,
+        open_batches: BatchIndex,
         due_seconds: Callable[[Batch], float] = lambda _batch: math.inf,
         *,
         hold_results: bool = False,
@@ -82,9 +82,9 @@
         call = decode_call(content)
         if call is None:
             return None
-        return encode_message(await self.carry_out(call, MAXIMUM_RELAYED_AGE_SECONDS))
+        return encode_message(await self.execute(call, MAXIMUM_RELAYED_AGE_SECONDS))
 
-    async def carry_out(
+    async def execute(
         self, call: LedgerCall, oldest_seconds: float = MAXIMUM_VIEW_AGE_SECONDS
     ) -> LedgerAnswer:
         """Carry a call out.
@@ -135,12 +135,12 @@
             first_offset=self._store.first_offset(name, began),
         )
         if not marked:
-            return refusal(503, LOG_SILENT, RETRY_AFTER_SECONDS)
+            return refusal(503, LOG_SILENT, DEFAULT_RETRY_AFTER_SECONDS)
         left = max(0.0, END_SECONDS - (steady_seconds() - began))
         outcome = await self._store.end(name, left)
         if outcome.is_error():
-            status = 503 if outcome.error is AppendOutcome.NOT_APPENDED else 504
-            return refusal(status, LOG_SILENT, RETRY_AFTER_SECONDS)
+            status = 503 if outcome.error is AppendFailure.NOT_APPENDED else 504
+            return refusal(status, LOG_SILENT, DEFAULT_RETRY_AFTER_SECONDS)
         log_event(
             "batch_ended",
             batch=name,
--- a/src/stagewalk/gateway/batch_service/open_batch_views.py
+++ b/src/stagewalk/gateway/batch_service/open_batch_views.py
@@ -1,8 +1,8 @@
 """Finds open batches before the whole log is read: from where each one's records begin.
 
 After a restart of all nodes, every node reads the whole log at once, which takes seconds (six
-replicas: 7 s, `daemon.RESTART_SECONDS`). An open batch needs only that batch's records. Owns
-partial ledgers by partition. Relies on `open_batches` for the places, and on the log.
+replicas: 7 s, `daemon.RESTART_LOG_RESERVE_SECONDS`). An open batch needs only that batch's records.
+Owns partial ledgers by partition. Relies on `open_batches` for the places, and on the log.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog
@@ -32,7 +32,7 @@
         Where batches are kept.
     """
 
-    def __init__(self, log: PartitionedLog, topic: str, open_batches: OpenBatches) -> None:
+    def __init__(self, log: PartitionedLog, topic: str, open_batches: BatchIndex) -> None:
         self._log = log
         self._topic = topic
         self._open_batches = open_batches
--- a/src/stagewalk/gateway/batch_service/open_batches.py
+++ b/src/stagewalk/gateway/batch_service/open_batches.py
@@ -13,18 +13,18 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batches.batch import NOBODY
+from stagewalk.gateway.batches.batch import NO_RUNNER
 from stagewalk.gateway.batches.records import owns_batch
 from stagewalk.gateway.ports.partitioned_log import LogFailure, Partition, PartitionedLog
 
-OPEN_BATCHES = Partition("keyed.batches", 0)
+BATCH_INDEX_PARTITION = Partition("keyed.batches", 0)
 NOTE_SECONDS = 0.2
 """How long a note may wait for the log: a late one is worth less."""
 
 MARK_RETRY_SECONDS = 0.1
 """Between two tries to mark an end, as between two of an append."""
 
-DROPPED = b""
+TOMBSTONE = b""
 
 
 class BatchPlace(msgspec.Struct, frozen=True, array_like=True):
@@ -58,7 +58,7 @@
         return owns_batch(self.tenant, tenant)
 
 
-class OpenBatches:
+class BatchIndex:
     """Notes and lists the places of batches.
 
     A view that begins at a noted place must show the batch's end, or the batch would be run again
@@ -92,12 +92,12 @@
             Of the batch's first record, None if this node's view doesn't show it.
         """
         certain = first_offset is not None
-        place = BatchPlace(partition, first_offset or 0, NOBODY, True, tenant, certain)
+        place = BatchPlace(partition, first_offset or 0, NO_RUNNER, True, tenant, certain)
         value = msgspec.msgpack.encode(place)
         until = steady_seconds() + timeout_seconds
         with anyio.move_on_after(timeout_seconds):
             while True:
-                answer = await self._log.append_keyed(OPEN_BATCHES, batch, value)
+                answer = await self._log.append_keyed(BATCH_INDEX_PARTITION, batch, value)
                 if answer.is_ok():
                     return True
                 if steady_seconds() + MARK_RETRY_SECONDS >= until:
@@ -108,7 +108,7 @@
 
     async def drop(self, batch: str) -> None:
         """Forget a batch that ended long ago."""
-        await self._put(batch, DROPPED)
+        await self._put(batch, TOMBSTONE)
 
     async def find(self, batch: str) -> Result[BatchPlace | None, LogFailure]:
         """Return the place of a batch, None if none is noted."""
@@ -116,7 +116,7 @@
 
     async def list(self) -> Result[dict[str, BatchPlace], LogFailure]:
         """Return the places of all batches noted."""
-        listing = await self._log.newest(OPEN_BATCHES)
+        listing = await self._log.newest(BATCH_INDEX_PARTITION)
         if listing.is_error():
             log_event("open_batches_unknown", "warning", detail=listing.error.detail)
             return Error(listing.error)
@@ -125,7 +125,7 @@
 
     async def _put(self, batch: str, value: bytes) -> bool:
         with anyio.move_on_after(NOTE_SECONDS):
-            answer = await self._log.append_keyed(OPEN_BATCHES, batch, value)
+            answer = await self._log.append_keyed(BATCH_INDEX_PARTITION, batch, value)
             if answer.is_error():
                 log_event("open_batch_not_noted", batch=batch, fault=answer.error.fault)
             return answer.is_ok()
--- a/src/stagewalk/gateway/batch_service/read_rules.py
+++ b/src/stagewalk/gateway/batch_service/read_rules.py
@@ -11,7 +11,7 @@
 PAGE_BYTES = 900_000
 """Text in one answer, unless one result alone is larger."""
 
-LONGEST_WAIT_SECONDS = 1.0
+MAXIMUM_WAIT_SECONDS = 1.0
 """How long a read waits for news at most, whatever its caller offers."""
 
 MAXIMUM_VIEW_AGE_SECONDS = 2.6
--- a/src/stagewalk/gateway/batch_service/result_reads.py
+++ b/src/stagewalk/gateway/batch_service/result_reads.py
@@ -21,7 +21,7 @@
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.ledger_messages import LedgerAnswer, ResultsCall, refusal
 from stagewalk.gateway.batch_service.read_rules import (
-    LONGEST_WAIT_SECONDS,
+    MAXIMUM_WAIT_SECONDS,
     OPEN_READ_SECONDS,
     is_stale,
     is_worth_waiting,
@@ -30,7 +30,7 @@
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.records import ItemFinished
 from stagewalk.gateway.dialect import Dialect
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
+from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 
 
 class ResultReads:
@@ -75,14 +75,14 @@
             return found.error
         batch = found.ok
         if not await self._lookup.has_final_positions(batch):
-            return refusal(503, RECORDS_DROPPED, RETRY_AFTER_SECONDS)
+            return refusal(503, RECORDS_DROPPED, DEFAULT_RETRY_AFTER_SECONDS)
         if not await self._shows(batch, call.position, oldest_seconds):
-            return refusal(503, VIEW_TOO_OLD, RETRY_AFTER_SECONDS)
+            return refusal(503, VIEW_TOO_OLD, DEFAULT_RETRY_AFTER_SECONDS)
         await self._wait(batch, call)
         page = select_page(batch, call.position)
         if not page and self._is_stale(call.batch, oldest_seconds):
             # The view grew old while news was waited for: there may be results by now.
-            return refusal(503, VIEW_TOO_OLD, RETRY_AFTER_SECONDS)
+            return refusal(503, VIEW_TOO_OLD, DEFAULT_RETRY_AFTER_SECONDS)
         view_age = self._store.view_age(call.batch, steady_seconds())
         return self._answer(batch, call, page, view_age)
 
@@ -90,12 +90,12 @@
         """Return results of an open batch before the whole log is read."""
         if not batch.header.belongs_to(call.tenant):
             return deny(call)
-        until = steady_seconds() + min(LONGEST_WAIT_SECONDS, call.wait_seconds)
+        until = steady_seconds() + min(MAXIMUM_WAIT_SECONDS, call.wait_seconds)
         while call.position >= len(batch.results) and batch.open and steady_seconds() < until:
             await anyio.sleep(OPEN_READ_SECONDS)
             batch = await self._lookup.find_open(call.batch) or batch
         if call.position > len(batch.results):
-            return refusal(503, VIEW_TOO_OLD, RETRY_AFTER_SECONDS)
+            return refusal(503, VIEW_TOO_OLD, DEFAULT_RETRY_AFTER_SECONDS)
         return self._answer(batch, call, select_page(batch, call.position), view_age=0.0)
 
     def _answer(
@@ -114,7 +114,7 @@
 
     async def _wait(self, batch: Batch, call: ResultsCall) -> None:
         """Wait for a first result, or for the last ones of a step, as long as the caller offers."""
-        until = steady_seconds() + min(LONGEST_WAIT_SECONDS, call.wait_seconds)
+        until = steady_seconds() + min(MAXIMUM_WAIT_SECONDS, call.wait_seconds)
         due_at = batch.seen_at + self._due_seconds(batch)
         while is_worth_waiting(batch, call.position, hold_results=self._hold_results):
             none_yet = call.position >= len(batch.results)
--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -11,14 +11,14 @@
 
 import anyio.abc
 
-from stagewalk.gateway.batch_service.batch_store import TOPIC, BatchStore
-from stagewalk.gateway.batch_service.ledger_calls import LEDGER_PATH, LedgerCalls
-from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.batch_store import BATCHES_TOPIC, BatchStore
+from stagewalk.gateway.batch_service.ledger_calls import LEDGER_PATH, LedgerCallRouter
+from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.dialect import Dialect
-from stagewalk.gateway.entry.batch_calls import BatchCalls
+from stagewalk.gateway.entry.batch_calls import BatchEndpoints
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.peer_calls.client import PeerClient
@@ -67,7 +67,7 @@
         self.store = BatchStore(
             log, producer, limits.record_bytes, limits.call_bytes, limits.partitions
         )
-        places = OpenBatches(log)
+        places = BatchIndex(log)
         self._running = RunnerService(
             identity=identity,
             store=self.store,
@@ -81,16 +81,16 @@
             batch_end_seconds=lambda: settings().timing.batch_end,
             on_item_started=on_item_started,
         )
-        self._reads = LedgerReads(
+        self._reads = LedgerCallHandler(
             self.store,
             dialect,
             places,
             self._due_seconds,
             hold_results=policy.hold_results,
-            open_views=OpenBatchViews(log, TOPIC, places),
+            open_views=OpenBatchViews(log, BATCHES_TOPIC, places),
             starting=starting,
         )
-        ledger = LedgerCalls(
+        ledger = LedgerCallRouter(
             self._reads,
             peer_client,
             access.eligibility_services.eligibility.proximity,
@@ -98,7 +98,7 @@
             lambda: self.store.following,
             may_hold=lambda: nodes.may_hold_batches,
         )
-        self.calls = BatchCalls(
+        self.calls = BatchEndpoints(
             self.store,
             runners=self._running.choice,
             assignments=self._running.assignments,
--- a/src/stagewalk/gateway/batches/attempt_events.py
+++ b/src/stagewalk/gateway/batches/attempt_events.py
@@ -7,27 +7,27 @@
 from __future__ import annotations
 
 from stagewalk.gateway.batches.attempt_starter import AttemptStarter
-from stagewalk.gateway.batches.attempts import Attempts, RunningItem
+from stagewalk.gateway.batches.attempts import RunningAttempts, RunningItem
 from stagewalk.gateway.batches.engine_memory import EngineMemory
-from stagewalk.gateway.batches.evidence import note_pace, note_refusal
+from stagewalk.gateway.batches.evidence import record_pace, record_refusal
 from stagewalk.gateway.batches.item_scores import ItemScores
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
 from stagewalk.gateway.batches.messages import (
-    AttemptBroken,
     AttemptEnded,
     AttemptEvent,
     AttemptHead,
+    ItemAttemptFailed,
     SchedulerInstruction,
     StopItem,
 )
 from stagewalk.gateway.batches.retry_rules import (
+    HTTP_OK,
     RUN_FAILED,
-    SUCCESS,
     AttemptOutcome,
-    judge_answer,
+    judge_item_answer,
 )
 from stagewalk.gateway.batches.version_rules import VersionConflict, find_conflict
-from stagewalk.gateway.scoring.core import RouteOf
+from stagewalk.gateway.scoring.core import RouteLookup
 from stagewalk.gateway.workers.table import WorkerTable
 
 
@@ -44,9 +44,9 @@
 
     def __init__(
         self,
-        attempts: Attempts,
+        attempts: RunningAttempts,
         workers: WorkerTable,
-        route_of: RouteOf,
+        route_of: RouteLookup,
         *,
         starter: AttemptStarter,
         scores: ItemScores,
@@ -70,9 +70,9 @@
         assert running is not None
         worker = self._workers.worker(running.worker)
         if worker is not None:
-            worker.note_load(event.head.load, now)
-            self._memory.note_report(worker, event.head.load, now)
-        if event.head.status != SUCCESS:
+            worker.record_load(event.head.load, now)
+            self._memory.record_report(worker, event.head.load, now)
+        if event.head.status != HTTP_OK:
             return []
         running.last_event_at = now
         running.begun = True
@@ -99,7 +99,7 @@
         item.add_event(event.event.data)
         worker = self._workers.worker(running.worker)
         if worker is not None:
-            note_pace(worker, running, len(item.events), now)
+            record_pace(worker, running, len(item.events), now)
         running.last_event_at = now
         return []
 
@@ -111,7 +111,7 @@
         run, item = ended.run, ended.item
         if event.status == RUN_FAILED:
             item.run_failures += 1
-        outcome = judge_answer(
+        outcome = judge_item_answer(
             event.status,
             has_events=bool(item.events),
             run_failures=item.run_failures,
@@ -119,7 +119,7 @@
         )
         worker = self._workers.worker(ended.worker)
         if worker is not None:
-            worker.note_connection(True, now)
+            worker.record_connection(True, now)
         if outcome is AttemptOutcome.TEXT_WHOLE:
             self._lengths.learn(item)
             return self._scores.text_whole(run, item, now)
@@ -128,15 +128,15 @@
         self._attempts.retry_later(item, ended.worker, now)
         return [*self._starter.start_due(now)]
 
-    def broken(self, event: AttemptBroken, now: float) -> list[SchedulerInstruction]:
+    def broken(self, event: ItemAttemptFailed, now: float) -> list[SchedulerInstruction]:
         """Handle the end of an attempt that brought no whole answer: try again."""
         ended = self._attempts.end(event.attempt)
         if ended is None:
             return []
         worker = self._workers.worker(ended.worker)
         if worker is not None:
-            self._memory.note_report(worker, event.failure.load, now)
-            note_refusal(worker, ended.item.spec.model, event.failure, now)
+            self._memory.record_report(worker, event.failure.load, now)
+            record_refusal(worker, ended.item.spec.model, event.failure, now)
         self._attempts.retry_later(ended.item, ended.worker, now)
         return [*self._starter.start_due(now)]
 
--- a/src/stagewalk/gateway/batches/attempt_starter.py
+++ b/src/stagewalk/gateway/batches/attempt_starter.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from stagewalk.gateway.batches.attempt_watch import AttemptWatch
-from stagewalk.gateway.batches.attempts import Attempts
+from stagewalk.gateway.batches.attempts import RunningAttempts
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.engine_room import EngineRoom
 from stagewalk.gateway.batches.item_run import ItemRun, RunningAttempt
@@ -21,8 +21,8 @@
 from stagewalk.gateway.batches.place_demand import (
     ClaimantPlaces,
     ServiceClaimant,
+    ShareLimitedBatch,
     WeightAt,
-    WithheldStarts,
     claimant_of,
     claimant_places,
     engine_service,
@@ -42,12 +42,12 @@
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand, PlaceLimits
 from stagewalk.gateway.place_shares.places import EnginePlaces
 from stagewalk.gateway.policy import Policy
-from stagewalk.gateway.scoring.core import MayStart, RouteOf
+from stagewalk.gateway.scoring.core import MayStart, RouteLookup
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
 from stagewalk.gateway.zones.distance import Proximity
 
-RETURNED_PRIORITY = 4
+RESUBMITTED_ITEM_PRIORITY = 4
 """Priority of an item that returns in a later batch, one above the engines' default: its trainer
 waits for its group whichever others are whole, and of an engine whose memory runs out the newest of
 the least urgent runs is stopped. Without it such an item lost its slot (62 preemptions on one day)
@@ -91,28 +91,28 @@
         Which engines have memory for an item.
     limits
         How many places the items of each trainer may have.
-    draws
+    rng
         Random numbers of this node, for the choice among like engines.
     """
 
     def __init__(
         self,
         runs: Mapping[str, BatchRun],
-        attempts: Attempts,
+        attempts: RunningAttempts,
         watch: AttemptWatch,
         lengths: LengthEstimate,
         numbers: Iterator[int],
         *,
         workers: WorkerTable,
-        route_of: RouteOf,
+        route_of: RouteLookup,
         proximity: Proximity,
         policy: Policy,
         may_start: MayStart,
         room: EngineRoom,
         limits: PlaceLimits,
-        draws: Random | None = None,
+        rng: Random | None = None,
     ) -> None:
-        self._draws = draws
+        self._draws = rng
         self._workers = workers
         self._route_of = route_of
         self._room = room
@@ -163,7 +163,7 @@
         taken = taken_places(self._runs.values(), self._route_of, self._weight_at(now))
         return claimant_places(self.place_demands(), taken, self._limits, now)
 
-    def withheld(self, now: float) -> list[WithheldStarts]:
+    def withheld(self, now: float) -> list[ShareLimitedBatch]:
         """Return the batches of which items wait because of their claimant's share."""
         return withheld_starts(self._runs.values(), self.claimant_places(now), self._route_of)
 
@@ -232,7 +232,7 @@
         name = worker.announcement.worker
         item.running = RunningAttempt(attempt, name, now, now, len(item.events))
         item.withheld_since = None
-        worker.note_sent()
+        worker.record_sent()
         self._attempts.add(attempt, run, item)
         header = run.batch.header
         start = StartItem(
@@ -243,7 +243,7 @@
             name,
             resume_after=len(item.events) or None,
             tenant=header.tenant,
-            priority=RETURNED_PRIORITY if item.known_events else None,
+            priority=RESUBMITTED_ITEM_PRIORITY if item.known_events else None,
         )
         return [start]
 
@@ -265,7 +265,7 @@
             avoid=item.last_worker,
             policy=self._policy,
             events=self._lengths.events_left(item),
-            draws=self._draws,
+            rng=self._draws,
             fits=room.fits,
         )
         engine = engine or room.last_resort()
--- a/src/stagewalk/gateway/batches/attempt_watch.py
+++ b/src/stagewalk/gateway/batches/attempt_watch.py
@@ -15,19 +15,19 @@
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
 from stagewalk.gateway.batches.move_choice import faster_engine, has_room_elsewhere
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
-from stagewalk.gateway.scoring.core import RouteOf
+from stagewalk.gateway.scoring.core import RouteLookup
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
 
-SILENCE_SECONDS = 1.6
+EVENT_TIMEOUT_SECONDS = 1.6
 """An engine that brings no event of an item for this long is left."""
 
-SHORT_SILENCE_SECONDS = 0.7
+MINIMUM_EVENT_TIMEOUT_SECONDS = 0.7
 SHORT_SILENCE_EVENTS = 8.0
 """With room at another engine it is left after this many times what an event takes at it, but not
-before `SHORT_SILENCE_SECONDS`."""
+before `MINIMUM_EVENT_TIMEOUT_SECONDS`."""
 
-MOVE_PAUSE_SECONDS = 1.5
+MOVE_COOLDOWN_SECONDS = 1.5
 """An item that was moved stays where it is for this long. Without a pause items went from engine to
 engine, 1,052 moves on a quiet day."""
 
@@ -35,7 +35,7 @@
 """An item is urgent that is expected to end after this part of the time its batch has. Long items
 at an engine 1.3 times slower missed their due time."""
 
-FIRST_EVENT_SECONDS = 3.0
+FIRST_EVENT_TIMEOUT_SECONDS = 3.0
 """Longest silence before the first event, when the item may still wait for its slot."""
 
 
@@ -46,7 +46,7 @@
         self,
         workers: WorkerTable,
         eligibility: Eligibility,
-        route_of: RouteOf,
+        route_of: RouteLookup,
         lengths: LengthEstimate,
         *,
         room: EngineRoom,
@@ -95,13 +95,15 @@
         silence = now - since
         if len(item.events) == attempt.events_before:
             # An engine that is listed no more, and brought nothing yet, is not worth the wait.
-            return silence > (SHORT_SILENCE_SECONDS if worker is None else FIRST_EVENT_SECONDS)
+            return silence > (
+                MINIMUM_EVENT_TIMEOUT_SECONDS if worker is None else FIRST_EVENT_TIMEOUT_SECONDS
+            )
         pace = None if worker is None else worker.recent_latency(now)
-        short = max(SHORT_SILENCE_SECONDS, SHORT_SILENCE_EVENTS * (pace or 0.0))
-        if silence <= min(short, SILENCE_SECONDS):
+        short = max(MINIMUM_EVENT_TIMEOUT_SECONDS, SHORT_SILENCE_EVENTS * (pace or 0.0))
+        if silence <= min(short, EVENT_TIMEOUT_SECONDS):
             return False
         candidates = self.candidates(batch, item, now)
-        return silence > SILENCE_SECONDS or has_room_elsewhere(
+        return silence > EVENT_TIMEOUT_SECONDS or has_room_elsewhere(
             worker, candidates, item.spec.model, now, fits=self._fits(item, now)
         )
 
@@ -127,7 +129,7 @@
     def faster_elsewhere(self, batch: Batch, item: ItemRun, now: float) -> bool:
         """Whether an item would be done well before at another engine."""
         assert item.running is not None
-        if now - item.moved_at < MOVE_PAUSE_SECONDS:
+        if now - item.moved_at < MOVE_COOLDOWN_SECONDS:
             return False
         current = self._workers.worker(item.running.worker)
         if current is None:
--- a/src/stagewalk/gateway/batches/attempts.py
+++ b/src/stagewalk/gateway/batches/attempts.py
@@ -12,7 +12,7 @@
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.item_run import ItemRun, RunningAttempt
 from stagewalk.gateway.batches.messages import StopItem
-from stagewalk.gateway.batches.retry_rules import FAILURE_PAUSE_SECONDS
+from stagewalk.gateway.batches.retry_rules import ITEM_RETRY_DELAY_SECONDS
 from stagewalk.gateway.workers.table import WorkerTable
 
 
@@ -33,7 +33,7 @@
     worker: str
 
 
-class Attempts:
+class RunningAttempts:
     """Attempts under way, by number."""
 
     def __init__(self, workers: WorkerTable) -> None:
@@ -90,7 +90,7 @@
     @staticmethod
     def retry_later(item: ItemRun, worker: str, now: float) -> None:
         """Let an item wait before its next attempt, at another worker than this one if it can."""
-        item.not_before = now + FAILURE_PAUSE_SECONDS
+        item.not_before = now + ITEM_RETRY_DELAY_SECONDS
         item.last_worker = worker
 
     def _free(self, item: ItemRun) -> RunningAttempt:
@@ -103,5 +103,5 @@
             self._by_worker.pop(attempt.worker, None)
         worker = self._workers.worker(attempt.worker)
         if worker is not None:
-            worker.note_ended()
+            worker.record_ended()
         return attempt
--- a/src/stagewalk/gateway/batches/batch.py
+++ b/src/stagewalk/gateway/batches/batch.py
@@ -11,7 +11,7 @@
 
 from stagewalk.gateway.batches.records import BatchHeader, BatchItem, ItemFinished
 
-NOBODY = ""
+NO_RUNNER = ""
 """The runner of a batch that any node may claim."""
 
 
@@ -26,7 +26,7 @@
     listed
         Names of the items with a result.
     runner
-        The process that runs it, `NOBODY` after a release.
+        The process that runs it, `NO_RUNNER` after a release.
     epoch
         Number of claims so far.
     seen_at, ended_at
--- a/src/stagewalk/gateway/batches/engine_memory.py
+++ b/src/stagewalk/gateway/batches/engine_memory.py
@@ -15,37 +15,37 @@
 from dataclasses import dataclass
 from statistics import fmean
 
-from stagewalk.gateway.batches.attempts import Attempts, RunningItem
+from stagewalk.gateway.batches.attempts import RunningAttempts, RunningItem
 from stagewalk.gateway.batches.engine_room import RoomSearch
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
-from stagewalk.gateway.batches.messages import ItemWithheld
+from stagewalk.gateway.batches.messages import ItemAwaitingMemory
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.routes.route import EngineLimits, Service
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
 
-ServiceNamed = Callable[[str], Service | None]
+ServiceLookup = Callable[[str], Service | None]
 
 MARGIN_SHARE = 0.15
 """Part of an engine's memory that is left free: lengths are guesses, and runs of other nodes are
 known by their number alone."""
 
-MOST_WITHHELD_SECONDS = 0.5
+MAXIMUM_WITHHELD_SECONDS = 0.5
 """An item that no engine has memory for waits at most this long: then it goes where least is
 lacking, since a run that is stopped and read again costs its step less than a longer wait."""
 
 WITHHELD_PAUSE_SECONDS = 0.1
 """How long such an item waits until engines are asked again: they free little memory meanwhile."""
 
-MOST_ENGINES_ASKED = 32
+MAXIMUM_ENGINES_ASKED = 32
 """How many engines, the cheapest first, are asked for one item: others are busier still."""
 
 OTHERS_VALID_SECONDS = 4.0
 """How long the runs of other nodes that a report told of count, fewer as time goes by: runs take
 seconds, and an engine reports only with answers."""
 
-MOST_RUNS_SAMPLED = 200
+MAXIMUM_RUNS_SAMPLED = 200
 """Of how many runs of this node the mean is taken, which stands for a run of another node."""
 
 RUNS_VALID_SECONDS = 0.2
@@ -137,9 +137,9 @@
     def __init__(
         self,
         workers: WorkerTable,
-        attempts: Attempts,
+        attempts: RunningAttempts,
         lengths: LengthEstimate,
-        service: ServiceNamed,
+        service: ServiceLookup,
     ) -> None:
         self._workers = workers
         self._attempts = attempts
@@ -152,9 +152,9 @@
         """By engine."""
         self._usual_run: dict[str, float] = {}
         """By service, tokens of a run here in the mean: other nodes run the like."""
-        self._withheld: list[ItemWithheld] = []
+        self._withheld: list[ItemAwaitingMemory] = []
 
-    def note_report(self, engine: Worker, load: WorkerLoad | None, now: float) -> None:
+    def record_report(self, engine: Worker, load: WorkerLoad | None, now: float) -> None:
         """Record what an engine reported of its load: how many runs are of other nodes."""
         if load is None or self.limits(engine) is None:
             return
@@ -188,8 +188,8 @@
         scale = limits.tokens_per_event
         held = len(item.events) * scale
         left = self._lengths.expected_left(item, scale) * scale
-        if item.prompt.most_made is not None:
-            left = min(left, max(0.0, item.prompt.most_made - held))
+        if item.prompt.maximum_output_tokens is not None:
+            left = min(left, max(0.0, item.prompt.maximum_output_tokens - held))
         return ExpectedRun(held, left)
 
     def lacking(
@@ -219,11 +219,11 @@
             return whole - room
         return expected_peak([*known.runs, added], added.left) - room
 
-    def note_withheld(self, withheld: ItemWithheld) -> None:
+    def record_withheld(self, withheld: ItemAwaitingMemory) -> None:
         """Keep for the log that an item is withheld."""
         self._withheld.append(withheld)
 
-    def take_withheld(self) -> list[ItemWithheld]:
+    def take_withheld(self) -> list[ItemAwaitingMemory]:
         """Return the items withheld since the last call, for the log."""
         withheld, self._withheld = self._withheld, []
         return withheld
@@ -254,7 +254,7 @@
         if now - self._known_since > RUNS_VALID_SECONDS:
             self._known.clear()
             self._known_since = now
-            self._note_usual_runs()
+            self._record_usual_runs()
             self._others = {name: r for name, r in self._others.items() if r.left(now) > 0.0}
         name = engine.announcement.worker
         attempts = self._attempts.at(name)
@@ -264,9 +264,9 @@
             known = self._known[name] = self._expect(attempts, limits)
         return known
 
-    def _note_usual_runs(self) -> None:
+    def _record_usual_runs(self) -> None:
         tokens: dict[str, list[float]] = {}
-        for running in itertools.islice(self._attempts, MOST_RUNS_SAMPLED):
+        for running in itertools.islice(self._attempts, MAXIMUM_RUNS_SAMPLED):
             attempt = running.item.running
             engine = None if attempt is None else self._workers.worker(attempt.worker)
             limits = None if engine is None else self.limits(engine)
@@ -305,7 +305,7 @@
         limits = self._memory.limits(engine)
         if limits is None:
             return True
-        if self._asked == MOST_ENGINES_ASKED:
+        if self._asked == MAXIMUM_ENGINES_ASKED:
             return False
         if self._memory.keeps_waiting(engine):
             self._kept_waiting = True
@@ -331,8 +331,8 @@
         if item.withheld_since is None:
             item.withheld_since = self._now
             lacking = round(self._least_lacking)
-            self._memory.note_withheld(ItemWithheld(item.spec.item, self._asked, lacking))
-        if self._now - item.withheld_since >= MOST_WITHHELD_SECONDS:
+            self._memory.record_withheld(ItemAwaitingMemory(item.spec.item, self._asked, lacking))
+        if self._now - item.withheld_since >= MAXIMUM_WITHHELD_SECONDS:
             return self._best
         item.not_before = self._now + WITHHELD_PAUSE_SECONDS
         return None
--- a/src/stagewalk/gateway/batches/evidence.py
+++ b/src/stagewalk/gateway/batches/evidence.py
@@ -10,29 +10,29 @@
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerLoad
 from stagewalk.gateway.workers.worker import Worker
 
-REFUSAL_PAUSE_SECONDS = 0.25
+ASSUMED_LOADING_SECONDS = 0.25
 """How long an engine that refused with slots free counts as loading weights."""
 
 
-def note_refusal(engine: Worker, model: str, failure: AttemptFailure, now: float) -> None:
+def record_refusal(engine: Worker, model: str, failure: AttemptFailure, now: float) -> None:
     """Record a failed attempt: an engine that refuses with slots free is loading weights."""
     if failure.fault is AttemptFault.WITHHELD:
         return
-    engine.note_load(failure.load, now)
+    engine.record_load(failure.load, now)
     if failure.fault is not AttemptFault.NOT_RUN:
-        engine.note_failure(now)
+        engine.record_failure(now)
     elif not _full(engine, failure.load, now):
-        engine.loading_until[model] = now + REFUSAL_PAUSE_SECONDS
+        engine.loading_until[model] = now + ASSUMED_LOADING_SECONDS
 
 
 def _full(engine: Worker, told: WorkerLoad | None, now: float) -> bool:
     """Whether an engine refused for want of a slot, by what it told then or just before."""
-    if told is None and engine.paced:
+    if told is None and engine.reports_pace:
         told = engine.recent_load(now)
     return told is not None and told.running >= told.slots
 
 
-def note_pace(engine: Worker, attempt: RunningAttempt, events: int, now: float) -> None:
+def record_pace(engine: Worker, attempt: RunningAttempt, events: int, now: float) -> None:
     """Record an engine's time per event; the first one comes with the head and gives none.
 
     Parameters
@@ -44,4 +44,4 @@
         return
     pace = attempt.pace(now - attempt.last_event_at)
     if pace is not None:
-        engine.note_success(pace, now)
+        engine.record_success(pace, now)
--- a/src/stagewalk/gateway/batches/expected_end.py
+++ b/src/stagewalk/gateway/batches/expected_end.py
@@ -10,10 +10,10 @@
 
 from stagewalk.gateway.workers.worker import Worker
 
-FULL_STRETCH = 0.4
+FULL_ENGINE_SLOWDOWN = 0.4
 """How much longer a run takes at a full engine than at an empty one, in parts of its time."""
 
-LEAST_EVENTS = 4.0
+MINIMUM_EVENTS = 4.0
 """An item of which nothing is known is taken to have at least so many."""
 
 
@@ -27,10 +27,10 @@
     event_seconds
         The engine's usual time for one.
     """
-    usual = max(events, LEAST_EVENTS) * event_seconds
+    usual = max(events, MINIMUM_EVENTS) * event_seconds
     run = engine.expected_seconds(usual, now)
     occupancy = engine.occupancy(now)
-    return run + usual * (FULL_STRETCH * occupancy + _waiting_share(engine, occupancy))
+    return run + usual * (FULL_ENGINE_SLOWDOWN * occupancy + _waiting_share(engine, occupancy))
 
 
 def _waiting_share(engine: Worker, occupancy: float) -> float:
--- a/src/stagewalk/gateway/batches/item_moves.py
+++ b/src/stagewalk/gateway/batches/item_moves.py
@@ -8,7 +8,7 @@
 
 from stagewalk.gateway.batches.attempt_starter import AttemptStarter
 from stagewalk.gateway.batches.attempt_watch import AttemptWatch
-from stagewalk.gateway.batches.attempts import Attempts
+from stagewalk.gateway.batches.attempts import RunningAttempts
 from stagewalk.gateway.batches.messages import SchedulerInstruction
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.scoring.core import MayStart
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        attempts: Attempts,
+        attempts: RunningAttempts,
         workers: WorkerTable,
         watch: AttemptWatch,
         starter: AttemptStarter,
@@ -50,7 +50,7 @@
                 continue
             worker = self._workers.worker(item.running.worker)
             if worker is not None:
-                worker.note_failure(now)
+                worker.record_failure(now)
             instructions.append(self._attempts.leave(item, "silent", now))
         return instructions
 
--- a/src/stagewalk/gateway/batches/item_scores.py
+++ b/src/stagewalk/gateway/batches/item_scores.py
@@ -12,8 +12,8 @@
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.messages import RecordItem, SchedulerInstruction
-from stagewalk.gateway.scoring.core import RouteOf, ScoreCalls, ScoreOutcome
-from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, StopScore
+from stagewalk.gateway.scoring.core import RouteLookup, ScoreCalls, ScoreOutcome
+from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreAttemptFailed, StopScore
 
 PUBLISH_UNSCORED_SECONDS = 0.3
 """A whole text that waits longer than this for its score is recorded by itself: a node that takes
@@ -34,7 +34,9 @@
         Finds the route of an item.
     """
 
-    def __init__(self, calls: ScoreCalls, runs: Mapping[str, BatchRun], route_of: RouteOf) -> None:
+    def __init__(
+        self, calls: ScoreCalls, runs: Mapping[str, BatchRun], route_of: RouteLookup
+    ) -> None:
         self._calls = calls
         self._runs = runs
         self._route_of = route_of
@@ -78,9 +80,11 @@
         """Return the calls to make now."""
         return [*self._calls.due(now)]
 
-    def handle(self, event: ScoreAnswered | ScoreBroken, now: float) -> list[SchedulerInstruction]:
+    def handle(
+        self, event: ScoreAnswered | ScoreAttemptFailed, now: float
+    ) -> list[SchedulerInstruction]:
         """Handle the end of an attempt at a call."""
-        if isinstance(event, ScoreBroken):
+        if isinstance(event, ScoreAttemptFailed):
             self._calls.broken(event, now)
             return self.due(now)
         result, stops = self._calls.answered(event, now)
--- a/src/stagewalk/gateway/batches/ledger.py
+++ b/src/stagewalk/gateway/batches/ledger.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection
 from enum import StrEnum
 
-from stagewalk.gateway.batches.batch import NOBODY, Batch
+from stagewalk.gateway.batches.batch import NO_RUNNER, Batch
 from stagewalk.gateway.batches.record_parts import RecordParts
 from stagewalk.gateway.batches.records import (
     BatchClaimed,
@@ -37,9 +37,9 @@
     """What a record changed."""
 
     OPENED = "opened"
-    LISTED = "listed"
+    RESULT_ADDED = "listed"
     ENDED = "ended"
-    RUNNER = "runner"
+    RUNNER_CHANGED = "runner"
     LOST = "lost"
     """Records of it were dropped from the log before they were read here."""
 
@@ -144,7 +144,7 @@
         batch.list_result(record)
         if record.succeeded:
             self._texts.apply_result(spec, record)
-        self._on_change(batch, LedgerChange.LISTED)
+        self._on_change(batch, LedgerChange.RESULT_ADDED)
 
     def _item_finished_part(self, record: ItemFinishedPart) -> None:
         """Keep a part until all of its result are there."""
@@ -180,8 +180,8 @@
     def _released(self, record: BatchReleased) -> None:
         batch = self._batches.get(record.batch)
         if batch is not None and batch.runner == record.runner:
-            self._set_runner(batch, NOBODY)
+            self._set_runner(batch, NO_RUNNER)
 
     def _set_runner(self, batch: Batch, runner: str) -> None:
         batch.runner = runner
-        self._on_change(batch, LedgerChange.RUNNER)
+        self._on_change(batch, LedgerChange.RUNNER_CHANGED)
--- a/src/stagewalk/gateway/batches/length_estimate.py
+++ b/src/stagewalk/gateway/batches/length_estimate.py
@@ -9,7 +9,7 @@
 
 from stagewalk.gateway.batches.item_run import ItemRun
 
-MEMORY_ITEMS = 200
+DECAY_ITEMS = 200
 """How many items the ratio remembers: older ones fade."""
 
 LONG_TAIL_SHARE = 0.5
@@ -28,7 +28,7 @@
         """Update the ratio with an item that is done."""
         if item.spec.expected_length <= 0:
             return
-        keep = 1.0 - 1.0 / MEMORY_ITEMS
+        keep = 1.0 - 1.0 / DECAY_ITEMS
         self._events = self._events * keep + len(item.events)
         self._guessed = self._guessed * keep + item.spec.expected_length
 
--- a/src/stagewalk/gateway/batches/messages.py
+++ b/src/stagewalk/gateway/batches/messages.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptBroken:
+class ItemAttemptFailed:
     """An attempt ended without a whole answer."""
 
     attempt: int
@@ -50,7 +50,7 @@
     """Time has passed, or something else has changed that may let items start."""
 
 
-SchedulerEvent = AttemptHead | AttemptEvent | AttemptEnded | AttemptBroken | ScoreEvent | Tick
+SchedulerEvent = AttemptHead | AttemptEvent | AttemptEnded | ItemAttemptFailed | ScoreEvent | Tick
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ItemWithheld:
+class ItemAwaitingMemory:
     """An item waits because no engine has memory for it; said once for each item.
 
     Attributes
@@ -102,4 +102,4 @@
     record: ItemFinished | ItemProgress
 
 
-SchedulerInstruction = StartItem | ItemWithheld | StopItem | RecordItem | ScoreInstruction
+SchedulerInstruction = StartItem | ItemAwaitingMemory | StopItem | RecordItem | ScoreInstruction
--- a/src/stagewalk/gateway/batches/move_choice.py
+++ b/src/stagewalk/gateway/batches/move_choice.py
@@ -10,10 +10,13 @@
 
 from collections.abc import Callable, Sequence
 
-from stagewalk.gateway.workers.placement_costs import ROOM_OCCUPANCY, URGENT_ROOM_OCCUPANCY
+from stagewalk.gateway.workers.placement_costs import (
+    MOVE_TARGET_OCCUPANCY,
+    URGENT_MOVE_TARGET_OCCUPANCY,
+)
 from stagewalk.gateway.workers.worker import Worker
 
-MOVE_SECONDS = 0.15
+MOVE_COST_SECONDS = 0.15
 """What going on at another engine takes: reading the prompt and the text so far again."""
 
 FASTER_SHARE = 0.85
@@ -22,8 +25,8 @@
 items went from one engine to the next, 387 moves on a day of 4,232 items, and those that moved
 four times or more took 9.4 s for what takes 7.1 s where they stay."""
 
-LEAST_URGENT_GAIN_SECONDS = 0.25
-LEAST_GAIN_SECONDS = 1.0
+MINIMUM_URGENT_GAIN_SECONDS = 0.25
+MINIMUM_GAIN_SECONDS = 1.0
 """Moves that gain less than this are not worth their price."""
 
 
@@ -47,8 +50,8 @@
         return None
     pause = max(0.0, current.loading_until.get(model, now) - now)
     best: Worker | None = None
-    best_gain = LEAST_URGENT_GAIN_SECONDS if urgent else LEAST_GAIN_SECONDS
-    room = URGENT_ROOM_OCCUPANCY if urgent else ROOM_OCCUPANCY
+    best_gain = MINIMUM_URGENT_GAIN_SECONDS if urgent else MINIMUM_GAIN_SECONDS
+    room = URGENT_MOVE_TARGET_OCCUPANCY if urgent else MOVE_TARGET_OCCUPANCY
     for engine in engines:
         other = engine.recent_latency(now)
         if engine is current or other is None or engine.suspect(now) or not _judged(engine):
@@ -56,7 +59,7 @@
         if other > FASTER_SHARE * pace and not pause:
             continue
         has_room = engine.occupancy(now) < room and not engine.loading(model, now)
-        gain = left * (pace - other) + pause - MOVE_SECONDS
+        gain = left * (pace - other) + pause - MOVE_COST_SECONDS
         if has_room and gain > best_gain and fits(engine):
             best, best_gain = engine, gain
     return best
@@ -64,7 +67,7 @@
 
 def _judged(engine: Worker) -> bool:
     """Whether its machine's own speed is known, so far as its worker lets one tell."""
-    return engine.speed.settled or not engine.paced
+    return engine.speed.settled or not engine.reports_pace
 
 
 def has_room_elsewhere(
@@ -80,7 +83,7 @@
         engine is not current
         and not engine.suspect(now)
         and not engine.loading(model, now)
-        and engine.occupancy(now) < ROOM_OCCUPANCY
+        and engine.occupancy(now) < MOVE_TARGET_OCCUPANCY
         and fits(engine)
         for engine in engines
     )
--- a/src/stagewalk/gateway/batches/place_demand.py
+++ b/src/stagewalk/gateway/batches/place_demand.py
@@ -12,7 +12,7 @@
 
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand, PlaceLimits
-from stagewalk.gateway.scoring.core import RouteOf
+from stagewalk.gateway.scoring.core import RouteLookup
 
 ServiceClaimant = tuple[Claimant, str]
 """A claimant, and a service whose engines run its items."""
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WithheldStarts:
+class ShareLimitedBatch:
     """A batch of which items wait because their claimant has all its places taken."""
 
     batch: str
@@ -57,13 +57,13 @@
     return Claimant(header.tenant, header.trainer)
 
 
-def engine_service(run: BatchRun, route_of: RouteOf) -> str:
+def engine_service(run: BatchRun, route_of: RouteLookup) -> str:
     """Return the service whose engines run a batch's items; empty if no route names one."""
     route = route_of(run.batch.header.host, run.batch.header.path)
     return "" if route is None else route.back_ends[0].service
 
 
-def place_demands(runs: Iterable[BatchRun], route_of: RouteOf) -> list[PlaceDemand]:
+def place_demands(runs: Iterable[BatchRun], route_of: RouteLookup) -> list[PlaceDemand]:
     """Return the demand of each claimant at each service."""
     running: Counter[tuple[Claimant, str]] = Counter()
     waiting: Counter[tuple[Claimant, str]] = Counter()
@@ -75,7 +75,7 @@
 
 
 def taken_places(
-    runs: Iterable[BatchRun], route_of: RouteOf, weight_at: WeightAt
+    runs: Iterable[BatchRun], route_of: RouteLookup, weight_at: WeightAt
 ) -> dict[ServiceClaimant, float]:
     """Return the places that each claimant's items have at each service."""
     taken: dict[ServiceClaimant, float] = {}
@@ -115,18 +115,18 @@
 
 
 def withheld_starts(
-    runs: Iterable[BatchRun], places: Sequence[ClaimantPlaces], route_of: RouteOf
-) -> list[WithheldStarts]:
+    runs: Iterable[BatchRun], places: Sequence[ClaimantPlaces], route_of: RouteLookup
+) -> list[ShareLimitedBatch]:
     """Return the batches of which items wait for their claimant's share alone."""
     full = {
         (claimant.claimant, claimant.service): claimant
         for claimant in places
         if not has_place(claimant.taken, claimant.most)
     }
-    withheld: list[WithheldStarts] = []
+    withheld: list[ShareLimitedBatch] = []
     for run in runs if full else ():
         claimant = full.get((claimant_of(run), engine_service(run, route_of)))
         waiting = sum(item.waiting for item in run.items.values())
         if claimant is not None and waiting > 0:
-            withheld.append(WithheldStarts(run.name, waiting, claimant))
+            withheld.append(ShareLimitedBatch(run.name, waiting, claimant))
     return withheld
--- a/src/stagewalk/gateway/batches/placement.py
+++ b/src/stagewalk/gateway/batches/placement.py
@@ -13,9 +13,9 @@
 from operator import attrgetter
 from random import Random
 
-from stagewalk.gateway.batches.expected_end import FULL_STRETCH, expected_end
-from stagewalk.gateway.policy import ALL_ON, Policy
-from stagewalk.gateway.workers.near_best import Choice, draw_near_best, take_best
+from stagewalk.gateway.batches.expected_end import FULL_ENGINE_SLOWDOWN, expected_end
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
+from stagewalk.gateway.workers.near_best import Choice, choose_near_best, take_best
 from stagewalk.gateway.workers.placement_costs import (
     ENGINE_SLOWNESS_COST,
     FAILED_HERE_COST,
@@ -23,7 +23,7 @@
     NEAR_BEST_REQUESTS,
     NEW_CONNECTION_COST,
     PROMPT_HELD_CREDIT,
-    fastest,
+    shortest_latency,
     slowness,
     zone_costs,
 )
@@ -39,9 +39,9 @@
     proximity: Proximity,
     siblings: Collection[str],
     avoid: str,
-    policy: Policy = ALL_ON,
+    policy: Policy = DEFAULT_POLICY,
     events: float = 0.0,
-    draws: Random | None = None,
+    rng: Random | None = None,
     fits: Callable[[Worker], bool] = lambda _engine: True,
 ) -> Worker | None:
     """Return the engine with room that is expected to finish an item first.
@@ -53,7 +53,7 @@
     ----------
     events
         Events of the item that are expected to come.
-    draws
+    rng
         Random numbers of this node: of engines that report their pace one is drawn that is nearly
         as good as the best. None: the best one is taken.
     fits
@@ -69,18 +69,18 @@
         shared = PROMPT_HELD_CREDIT if policy.siblings and name in siblings else 0.0
         distance = distances[engine.announcement.zone] if policy.zone_preference else 0.0
         failed_here = FAILED_HERE_COST if name == avoid else 0.0
-        opens = policy.warm_connections and engine.paced and not engine.warm(now)
+        opens = policy.warm_connections and engine.reports_pace and not engine.warm(now)
         connection = NEW_CONNECTION_COST if opens else 0.0
         return distance + failed_here + connection - shared
 
     latencies = [engine.recent_latency(now) if policy.pace else None for engine in free]
-    shortest = fastest(latencies)
-    if shortest > 0.0 and any(engine.paced for engine in free):
+    shortest = shortest_latency(latencies)
+    if shortest > 0.0 and any(engine.reports_pace for engine in free):
         ends = [
             _end_choice(engine, fixed_cost(engine), events, latency or shortest, now)
             for engine, latency in zip(free, latencies, strict=True)
         ]
-        return _take_fitting(ends, partial(_first_to_end, now=now, draws=draws), fits)
+        return _take_fitting(ends, partial(_first_to_end, now=now, rng=rng), fits)
     costs = [
         _cost_choice(engine, fixed_cost(engine), slowness(latency, shortest), now)
         for engine, latency in zip(free, latencies, strict=True)
@@ -98,7 +98,7 @@
         for engine in sound or engines
         if engine.occupancy(now) < FULL_OCCUPANCY
         and not engine.loading(model, now)
-        and not (policy.suspicion and engine.on_trial)
+        and not (policy.suspicion and engine.half_open)
     ]
 
 
@@ -126,13 +126,13 @@
 ) -> Choice:
     """Return what an engine costs in seconds: its expected end, stretched by the fixed costs."""
     end = expected_end(engine, events, event_seconds, now)
-    return Choice(engine, end * (1.0 + FULL_STRETCH * fixed), fixed)
+    return Choice(engine, end * (1.0 + FULL_ENGINE_SLOWDOWN * fixed), fixed)
 
 
-def _first_to_end(choices: Sequence[Choice], now: float, draws: Random | None) -> Choice:
+def _first_to_end(choices: Sequence[Choice], now: float, rng: Random | None) -> Choice:
     """Return the engine that ends first, or one at which a request less would do so."""
     best = take_best(choices)
-    if draws is None:
+    if rng is None:
         return best
     one_request = NEAR_BEST_REQUESTS / max(1, best.worker.announcement.slots)
-    return draw_near_best(choices, best.cost * FULL_STRETCH * one_request, now, draws)
+    return choose_near_best(choices, best.cost * FULL_ENGINE_SLOWDOWN * one_request, now, rng)
--- a/src/stagewalk/gateway/batches/prompt.py
+++ b/src/stagewalk/gateway/batches/prompt.py
@@ -34,12 +34,12 @@
     ----------
     parts
         In order; empty if the caller doesn't state any.
-    most_made
+    maximum_output_tokens
         Most tokens that come out; None if the caller doesn't say.
     """
 
     parts: tuple[PromptPart, ...] = ()
-    most_made: int | None = None
+    maximum_output_tokens: int | None = None
 
     @property
     def tokens(self) -> int:
@@ -47,7 +47,7 @@
         return sum(part.tokens for part in self.parts)
 
 
-PromptOf = Callable[[BatchItem], Prompt]
+PromptReader = Callable[[BatchItem], Prompt]
 
 UNKNOWN_PROMPT = Prompt()
 
--- a/src/stagewalk/gateway/batches/retry_rules.py
+++ b/src/stagewalk/gateway/batches/retry_rules.py
@@ -14,14 +14,14 @@
 
 from stagewalk.gateway.routes.route import Route
 
-SUCCESS = 200
+HTTP_OK = 200
 RUN_FAILED = 500
 """The engine ran the item and failed at it: counted against the route's `maximum_attempts`."""
 
 IMPOSSIBLE = 422
 """The engine says that the item can never be done: it fails at once."""
 
-FAILURE_PAUSE_SECONDS = 0.1
+ITEM_RETRY_DELAY_SECONDS = 0.1
 """How long an item whose attempt failed waits before the next one. Two
 scheduler ticks."""
 
@@ -34,7 +34,7 @@
     RETRY = auto()
 
 
-def judge_answer(
+def judge_item_answer(
     status: int, *, has_events: bool, run_failures: int, route: Route | None
 ) -> AttemptOutcome:
     """Return what a complete answer means for its item.
@@ -48,7 +48,7 @@
     route
         The item's route; None if the configuration in force has none: then nothing limits retries.
     """
-    if status == SUCCESS and has_events:
+    if status == HTTP_OK and has_events:
         return AttemptOutcome.TEXT_WHOLE
     if status == IMPOSSIBLE:
         return AttemptOutcome.FAILED
--- a/src/stagewalk/gateway/batches/reusable_texts.py
+++ b/src/stagewalk/gateway/batches/reusable_texts.py
@@ -41,7 +41,7 @@
     score_failures: int = 0
 
 
-FindText = Callable[[BatchItem], ReusableText | None]
+ReusableTextLookup = Callable[[BatchItem], ReusableText | None]
 """Finds what was made of an item before, None if nothing was."""
 
 
--- a/src/stagewalk/gateway/batches/runner_liveness.py
+++ b/src/stagewalk/gateway/batches/runner_liveness.py
@@ -9,12 +9,12 @@
 
 from dataclasses import dataclass
 
-FAILURES = 2
-LEAST_SPAN_SECONDS = 0.35
+PROBE_FAILURES_UNTIL_GONE = 2
+MINIMUM_FAILING_SECONDS = 0.35
 """A process is gone that failed to answer so often in a row, over so long a time at least: two
 probes are 0.4 s apart."""
 
-EVIDENCE_SECONDS = 2.0
+PROBE_VALID_SECONDS = 2.0
 """Answers and failures older than this are ignored: five probes."""
 
 
@@ -33,14 +33,14 @@
     def __init__(self) -> None:
         self._evidence: dict[str, _Evidence] = {}
 
-    def note_answer(self, process: str, answered_as: str, now: float) -> None:
+    def record_answer(self, process: str, answered_as: str, now: float) -> None:
         """Record that a process's machine answered, and as which process."""
         self._evidence[process] = _Evidence(answered_as, now)
 
-    def note_failure(self, process: str, now: float) -> None:
+    def record_failure(self, process: str, now: float) -> None:
         """Record that a process's machine did not answer."""
         known = self._evidence.setdefault(process, _Evidence())
-        if now - known.failed_at > EVIDENCE_SECONDS:
+        if now - known.failed_at > PROBE_VALID_SECONDS:
             known.failures, known.failing_since = 0, now
         known.failures += 1
         known.failed_at = now
@@ -48,15 +48,15 @@
     def gone(self, process: str, now: float) -> bool:
         """Whether a process counts as gone, by the silence of its machine."""
         known = self._evidence.get(process)
-        if known is None or now - known.failed_at > EVIDENCE_SECONDS:
+        if known is None or now - known.failed_at > PROBE_VALID_SECONDS:
             return False
-        spans = known.failed_at - known.failing_since >= LEAST_SPAN_SECONDS
-        return known.failures >= FAILURES and spans
+        spans = known.failed_at - known.failing_since >= MINIMUM_FAILING_SECONDS
+        return known.failures >= PROBE_FAILURES_UNTIL_GONE and spans
 
     def replaced(self, process: str, now: float) -> bool:
         """Whether another process answered in its place."""
         known = self._evidence.get(process)
-        if known is None or now - known.answered_at > EVIDENCE_SECONDS:
+        if known is None or now - known.answered_at > PROBE_VALID_SECONDS:
             return False
         return known.answered_as != process
 
--- a/src/stagewalk/gateway/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -16,35 +16,35 @@
 from stagewalk.gateway.batches.attempt_events import AttemptEvents
 from stagewalk.gateway.batches.attempt_starter import AttemptStarter
 from stagewalk.gateway.batches.attempt_watch import AttemptWatch
-from stagewalk.gateway.batches.attempts import Attempts
+from stagewalk.gateway.batches.attempts import RunningAttempts
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.batch_run import BatchRun
-from stagewalk.gateway.batches.engine_memory import EngineMemory, ServiceNamed, unknown_service
+from stagewalk.gateway.batches.engine_memory import EngineMemory, ServiceLookup, unknown_service
 from stagewalk.gateway.batches.engine_room import UnknownRoom
 from stagewalk.gateway.batches.item_moves import ItemMoves
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.item_scores import ItemScores
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
 from stagewalk.gateway.batches.messages import (
-    AttemptBroken,
     AttemptEnded,
     AttemptEvent,
     AttemptHead,
+    ItemAttemptFailed,
     SchedulerEvent,
     SchedulerInstruction,
     Tick,
 )
-from stagewalk.gateway.batches.place_demand import ClaimantPlaces, WithheldStarts
-from stagewalk.gateway.batches.prompt import PromptOf, unknown_prompt
+from stagewalk.gateway.batches.place_demand import ClaimantPlaces, ShareLimitedBatch
+from stagewalk.gateway.batches.prompt import PromptReader, unknown_prompt
 from stagewalk.gateway.batches.records import BatchItem
 from stagewalk.gateway.batches.retry_rules import is_overdue
-from stagewalk.gateway.batches.reusable_texts import FindText, ReusableText
+from stagewalk.gateway.batches.reusable_texts import ReusableText, ReusableTextLookup
 from stagewalk.gateway.batches.version_rules import may_reuse
 from stagewalk.gateway.eligibility.core import Eligibility
 from stagewalk.gateway.place_shares.demand import PlaceDemand, PlaceLimits, UnlimitedPlaces
-from stagewalk.gateway.policy import ALL_ON, Policy
-from stagewalk.gateway.scoring.core import MayStart, RouteOf, ScoreCalls, ServiceOf
-from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
+from stagewalk.gateway.scoring.core import MayStart, RouteLookup, ScoreCalls, ServiceChooser
+from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreAttemptFailed
 from stagewalk.gateway.workers.table import WorkerTable
 
 PUBLISH_SECONDS = 1.0
@@ -75,21 +75,21 @@
     def __init__(
         self,
         workers: WorkerTable,
-        route_of: RouteOf,
-        service_of: ServiceOf,
+        route_of: RouteLookup,
+        service_of: ServiceChooser,
         eligibility: Eligibility,
-        policy: Policy = ALL_ON,
+        policy: Policy = DEFAULT_POLICY,
         *,
         may_start: MayStart = lambda _batch, _now: True,
-        service: ServiceNamed = unknown_service,
-        prompt_of: PromptOf = unknown_prompt,
+        service: ServiceLookup = unknown_service,
+        prompt_of: PromptReader = unknown_prompt,
         limits: PlaceLimits | None = None,
     ) -> None:
         self._policy = policy
         self._route_of = route_of
         self._prompt_of = prompt_of
         self._runs: dict[str, BatchRun] = {}
-        self._attempts = Attempts(workers)
+        self._attempts = RunningAttempts(workers)
         numbers = itertools.count(1)
         calls = ScoreCalls(
             eligibility,
@@ -118,7 +118,7 @@
             may_start=may_start,
             room=room,
             limits=limits or UnlimitedPlaces(),
-            draws=eligibility.draws,
+            rng=eligibility.rng,
         )
         self._moves = ItemMoves(
             self._attempts, workers, watch, self._starter, policy=policy, may_start=may_start
@@ -147,7 +147,7 @@
         """Return the tokens that engines with attempts under way are expected to hold at most."""
         return self._memory.expected_tokens(now)
 
-    def running_of_others(self, trainer: str) -> int:
+    def running_for_other_trainers(self, trainer: str) -> int:
         """Return the number of attempts under way at items of other trainers."""
         return sum(running.run.batch.header.trainer != trainer for running in self._attempts)
 
@@ -160,7 +160,7 @@
         """Return the places that each claimant's items have and may have."""
         return self._starter.claimant_places(now)
 
-    def withheld(self, now: float) -> list[WithheldStarts]:
+    def withheld(self, now: float) -> list[ShareLimitedBatch]:
         """Return the batches of which items wait because of their claimant's share."""
         return self._starter.withheld(now)
 
@@ -169,7 +169,9 @@
         """Return the number of items whose text is whole and whose score is awaited."""
         return self._scores.pending
 
-    def open(self, batch: Batch, reusable_text: FindText, now: float) -> list[SchedulerInstruction]:
+    def open(
+        self, batch: Batch, reusable_text: ReusableTextLookup, now: float
+    ) -> list[SchedulerInstruction]:
         """Begin to run what is left of a batch; `reusable_text` finds what was made of an item."""
         if batch.header.batch in self._runs:
             return []
@@ -230,9 +232,9 @@
                 return self._events.event(event, now)
             case AttemptEnded():
                 return self._events.ended(event, now)
-            case AttemptBroken():
+            case ItemAttemptFailed():
                 return self._events.broken(event, now)
-            case ScoreAnswered() | ScoreBroken():
+            case ScoreAnswered() | ScoreAttemptFailed():
                 return self._scores.handle(event, now)
             case Tick():
                 return self._tick(now)
--- a/src/stagewalk/gateway/batches/submission.py
+++ b/src/stagewalk/gateway/batches/submission.py
@@ -7,13 +7,15 @@
 
 from collections.abc import Sequence
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
 from stagewalk.gateway.batches.records import BatchItem
 from stagewalk.gateway.routes.route import RouteKind
-from stagewalk.gateway.scoring.core import RouteOf
+from stagewalk.gateway.scoring.core import RouteLookup
 
 
-def find_unroutable_score(items: Sequence[BatchItem], route_of: RouteOf) -> StagewalkError | None:
+def find_unroutable_score(
+    items: Sequence[BatchItem], route_of: RouteLookup
+) -> StagewalkError | None:
     """Return the error of the first score call that no route in force takes, None if all have one.
 
     A call may be sent more than once, so only a route whose requests may be repeated takes it.
@@ -28,7 +30,7 @@
         if route is None or route.kind is not RouteKind.REPEATABLE:
             return StagewalkError(
                 ErrorKind.INVALID_REQUEST,
-                Step.VALIDATION,
+                ErrorStep.VALIDATION,
                 "caller",
                 f"no route in force takes {call.host}{call.path}",
                 field=f"items[{number}].score_call.path",
--- a/src/stagewalk/gateway/batches/takeover.py
+++ b/src/stagewalk/gateway/batches/takeover.py
@@ -2,8 +2,8 @@
 
 Any node may claim a batch whose runner is gone: the log accepts one claim an epoch, and a second
 run of an item harms nothing. So the node that is likely to go on soonest claims first, and the
-others wait in the order of `affinity`. Owns since when batches are seen without a runner. Relies on
-the list of nodes and `runner_liveness` for the state of each runner.
+others wait in the order of `rendezvous_hash`. Owns since when batches are seen without a runner.
+Relies on the list of nodes and `runner_liveness` for the state of each runner.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 import xxhash
 
-RANK_SECONDS = 0.3
+CLAIM_DELAY_PER_RANK_SECONDS = 0.3
 """How much longer each next node waits before it claims: a claim is read back sooner. With 1 s a
 rank an open batch was claimed 1.7 s after all nodes had read their views."""
 
-RETURNED_SECONDS = 0.6
+RESTARTED_RUNNER_DELAY_SECONDS = 0.6
 """How long others leave a batch to the restarted process of its runner's machine, which claims it
 at once (docs/design/0110)."""
 
 CLAIM_REPEAT_SECONDS = 2.0
 """How long a claim may take to be read back before it is made again."""
 
-MAXIMUM_VIEW_AGE_SECONDS = 3.0
+MAXIMUM_CLAIM_VIEW_AGE_SECONDS = 3.0
 """From an older view nothing is claimed: the batch may have ended, or another node may run it."""
 
 
 class RunnerState(IntEnum):
     """Liveness of a batch's runner."""
 
-    RUNS = 0
-    MINE_BEFORE = 1
+    ALIVE = 0
+    PREVIOUS_PROCESS = 1
     """An earlier process of this machine: it is certainly gone."""
-    RETURNED = 2
+    RESTARTED = 2
     """Its machine runs a newer process, which claims the batch itself if it can."""
     GONE = 3
 
@@ -87,10 +87,10 @@
         claims: list[str] = []
         orphans: set[str] = set()
         for batch in batches:
-            if batch.view_age > MAXIMUM_VIEW_AGE_SECONDS:
+            if batch.view_age > MAXIMUM_CLAIM_VIEW_AGE_SECONDS:
                 continue
             state = self._state_of(batch.runner)
-            if state is RunnerState.RUNS:
+            if state is RunnerState.ALIVE:
                 continue
             orphans.add(batch.name)
             since = self._orphaned_since.setdefault(batch.name, now)
@@ -107,13 +107,13 @@
         return self._rank(batch, others)
 
     def _claim_delay(self, batch: str, state: RunnerState, replicas: Sequence[str]) -> float:
-        if state is RunnerState.MINE_BEFORE:
+        if state is RunnerState.PREVIOUS_PROCESS:
             return 0.0
-        returned = RETURNED_SECONDS if state is RunnerState.RETURNED else 0.0
-        return returned + self._rank(batch, replicas) * RANK_SECONDS
+        returned = RESTARTED_RUNNER_DELAY_SECONDS if state is RunnerState.RESTARTED else 0.0
+        return returned + self._rank(batch, replicas) * CLAIM_DELAY_PER_RANK_SECONDS
 
     def _rank(self, batch: str, replicas: Sequence[str]) -> int:
-        ranked = sorted(replicas, key=lambda node: affinity(batch, node))
+        ranked = sorted(replicas, key=lambda node: rendezvous_hash(batch, node))
         return ranked.index(self._node) if self._node in ranked else len(ranked)
 
     def _may_claim(self, batch: str, now: float) -> bool:
@@ -125,6 +125,6 @@
                 del known[name]
 
 
-def affinity(work: str, node: str) -> int:
+def rendezvous_hash(work: str, node: str) -> int:
     """Return a node's place for a piece of work: the smallest one gets it."""
     return xxhash.xxh64_intdigest(f"{work}/{node}".encode())
--- a/src/stagewalk/gateway/cold_lease_service.py
+++ b/src/stagewalk/gateway/cold_lease_service.py
@@ -13,7 +13,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.batches.takeover import rendezvous_hash
 from stagewalk.gateway.cold_starts.core import ColdStarts
 from stagewalk.gateway.cold_starts.leases import AcquireLeases, ColdLeases, decode_cold_lease
 from stagewalk.gateway.partitioned_log.follower import PartitionFollower
@@ -24,11 +24,11 @@
     PartitionRecord,
 )
 
-COLD_STARTS = Partition("cold_starts", 0)
-STEP_SECONDS = 0.1
+COLD_STARTS_PARTITION = Partition("cold_starts", 0)
+POLL_INTERVAL_SECONDS = 0.1
 """Between two steps while a lease is requested."""
 
-CATCH_UP_SECONDS = 0.5
+CATCH_UP_TIMEOUT_SECONDS = 0.5
 """How long a step waits for the partition to be read to its end."""
 
 
@@ -59,9 +59,9 @@
         self._requested = anyio.Event()
         self._follower = PartitionFollower(
             log,
-            COLD_STARTS,
+            COLD_STARTS_PARTITION,
             self._apply,
-            on_gap=lambda: leases.note_gap(steady_seconds()),
+            on_gap=lambda: leases.record_gap(steady_seconds()),
         )
         self._follower.pause()
 
@@ -72,14 +72,14 @@
                 self._requested = anyio.Event()
                 await self._requested.wait()
             await self._step()
-            await anyio.sleep(STEP_SECONDS)
+            await anyio.sleep(POLL_INTERVAL_SECONDS)
 
     def wake(self) -> None:
         """Handle that a lease is requested."""
         self._requested.set()
 
     async def _step(self) -> None:
-        if not self._due() or not await self._follower.catch_up(CATCH_UP_SECONDS):
+        if not self._due() or not await self._follower.catch_up(CATCH_UP_TIMEOUT_SECONDS):
             return
         # What was read may have given some of them to others.
         acquire = self._leases.acquire(self._due(), self._follower.next_offset, steady_seconds())
@@ -91,7 +91,9 @@
 
     async def _acquire(self, acquire: AcquireLeases) -> None:
         sent_at = steady_seconds()
-        answer = await self._log.append_at(COLD_STARTS, acquire.record.encode(), acquire.end)
+        answer = await self._log.append_at(
+            COLD_STARTS_PARTITION, acquire.record.encode(), acquire.end
+        )
         if answer.is_ok():
             self._leases.record_won(acquire.record, sent_at)
         outcome = "won" if answer.is_ok() else answer.error.fault.value
@@ -106,10 +108,17 @@
     def _apply(self, record: PartitionRecord) -> None:
         lease = decode_cold_lease(record.payload)
         if lease is None:
-            log_event("record_unreadable", "warning", topic=COLD_STARTS.topic, offset=record.offset)
+            log_event(
+                "record_unreadable",
+                "warning",
+                topic=COLD_STARTS_PARTITION.topic,
+                offset=record.offset,
+            )
             return
         self._leases.apply(lease, steady_seconds())
 
     def _comes_first(self, worker: str) -> bool:
         nodes = self._replicas()
-        return bool(nodes) and self._node == min(nodes, key=lambda node: affinity(worker, node))
+        return bool(nodes) and self._node == min(
+            nodes, key=lambda node: rendezvous_hash(worker, node)
+        )
--- a/src/stagewalk/gateway/cold_starts/core.py
+++ b/src/stagewalk/gateway/cold_starts/core.py
@@ -23,7 +23,7 @@
 COLD_MARGIN_SECONDS = 0.3
 """Added to the time that an entry states: entries are read a moment after they were written."""
 
-UNKNOWN_SECONDS = 1.5
+VIEW_SETTLE_SECONDS = 1.5
 """Workers count as cold until views were read this long after they were current again: a worker
 writes its entry every 1.2 s, so one that became cold before says so by then."""
 
@@ -32,18 +32,18 @@
 are read anew every 2.1 s at the latest while the log answers; an evacuation, after which workers
 are cold, is seen unless it lasts less than this."""
 
-REQUEST_SECONDS = 1.0
+LEASE_REQUEST_VALID_SECONDS = 1.0
 """How long after a request could have used a cold worker its lease is sought."""
 
-FIRST_CHOICE_SECONDS = 0.3
+FIRST_CHOICE_HEAD_START_SECONDS = 0.3
 """How long the lease of a cold worker is left to the node whose first choice it is; the others seek
 it then."""
 
-MOST_SECOND_CHOICES = 2
+MAXIMUM_SECOND_CHOICES = 2
 """Most workers of another node's first choice whose leases are sought at a time: the rest is left
 to other nodes."""
 
-Ages = Callable[[float], float]
+ViewAge = Callable[[float], float]
 """Returns the age of the views by which workers are known to be warm, at a time; in seconds."""
 
 
@@ -69,7 +69,7 @@
     """
 
     def __init__(
-        self, leases: ColdLeases, view_age: Ages, on_request: Callable[[], None] = lambda: None
+        self, leases: ColdLeases, view_age: ViewAge, on_request: Callable[[], None] = lambda: None
     ) -> None:
         self._leases = leases
         self._view_age = view_age
@@ -136,9 +136,9 @@
         for worker in workers:
             request = self._requests.get(worker)
             if request is None or now >= request.until:
-                self._requests[worker] = _LeaseRequest(now, now + REQUEST_SECONDS)
+                self._requests[worker] = _LeaseRequest(now, now + LEASE_REQUEST_VALID_SECONDS)
             else:
-                request.until = now + REQUEST_SECONDS
+                request.until = now + LEASE_REQUEST_VALID_SECONDS
         self._on_request()
 
     def leases_to_acquire(self, now: float, first_choice: Callable[[str], bool]) -> list[str]:
@@ -155,9 +155,10 @@
         waited = [
             worker
             for worker in due
-            if worker not in own and now - self._requests[worker].since >= FIRST_CHOICE_SECONDS
+            if worker not in own
+            and now - self._requests[worker].since >= FIRST_CHOICE_HEAD_START_SECONDS
         ]
-        return own + waited[:MOST_SECOND_CHOICES]
+        return own + waited[:MAXIMUM_SECOND_CHOICES]
 
     @property
     def idle(self) -> bool:
@@ -172,7 +173,7 @@
     def _unknown(self, now: float) -> bool:
         """Whether workers may have become cold without this node's knowledge."""
         age = self._view_age(now)
-        return age > OLDEST_VIEW_SECONDS or now - age < self._renewed_at + UNKNOWN_SECONDS
+        return age > OLDEST_VIEW_SECONDS or now - age < self._renewed_at + VIEW_SETTLE_SECONDS
 
     def _window(self, worker: str, service: Service) -> SlidingWindow:
         window = self._windows.get(worker)
--- a/src/stagewalk/gateway/cold_starts/leases.py
+++ b/src/stagewalk/gateway/cold_starts/leases.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-LEASE_SECONDS = 4.0
+COLD_LEASE_SECONDS = 4.0
 """How long a holder may send after it sent its record: a cold start of 3 s in one lease."""
 
 RENEW_BEFORE_SECONDS = 1.5
@@ -85,20 +85,20 @@
 
     def apply(self, record: ColdLease, now: float) -> None:
         """Apply a record that was read."""
-        blocked_until = now + LEASE_SECONDS + HANDOVER_SECONDS
+        blocked_until = now + COLD_LEASE_SECONDS + HANDOVER_SECONDS
         for worker in record.workers:
             self._held[worker] = _Held(record.holder, blocked_until)
             if record.holder != self._own:
                 self._valid_until.pop(worker, None)
 
-    def note_gap(self, now: float) -> None:
+    def record_gap(self, now: float) -> None:
         """Record that records were dropped unread: others may hold any of the leases."""
-        self._gap_until = now + LEASE_SECONDS + HANDOVER_SECONDS
+        self._gap_until = now + COLD_LEASE_SECONDS + HANDOVER_SECONDS
 
     def record_won(self, record: ColdLease, sent_at: float) -> None:
         """Record that the log appended a lease that this process sent at a time."""
         for worker in record.workers:
-            self._valid_until[worker] = sent_at + LEASE_SECONDS
+            self._valid_until[worker] = sent_at + COLD_LEASE_SECONDS
 
     def due(self, worker: str, now: float) -> bool:
         """Whether this process may win a worker's lease, and has none that lasts."""
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -21,9 +21,9 @@
 from stagewalk.gateway.connections_log import ConnectionsLog
 from stagewalk.gateway.entry.app import Endpoints, GatewayApp
 from stagewalk.gateway.entry.caller_authentication import CallerAuthenticator
-from stagewalk.gateway.entry.directory_calls import DirectoryCalls
-from stagewalk.gateway.entry.forwarded_calls import ForwardedCalls
-from stagewalk.gateway.entry.quarantine_calls import QuarantineCalls
+from stagewalk.gateway.entry.directory_calls import DirectoryEndpoint
+from stagewalk.gateway.entry.forwarded_calls import ForwardingEndpoints
+from stagewalk.gateway.entry.quarantine_calls import QuarantineEndpoints
 from stagewalk.gateway.log_relay.relayed_log import RELAY_PATH
 from stagewalk.gateway.log_relay.server import LogRelay
 from stagewalk.gateway.metrics import GatewayMetrics
@@ -33,12 +33,12 @@
 from stagewalk.gateway.settings_reload import LiveSettings, SettingsLoader
 from stagewalk.gateway.state_metrics import GatewayState
 
-RESUME_SECONDS = 0.25
+RESUME_LOG_RESERVE_SECONDS = 0.25
 """How long a node that starts leaves the log's reads to runners resuming batches that they owned
 before the restart. Without it 13 nodes read 8 MB each at the log's 80 MB/s first, and the first
 item began 2.3 s after the last process was back."""
 
-RESTART_SECONDS = 5.0
+RESTART_LOG_RESERVE_SECONDS = 5.0
 """The same where all nodes start at once. The log's reads are shared: six replicas took 7 s to read
 all of it, and until then no results were shown to trainers. Open batches alone take some 2 s, and
 those who look for them have the reads to themselves meanwhile."""
@@ -46,10 +46,10 @@
 STALL_SECONDS = 0.2
 """A loop that wakes this much late was kept from running, or the machine was stopped or asleep."""
 
-STEP_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 """Between two looks at whether the log holds what is still to be appended at a stop."""
 
-LEAVE_SECONDS = 3.5
+DRAIN_DELAY_SECONDS = 3.5
 """Drain delay: how long cached directory answers may still point here after a stop was announced.
 Three times the answers' time to live (1 s), and the time the announcement takes."""
 
@@ -129,7 +129,7 @@
         """Wait until the log holds all that is to be kept, at most as long as a stop's grace."""
         with anyio.move_on_at(self._stop_by):
             while not (self.store.idle and self._duties.idle):
-                await anyio.sleep(STEP_SECONDS)
+                await anyio.sleep(POLL_INTERVAL_SECONDS)
 
     # Serving.
 
@@ -141,15 +141,15 @@
         return list(dict.fromkeys(addresses))
 
     def _build_app(self) -> GatewayApp:
-        spelling = self._dialect.callers
+        caller_interface = self._dialect.callers
         return GatewayApp(
             routes=self._routes,
             endpoints=self._build_endpoints(),
             authenticator=CallerAuthenticator(
-                self._routes, self._published.renew_configuration, spelling.request_id
+                self._routes, self._published.renew_configuration, caller_interface.request_id
             ),
             metrics=self._metrics,
-            spelling=spelling,
+            caller_interface=caller_interface,
             ready=self._ready,
             stopping=lambda: self._stopping,
             refresh=self._refresh_views,
@@ -160,7 +160,7 @@
         forwarders, metrics_address = self._parts.forwarders, self.settings.metrics
         evacuations = self._eligibility_services.evacuations
         return Endpoints(
-            forwarded=ForwardedCalls(
+            forwarded=ForwardingEndpoints(
                 self._routes,
                 forwarders.whole,
                 forwarders.streams,
@@ -168,15 +168,15 @@
                 self._dialect.callers,
             ),
             batches=self._batches.calls,
-            directory=DirectoryCalls(self._nodes, self._routes, evacuations, self._dialect),
-            quarantine=QuarantineCalls(
+            directory=DirectoryEndpoint(self._nodes, self._routes, evacuations, self._dialect),
+            quarantine=QuarantineEndpoints(
                 self._crashes, None if metrics_address is None else metrics_address.port
             ),
         )
 
     def _build_peer_app(self) -> PeerApp:
         log = self._parts.log
-        relay = LogRelay(log.direct, lambda: log.relayed.cut_off)
+        relay = LogRelay(log.direct, lambda: log.relayed.direct_path_failing)
         return PeerApp({RELAY_PATH: relay.handle, **self._batches.peer_handlers})
 
     async def _refresh_views(self) -> None:
@@ -210,7 +210,7 @@
             evacuated_zones=len(self._eligibility_services.evacuations.zones),
             cold_leases=self._eligibility_services.cold_leases(now),
             worker_ends=self._crashes.suspects,
-            requests_held_back=len(self._crashes.held_contents()),
+            requests_held_back=len(self._crashes.quarantined_contents()),
             held_bytes=0 if budget is None else budget.held_bytes,
             peak_held_bytes=0 if budget is None else budget.peak_bytes,
             opened_connections=self._opened_connections(),
@@ -235,11 +235,11 @@
     async def _housekeep(self) -> None:
         await self._nodes.wait_until_known()
         await self._resume_batches()
-        await self._nodes.settle()
+        await self._nodes.wait_until_settled()
         while True:
             self._nodes.set_serving(self._ready() and not self._stopping)
             self._roles.update(self._stopping, steady_seconds())
-            await self._sleep_and_measure_lag(self._roles.pace.housekeeping)
+            await self._sleep_and_measure_lag(self._roles.pace.housekeeping_interval_seconds)
             self._workers.expire(steady_seconds())
             self._eligibility_services.expire(steady_seconds())
             self._crashes.step(steady_seconds())
@@ -254,8 +254,12 @@
         While any node does so, the others leave the log's reads to it: all nodes read the whole log
         at once otherwise.
         """
-        if await self._batches.takeovers.resume_own():
-            wait_seconds = RESTART_SECONDS if self._nodes.alone else RESUME_SECONDS
+        if await self._batches.takeovers.resume_own_batches():
+            wait_seconds = (
+                RESTART_LOG_RESERVE_SECONDS
+                if self._nodes.started_without_replicas
+                else RESUME_LOG_RESERVE_SECONDS
+            )
             self._parts.log_reserve.hold_until(steady_seconds() + wait_seconds)
 
     async def _sleep_and_measure_lag(self, seconds: float) -> None:
@@ -267,7 +271,7 @@
             log_event("loop_stalled", "warning", seconds=lag)
 
     def _log_dropped_lines(self) -> None:
-        for kind, count in self._log_budget.take_dropped().items():
+        for kind, count in self._log_budget.pop_dropped_counts().items():
             log_event("log_lines_dropped", "warning", kind=kind, count=count)
 
     # Stopping.
@@ -288,7 +292,7 @@
         when signals are listened to, since one that came before went unheard.
         """
         self._live_settings.reload()
-        self._duties.lease.set_quiet(self.settings.timing.lease_quiet)
+        self._duties.lease.set_quiet_seconds(self.settings.timing.lease_quiet)
 
     async def stop(self) -> None:
         """Announce the stop, hand work over, and end once nobody is sent here any more."""
@@ -299,7 +303,7 @@
         self._duties.lease.stop()
         self._runner.hand_over()
         self._stop_by = began + self.settings.timing.stop_grace - EXIT_RESERVE_SECONDS
-        await anyio.sleep_until(began + LEAVE_SECONDS)
+        await anyio.sleep_until(began + DRAIN_DELAY_SECONDS)
         self._parts.forwarders.gate.stop()
         # The listeners need up to four seconds to answer what is under way, so they don't wait for
         # a log that accepts nothing; appending goes on beside them.
--- a/src/stagewalk/gateway/deferred_imports.py
+++ b/src/stagewalk/gateway/deferred_imports.py
@@ -4,8 +4,8 @@
 protocols, and importing the client its command line: a fifth of the time that a process takes from
 start to ready, which all nodes spend at once when all are restarted.
 
-`defer_unused_parts` must run before `hypercorn` and `httpx` are imported; later it does nothing for
-what is imported already.
+`defer_unused_imports` must run before `hypercorn` and `httpx` are imported; later it does nothing
+for what is imported already.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 """The one class that other parts of the server import from each module."""
 
 
-def defer_unused_parts() -> None:
+def defer_unused_imports() -> None:
     """Install placeholder modules for the unused parts."""
     if _CLIENT_COMMAND_LINE not in sys.modules:
         sys.modules[_CLIENT_COMMAND_LINE] = None  # type: ignore[assignment]
--- a/src/stagewalk/gateway/dialect.py
+++ b/src/stagewalk/gateway/dialect.py
@@ -95,10 +95,10 @@
     def workers(self) -> Partition:
         """Return the partition on which workers announce themselves."""
 
-    def operator_record(self, record: KeyedRecord) -> OperatorRecord | None:
+    def decode_operator_record(self, record: KeyedRecord) -> OperatorRecord | None:
         """Decode what an operator or trainer published, None for anything else."""
 
-    def worker_announcement(self, record: KeyedRecord) -> WorkerAnnouncement | None:
+    def decode_worker_announcement(self, record: KeyedRecord) -> WorkerAnnouncement | None:
         """Decode a worker's entry, None for anything else."""
 
     def submission(
--- a/src/stagewalk/gateway/directory/caller_subset.py
+++ b/src/stagewalk/gateway/directory/caller_subset.py
@@ -17,18 +17,18 @@
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.zones.homes import AllowedRegions, allows
 
-WHOLE_REGION_NODES = 20
+SMALL_REGION_NODES = 20
 """In a region of at most so many nodes all are named: connections are warm anyway, and the loss of
 one node concerns fewer callers."""
 
-LEAST_LISTED = 4
+MINIMUM_LISTED_NODES = 4
 """Nodes of a zone that callers are sent to: one is lost, another one stops, and two are left, as
 many as a caller tries."""
 
 CALLS_PER_CAPACITY = 50.0
 """Requests a second for a core of the usual speed: a quarter of what one was seen to forward."""
 
-LEAST_NAMED = 2
+MINIMUM_NAMED = 2
 """With fewer listed nodes in a caller's zone, those of other zones are named as well; with fewer
 nodes in its region, those of other regions."""
 
@@ -38,7 +38,7 @@
 zones lost power, 19 on another. A third of the callers' requests go 1.4 ms further for it."""
 
 
-def wants_callers(node: str, candidates: Sequence[NodeAnnouncement]) -> bool:
+def should_be_listed(node: str, candidates: Sequence[NodeAnnouncement]) -> bool:
     """Whether callers should be sent to a node.
 
     Parameters
@@ -49,7 +49,7 @@
     own = next((candidate for candidate in candidates if candidate.node == node), None)
     if own is None:
         return False
-    if sum(candidate.region == own.region for candidate in candidates) <= WHOLE_REGION_NODES:
+    if sum(candidate.region == own.region for candidate in candidates) <= SMALL_REGION_NODES:
         return True
     zone = [candidate for candidate in candidates if candidate.zone == own.zone]
     return own in _subset(zone)
@@ -61,7 +61,7 @@
     chosen: list[NodeAnnouncement] = []
     capacity = 0.0
     for node in _ranked(zone):
-        if len(chosen) >= LEAST_LISTED and capacity * CALLS_PER_CAPACITY >= calls:
+        if len(chosen) >= MINIMUM_LISTED_NODES and capacity * CALLS_PER_CAPACITY >= calls:
             break
         chosen.append(node)
         capacity += node.capacity
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerPlace:
+class CallerLocation:
     """Where a caller is, and where it should be sent.
 
     Attributes
@@ -97,8 +97,8 @@
     homes: AllowedRegions = None
 
 
-def directory_order(
-    nodes: Sequence[NodeAnnouncement], caller: CallerPlace, most: int
+def select_nodes_for_caller(
+    nodes: Sequence[NodeAnnouncement], caller: CallerLocation, most: int
 ) -> list[NodeAnnouncement]:
     """Return the nodes to name to a caller, nearest first.
 
@@ -113,18 +113,18 @@
 
     ordered = sorted(serving, key=distance)
     own_region = [node for node in ordered if node.region == caller.region]
-    if LEAST_NAMED <= len(own_region) <= WHOLE_REGION_NODES:
+    if MINIMUM_NAMED <= len(own_region) <= SMALL_REGION_NODES:
         # A node without a role announces itself seldom: it may be gone for longer than it may be
         # named.
         return ([node for node in own_region if node.listed] or own_region)[:most]
     listed = [node for node in ordered if node.listed]
     near = [node for node in listed if node.zone == caller.zone]
-    if len(near) >= LEAST_NAMED:
+    if len(near) >= MINIMUM_NAMED:
         return [*near, *_spares(listed, caller)][:most]
     return (listed or ordered)[:most]
 
 
-def _suited(nodes: list[NodeAnnouncement], caller: CallerPlace) -> list[NodeAnnouncement]:
+def _suited(nodes: list[NodeAnnouncement], caller: CallerLocation) -> list[NodeAnnouncement]:
     """Return the nodes that may serve a caller, outside of evacuated zones if there are any.
 
     The caller's own region is as good as its homes: a node there forwards to where it may.
@@ -135,7 +135,7 @@
     return staying or at_home or nodes
 
 
-def _spares(listed: Sequence[NodeAnnouncement], caller: CallerPlace) -> list[NodeAnnouncement]:
+def _spares(listed: Sequence[NodeAnnouncement], caller: CallerLocation) -> list[NodeAnnouncement]:
     """Return listed nodes of other zones of a caller's region, each of another one."""
     others: dict[str, NodeAnnouncement] = {}
     for node in listed:
--- a/src/stagewalk/gateway/directory/ledger_replicas.py
+++ b/src/stagewalk/gateway/directory/ledger_replicas.py
@@ -16,9 +16,9 @@
 import xxhash
 
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 
-MOST_REPLICAS = 12
+MAXIMUM_LEDGER_REPLICAS = 12
 """Replicas where the policy `few_replicas` is off."""
 
 LEDGER_REPLICAS = 6
@@ -55,9 +55,11 @@
     return [node for *_, node in sorted(ranked, key=lambda entry: entry[:3])]
 
 
-def wants_replica(node: str, serving: Sequence[NodeAnnouncement], policy: Policy = ALL_ON) -> bool:
+def should_hold_replica(
+    node: str, serving: Sequence[NodeAnnouncement], policy: Policy = DEFAULT_POLICY
+) -> bool:
     """Whether a node should hold a replica, given the nodes that serve, itself among them."""
-    count = LEDGER_REPLICAS if policy.few_replicas else MOST_REPLICAS
+    count = LEDGER_REPLICAS if policy.few_replicas else MAXIMUM_LEDGER_REPLICAS
     chosen = rank_for_replicas(serving)[:count]
     return any(candidate.node == node for candidate in chosen)
 
--- a/src/stagewalk/gateway/directory/node_table.py
+++ b/src/stagewalk/gateway/directory/node_table.py
@@ -12,18 +12,21 @@
 import msgspec
 
 from stagewalk.common.identities import Address, NodeName
-from stagewalk.gateway.directory.renewals import LONGEST_RENEWAL_SECONDS, RENEWAL_SECONDS
+from stagewalk.gateway.directory.renewals import (
+    MAXIMUM_RENEWAL_INTERVAL_SECONDS,
+    RENEWAL_INTERVAL_SECONDS,
+)
 from stagewalk.gateway.place_shares.claims import ServiceClaims
 
-ALIVE_SECONDS = 3.0
+FAILURE_TIMEOUT_SECONDS = 3.0
 """A node that announced nothing for this long, while the log answers, counts as dead: three
 renewals of a node with a role (0.9 s) fit in."""
 
-MISSED_RENEWALS = 2.5
+FAILURE_TIMEOUT_RENEWALS = 2.5
 """The same in renewals, for nodes that announce themselves seldom: one may be lost, the next one
 late."""
 
-RenewalSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=LONGEST_RENEWAL_SECONDS)]
+RenewalSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=MAXIMUM_RENEWAL_INTERVAL_SECONDS)]
 
 STALE_ROUNDS = 8
 """A node that did not announce itself while the others did so this often counts as dead."""
@@ -70,7 +73,7 @@
     beat: int
     ledger_replica: bool = False
     capacity: float = 1.0
-    renewal_seconds: RenewalSeconds = RENEWAL_SECONDS
+    renewal_seconds: RenewalSeconds = RENEWAL_INTERVAL_SECONDS
     listed: bool = True
     stopping: bool = False
     calls_per_second: float = 0.0
@@ -79,7 +82,7 @@
     @property
     def alive_seconds(self) -> float:
         """Return how long after an announcement it still counts as alive."""
-        return max(ALIVE_SECONDS, MISSED_RENEWALS * self.renewal_seconds)
+        return max(FAILURE_TIMEOUT_SECONDS, FAILURE_TIMEOUT_RENEWALS * self.renewal_seconds)
 
     @property
     def has_role(self) -> bool:
