--- a/src/stagewalk/gateway/directory/renewals.py
+++ b/src/stagewalk/gateway/directory/renewals.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-RENEWAL_SECONDS = 0.9
+RENEWAL_INTERVAL_SECONDS = 0.9
 """Of a node with a role: three of its announcements fit in the time after which it counts as
 dead."""
 
@@ -16,7 +16,7 @@
 """Announcements a second by all nodes without a role: some 2 KB/s for each reader, half of
 the 4 KB/s that a node of 420 may use for control."""
 
-LONGEST_RENEWAL_SECONDS = 30.0
+MAXIMUM_RENEWAL_INTERVAL_SECONDS = 30.0
 """Bound of the renewals; 420 nodes without a role need 21 s."""
 
 
@@ -31,6 +31,6 @@
         Living nodes, itself among them.
     """
     if has_role:
-        return RENEWAL_SECONDS
+        return RENEWAL_INTERVAL_SECONDS
     shared = nodes / IDLE_RENEWALS_PER_SECOND
-    return min(LONGEST_RENEWAL_SECONDS, max(RENEWAL_SECONDS, shared))
+    return min(MAXIMUM_RENEWAL_INTERVAL_SECONDS, max(RENEWAL_INTERVAL_SECONDS, shared))
--- a/src/stagewalk/gateway/duties/autoscale_service.py
+++ b/src/stagewalk/gateway/duties/autoscale_service.py
@@ -26,10 +26,10 @@
 from stagewalk.gateway.zones.evacuations import Evacuations
 
 PLAN_PREFIX = "workers"
-STEP_SECONDS = 0.25
+POLL_INTERVAL_SECONDS = 0.25
 """Between two decisions on what to order."""
 
-CURRENT_SECONDS = 1.5
+MAXIMUM_CURRENT_VIEW_AGE_SECONDS = 1.5
 """With an older view of the workers none are ordered: what looks lost may be there."""
 
 OpenBatches = Callable[[], list[Batch]]
@@ -69,9 +69,9 @@
 
     async def _run(self) -> None:
         while True:
-            await anyio.sleep(STEP_SECONDS)
+            await anyio.sleep(POLL_INTERVAL_SECONDS)
             await self._duties.wait_until_active()
-            current = self._workers_view.age(steady_seconds()) < CURRENT_SECONDS
+            current = self._workers_view.age(steady_seconds()) < MAXIMUM_CURRENT_VIEW_AGE_SECONDS
             if current and self._duties.may_act():
                 await self._step()
 
@@ -104,7 +104,7 @@
         stands = await self._duties.write(subject, msgspec.msgpack.encode(order), fence)
         if stands and self._duties.may_act(fence):
             holder = DutyHolder(str(self._identity), fence)
-            outcome = await self._client.order_workers(holder, order)
+            outcome = await self._client.request_worker_count(holder, order)
         self._autoscaler.sent(order, outcome, steady_seconds())
         log_event(
             "workers_ordered",
@@ -125,4 +125,4 @@
         except msgspec.DecodeError as error:
             log_event("plan_unreadable", "warning", detail=str(error))
             return
-        self._autoscaler.planned(order)
+        self._autoscaler.apply_planned_order(order)
--- a/src/stagewalk/gateway/duties/duty_lease.py
+++ b/src/stagewalk/gateway/duties/duty_lease.py
@@ -27,18 +27,18 @@
 from stagewalk.gateway.partitioned_log.follower import PartitionFollower
 from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog, PartitionRecord
 
-TOPIC = "leases"
+LEASES_TOPIC = "leases"
 DUTIES_PARTITION = 0
-STEP_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 """Between two decisions on the lease: a fifth of the time between renewals."""
 
-CURRENT_SECONDS = 1.0
+MAXIMUM_CURRENT_VIEW_AGE_SECONDS = 1.0
 """The lease is competed for only with a view of its records at most this old."""
 
 APPEND_SECONDS = 3.0
 """How long a renewal or a plan may wait for the log."""
 
-CATCH_UP_SECONDS = 0.5
+CATCH_UP_TIMEOUT_SECONDS = 0.5
 """How long reading all records may take before a decision."""
 
 READ_PAUSE_SECONDS = 0.02
@@ -67,7 +67,7 @@
         producer: str,
         call_bytes: int,
     ) -> None:
-        partition = Partition(TOPIC, DUTIES_PARTITION)
+        partition = Partition(LEASES_TOPIC, DUTIES_PARTITION)
         self._log = log
         self._partition = partition
         self._lease = lease
@@ -76,7 +76,7 @@
             partition,
             self._apply,
             pause_seconds=READ_PAUSE_SECONDS,
-            on_gap=lambda: lease.note_gap(steady_seconds()),
+            on_gap=lambda: lease.record_gap(steady_seconds()),
         )
         self._appender = PartitionAppender(log, partition, producer, call_bytes)
         self._followed = anyio.Event()
@@ -106,9 +106,9 @@
         same = fence is None or fence == self._lease.fence
         return same and self._lease.may_act(steady_seconds())
 
-    def overtaken(self, fence: int) -> None:
+    def handle_fenced(self, fence: int) -> None:
         """Handle that a receiver has seen a higher fence than this one."""
-        self._lease.overtaken(fence)
+        self._lease.handle_fenced(fence)
 
     def listen_to_orders(self, listener: OrderListener) -> None:
         """Call a listener with each order to an engine that a holder announced."""
@@ -139,9 +139,9 @@
         """Whether the lease's records are followed."""
         return self._followed.is_set()
 
-    def set_quiet(self, seconds: float) -> None:
+    def set_quiet_seconds(self, seconds: float) -> None:
         """Set how long nobody acts between two holders, in seconds."""
-        self._lease.set_quiet(seconds)
+        self._lease.set_quiet_seconds(seconds)
 
     def stop(self) -> None:
         """Release the lease and compete for it no more."""
@@ -169,13 +169,13 @@
         answer = await self._appender.append([record.encode()], APPEND_SECONDS)
         if answer.is_error():
             return False
-        caught_up = await self._follower.catch_up(CATCH_UP_SECONDS)
+        caught_up = await self._follower.catch_up(CATCH_UP_TIMEOUT_SECONDS)
         read = caught_up and self._follower.next_offset > answer.ok
         return read and fence == self._lease.fence
 
     async def _run(self) -> None:
         while not self._stopping:
-            await anyio.sleep(STEP_SECONDS)
+            await anyio.sleep(POLL_INTERVAL_SECONDS)
             await self._followed.wait()
             if not self._stopping:
                 await self._keep(steady_seconds())
@@ -183,10 +183,10 @@
     async def _keep(self, now: float) -> None:
         assert self._tasks is not None
         age = self._follower.freshness.age(now)
-        step = self._lease.decide(now, current=age < CURRENT_SECONDS)
+        step = self._lease.decide(now, current=age < MAXIMUM_CURRENT_VIEW_AGE_SECONDS)
         if isinstance(step, Renew):
             self._tasks.start_soon(self._renew, step)
-        elif isinstance(step, Acquire) and await self._follower.catch_up(CATCH_UP_SECONDS):
+        elif isinstance(step, Acquire) and await self._follower.catch_up(CATCH_UP_TIMEOUT_SECONDS):
             step = self._lease.decide(steady_seconds(), current=True)
             if isinstance(step, Acquire):
                 await self._acquire(step)
@@ -199,7 +199,7 @@
             end=step.end,
             outcome="won" if answer.is_ok() else answer.error.fault.value,
         )
-        await self._follower.catch_up(CATCH_UP_SECONDS)
+        await self._follower.catch_up(CATCH_UP_TIMEOUT_SECONDS)
         if answer.is_ok():
             self._lease.record_accepted(sent_at, answer.ok)
 
--- a/src/stagewalk/gateway/duties/order_service.py
+++ b/src/stagewalk/gateway/duties/order_service.py
@@ -18,10 +18,10 @@
 from stagewalk.gateway.leases.log_lease import DutyRecord
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.ports.workers import OrderOutcome, VersionOrder, WorkerClient
-from stagewalk.gateway.version_rollouts.core import OrderVersion, VersionRollouts
+from stagewalk.gateway.version_rollouts.core import PlannedVersionOrder, VersionRollouts
 from stagewalk.gateway.workers.table import WorkerTable
 
-STEP_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 """Between two decisions on what to order."""
 
 
@@ -55,10 +55,10 @@
     async def _run(self) -> None:
         assert self._tasks is not None
         while not self._duties.stopping:
-            await anyio.sleep(STEP_SECONDS)
+            await anyio.sleep(POLL_INTERVAL_SECONDS)
             await self._duties.wait_until_active()
             if self._duties.may_act():
-                self._rollouts.note_open_items(self._open_items(), steady_seconds())
+                self._rollouts.record_open_items(self._open_items(), steady_seconds())
                 for order in self._rollouts.decide(steady_seconds()):
                     self._rollouts.order_started(order, steady_seconds())
                     self._tasks.start_soon(self._send, order)
@@ -73,7 +73,7 @@
     def _order_announced(self, record: DutyRecord) -> None:
         self._rollouts.expect_load(record.subject, record.detail, record.number, steady_seconds())
 
-    async def _send(self, order: OrderVersion) -> None:
+    async def _send(self, order: PlannedVersionOrder) -> None:
         fence = self._duties.fence
         outcome = await self._order(order, fence)
         now = steady_seconds()
@@ -86,13 +86,13 @@
             outcome=outcome,
         )
         if outcome is OrderOutcome.FENCED:
-            self._duties.overtaken(fence)
+            self._duties.handle_fenced(fence)
         if outcome is OrderOutcome.HELD_ALREADY:
-            self._note_version(order)
+            self._record_version(order)
         elif outcome is not OrderOutcome.TAKEN:
             self._rollouts.order_failed(order.worker, now)
 
-    async def _order(self, order: OrderVersion, fence: int) -> OrderOutcome:
+    async def _order(self, order: PlannedVersionOrder, fence: int) -> OrderOutcome:
         worker = self._workers.worker(order.worker)
         if worker is None:
             return OrderOutcome.REFUSED
@@ -109,7 +109,7 @@
             return OrderOutcome.REFUSED
         announced = DutyRecord(order.worker, order.model, order.version)
         self._duties.announce(announced)
-        return await self._client.order_version(
+        return await self._client.request_version_change(
             target,
             VersionOrder(
                 order.model,
@@ -120,7 +120,7 @@
             ),
         )
 
-    def _note_version(self, order: OrderVersion) -> None:
+    def _record_version(self, order: PlannedVersionOrder) -> None:
         worker = self._workers.worker(order.worker)
         if worker is not None:
             worker.versions[order.model] = max(worker.versions.get(order.model, 0), order.version)
--- a/src/stagewalk/gateway/duties/usage_service.py
+++ b/src/stagewalk/gateway/duties/usage_service.py
@@ -25,13 +25,13 @@
 from stagewalk.gateway.usage.reporting import SendReport, UsageReporting, WriteReport
 from stagewalk.gateway.usage.wall_clock import WallClock
 
-USAGE = Partition("usage", 0)
+USAGE_PARTITION = Partition("usage", 0)
 PLAN_PREFIX = "usage"
 APPEND_PAUSE_SECONDS = 0.25
 """How long counts gather before they are appended to the log: what a killed process loses, a
 twentieth of a window of 5 s."""
 
-STEP_SECONDS = 0.25
+POLL_INTERVAL_SECONDS = 0.25
 """Between two decisions on what to report."""
 
 READ_PAUSE_SECONDS = 0.5
@@ -64,9 +64,9 @@
         self._meter = UsageMeter(producer, window_seconds)
         self._account = UsageAccount()
         self._reporting = UsageReporting(window_seconds, due_seconds)
-        self._follower = PartitionFollower(log, USAGE, self._apply, READ_PAUSE_SECONDS)
+        self._follower = PartitionFollower(log, USAGE_PARTITION, self._apply, READ_PAUSE_SECONDS)
         self._follower.pause()
-        self._appender = PartitionAppender(log, USAGE, producer, call_bytes)
+        self._appender = PartitionAppender(log, USAGE_PARTITION, producer, call_bytes)
         self._counted = anyio.Event()
         self._tasks: anyio.abc.TaskGroup | None = None
         duties.listen_to_plans(PLAN_PREFIX, self._written)
@@ -104,7 +104,7 @@
     async def _report(self) -> None:
         held_since: float | None = None
         while True:
-            await anyio.sleep(STEP_SECONDS)
+            await anyio.sleep(POLL_INTERVAL_SECONDS)
             await self._duties.wait_until_active()
             if not self._duties.held:
                 self._follower.pause()
@@ -152,7 +152,7 @@
 
     def _send_soon(self, step: SendReport) -> None:
         assert self._tasks is not None
-        self._reporting.sending(step.window)
+        self._reporting.mark_sending(step.window)
         self._tasks.start_soon(self._send, step)
 
     async def _send(self, step: SendReport) -> None:
@@ -165,7 +165,7 @@
             outcome = DutyOutcome.REFUSED
         self._reporting.sent(step.window, outcome, steady_seconds())
         if outcome is DutyOutcome.CONFLICT:
-            self._duties.overtaken(fence)
+            self._duties.handle_fenced(fence)
         log_event(
             "usage_reported",
             "info" if outcome is DutyOutcome.DONE else "warning",
@@ -179,11 +179,13 @@
         window = subject.partition("/")[2]
         counts = decode_counts(content)
         if window.isdecimal() and counts is not None:
-            self._reporting.written(int(window), counts)
+            self._reporting.apply_written_report(int(window), counts)
 
     def _apply(self, record: PartitionRecord) -> None:
         counted = decode_usage(record.payload)
         if counted is None:
-            log_event("record_unreadable", "warning", topic=USAGE.topic, offset=record.offset)
+            log_event(
+                "record_unreadable", "warning", topic=USAGE_PARTITION.topic, offset=record.offset
+            )
         else:
             self._account.apply(counted)
--- a/src/stagewalk/gateway/duty_services.py
+++ b/src/stagewalk/gateway/duty_services.py
@@ -15,7 +15,7 @@
 from stagewalk.gateway.duties.duty_lease import DutyLease
 from stagewalk.gateway.duties.order_service import OrderService
 from stagewalk.gateway.duties.usage_service import UsageService
-from stagewalk.gateway.leases.log_lease import LogLease, acquire_jitter_seconds, new_holder
+from stagewalk.gateway.leases.log_lease import LogLease, acquire_jitter_seconds, new_holder_id
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.ports.duties import DutyClient
 from stagewalk.gateway.ports.partitioned_log import PartitionedLog
@@ -112,7 +112,7 @@
 
 
 def _duty_lease(settings: GatewaySettings, log: PartitionedLog, producer: str) -> DutyLease:
-    holder = new_holder(settings.name, producer)
+    holder = new_holder_id(settings.name, producer)
     jitter = acquire_jitter_seconds(uuid.uuid4().int)
     return DutyLease(
         log=log,
--- a/src/stagewalk/gateway/eligibility/core.py
+++ b/src/stagewalk/gateway/eligibility/core.py
@@ -53,7 +53,7 @@
     denied: Mapping[str, Denial] = field(default_factory=dict)
 
 
-HoldCheck = Callable[[RequestContent, bool], bool]
+QuarantineCheck = Callable[[RequestContent, bool], bool]
 """Return whether a content is held back now since it crashes workers; True for an item of a
 batch."""
 
@@ -74,7 +74,7 @@
         Returns whether a content is held back now.
     on_denied
         Called for each request that was denied a permit, or denied as it was to be sent.
-    draws
+    rng
         Random numbers of this node, for choices among what `candidates` returns.
     """
 
@@ -86,11 +86,11 @@
         evacuations: Evacuations,
         cold: ColdStarts,
         *,
-        held: HoldCheck,
+        held: QuarantineCheck,
         on_denied: DenialListener = ignore_denial,
-        draws: Random | None = None,
+        rng: Random | None = None,
     ) -> None:
-        self._draws = draws
+        self._draws = rng
         self._held = held
         self._on_denied = on_denied
         self._workers = workers
@@ -109,7 +109,7 @@
         return self._proximity
 
     @property
-    def draws(self) -> Random | None:
+    def rng(self) -> Random | None:
         """Return this node's random numbers; None: of equal workers the first is taken."""
         return self._draws
 
--- a/src/stagewalk/gateway/eligibility/retry_after.py
+++ b/src/stagewalk/gateway/eligibility/retry_after.py
@@ -12,15 +12,15 @@
 
 from stagewalk.gateway.ports.denials import Denial
 
-RETRY_AFTER_SECONDS = 0.25
+DEFAULT_RETRY_AFTER_SECONDS = 0.25
 """For refusals that say nothing about their end: no worker is free, the log does not answer, a view
 is too old. Most of these are over within a few hundred milliseconds."""
 
-RETRY_AFTER_DENIAL: Mapping[Denial, float] = {
+RETRY_AFTER_SECONDS_BY_DENIAL: Mapping[Denial, float] = {
     Denial.ZONE_EVACUATED: 1.0,
     Denial.REGION_NOT_ALLOWED: 1.0,
     Denial.CRASHES_WORKERS: 15.0,
-    Denial.CRASH_NEWS_TOO_OLD: 1.0,
+    Denial.CRASH_REPORTS_TOO_OLD: 1.0,
     Denial.COLD_WITHOUT_LEASE: 0.5,
     Denial.COLD_RATE_REACHED: 0.5,
 }
@@ -32,7 +32,7 @@
 
 
 def retry_after_seconds(
-    denials: Collection[Denial], otherwise: float = RETRY_AFTER_SECONDS
+    denials: Collection[Denial], otherwise: float = DEFAULT_RETRY_AFTER_SECONDS
 ) -> float:
     """Return after how many seconds something may have changed, given why each worker was denied.
 
@@ -41,4 +41,7 @@
     otherwise
         Seconds if nothing was denied, or for something that is over sooner.
     """
-    return min((RETRY_AFTER_DENIAL.get(denial, otherwise) for denial in denials), default=otherwise)
+    return min(
+        (RETRY_AFTER_SECONDS_BY_DENIAL.get(denial, otherwise) for denial in denials),
+        default=otherwise,
+    )
--- a/src/stagewalk/gateway/eligibility_services.py
+++ b/src/stagewalk/gateway/eligibility_services.py
@@ -14,10 +14,10 @@
 from stagewalk.gateway.cold_starts.core import ColdStarts
 from stagewalk.gateway.cold_starts.leases import ColdLeases
 from stagewalk.gateway.eligibility.core import DenialListener, Eligibility
-from stagewalk.gateway.leases.log_lease import new_holder
+from stagewalk.gateway.leases.log_lease import new_holder_id
 from stagewalk.gateway.ports.partitioned_log import PartitionedLog
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import CrashSuspects
+from stagewalk.gateway.quarantine.core import CrashHistory
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.settings import GatewaySettings
 from stagewalk.gateway.workers.table import WorkerTable
@@ -53,10 +53,10 @@
         on_denied: DenialListener,
     ) -> None:
         self._workers = workers
-        self._leases = ColdLeases(new_holder(settings.name, producer))
+        self._leases = ColdLeases(new_holder_id(settings.name, producer))
         self.evacuations = Evacuations()
         self.cold = ColdStarts(self._leases, view_age, on_request=self._wake)
-        self.suspects = CrashSuspects(settings.name)
+        self.suspects = CrashHistory(settings.name)
         self.eligibility = Eligibility(
             workers,
             routes,
@@ -65,7 +65,7 @@
             self.cold,
             held=self._held,
             on_denied=on_denied,
-            draws=Random(settings.name),
+            rng=Random(settings.name),
         )
         self.cold_lease_service = ColdLeaseService(
             log=log, node=settings.name, cold=self.cold, leases=self._leases, replicas=replicas
--- a/src/stagewalk/gateway/entry/app.py
+++ b/src/stagewalk/gateway/entry/app.py
@@ -16,16 +16,16 @@
 from stagewalk.common.http.body_budget import BodyBudget, ByteBudget
 from stagewalk.common.settings.fields import Limits
 from stagewalk.gateway.dialect import CallerInterface
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
-from stagewalk.gateway.entry.batch_calls import BatchCalls
+from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
+from stagewalk.gateway.entry.batch_calls import BatchEndpoints
 from stagewalk.gateway.entry.caller_authentication import Caller, CallerAuthenticator
-from stagewalk.gateway.entry.directory_calls import DirectoryCalls
+from stagewalk.gateway.entry.directory_calls import DirectoryEndpoint
 from stagewalk.gateway.entry.exchange import OpaqueExchange
-from stagewalk.gateway.entry.forwarded_calls import ForwardedCalls
-from stagewalk.gateway.entry.quarantine_calls import QuarantineCalls
+from stagewalk.gateway.entry.forwarded_calls import ForwardingEndpoints
+from stagewalk.gateway.entry.quarantine_calls import QuarantineEndpoints
 from stagewalk.gateway.entry.replies import reply_empty, reply_error
-from stagewalk.gateway.held_memory.bodies import HeldBody
-from stagewalk.gateway.held_memory.readers import Readers
+from stagewalk.gateway.held_memory.bodies import BodyReservation
+from stagewalk.gateway.held_memory.readers import ResponseReaders
 from stagewalk.gateway.metrics import GatewayMetrics
 from stagewalk.gateway.routes.route import CallerLimits, Route, RouteKind
 from stagewalk.gateway.routes.table import RouteTable
@@ -33,7 +33,7 @@
 Endpoint = Callable[[OpaqueExchange], Awaitable[None]]
 
 METRICS_PATH = "/metrics"
-METRICS_CONTENT = "text/plain; version=0.0.4"
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
 """Prometheus' text format."""
 
 BUFFERED_BODY_BYTES = 96 * 1024 * 1024
@@ -45,10 +45,10 @@
 class Endpoints:
     """What serves each kind of call."""
 
-    forwarded: ForwardedCalls
-    batches: BatchCalls
-    directory: DirectoryCalls
-    quarantine: QuarantineCalls
+    forwarded: ForwardingEndpoints
+    batches: BatchEndpoints
+    directory: DirectoryEndpoint
+    quarantine: QuarantineEndpoints
 
 
 class GatewayApp:
@@ -73,26 +73,26 @@
         endpoints: Endpoints,
         authenticator: CallerAuthenticator,
         metrics: GatewayMetrics,
-        spelling: CallerInterface,
+        caller_interface: CallerInterface,
         ready: Callable[[], bool],
         stopping: Callable[[], bool],
         refresh: Callable[[], Awaitable[None]],
-        readers: Readers | None = None,
+        readers: ResponseReaders | None = None,
     ) -> None:
         self._routes = routes
         self._endpoints = endpoints
         self._authenticator = authenticator
         self._metrics = metrics
-        self._spelling = spelling
+        self._caller_interface = caller_interface
         self._ready = ready
         self._stopping = stopping
         self._refresh = refresh
-        self._batch_prefixes = (spelling.batches_prefix, spelling.items_prefix)
+        self._batch_prefixes = (caller_interface.batches_prefix, caller_interface.items_prefix)
         self._readers = readers
         self._arriving = BodyBudget(BUFFERED_BODY_BYTES)
         self._fixed: dict[str, Endpoint] = {
-            spelling.ready_path: self._readiness,
-            spelling.resolve_path: endpoints.directory.resolve,
+            caller_interface.ready_path: self._readiness,
+            caller_interface.resolve_path: endpoints.directory.resolve,
             METRICS_PATH: self._show_metrics,
         }
 
@@ -108,7 +108,7 @@
         if self._readers is None:
             await self._run_exchange(scope, receive, send, self._arriving)
             return
-        held = HeldBody(self._readers.budget)
+        held = BodyReservation(self._readers.budget)
         try:
             await self._run_exchange(scope, receive, send, held)
         finally:
@@ -154,7 +154,9 @@
             return
         await self._refresh()
         if self._routes.configuration is None:
-            await reply_error(exchange, 503, "no configuration is known yet", RETRY_AFTER_SECONDS)
+            await reply_error(
+                exchange, 503, "no configuration is known yet", DEFAULT_RETRY_AFTER_SECONDS
+            )
         elif exchange.path.startswith(self._batch_prefixes):
             caller = await self._authenticator.admit_to_batches(exchange)
             if caller is not None:
@@ -165,10 +167,10 @@
                 await self._serve_route(exchange, call.caller, call.route)
 
     async def _serve_batch(self, exchange: OpaqueExchange, caller: Caller) -> None:
-        path, prefix = exchange.path, self._spelling.batches_prefix
+        path, prefix = exchange.path, self._caller_interface.batches_prefix
         batches = self._endpoints.batches
         if not path.startswith(prefix):
-            item_of = path.removeprefix(self._spelling.items_prefix)
+            item_of = path.removeprefix(self._caller_interface.items_prefix)
             await batches.item(exchange, item_of, caller)
         elif exchange.method == "DELETE":
             await batches.end(exchange, path.removeprefix(prefix), caller)
@@ -190,4 +192,4 @@
             await reply_error(exchange, 503, "starting or stopping")
 
     async def _show_metrics(self, exchange: OpaqueExchange) -> None:
-        await exchange.respond(200, METRICS_CONTENT, self._metrics.render())
+        await exchange.respond(200, METRICS_CONTENT_TYPE, self._metrics.render())
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -13,17 +13,20 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.ledger_calls import LedgerCalls
+from stagewalk.gateway.batch_service.ledger_calls import LedgerCallRouter
 from stagewalk.gateway.batch_service.ledger_messages import (
     EndCall,
     ItemCall,
     LedgerCall,
     ResultsCall,
 )
-from stagewalk.gateway.batch_service.read_rules import LONGEST_WAIT_SECONDS
+from stagewalk.gateway.batch_service.read_rules import MAXIMUM_WAIT_SECONDS
 from stagewalk.gateway.batches.submission import find_unroutable_score
 from stagewalk.gateway.dialect import Dialect, Submission
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_DENIAL, RETRY_AFTER_SECONDS
+from stagewalk.gateway.eligibility.retry_after import (
+    DEFAULT_RETRY_AFTER_SECONDS,
+    RETRY_AFTER_SECONDS_BY_DENIAL,
+)
 from stagewalk.gateway.entry.caller_authentication import Caller
 from stagewalk.gateway.entry.exchange import OpaqueExchange
 from stagewalk.gateway.entry.replies import (
@@ -32,11 +35,11 @@
     reply_empty,
     reply_error,
 )
-from stagewalk.gateway.partitioned_log.appender import AppendOutcome
+from stagewalk.gateway.partitioned_log.appender import AppendFailure
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.runners.batch_assignments import BatchAssignments
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
-from stagewalk.gateway.scoring.core import RouteOf
+from stagewalk.gateway.scoring.core import RouteLookup
 
 SUBMIT_SECONDS = 3.0
 """How long a submission may wait for the log."""
@@ -61,18 +64,18 @@
 
     cause: str
     detail: str
-    retry_after_seconds: float = RETRY_AFTER_SECONDS
+    retry_after_seconds: float = DEFAULT_RETRY_AFTER_SECONDS
 
 
 NO_LOG = _Refusal("log does not answer", "the log does not answer")
 NO_RUNNER = _Refusal(
     "no node in its regions",
     "no node may run the batch",
-    RETRY_AFTER_DENIAL[Denial.REGION_NOT_ALLOWED],
+    RETRY_AFTER_SECONDS_BY_DENIAL[Denial.REGION_NOT_ALLOWED],
 )
 
 
-class BatchCalls:
+class BatchEndpoints:
     """Endpoints for trainers."""
 
     def __init__(
@@ -81,21 +84,21 @@
         *,
         runners: RunnerChoice,
         assignments: BatchAssignments,
-        ledger: LedgerCalls,
+        ledger: LedgerCallRouter,
         dialect: Dialect,
-        route_of: RouteOf,
+        route_of: RouteLookup,
     ) -> None:
         self._store = store
         self._runners = runners
         self._assignments = assignments
         self._ledger = ledger
         self._dialect = dialect
-        self._spelling = dialect.callers
+        self._caller_interface = dialect.callers
         self._route_of = route_of
 
     async def submit(self, exchange: OpaqueExchange, caller: Caller) -> None:
         """Accept a batch, once it is in the log."""
-        batch = exchange.header(self._spelling.request_id) or ""
+        batch = exchange.header(self._caller_interface.request_id) or ""
         body = await exchange.body()
         if body.is_error():
             await reply_body_refused(exchange, body.error, batch)
@@ -123,7 +126,7 @@
         if unroutable is not None:
             # A configuration that was not read here yet may have the route.
             return _Refusal(str(unroutable), str(unroutable))
-        stalled_since = self._store.appends_stalled(batch)
+        stalled_since = self._store.appends_stalled_since(batch)
         if stalled_since is not None and steady_seconds() - stalled_since > STALLED_SECONDS:
             return _Refusal("log takes no appends", LOG_STALLED)
         return None
@@ -146,8 +149,8 @@
         if outcome.is_ok():
             await self._assignments.notify(runner, header, outcome.ok)
             await reply_empty(exchange, 202)
-        elif outcome.error is AppendOutcome.NOT_APPENDED:
-            await reply_error(exchange, 503, LOG_STALLED, RETRY_AFTER_SECONDS)
+        elif outcome.error is AppendFailure.NOT_APPENDED:
+            await reply_error(exchange, 503, LOG_STALLED, DEFAULT_RETRY_AFTER_SECONDS)
         else:
             await reply_error(exchange, 504, "the log did not answer")
 
@@ -158,14 +161,14 @@
 
     async def results(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
         """Reply with a batch's results from a position on."""
-        position = _number(exchange.query.get(self._spelling.position_parameter, "0"))
-        wait = _number(exchange.header(self._spelling.wait_milliseconds) or "0") / 1000.0
-        wait = min(LONGEST_WAIT_SECONDS, wait)
+        position = _number(exchange.query.get(self._caller_interface.position_parameter, "0"))
+        wait = _number(exchange.header(self._caller_interface.wait_milliseconds) or "0") / 1000.0
+        wait = min(MAXIMUM_WAIT_SECONDS, wait)
         await self._reply(exchange, ResultsCall(name, position, wait, caller.tenant))
 
     async def item(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
         """Reply with the body of an item."""
-        item = exchange.query.get(self._spelling.item_parameter, "")
+        item = exchange.query.get(self._caller_interface.item_parameter, "")
         await self._reply(exchange, ItemCall(name, item, caller.tenant))
 
     async def end(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
--- a/src/stagewalk/gateway/entry/caller_authentication.py
+++ b/src/stagewalk/gateway/entry/caller_authentication.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.logs.lines import log_event
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS
+from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 from stagewalk.gateway.entry.exchange import OpaqueExchange
 from stagewalk.gateway.entry.replies import reply_error
 from stagewalk.gateway.routes.route import Route
@@ -25,7 +25,7 @@
 NOT_FOUND = 404
 UNAVAILABLE = 503
 
-REJECTION_VIEW_SECONDS = 0.25
+MAXIMUM_REJECTION_VIEW_AGE_SECONDS = 0.25
 """Callers are rejected by a view at most this old: a twelfth of the time in which a configuration
 must be in force (3 s), and a storm of wrong keys costs four reads a second."""
 
@@ -63,7 +63,7 @@
     """Decides from the configuration in force who calls, and by which route.
 
     What the view knows is served. What it does not know may have been published since the last
-    read, so nobody is rejected before the view is at most `REJECTION_VIEW_SECONDS` old:
+    read, so nobody is rejected before the view is at most `MAXIMUM_REJECTION_VIEW_AGE_SECONDS` old:
 
     - 401: no tenant holds the key, and the route is not public.
     - 404: the key is known, and no route matches.
@@ -106,7 +106,7 @@
         return caller
 
     async def _renew(self) -> bool:
-        return await self._renew_view(REJECTION_VIEW_SECONDS, REJECTION_READ_SECONDS)
+        return await self._renew_view(MAXIMUM_REJECTION_VIEW_AGE_SECONDS, REJECTION_READ_SECONDS)
 
     def _look_up(self, exchange: OpaqueExchange) -> RoutedCall | None:
         route = self._routes.find(exchange.host, exchange.path)
@@ -135,7 +135,7 @@
         )
         if not current:
             detail = "the view of the configuration is too old"
-            await reply_error(exchange, UNAVAILABLE, detail, RETRY_AFTER_SECONDS)
+            await reply_error(exchange, UNAVAILABLE, detail, DEFAULT_RETRY_AFTER_SECONDS)
         elif status == UNAUTHORIZED:
             await reply_error(exchange, status, "the key is not known", headers=(CHALLENGE,))
         else:
--- a/src/stagewalk/gateway/entry/directory_calls.py
+++ b/src/stagewalk/gateway/entry/directory_calls.py
@@ -7,22 +7,22 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.gateway.dialect import Dialect
-from stagewalk.gateway.directory.caller_subset import CallerPlace
+from stagewalk.gateway.directory.caller_subset import CallerLocation
 from stagewalk.gateway.entry.exchange import OpaqueExchange
 from stagewalk.gateway.entry.replies import reply_error, reply_json
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.zones.evacuations import Evacuations
 
-MOST_ADDRESSES = 64
+MAXIMUM_ADDRESSES = 64
 """Addresses in one answer at most."""
 
-SECONDS_TO_LIVE = 1.0
-"""How long callers may keep the directory's answer; the drain delay of a stop (`LEAVE_SECONDS`) is
-derived from it."""
+DIRECTORY_TTL_SECONDS = 1.0
+"""How long callers may keep the directory's answer; the drain delay of a stop
+(`DRAIN_DELAY_SECONDS`) is derived from it."""
 
 
-class DirectoryCalls:
+class DirectoryEndpoint:
     """Endpoint of look-ups."""
 
     def __init__(
@@ -35,16 +35,16 @@
 
     async def resolve(self, exchange: OpaqueExchange) -> None:
         """Return the addresses for a caller's region and zone; 503 if no node is known to serve."""
-        caller = CallerPlace(
+        caller = CallerLocation(
             exchange.query.get("region", ""),
             exchange.query.get("zone", ""),
             self._evacuations.zones,
-            self._routes.homes_of(exchange.query.get("name", "")),
+            self._routes.regions_of_host(exchange.query.get("name", "")),
         )
         await self._nodes.refresh()
-        addresses = self._nodes.serving_nodes(caller, MOST_ADDRESSES)
+        addresses = self._nodes.serving_nodes(caller, MAXIMUM_ADDRESSES)
         if addresses:
-            await reply_json(exchange, self._dialect.addresses(addresses, SECONDS_TO_LIVE))
+            await reply_json(exchange, self._dialect.addresses(addresses, DIRECTORY_TTL_SECONDS))
             return
         log_event(
             "lookup_refused",
--- a/src/stagewalk/gateway/entry/exchange.py
+++ b/src/stagewalk/gateway/entry/exchange.py
@@ -17,17 +17,17 @@
 from stagewalk.common.http.exchange import Exchange
 from stagewalk.common.settings.fields import Limits
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.held_memory.readers import Readers, WaitingReader
+from stagewalk.gateway.held_memory.readers import ReaderBacklog, ResponseReaders
 from stagewalk.gateway.ports.workers import HeaderList
 
 STREAM_STATUS = 200
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 """A whole answer is written in such pieces, so that little of it is held twice."""
 
 LINE_BYTES = 4
 """What a header's line has beside its name and value: ": " and the line's end."""
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -63,7 +63,7 @@
         budget: ByteBudget,
         *,
         last: Callable[[], bool],
-        readers: Readers | None = None,
+        readers: ResponseReaders | None = None,
     ) -> None:
         super().__init__(scope, receive, send, limits, budget, last=last)
         self._readers = readers
@@ -105,7 +105,7 @@
         named = {
             token.strip().lower() for token in (self.header("connection") or "").split(",") if token
         }
-        dropped = HOP_HEADERS | named
+        dropped = HOP_BY_HOP_HEADERS | named
         return tuple(pair for pair in self.header_list if pair[0].lower() not in dropped)
 
     async def relay(
@@ -122,19 +122,19 @@
         BrokenResponseError
             Its caller read too slowly, and was cut off.
         """
-        kept = [pair for pair in headers if pair[0].lower() not in HOP_HEADERS]
+        kept = [pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS]
         length = ("content-length", str(len(body)))
         if self._readers is None:
-            await self.begin(status, (*kept, length))
+            await self.start_response(status, (*kept, length))
             await self._write_pieces(body, lambda _size: None)
             return
         self.bound_write_buffer()
         with anyio.CancelScope() as writing:
-            reader = WaitingReader(request_id, False, writing.cancel)
+            reader = ReaderBacklog(request_id, False, writing.cancel)
             self._readers.add(reader)
             try:
-                self._readers.hold_answer(reader, len(body), steady_seconds())
-                await self.begin(status, (*kept, length))
+                self._readers.buffer_answer(reader, len(body), steady_seconds())
+                await self.start_response(status, (*kept, length))
                 await self._write_pieces(body, partial(self._readers.release, reader))
             finally:
                 self._readers.remove(reader)
@@ -144,15 +144,16 @@
 
     async def _write_pieces(self, body: bytes, on_written: Callable[[int], None]) -> None:
         """Write a whole body in pieces; tell the size of each that its caller has taken."""
-        for start in range(0, max(1, len(body)), PIECE_BYTES):
-            piece = body[start : start + PIECE_BYTES]
-            await self.write(piece, last=start + PIECE_BYTES >= len(body))
+        for start in range(0, max(1, len(body)), CHUNK_BYTES):
+            piece = body[start : start + CHUNK_BYTES]
+            await self.write(piece, last=start + CHUNK_BYTES >= len(body))
             on_written(len(piece))
 
     async def begin_stream(self, headers: Iterable[tuple[str, str]]) -> None:
         """Send the head of a stream of unknown length."""
         if self._readers is not None:
             self.bound_write_buffer()
-        await self.begin(
-            STREAM_STATUS, tuple(pair for pair in headers if pair[0].lower() not in HOP_HEADERS)
+        await self.start_response(
+            STREAM_STATUS,
+            tuple(pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS),
         )
--- a/src/stagewalk/gateway/entry/forwarded_calls.py
+++ b/src/stagewalk/gateway/entry/forwarded_calls.py
@@ -24,16 +24,16 @@
 UNANSWERED_STATUS = {
     Ending.NOT_RUN: 503,
     Ending.UNKNOWN: 502,
-    Ending.OUT_OF_TIME: 504,
+    Ending.DEADLINE_EXCEEDED: 504,
 }
 UNANSWERED_DETAIL = {
     Ending.NOT_RUN: "no worker ran the request",
     Ending.UNKNOWN: "a worker may have run the request",
-    Ending.OUT_OF_TIME: "the request's time is over",
+    Ending.DEADLINE_EXCEEDED: "the request's time is over",
 }
 
 
-class ForwardedCalls:
+class ForwardingEndpoints:
     """Endpoints of routes whose requests workers answer, whole or as a stream."""
 
     def __init__(
@@ -42,13 +42,13 @@
         forwarder: Forwarder,
         streams: StreamForwarder,
         metrics: GatewayMetrics,
-        spelling: CallerInterface,
+        caller_interface: CallerInterface,
     ) -> None:
         self._routes = routes
         self._forwarder = forwarder
         self._streams = streams
         self._metrics = metrics
-        self._spelling = spelling
+        self._caller_interface = caller_interface
 
     async def forward(self, exchange: OpaqueExchange, caller: Caller, route: Route) -> None:
         """Forward a request and relay its whole answer."""
@@ -108,7 +108,7 @@
         self, exchange: OpaqueExchange, caller: Caller
     ) -> InboundRequest | None:
         """Return the whole request; None if its body was refused and the caller answered."""
-        request_id = exchange.header(self._spelling.request_id) or ""
+        request_id = exchange.header(self._caller_interface.request_id) or ""
         body = await exchange.body()
         if body.is_error():
             await reply_body_refused(exchange, body.error, request_id)
@@ -125,12 +125,12 @@
 
     def _last_event(self, exchange: OpaqueExchange) -> int:
         """Return the number of the event that a stream resumes after, 0 for a new stream."""
-        resumed = exchange.header(self._spelling.last_event) or ""
+        resumed = exchange.header(self._caller_interface.last_event) or ""
         return int(resumed) if resumed.isdecimal() else 0
 
     def _allowed_seconds(self, exchange: OpaqueExchange, route: Route) -> float:
         """Return the route's timeout, or the caller's deadline if that is sooner."""
-        text = exchange.header(self._spelling.deadline_milliseconds) or ""
+        text = exchange.header(self._caller_interface.deadline_milliseconds) or ""
         if text.isdecimal():
             return min(route.timeout_seconds, int(text) / 1000.0)
         return route.timeout_seconds
--- a/src/stagewalk/gateway/entry/quarantine_calls.py
+++ b/src/stagewalk/gateway/entry/quarantine_calls.py
@@ -15,7 +15,7 @@
 HELD_PATH = "/held-requests"
 
 
-class QuarantineCalls:
+class QuarantineEndpoints:
     """Serves `GET /held-requests` and `DELETE /held-requests/CONTENT`.
 
     Parameters
@@ -38,14 +38,14 @@
         """Handle an exchange that `serves` accepted."""
         content = exchange.path.removeprefix(HELD_PATH).removeprefix("/")
         if exchange.method == "GET" and not content:
-            await reply_json(exchange, msgspec.json.encode(self._crashes.held_contents()))
+            await reply_json(exchange, msgspec.json.encode(self._crashes.quarantined_contents()))
         elif exchange.method == "DELETE" and content:
             await self._lift(exchange, content)
         else:
             await reply_error(exchange, 405, "GET the list, or DELETE one by its content")
 
     async def _lift(self, exchange: OpaqueExchange, content: str) -> None:
-        known = self._crashes.lift(content)
+        known = self._crashes.clear_quarantine(content)
         log_event("held_request_lifted", content=content, known=known)
         if known:
             await reply_empty(exchange, 200)
--- a/src/stagewalk/gateway/entry/replies.py
+++ b/src/stagewalk/gateway/entry/replies.py
@@ -13,7 +13,7 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.gateway.entry.exchange import OpaqueExchange
 
-JSON_CONTENT = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 RETRY_AFTER_HEADER = "retry-after"
 
 BODY_TOO_LARGE = 413
@@ -24,12 +24,12 @@
 
 async def reply_json(exchange: OpaqueExchange, content: bytes, status: int = 200) -> None:
     """Reply with JSON."""
-    await exchange.respond(status, JSON_CONTENT, content)
+    await exchange.respond(status, JSON_CONTENT_TYPE, content)
 
 
 async def reply_empty(exchange: OpaqueExchange, status: int) -> None:
     """Reply with an empty JSON object."""
-    await exchange.respond(status, JSON_CONTENT, b"{}")
+    await exchange.respond(status, JSON_CONTENT_TYPE, b"{}")
 
 
 async def reply_error(
@@ -44,7 +44,7 @@
     if retry_after_seconds is not None:
         headers.append((RETRY_AFTER_HEADER, f"{retry_after_seconds:g}"))
     content = msgspec.json.encode({"error": detail})
-    await exchange.respond(status, JSON_CONTENT, content, headers)
+    await exchange.respond(status, JSON_CONTENT_TYPE, content, headers)
 
 
 async def reply_body_refused(
--- a/src/stagewalk/gateway/explain/steps.py
+++ b/src/stagewalk/gateway/explain/steps.py
@@ -17,7 +17,7 @@
 TOGETHER_SECONDS = 1.5
 """Starts of processes this close belong to one recovery."""
 
-MOST_NODES_SHARE = 0.8
+MINIMUM_RESTARTED_SHARE = 0.8
 """A recovery counts as one of all processes if this share of all nodes started."""
 
 
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StepAccount:
+class StepSummary:
     """One batch. Times are seconds since it was submitted."""
 
     batch: str
@@ -96,7 +96,7 @@
     scored_from: dict[str, float] = field(default_factory=dict)
 
 
-def account_steps(lines: Iterable[LogLine]) -> list[StepAccount]:
+def summarize_steps(lines: Iterable[LogLine]) -> list[StepSummary]:
     """Return the account of each batch in the logs, in the order they were submitted."""
     ordered = sorted(lines, key=lambda line: line.at)
     gathered: dict[str, _BatchEvents] = {}
@@ -119,7 +119,7 @@
     restarts = [
         group
         for group in _together(starts)
-        if len({line.node for line in group}) >= MOST_NODES_SHARE * len(nodes)
+        if len({line.node for line in group}) >= MINIMUM_RESTARTED_SHARE * len(nodes)
     ]
     return [_recovery(group, items) for group in restarts[1:]]
 
@@ -169,7 +169,7 @@
             step.finished.setdefault(item, line.at)
 
 
-def _account(batch: str, step: _BatchEvents) -> StepAccount:
+def _account(batch: str, step: _BatchEvents) -> StepSummary:
     began = step.submitted.at
     paths = [
         ItemPath(
@@ -182,7 +182,7 @@
         )
         for item, at in step.finished.items()
     ]
-    return StepAccount(
+    return StepSummary(
         batch,
         int(step.submitted.get("step") or 0),
         began,
--- a/src/stagewalk/gateway/explain/story.py
+++ b/src/stagewalk/gateway/explain/story.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
+class Timeline:
     """What the logs hold on an id.
 
     Attributes
@@ -119,7 +119,7 @@
         self.workers.update(worker for worker in named if worker)
 
 
-def find_story(identity: str, lines: Iterable[LogLine]) -> Story | None:
+def find_timeline(identity: str, lines: Iterable[LogLine]) -> Timeline | None:
     """Return the story of an id, None if no line names it."""
     ordered = sorted(lines, key=lambda line: line.at)
     kind = _kind_of(identity, ordered)
@@ -128,7 +128,7 @@
     gathered = _gather(identity, kind, ordered)
     own = sorted(gathered.own, key=lambda line: line.at)
     around = _around(gathered, own, ordered)
-    return Story(identity, kind, tuple(own), tuple(around), tuple(_unknown(own, kind, ordered)))
+    return Timeline(identity, kind, tuple(own), tuple(around), tuple(_unknown(own, kind, ordered)))
 
 
 def _kind_of(identity: str, lines: Sequence[LogLine]) -> Kind | None:
--- a/src/stagewalk/gateway/forwarding/admission_gate.py
+++ b/src/stagewalk/gateway/forwarding/admission_gate.py
@@ -18,8 +18,8 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.admission.decisions import Expectation, Place, Rejection
-from stagewalk.gateway.admission.fair_queue import QueuedRequest, Waiting
+from stagewalk.gateway.admission.decisions import Admitted, Rejection, WaitEstimate
+from stagewalk.gateway.admission.fair_queue import AdmissionRequest, QueueEntry
 from stagewalk.gateway.admission.service_admission import ServiceAdmission
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.worker import Worker
@@ -57,7 +57,7 @@
     core: ServiceAdmission
     reported_at: float
     """When its workers reported a pace last."""
-    woken: dict[Waiting, anyio.Event] = field(default_factory=dict)
+    woken: dict[QueueEntry, anyio.Event] = field(default_factory=dict)
 
     def wake_started(self, now: float) -> None:
         """Start what may start now."""
@@ -84,7 +84,7 @@
         """
         now = steady_seconds()
         if ran:
-            self.service.core.note_held(self.route, now - self.since)
+            self.service.core.note_holding_time(self.route, now - self.since)
         self.service.core.release()
         self.service.wake_started(now)
 
@@ -141,7 +141,7 @@
         """Return how many requests wait."""
         return sum(service.core.waiting for service in self._services.values())
 
-    async def enter(self, name: str, request: QueuedRequest) -> HeldPlace | Rejection | None:
+    async def enter(self, name: str, request: AdmissionRequest) -> HeldPlace | Rejection | None:
         """Return the place of a request once it has one, or why it is refused.
 
         None: the service's requests are not held back. Cancelling gives the turn to the next one.
@@ -153,15 +153,15 @@
         if isinstance(decision, Rejection):
             self._log_rejection(service, request, decision, now)
             return decision
-        if not isinstance(decision, Place):
-            rejection = await self._wait(service, decision.waiting, decision.expectation)
+        if not isinstance(decision, Admitted):
+            rejection = await self._wait(service, decision.waiting, decision.wait_estimate)
             if rejection is not None:
                 return rejection
         began = steady_seconds()
         self._listener.request_admitted(began - now)
         return HeldPlace(service, request.route, began)
 
-    def note_outcome(self, name: str, outcome: AttemptOutcome) -> None:
+    def record_outcome(self, name: str, outcome: AttemptOutcome) -> None:
         """Learn from an attempt that ended at one of a service's workers."""
         if not self._enabled:
             return
@@ -176,15 +176,15 @@
         core = service.core
         full = load is None or load.running + load.waiting >= load.slots
         if outcome.refused and full:
-            core.limit.note_refused(core.in_flight, now)
+            core.limit.record_refused(core.in_flight, now)
         elif not outcome.refused and load is not None:
             seconds = outcome.seconds
             if seconds is not None and load.pace:
                 seconds /= load.pace
             queued = load.waiting / max(1, load.slots)
-            core.limit.note_answered(seconds, queued, core.in_flight, now)
+            core.limit.record_answered(seconds, queued, core.in_flight, now)
 
-    def retry_after(self, name: str, request: QueuedRequest) -> float | None:
+    def retry_after(self, name: str, request: AdmissionRequest) -> float | None:
         """Return when a caller may return whose request only full workers got; None: as usual."""
         service, now = self._services.get(name), steady_seconds()
         if service is None or now - service.reported_at > REPORTS_VALID_SECONDS:
@@ -206,7 +206,7 @@
         return _Service(name, core, steady_seconds())
 
     async def _wait(
-        self, service: _Service, waiting: Waiting, expected: Expectation
+        self, service: _Service, waiting: QueueEntry, expected: WaitEstimate
     ) -> Rejection | None:
         """Wait until a request starts or is refused."""
         request, core = waiting.request, service.core
@@ -218,11 +218,11 @@
                 service.wake_started(now)
                 if waiting.started:
                     return None
-                rejection = core.review(waiting, now)
+                rejection = core.recheck(waiting, now)
                 if rejection is not None:
                     self._log_rejection(service, request, rejection, now)
                     return rejection
-                with anyio.move_on_after(core.seconds_until_turn(waiting, now)):
+                with anyio.move_on_after(core.seconds_until_recheck(waiting, now)):
                     await woken.wait()
         except BaseException:
             core.withdraw(waiting)
@@ -232,7 +232,7 @@
             del service.woken[waiting]
 
     def _log_rejection(
-        self, service: _Service, request: QueuedRequest, rejection: Rejection, now: float
+        self, service: _Service, request: AdmissionRequest, rejection: Rejection, now: float
     ) -> None:
         self._listener.request_rejected(rejection.reason.value)
         log_event(
@@ -241,16 +241,16 @@
             reason=rejection.reason,
             waited_seconds=now - request.arrived_at,
             retry_after_seconds=rejection.retry_after_seconds,
-            **_fields(service, request, rejection.expectation),
+            **_fields(service, request, rejection.wait_estimate),
         )
 
 
-def _log_queued(service: _Service, request: QueuedRequest, expected: Expectation) -> None:
+def _log_queued(service: _Service, request: AdmissionRequest, expected: WaitEstimate) -> None:
     log_event("request_queued", "info", **_fields(service, request, expected))
 
 
 def _fields(
-    service: _Service, request: QueuedRequest, expected: Expectation
+    service: _Service, request: AdmissionRequest, expected: WaitEstimate
 ) -> dict[str, str | int | float]:
     """Return what a request was judged by."""
     return {
--- a/src/stagewalk/gateway/forwarding/attempts.py
+++ b/src/stagewalk/gateway/forwarding/attempts.py
@@ -16,7 +16,7 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.admission.decisions import Rejection
-from stagewalk.gateway.admission.fair_queue import QueuedRequest
+from stagewalk.gateway.admission.fair_queue import AdmissionRequest
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
 from stagewalk.gateway.forwarding.admission_gate import AdmissionGate, AttemptOutcome, HeldPlace
 from stagewalk.gateway.forwarding.inbound import InboundRequest
@@ -38,7 +38,7 @@
 
 GOOD_OUTCOMES = frozenset({"answered_200", "stream_200"})
 
-_LEAST_LOGGED_WAIT_SECONDS = 0.001
+_MINIMUM_LOGGED_WAIT_SECONDS = 0.001
 """Shorter waits for a place are not told of."""
 
 
@@ -55,16 +55,16 @@
     waited_seconds: float = field(init=False, default=0.0)
     """How long it waited for its place."""
 
-    def queued(self) -> QueuedRequest:
+    def queued(self) -> AdmissionRequest:
         """Return it as it asks for a place."""
         request, state = self.request, self.state
         route = state.route
-        return QueuedRequest(
+        return AdmissionRequest(
             request.request_id,
             route.name,
             request.tenant or "",
             route.priority if request.priority is None else request.priority,
-            state.began_at,
+            state.started_at,
             state.deadline_at,
             route.target_seconds,
             streamed=route.kind is RouteKind.STREAM,
@@ -79,7 +79,7 @@
     ----------
     known_crashes
         Consecutive crashes that were known of its content as it began.
-    began_at
+    started_at
         Steady time.
     """
 
@@ -87,7 +87,7 @@
     state: ForwardedRequest
     worker: Worker
     known_crashes: int
-    began_at: float
+    started_at: float
     outbound: OutboundRequest
 
     @property
@@ -142,7 +142,7 @@
             self._eligibility.proximity,
             state.tried,
             prefer_warm=repeatable and self._prefer_warm,
-            draws=self._eligibility.draws,
+            rng=self._eligibility.rng,
         )
 
     def release(self, forwarding: Forwarding) -> None:
@@ -152,7 +152,7 @@
             forwarding.place.release(ran=state.answered or state.may_have_run)
             forwarding.place = None
 
-    def note_refused(self, forwarding: Forwarding) -> None:
+    def record_refused(self, forwarding: Forwarding) -> None:
         """Set when the caller may return of a request that full workers refused."""
         state = forwarding.state
         if state.tried and state.return_after_seconds is None:
@@ -178,7 +178,7 @@
         """Count an attempt at a worker."""
         now = steady_seconds()
         state.started(worker.announcement.worker, evidence_of(worker, now))
-        worker.note_sent()
+        worker.record_sent()
 
     def prepare(
         self, forwarding: Forwarding, worker: Worker, resume_after: int | None = None
@@ -215,12 +215,12 @@
             attempt.worker,
             attempt.state.route.name,
             attempt.known_crashes,
-            attempt.began_at,
+            attempt.started_at,
         )
         await self._crashes.connection_lost(sent, failure)
         record_failure(attempt, failure)
         refused = failure.fault is AttemptFault.NOT_RUN
-        self._note_outcome(attempt, AttemptOutcome(failure.load, refused))
+        self._record_outcome(attempt, AttemptOutcome(failure.load, refused))
 
     def record_answered(self, attempt: Attempt) -> None:
         """Record an attempt that its worker ran to a whole answer."""
@@ -228,18 +228,18 @@
         attempt.state.under_way -= 1
         attempt.state.answered = True
         worker = attempt.worker
-        load = worker.load if worker.load_at >= attempt.began_at else None
+        load = worker.load if worker.load_at >= attempt.started_at else None
         whole = attempt.state.route.kind is not RouteKind.STREAM
-        seconds = steady_seconds() - attempt.began_at if whole else None
-        self._note_outcome(attempt, AttemptOutcome(load, seconds=seconds))
+        seconds = steady_seconds() - attempt.started_at if whole else None
+        self._record_outcome(attempt, AttemptOutcome(load, seconds=seconds))
 
-    def _note_outcome(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        self._gate.note_outcome(attempt.worker.announcement.service, outcome)
+    def _record_outcome(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        self._gate.record_outcome(attempt.worker.announcement.service, outcome)
 
 
 def record_denied(attempt: Attempt, denial: Denial) -> None:
     """Record an attempt that was denied its permit: nothing of it was sent."""
-    attempt.worker.note_ended()
+    attempt.worker.record_ended()
     record_failure(attempt, AttemptFailure(AttemptFault.WITHHELD, denial.value))
 
 
@@ -252,10 +252,13 @@
     request, state, worker = attempt.request, attempt.state, attempt.worker
     now = steady_seconds()
     state.failed(failure)
-    worker.note_load(failure.load, now)
-    blameless = failure.own_limit or failure.fault in (AttemptFault.NOT_RUN, AttemptFault.WITHHELD)
+    worker.record_load(failure.load, now)
+    blameless = failure.local_limit or failure.fault in (
+        AttemptFault.NOT_RUN,
+        AttemptFault.WITHHELD,
+    )
     if not blameless:
-        worker.note_failure(now)
+        worker.record_failure(now)
     log_event(
         "attempt_failed",
         "warning",
@@ -264,7 +267,7 @@
         fault=failure.fault,
         detail=failure.detail,
         occupancy=worker.occupancy(now),
-        attempts=state.spent,
+        attempts=state.attempts_used,
         **_loss_fields(request, failure),
     )
 
@@ -280,7 +283,7 @@
     request, state = forwarding.request, forwarding.state
     good = outcome in GOOD_OUTCOMES
     waited = forwarding.waited_seconds
-    waits = {"waited_seconds": waited} if waited >= _LEAST_LOGGED_WAIT_SECONDS else {}
+    waits = {"waited_seconds": waited} if waited >= _MINIMUM_LOGGED_WAIT_SECONDS else {}
     content = {} if good or not state.may_have_run else {"content": request.content.digest}
     log_event(
         "request_ended",
@@ -292,9 +295,9 @@
         workers=",".join(state.tried),
         occupancies=",".join(format(e.occupancy, ".2f") for e in state.evidence),
         load_ages=",".join(format(e.load_age, ".2f") for e in state.evidence),
-        attempts=state.spent,
+        attempts=state.attempts_used,
         denied=_count_denials(state),
-        seconds=steady_seconds() - state.began_at,
+        seconds=steady_seconds() - state.started_at,
         **waits,
         **content,
     )
--- a/src/stagewalk/gateway/forwarding/forwarder.py
+++ b/src/stagewalk/gateway/forwarding/forwarder.py
@@ -30,7 +30,7 @@
 )
 from stagewalk.gateway.forwarding.inbound import InboundRequest
 from stagewalk.gateway.forwarding.policy import Ending, ForwardedRequest, Unanswered, is_success
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
@@ -63,7 +63,7 @@
         crashes: CrashReports,
         gate: AdmissionGate,
         *,
-        policy: Policy = ALL_ON,
+        policy: Policy = DEFAULT_POLICY,
         on_begun: BegunListener = ignore_begun,
     ) -> None:
         self._client = client
@@ -103,7 +103,7 @@
         await self._crashes.wait_published(request.content)
         ending = state.ending(now)
         if ending is Ending.NOT_RUN:
-            self._attempts.note_refused(whole)
+            self._attempts.record_refused(whole)
         log_request_end(whole, self._routes.version, ending.value)
         return Error(state.unanswered(ending))
 
@@ -139,7 +139,9 @@
 
     async def _attempt(self, whole: _Whole, worker: Worker) -> None:
         attempt = self._attempts.prepare(whole, worker)
-        permit = self._eligibility.permit(worker, attempt.scope, attempt.began_at, whole.state.late)
+        permit = self._eligibility.permit(
+            worker, attempt.scope, attempt.started_at, whole.state.late
+        )
         if permit.is_error():
             record_denied(attempt, permit.error)
             return
@@ -152,14 +154,14 @@
     def _handle_answer(self, whole: _Whole, attempt: Attempt, answer: WorkerAnswer) -> None:
         state, worker = whole.state, attempt.worker
         now = steady_seconds()
-        state.note_run(attempt.began_at)
-        worker.note_load(answer.load, now)
-        worker.note_connection(attempt.outbound.repeatable and not answer.leaving, now)
-        if is_success(answer.status) and not answer.genuine:
+        state.record_run(attempt.started_at)
+        worker.record_load(answer.load, now)
+        worker.record_connection(attempt.outbound.repeatable and not answer.leaving, now)
+        if is_success(answer.status) and not answer.is_signed:
             damaged = AttemptFailure(AttemptFault.MAY_HAVE_RUN, "an answer without signature")
             record_failure(attempt, damaged)
             return
-        worker.note_success(now - attempt.began_at, now)
+        worker.record_success(now - attempt.started_at, now)
         self._attempts.record_answered(attempt)
         if state.accepts(answer, now):
             whole.answer = answer
@@ -172,7 +174,7 @@
         result = await send()
         proves_not_run = result.is_error() and result.error.fault.proves_not_run
     finally:
-        attempt.worker.note_ended()
+        attempt.worker.record_ended()
         if not proves_not_run:
-            attempt.state.note_unanswered(attempt.began_at)
+            attempt.state.record_unanswered(attempt.started_at)
     return result
--- a/src/stagewalk/gateway/forwarding/policy.py
+++ b/src/stagewalk/gateway/forwarding/policy.py
@@ -29,7 +29,7 @@
 """Taken off the time that a worker gets, since its answer has to travel back; no attempt begins
 later. Regions are 12 to 20 ms apart."""
 
-LEAST_WORKER_SECONDS = 0.001
+MINIMUM_WORKER_SECONDS = 0.001
 """Least time that a worker is given: keeps the deadline that it is sent positive."""
 
 
@@ -40,7 +40,7 @@
     """No worker ran it, and none will."""
     UNKNOWN = "unknown"
     """A worker may have run it."""
-    OUT_OF_TIME = "out_of_time"
+    DEADLINE_EXCEEDED = "out_of_time"
     """A worker may have run it, and its time is over."""
 
 
@@ -88,23 +88,23 @@
     ----------
     deadline_at
         When the caller, or the route, stops waiting.
-    began_at
+    started_at
         When the request arrived.
     tried
         Workers it was sent to, or tried to be.
     evidence
         What each of them was chosen by, in the same order.
-    spent
+    attempts_used
         Attempts that count against the route's limit: a worker that said it did not run the
         request counts too, one that was never reached doesn't.
     """
 
     route: Route
     deadline_at: float
-    began_at: float
+    started_at: float
     tried: list[str] = field(default_factory=list)
     evidence: list[Evidence] = field(default_factory=list)
-    spent: int = 0
+    attempts_used: int = 0
     under_way: int = 0
     may_have_run: bool = False
     ran_from: float | None = None
@@ -126,22 +126,22 @@
         """Count an attempt that begins at a worker."""
         self.tried.append(worker)
         self.evidence.append(evidence)
-        self.spent += 1
+        self.attempts_used += 1
         self.under_way += 1
 
     def failed(self, failure: AttemptFailure) -> None:
         """Record an attempt that ended without an answer."""
         self.under_way -= 1
         if failure.fault in (AttemptFault.NOT_SENT, AttemptFault.WITHHELD):
-            self.spent -= 1
+            self.attempts_used -= 1
         if not failure.fault.proves_not_run:
             self.may_have_run = True
 
-    def note_run(self, began: float) -> None:
+    def record_run(self, began: float) -> None:
         """Record that a worker answered an attempt that began at a time."""
         self.ran_from = began if self.ran_from is None else min(self.ran_from, began)
 
-    def note_unanswered(self, began: float) -> None:
+    def record_unanswered(self, began: float) -> None:
         """Record that an attempt that began at a time may have run."""
         if self.may_have_run_from is None:
             self.may_have_run_from = began
@@ -155,7 +155,7 @@
         """Whether another attempt is allowed now that none is under way."""
         in_time = now < self.deadline_at - DEADLINE_RESERVE_SECONDS
         repeatable = self.route.repeatable or not self.may_have_run
-        return in_time and repeatable and self.spent < self.route.maximum_attempts
+        return in_time and repeatable and self.attempts_used < self.route.maximum_attempts
 
     def may_move(self, now: float) -> bool:
         """Whether an attempt under way may be broken off to go on at another worker."""
@@ -183,18 +183,18 @@
 
     def late(self, now: float) -> Denial | None:
         """Return why it must not be sent at a time: a machine that slept finds its time over."""
-        return Denial.OUT_OF_TIME if now >= self.deadline_at else None
+        return Denial.DEADLINE_EXCEEDED if now >= self.deadline_at else None
 
     def worker_seconds(self, now: float) -> float:
         """Return how long a worker may still work on it."""
-        return max(LEAST_WORKER_SECONDS, self.deadline_at - now - DEADLINE_RESERVE_SECONDS)
+        return max(MINIMUM_WORKER_SECONDS, self.deadline_at - now - DEADLINE_RESERVE_SECONDS)
 
     def ending(self, now: float) -> Ending:
         """Return how it ends if no worker answers any more."""
         if not self.may_have_run and self.under_way == 0:
             return Ending.NOT_RUN
         over = now >= self.deadline_at - DEADLINE_RESERVE_SECONDS
-        return Ending.OUT_OF_TIME if over else Ending.UNKNOWN
+        return Ending.DEADLINE_EXCEEDED if over else Ending.UNKNOWN
 
     def unanswered(self, ending: Ending) -> Unanswered:
         """Return how it ended, and when its caller may send it again."""
--- a/src/stagewalk/gateway/forwarding/relay_buffer.py
+++ b/src/stagewalk/gateway/forwarding/relay_buffer.py
@@ -14,7 +14,7 @@
 import anyio
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.held_memory.readers import Readers, WaitingReader
+from stagewalk.gateway.held_memory.readers import ReaderBacklog, ResponseReaders
 from stagewalk.gateway.ports.workers import StreamHead, StreamPart
 
 PART_OVERHEAD_BYTES = 300
@@ -37,7 +37,7 @@
     """
 
     def __init__(
-        self, readers: Readers, consume: StreamConsumer, request_id: str, *, resumable: bool
+        self, readers: ResponseReaders, consume: StreamConsumer, request_id: str, *, resumable: bool
     ) -> None:
         self._readers = readers
         self._consume = consume
@@ -45,7 +45,7 @@
         self._changed = anyio.Event()
         self._ended = False
         self._scope = anyio.CancelScope()
-        self._reader = WaitingReader(request_id, resumable, self._scope.cancel)
+        self._reader = ReaderBacklog(request_id, resumable, self._scope.cancel)
 
     @property
     def was_cut_off(self) -> bool:
@@ -54,7 +54,7 @@
 
     async def put(self, part: StreamPart) -> None:
         """Have a part written to the caller; returns at once."""
-        self._readers.hold_part(self._reader, _held_bytes(part), steady_seconds())
+        self._readers.buffer_part(self._reader, _held_bytes(part), steady_seconds())
         if not self._reader.was_cut_off:
             self._parts.append(part)
             self._changed.set()
--- a/src/stagewalk/gateway/forwarding/stream_forwarder.py
+++ b/src/stagewalk/gateway/forwarding/stream_forwarder.py
@@ -30,7 +30,7 @@
 from stagewalk.gateway.forwarding.inbound import InboundRequest
 from stagewalk.gateway.forwarding.policy import Ending, ForwardedRequest, Unanswered
 from stagewalk.gateway.forwarding.relay_buffer import RelayBuffer, StreamConsumer
-from stagewalk.gateway.held_memory.readers import Readers
+from stagewalk.gateway.held_memory.readers import ResponseReaders
 from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
@@ -44,7 +44,7 @@
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.workers.worker import Worker
 
-SUCCESS = 200
+HTTP_OK = 200
 _Stream = Callable[[], Awaitable[Result[StreamEnd, AttemptFailure]]]
 
 
@@ -103,7 +103,7 @@
         gate: AdmissionGate,
         *,
         on_begun: BegunListener = ignore_begun,
-        readers: Readers | None = None,
+        readers: ResponseReaders | None = None,
     ) -> None:
         self._client = client
         self._eligibility = eligibility
@@ -156,7 +156,7 @@
         if streamed.started and ending is Ending.NOT_RUN:
             ending = Ending.UNKNOWN
         if ending is Ending.NOT_RUN:
-            self._attempts.note_refused(streamed)
+            self._attempts.record_refused(streamed)
         log_request_end(streamed, self._routes.version, ending.value)
         if buffer is not None and buffer.was_cut_off:
             on_cut_off()
@@ -187,7 +187,7 @@
         state = streamed.state
         self._attempts.start(state, worker)
         attempt = self._attempts.prepare(streamed, worker, streamed.last_event or None)
-        permit = self._eligibility.permit(worker, attempt.scope, attempt.began_at, state.late)
+        permit = self._eligibility.permit(worker, attempt.scope, attempt.started_at, state.late)
         if permit.is_error():
             record_denied(attempt, permit.error)
             return None
@@ -212,7 +212,7 @@
             result = Error(AttemptFailure(AttemptFault.MAY_HAVE_RUN, str(error)))
         finally:
             del self._open[opened]
-            attempt.worker.note_ended()
+            attempt.worker.record_ended()
         return result
 
     def _zone_evacuated(self, zone: str, now: float) -> None:
@@ -224,8 +224,8 @@
     async def _deliver(self, streamed: _Streamed, worker: Worker, part: StreamPart) -> None:
         """Pass a part of a stream on to the caller: its first head, and each event once."""
         if isinstance(part, StreamHead):
-            worker.note_load(part.load, steady_seconds())
-            if part.status == SUCCESS and not streamed.started:
+            worker.record_load(part.load, steady_seconds())
+            if part.status == HTTP_OK and not streamed.started:
                 streamed.started = True
                 self._on_begun(streamed.request.tenant, steady_seconds())
                 await streamed.consume(part)
--- a/src/stagewalk/gateway/held_memory/bodies.py
+++ b/src/stagewalk/gateway/held_memory/bodies.py
@@ -16,7 +16,7 @@
 """Share of the budget from which large bodies are refused."""
 
 
-class HeldBody:
+class BodyReservation:
     """Bytes of one request's body; satisfies `common.http.body_budget.ByteBudget`.
 
     They are held until the request has ended, not only until the body has arrived: it is kept for
@@ -34,11 +34,11 @@
         """
         return announced_bytes <= LARGE_BODY_BYTES or self._leaves_room(announced_bytes)
 
-    def take(self, count: int) -> bool:
+    def reserve_bytes(self, count: int) -> bool:
         """Hold more of the body; return whether there were enough bytes."""
         size = self._held + count
         if size <= LARGE_BODY_BYTES:
-            taken = self._budget.take(count)
+            taken = self._budget.reserve_bytes(count)
         else:
             taken = self._leaves_room(count)
             if taken:
@@ -47,12 +47,12 @@
             self._held = size
         return taken
 
-    def give_back(self, _count: int) -> None:
+    def release_bytes(self, _count: int) -> None:
         """Do nothing: the body has been handed on, and is held until the request ends."""
 
     def close(self) -> None:
         """Give back all that the request holds; it has ended."""
-        self._budget.give_back(self._held)
+        self._budget.release_bytes(self._held)
         self._held = 0
 
     def _leaves_room(self, count: int) -> bool:
--- a/src/stagewalk/gateway/held_memory/budget.py
+++ b/src/stagewalk/gateway/held_memory/budget.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-HELD_SHARE = 0.2
+BUFFER_MEMORY_SHARE = 0.2
 """Share of a node's memory: a body or an answer may for a moment be there twice, as it is copied to
 a socket, and the process itself needs half."""
 
@@ -26,9 +26,9 @@
         self._reclaim: Callable[[int], None] = _reclaim_nothing
 
     @classmethod
-    def of_node(cls, memory_megabytes: float) -> MemoryBudget:
+    def for_node(cls, memory_megabytes: float) -> MemoryBudget:
         """Return the budget of a node whose process may use so much memory."""
-        return cls(int(memory_megabytes * MEGABYTE * HELD_SHARE))
+        return cls(int(memory_megabytes * MEGABYTE * BUFFER_MEMORY_SHARE))
 
     @property
     def maximum_bytes(self) -> int:
@@ -45,7 +45,7 @@
         """Return the most bytes that were held at any time."""
         return self._peak
 
-    def reclaim_by(self, reclaim: Callable[[int], None]) -> None:
+    def set_reclaimer(self, reclaim: Callable[[int], None]) -> None:
         """Set what gives bytes back when a taker finds too few; it is told how many are missing."""
         self._reclaim = reclaim
 
@@ -59,7 +59,7 @@
         """
         return self._held + count + left_bytes - self._maximum
 
-    def take(self, count: int) -> bool:
+    def reserve_bytes(self, count: int) -> bool:
         """Hold some more bytes; return whether there were enough, or others made room."""
         missing = self.missing_bytes(count)
         if missing > 0:
@@ -74,7 +74,7 @@
         self._held += count
         self._peak = max(self._peak, self._held)
 
-    def give_back(self, count: int) -> None:
+    def release_bytes(self, count: int) -> None:
         """Hold fewer bytes."""
         self._held -= count
 
--- a/src/stagewalk/gateway/held_memory/reader_choice.py
+++ b/src/stagewalk/gateway/held_memory/reader_choice.py
@@ -13,7 +13,7 @@
 """Most of the budget that is held for one caller of a stream: a whole text is a small part of it,
 and one caller that reads nothing can't push out the others."""
 
-SLOW_SECONDS = 1.0
+SLOW_READER_SECONDS = 1.0
 """A caller that is this far behind makes room for requests and answers of others; the answer to one
 that keeps up is on its way, and would be lost for a request that may as well come back."""
 
--- a/src/stagewalk/gateway/held_memory/readers.py
+++ b/src/stagewalk/gateway/held_memory/readers.py
@@ -15,7 +15,7 @@
 from stagewalk.gateway.held_memory.budget import MemoryBudget
 from stagewalk.gateway.held_memory.reader_choice import (
     READER_SHARE,
-    SLOW_SECONDS,
+    SLOW_READER_SECONDS,
     readers_to_cut,
 )
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class WaitingReader:
+class ReaderBacklog:
     """One caller with what it has not read.
 
     Attributes
@@ -81,7 +81,7 @@
     """Do nothing."""
 
 
-class Readers:
+class ResponseReaders:
     """All callers of a node that answers are written to.
 
     Parameters
@@ -96,7 +96,7 @@
         self._budget = budget
         self._on_cut_off = on_cut_off
         self._reader_limit = int(budget.maximum_bytes * READER_SHARE)
-        self._readers: dict[WaitingReader, None] = {}
+        self._readers: dict[ReaderBacklog, None] = {}
 
     @property
     def budget(self) -> MemoryBudget:
@@ -106,16 +106,16 @@
     def __len__(self) -> int:
         return len(self._readers)
 
-    def add(self, reader: WaitingReader) -> None:
+    def add(self, reader: ReaderBacklog) -> None:
         """Begin to write to a caller."""
         self._readers[reader] = None
 
-    def remove(self, reader: WaitingReader) -> None:
+    def remove(self, reader: ReaderBacklog) -> None:
         """Give back what is held for a caller, whose answer has ended."""
         self._readers.pop(reader, None)
         self._release_all(reader)
 
-    def hold_part(self, reader: WaitingReader, size: int, now: float) -> None:
+    def buffer_part(self, reader: ReaderBacklog, size: int, now: float) -> None:
         """Hold a part of a stream until its caller has read it, or cut callers off."""
         if reader.was_cut_off:
             return
@@ -130,19 +130,19 @@
         if reader.held_bytes > self._reader_limit:
             self._cut(reader, CutOffReason.READER_LIMIT, now)
 
-    def hold_answer(self, reader: WaitingReader, size: int, now: float) -> None:
+    def buffer_answer(self, reader: ReaderBacklog, size: int, now: float) -> None:
         """Hold a whole answer, which is there already, until its caller has read it."""
         missing = self._budget.missing_bytes(size)
         if missing > 0:
             self.make_room(missing, now)
         self._add(reader, size, now)
 
-    def release(self, reader: WaitingReader, size: int) -> None:
+    def release(self, reader: ReaderBacklog, size: int) -> None:
         """Give back the oldest bytes, which a caller has read."""
         if reader.was_cut_off:
             return
         reader.held_bytes -= size
-        self._budget.give_back(size)
+        self._budget.release_bytes(size)
         while size > 0:
             at, oldest = reader.parts.popleft()
             if oldest > size:
@@ -150,18 +150,18 @@
             size -= oldest
 
     def make_room(
-        self, missing_bytes: int, now: float, least_behind_seconds: float = SLOW_SECONDS
+        self, missing_bytes: int, now: float, least_behind_seconds: float = SLOW_READER_SECONDS
     ) -> None:
         """Cut slow callers off until some bytes are free, as far as there are any."""
         for reader in readers_to_cut(self._readers, missing_bytes, now, least_behind_seconds):
             self._cut(reader, CutOffReason.NODE_LIMIT, now)
 
-    def _add(self, reader: WaitingReader, size: int, now: float) -> None:
+    def _add(self, reader: ReaderBacklog, size: int, now: float) -> None:
         reader.parts.append((now, size))
         reader.held_bytes += size
         self._budget.add(size)
 
-    def _cut(self, reader: WaitingReader, reason: CutOffReason, now: float) -> None:
+    def _cut(self, reader: ReaderBacklog, reason: CutOffReason, now: float) -> None:
         cut_off = CutOff(
             request_id=reader.request_id,
             reason=reason,
@@ -175,7 +175,7 @@
         self._on_cut_off(cut_off)
         reader.cut_off()
 
-    def _release_all(self, reader: WaitingReader) -> None:
-        self._budget.give_back(reader.held_bytes)
+    def _release_all(self, reader: ReaderBacklog) -> None:
+        self._budget.release_bytes(reader.held_bytes)
         reader.held_bytes = 0
         reader.parts.clear()
--- a/src/stagewalk/gateway/leases/log_lease.py
+++ b/src/stagewalk/gateway/leases/log_lease.py
@@ -39,7 +39,7 @@
     return JITTER_STEP_SECONDS * (random_number % JITTER_STEPS)
 
 
-def new_holder(machine: str, nonce: str) -> str:
+def new_holder_id(machine: str, nonce: str) -> str:
     """Return the identity of one start of the only process of its kind on a machine."""
     return f"{machine}{MACHINE_SEPARATOR}{nonce}"
 
@@ -108,11 +108,11 @@
         return msgspec.msgpack.encode(self)
 
 
-LogRecord = LeaseRecord | DutyRecord | PlanRecord
-_DECODER: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
+LeaseTopicRecord = LeaseRecord | DutyRecord | PlanRecord
+_DECODER: msgspec.msgpack.Decoder[LeaseTopicRecord] = msgspec.msgpack.Decoder(LeaseTopicRecord)
 
 
-def decode_lease_record(payload: bytes) -> LogRecord | None:
+def decode_lease_record(payload: bytes) -> LeaseTopicRecord | None:
     """Return a payload's record, None if it is none."""
     try:
         return _DECODER.decode(payload)
@@ -141,7 +141,7 @@
     Parameters
     ----------
     holder
-        Identity of this start of the process, see `new_holder`.
+        Identity of this start of the process, see `new_holder_id`.
     quiet_seconds
         How long nobody may act between two holders.
     jitter_seconds
@@ -177,7 +177,7 @@
         """Whether this process is the holder and has not released the lease."""
         return self._holder == self._own and not self._released
 
-    def set_quiet(self, seconds: float) -> None:
+    def set_quiet_seconds(self, seconds: float) -> None:
         """Set how long nobody may act between two holders, from the next one on."""
         self._quiet = seconds
 
@@ -200,7 +200,7 @@
         """Record that the partition ends further on."""
         self._end = max(self._end, next_offset)
 
-    def note_gap(self, now: float) -> None:
+    def record_gap(self, now: float) -> None:
         """Record that records were dropped before they were read: somebody may hold the lease.
 
         A holder that lives is known by its next renewal.
@@ -223,7 +223,7 @@
         if fence == self._fence and self._holder == self._own:
             self._valid_until = max(self._valid_until, sent_at + LEASE_SECONDS)
 
-    def overtaken(self, fence: int) -> None:
+    def handle_fenced(self, fence: int) -> None:
         """Stop acting under a fence, since a receiver has seen a higher one.
 
         The record by which that holder acquired the lease came after this process's last read, so
--- a/src/stagewalk/gateway/log_relay/path_choice.py
+++ b/src/stagewalk/gateway/log_relay/path_choice.py
@@ -10,10 +10,10 @@
 
 from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault
 
-PROBE_SECONDS = 1.0
+PROBE_INTERVAL_SECONDS = 1.0
 """Between two probes of the direct path while calls are relayed."""
 
-SETTLED = frozenset(
+CONCLUSIVE_FAULTS = frozenset(
     {LogFault.CONFLICT, LogFault.OUT_OF_SEQUENCE, LogFault.DROPPED, LogFault.REJECTED}
 )
 """Failures that are the log's own answer: the other path would bring the same."""
@@ -38,17 +38,18 @@
         return self._relay_worked_at > self._direct_failed_at > -math.inf
 
     def direct_first(self, now: float) -> bool:
-        """Whether to try the direct path first; while relaying, once every `PROBE_SECONDS`."""
+        """Whether to try the direct path first; while relaying, once every
+        `PROBE_INTERVAL_SECONDS`."""
         if not self.relaying:
             return True
-        if now - self._probed_at < PROBE_SECONDS:
+        if now - self._probed_at < PROBE_INTERVAL_SECONDS:
             return False
         self._probed_at = now
         return True
 
     def record_direct(self, failure: LogFailure | None, now: float) -> bool:
         """Record the outcome of a direct call; return whether it settles the call."""
-        if failure is None or failure.fault in SETTLED:
+        if failure is None or failure.fault in CONCLUSIVE_FAULTS:
             self._direct_failed_at = -math.inf
             return True
         if not self.relaying:
--- a/src/stagewalk/gateway/log_relay/relayed_log.py
+++ b/src/stagewalk/gateway/log_relay/relayed_log.py
@@ -30,7 +30,7 @@
     encode_message,
 )
 from stagewalk.gateway.log_relay.path_choice import PathChoice
-from stagewalk.gateway.log_relay.server import CUT_OFF
+from stagewalk.gateway.log_relay.server import RELAY_CUT_OFF
 from stagewalk.gateway.peer_calls.client import PeerClient, PeerFault
 from stagewalk.gateway.ports.partitioned_log import (
     KeyedPage,
@@ -45,10 +45,10 @@
 Value = TypeVar("Value")
 
 RELAY_PATH = "/log"
-ANSWER_SECONDS = 1.5
+RESPONSE_TIMEOUT_SECONDS = 1.5
 """How long another node's answer may take beyond the time a read offers to wait."""
 
-SILENCE_SECONDS = 0.4
+HEDGE_DELAY_SECONDS = 0.4
 """A call that the log has not answered so long after it should have is relayed as well: a hundred
 times what the log takes, and well below the time-out of a call (1.2 s), after which a node would
 learn of a configuration too late."""
@@ -64,8 +64,8 @@
 class RelayPeers:
     """Where other nodes serve relayed calls: in this node's region, and in others."""
 
-    near: Sequence[Address] = ()
-    beyond: Sequence[Address] = ()
+    same_region: Sequence[Address] = ()
+    other_regions: Sequence[Address] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,7 +169,7 @@
             answer = await direct()
             self._choice.record_direct(_error_of(answer), steady_seconds())
             return _outcome(answer, relayed)
-        relay_after = 0.0 if relaying else wait_seconds + SILENCE_SECONDS
+        relay_after = 0.0 if relaying else wait_seconds + HEDGE_DELAY_SECONDS
         return await self._race(direct, lambda: self._relay(call, pick, wait_seconds), relay_after)
 
     async def _race(
@@ -215,7 +215,7 @@
     ) -> Result[Value, LogFailure]:
         """Send a call through another node, always the same one while it answers."""
         before = self._choice.relaying
-        asked = await self._ask_peers(call, wait_seconds + ANSWER_SECONDS)
+        asked = await self._ask_peers(call, wait_seconds + RESPONSE_TIMEOUT_SECONDS)
         if asked is None:
             return Error(LogFailure(LogFault.REFUSED, "no other node is known"))
         peer, answer = asked.peer, asked.answer
@@ -240,7 +240,7 @@
         asked: _Asked | None = None
         for peer in self._candidates():
             asked = _Asked(peer, await self._send(peer, call, seconds))
-            if _failure_of(asked.answer) != CUT_OFF:
+            if _failure_of(asked.answer) != RELAY_CUT_OFF:
                 break
         return asked
 
@@ -250,14 +250,16 @@
         One of another region is among them: a whole region may be cut off from the log.
         """
         known = self._peers()
-        near = [peer for peer in known.near if peer != self._peer]
-        beyond = [peer for peer in known.beyond if peer != self._peer]
-        others = random.sample(near, min(len(near), PEERS_ASKED - bool(beyond)))
-        others += random.sample(beyond, min(len(beyond), PEERS_ASKED - len(others)))
+        same_region = [peer for peer in known.same_region if peer != self._peer]
+        other_regions = [peer for peer in known.other_regions if peer != self._peer]
+        others = random.sample(
+            same_region, min(len(same_region), PEERS_ASKED - bool(other_regions))
+        )
+        others += random.sample(other_regions, min(len(other_regions), PEERS_ASKED - len(others)))
         return others if self._peer is None else [self._peer, *others]
 
     @property
-    def cut_off(self) -> bool:
+    def direct_path_failing(self) -> bool:
         """Whether the direct path to the log did not work when it was last tried."""
         return self._choice.direct_fails
 
--- a/src/stagewalk/gateway/log_relay/server.py
+++ b/src/stagewalk/gateway/log_relay/server.py
@@ -23,7 +23,7 @@
 )
 from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault, PartitionedLog
 
-CUT_OFF = LogFailure(LogFault.REFUSED, "the asked node does not reach the log either")
+RELAY_CUT_OFF = LogFailure(LogFault.REFUSED, "the asked node does not reach the log either")
 
 
 class LogRelay:
@@ -31,14 +31,14 @@
 
     Parameters
     ----------
-    cut_off
+    direct_path_failing
         Whether this node's own calls of the log fail: then it replies so at once, and the caller
         asks another node.
     """
 
-    def __init__(self, direct: PartitionedLog, cut_off: Callable[[], bool]) -> None:
+    def __init__(self, direct: PartitionedLog, direct_path_failing: Callable[[], bool]) -> None:
         self._direct = direct
-        self._cut_off = cut_off
+        self._cut_off = direct_path_failing
 
     async def handle(self, content: bytes) -> bytes | None:
         """Carry out a call and return the encoded answer; None if the bytes are no call."""
@@ -46,10 +46,10 @@
         if call is None:
             return None
         if self._cut_off():
-            return encode_message(LogAnswer(failure=CUT_OFF))
-        return encode_message(await self._carry_out(call))
+            return encode_message(LogAnswer(failure=RELAY_CUT_OFF))
+        return encode_message(await self._execute(call))
 
-    async def _carry_out(self, call: LogCall) -> LogAnswer:
+    async def _execute(self, call: LogCall) -> LogAnswer:
         log = self._direct
         match call:
             case AppendCall():
--- a/src/stagewalk/gateway/nodes/crash_watch.py
+++ b/src/stagewalk/gateway/nodes/crash_watch.py
@@ -20,11 +20,11 @@
 from stagewalk.gateway.ports.send_permits import WorkerTarget
 from stagewalk.gateway.ports.workers import AttemptFailure, ContactLoss
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import CrashSuspects, HeldContent
+from stagewalk.gateway.quarantine.core import CrashHistory, QuarantinedContent
 from stagewalk.gateway.quarantine.crash_reports import SentRequest
-from stagewalk.gateway.quarantine.hold_rule import count_after
-from stagewalk.gateway.quarantine.losses import Loss, LossWatch, WorkerStart
-from stagewalk.gateway.quarantine.records import KEY_PREFIX, CrashRecord, decode_crash_record
+from stagewalk.gateway.quarantine.hold_rule import next_crash_count
+from stagewalk.gateway.quarantine.losses import LostConnection, PendingLosses, WorkerIncarnation
+from stagewalk.gateway.quarantine.records import CRASH_KEY_PREFIX, CrashRecord, decode_crash_record
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
 
@@ -35,13 +35,13 @@
 """Returns whether the nodes' partition is known as of so many seconds ago; reads, within the second
 time, if it isn't."""
 
-SUSPECT_VIEW_SECONDS = 0.0
+MAXIMUM_SUSPECT_VIEW_AGE_SECONDS = 0.0
 SUSPECT_READ_SECONDS = 0.3
 """A suspect is sent only after one more read of other nodes' reports: its caller retries within a
 fifth of a second, and the views of nodes are up to 1.2 s old. Without an answer in 0.3 s it isn't
 sent: in a soak whose store answered late, nine workers ended under one, five too late."""
 
-MOST_UNVERIFIED_CRASHES = 1
+MAXIMUM_UNVERIFIED_CRASHES = 1
 """Most consecutive crashes of a content that is sent although nothing newer could be read, and only
 within the try in which the worker ended: most of those are bystanders, whose second attempt is
 served."""
@@ -53,7 +53,7 @@
 RETRY_SECONDS = 0.25
 """Between two tries of a failed append."""
 
-MOST_UNAPPENDED = 256
+MAXIMUM_UNAPPENDED = 256
 """Reports that wait for the log at most; the oldest are dropped first."""
 
 BURST_APPENDS = 8.0
@@ -74,13 +74,13 @@
     """A token bucket of appends."""
 
     tokens: float = BURST_APPENDS
-    filled_at: float = field(default_factory=steady_seconds)
+    refilled_at: float = field(default_factory=steady_seconds)
 
     def seconds_until_next(self, now: float) -> float:
         """Consume a token; return how many seconds to wait for it."""
-        gained = (now - self.filled_at) * APPENDS_PER_SECOND
+        gained = (now - self.refilled_at) * APPENDS_PER_SECOND
         self.tokens = min(BURST_APPENDS, self.tokens + gained) - 1.0
-        self.filled_at = now
+        self.refilled_at = now
         return max(0.0, -self.tokens / APPENDS_PER_SECOND)
 
 
@@ -101,7 +101,7 @@
         log: PartitionedLog,
         partition: Partition,
         node: str,
-        suspects: CrashSuspects,
+        suspects: CrashHistory,
         workers: WorkerTable,
         probe: Probe,
         renew_view: RenewView,
@@ -113,7 +113,7 @@
         self._workers = workers
         self._probe = probe
         self._renew_view = renew_view
-        self._losses = LossWatch()
+        self._losses = PendingLosses()
         self._unpublished: dict[str, list[CrashRecord]] = {}
         self._unappended: dict[str, bytes] = {}
         """By key the value to set, empty to drop it."""
@@ -136,10 +136,10 @@
             return None
         if self._suspects.held(content, time.time(), item=item):
             return Denial.CRASHES_WORKERS
-        renewed = await self._renew_view(SUSPECT_VIEW_SECONDS, SUSPECT_READ_SECONDS)
+        renewed = await self._renew_view(MAXIMUM_SUSPECT_VIEW_AGE_SECONDS, SUSPECT_READ_SECONDS)
         if self._suspects.held(content, time.time(), item=item):
             return Denial.CRASHES_WORKERS
-        return None if renewed or self._in_first_try(content) else Denial.CRASH_NEWS_TOO_OLD
+        return None if renewed or self._in_first_try(content) else Denial.CRASH_REPORTS_TOO_OLD
 
     async def connection_lost(self, sent: SentRequest, failure: AttemptFailure) -> None:
         """Record that the connection to a worker was lost; find out whether the worker ended."""
@@ -151,10 +151,10 @@
         leaves = announcement.draining or (closed and not listed)
         if failure.contact_loss is None or leaves:
             return
-        loss = Loss(
+        loss = LostConnection(
             sent.request_id,
             sent.content.digest,
-            WorkerStart(announcement.worker, str(announcement.address)),
+            WorkerIncarnation(announcement.worker, str(announcement.address)),
             sent.route,
             sent.known_crashes,
             sent.sent_at,
@@ -192,11 +192,11 @@
         """Return the number of worker ends remembered."""
         return self._suspects.count
 
-    def held_contents(self) -> list[HeldContent]:
+    def quarantined_contents(self) -> list[QuarantinedContent]:
         """Return the contents held back now."""
-        return self._suspects.held_contents(time.time())
+        return self._suspects.quarantined_contents(time.time())
 
-    def lift(self, content: str) -> bool:
+    def clear_quarantine(self, content: str) -> bool:
         """Retract the worker ends of a content at all nodes; return whether any were known."""
         return self._retract(content, "lifted")
 
@@ -205,7 +205,7 @@
     @staticmethod
     def owns(record: KeyedRecord) -> bool:
         """Whether a record is a report of worker ends."""
-        return record.key.startswith(KEY_PREFIX)
+        return record.key.startswith(CRASH_KEY_PREFIX)
 
     def apply(self, record: KeyedRecord) -> None:
         """Apply one record."""
@@ -276,7 +276,7 @@
 
     def _append(self, key: str, value: bytes) -> None:
         self._unappended[key] = value
-        if len(self._unappended) > MOST_UNAPPENDED:
+        if len(self._unappended) > MAXIMUM_UNAPPENDED:
             del self._unappended[next(iter(self._unappended))]
         self._idle = anyio.Event() if self._idle.is_set() else self._idle
         self._work.set()
@@ -286,16 +286,16 @@
         unpublished = {crash.worker for crash in self._unpublished.get(content.digest, ())}
         known = {crash.worker for crash in self._suspects.crashes(content)}
         return (
-            self._suspects.consecutive_crashes(content) <= MOST_UNVERIFIED_CRASHES
+            self._suspects.consecutive_crashes(content) <= MAXIMUM_UNVERIFIED_CRASHES
             and known <= unpublished
         )
 
-    def _record_crash(self, loss: Loss) -> None:
+    def _record_crash(self, loss: LostConnection) -> None:
         crash = CrashRecord(
             loss.content,
             loss.start.worker,
             loss.start.address,
-            count_after(loss.known_crashes),
+            next_crash_count(loss.known_crashes),
             int(loss.unix_seconds * 1000),
             self._node,
             loss.route,
--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -19,21 +19,29 @@
 from stagewalk.gateway.batches.runner_liveness import RunnerLiveness
 from stagewalk.gateway.batches.takeover import RunnerState
 from stagewalk.gateway.directory.call_rate import CallRate
-from stagewalk.gateway.directory.caller_subset import CallerPlace, directory_order, wants_callers
-from stagewalk.gateway.directory.ledger_replicas import wants_replica
+from stagewalk.gateway.directory.caller_subset import (
+    CallerLocation,
+    select_nodes_for_caller,
+    should_be_listed,
+)
+from stagewalk.gateway.directory.ledger_replicas import should_hold_replica
 from stagewalk.gateway.directory.node_table import NodeAnnouncement, NodeTable, decode_announcement
-from stagewalk.gateway.directory.read_pace import LISTED_PACE, OLDEST_VIEW_SECONDS, REFRESH_SECONDS
-from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS
+from stagewalk.gateway.directory.read_pace import (
+    LISTED_POLL_INTERVALS,
+    OLDEST_VIEW_SECONDS,
+    REFRESH_TIMEOUT_SECONDS,
+)
+from stagewalk.gateway.directory.renewals import RENEWAL_INTERVAL_SECONDS
 from stagewalk.gateway.log_relay.relayed_log import RelayPeers
 from stagewalk.gateway.nodes.identity import ProcessId, parse_process_id
 from stagewalk.gateway.nodes.own_node import OwnNode
 from stagewalk.gateway.nodes.relay_choice import choose_relay_peers
 from stagewalk.gateway.nodes.runner_state import judge_runner
 from stagewalk.gateway.partitioned_log.keyed_follower import KeyedFollower
-from stagewalk.gateway.place_shares.claims import ServiceClaims, rises_markedly
-from stagewalk.gateway.place_shares.limits import OtherNodes
+from stagewalk.gateway.place_shares.claims import ServiceClaims, has_significant_increase
+from stagewalk.gateway.place_shares.limits import PeerClaims
 from stagewalk.gateway.policy import Policy
-from stagewalk.gateway.ports.keyed_records import KeyedRecords
+from stagewalk.gateway.ports.keyed_records import KeyedRecordHandler
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
 from stagewalk.gateway.zones.homes import AllowedRegions, allows
 
@@ -87,7 +95,7 @@
         own: OwnNode,
         policy: Policy,
         batch_regions: Callable[[], AllowedRegions],
-        worker_ends: KeyedRecords,
+        worker_ends: KeyedRecordHandler,
     ) -> None:
         self._log = log
         self._partition = partition
@@ -101,7 +109,7 @@
             partition,
             self._replace,
             self._apply,
-            pause_seconds=LISTED_PACE.nodes_pause,
+            pause_seconds=LISTED_POLL_INTERVALS.nodes_pause_seconds,
             wait_seconds=READ_WAIT_SECONDS,
             on_confirm=self._view_confirmed,
         )
@@ -134,7 +142,7 @@
         return self._settled.is_set()
 
     @property
-    def alone(self) -> bool:
+    def started_without_replicas(self) -> bool:
         """Whether no replica of the ledger was alive anywhere when this process started."""
         return self._alone
 
@@ -149,7 +157,7 @@
 
     async def refresh(self) -> None:
         """Read announcements once more if the view of them is too old to name nodes to a caller."""
-        await self._follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_SECONDS)
+        await self._follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_TIMEOUT_SECONDS)
 
     async def renew(self, oldest_seconds: float, timeout_seconds: float) -> bool:
         """Return whether all that nodes wrote so long ago is known; read if it isn't."""
@@ -192,10 +200,10 @@
         announced = self._table.known(self._identity.node)
         if announced is None or announced.incarnation != self._identity.incarnation:
             return
-        if rises_markedly(announced.claims or (), claims or ()):
+        if has_significant_increase(announced.claims or (), claims or ()):
             self._wake_early()
 
-    def claims_of_others(self) -> OtherNodes:
+    def claims_of_others(self) -> PeerClaims:
         """Return what the other nodes that run batches announced of their claims.
 
         A process that stops has handed its batches over, and one that is gone has lost them: what
@@ -206,11 +214,11 @@
             for node in self._others()
             if node.ledger_replica and not node.stopping and self._runs(node)
         ]
-        return OtherNodes(self._view_at, [node.claims for node in running])
+        return PeerClaims(self._view_at, [node.claims for node in running])
 
     def _runs(self, node: NodeAnnouncement) -> bool:
         process = str(ProcessId(node.node, node.incarnation))
-        return self.runner_state(process) is RunnerState.RUNS
+        return self.runner_state(process) is RunnerState.ALIVE
 
     def _wake_early(self) -> None:
         if not self._announced_early:
@@ -222,7 +230,7 @@
         """Return what direct probes of runners showed."""
         return self._liveness
 
-    def peer_of(self, process: str) -> Address | None:
+    def peer_address_of(self, process: str) -> Address | None:
         """Return where the node of a process serves other nodes, None if unknown."""
         identity = parse_process_id(process)
         known = None if identity is None else self._table.known(identity.node)
@@ -238,10 +246,10 @@
             self._living = len(candidates)
             self._roles_as_of = self._view_at
             self._roles = Roles(
-                replica=wants_replica(
+                replica=should_hold_replica(
                     self._identity.node, self._in_batch_regions(candidates), self._policy
                 ),
-                listed=wants_callers(self._identity.node, candidates),
+                listed=should_be_listed(self._identity.node, candidates),
             )
         return self._roles
 
@@ -257,12 +265,12 @@
         """Wait until the other nodes' announcements were read once."""
         await self._known.wait()
 
-    async def settle(self) -> None:
+    async def wait_until_settled(self) -> None:
         """Wait until roles can be given to the nodes that are there."""
         await self._known.wait()
         if self._alone:
             await anyio.sleep(SETTLE_SECONDS)
-            await self._follower.refresh(0.0, REFRESH_SECONDS)
+            await self._follower.refresh(0.0, REFRESH_TIMEOUT_SECONDS)
         self._settled.set()
 
     def replicas(self) -> list[NodeAnnouncement]:
@@ -279,9 +287,9 @@
         regions = self._batch_regions()
         return nodes if regions is None else [n for n in nodes if allows(regions, n.region)]
 
-    def serving_nodes(self, caller: CallerPlace, most: int) -> list[str]:
+    def serving_nodes(self, caller: CallerLocation, most: int) -> list[str]:
         """Return the addresses of the nodes to name to a caller, nearest first."""
-        alive = directory_order(self.serving(), caller, most)
+        alive = select_nodes_for_caller(self.serving(), caller, most)
         return [announcement.front for announcement in alive]
 
     def serving(self) -> list[NodeAnnouncement]:
@@ -324,7 +332,7 @@
             wait_seconds = own.renewal_seconds
             if answer.is_error():
                 log_event("announcement_failed", "debug", fault=answer.error.fault)
-                wait_seconds = RENEWAL_SECONDS
+                wait_seconds = RENEWAL_INTERVAL_SECONDS
             self._wake = anyio.Event()
             if self._own.matches(own):
                 with anyio.move_on_after(wait_seconds) as renewal:
--- a/src/stagewalk/gateway/nodes/relay_choice.py
+++ b/src/stagewalk/gateway/nodes/relay_choice.py
@@ -27,11 +27,11 @@
         Living nodes but for this one.
     """
     chosen = [node for node in others if node.has_role] or others
-    near = [node for node in chosen if node.region == own_region]
-    beyond = [
+    same_region = [node for node in chosen if node.region == own_region]
+    other_regions = [
         node for node in chosen if node.region != own_region and allows(batch_regions, node.region)
     ]
-    return RelayPeers(_peer_addresses(near), _peer_addresses(beyond))
+    return RelayPeers(_peer_addresses(same_region), _peer_addresses(other_regions))
 
 
 def _peer_addresses(nodes: Iterable[NodeAnnouncement]) -> list[Address]:
--- a/src/stagewalk/gateway/nodes/runner_state.py
+++ b/src/stagewalk/gateway/nodes/runner_state.py
@@ -38,15 +38,15 @@
     if identity is None:
         return RunnerState.GONE
     if identity == own:
-        return RunnerState.RUNS
+        return RunnerState.ALIVE
     if identity.node == own.node:
-        return RunnerState.MINE_BEFORE
+        return RunnerState.PREVIOUS_PROCESS
     known = table.known(identity.node)
     if known is None or not known.ledger_replica or liveness.gone(process, now):
         return RunnerState.GONE
     if liveness.replaced(process, now):
-        return RunnerState.RETURNED
+        return RunnerState.RESTARTED
     if table.process_alive(known.node, identity.incarnation, view_at):
-        return RunnerState.RUNS
+        return RunnerState.ALIVE
     returned = table.process_alive(known.node, known.incarnation, view_at)
-    return RunnerState.RETURNED if returned else RunnerState.GONE
+    return RunnerState.RESTARTED if returned else RunnerState.GONE
--- a/src/stagewalk/gateway/partitioned_log/appender.py
+++ b/src/stagewalk/gateway/partitioned_log/appender.py
@@ -34,7 +34,7 @@
 """Bytes of a call beside each record: its length."""
 
 
-class AppendOutcome(StrEnum):
+class AppendFailure(StrEnum):
     """Why an append has no offset."""
 
     NOT_APPENDED = "not_appended"
@@ -76,7 +76,7 @@
 
     async def append(
         self, payloads: Sequence[bytes], timeout_seconds: float
-    ) -> Result[int, AppendOutcome]:
+    ) -> Result[int, AppendFailure]:
         """Append records, all or none; return the offset of the first."""
         pending = _Pending(tuple(payloads))
         self._queue.append(pending)
@@ -86,11 +86,11 @@
         if pending.offset is not None:
             return Ok(pending.offset)
         if pending.rejected:
-            return Error(AppendOutcome.NOT_APPENDED)
+            return Error(AppendFailure.NOT_APPENDED)
         if pending.may_land:
-            return Error(AppendOutcome.UNKNOWN)
+            return Error(AppendFailure.UNKNOWN)
         pending.abandoned = True
-        return Error(AppendOutcome.NOT_APPENDED)
+        return Error(AppendFailure.NOT_APPENDED)
 
     def post(self, payloads: Sequence[bytes]) -> None:
         """Append records without waiting for it."""
@@ -141,12 +141,12 @@
             sequence = ProducerSequence(self._producer, self._epoch, self._sequence)
             answer = await self._log.append(self._partition, payloads, sequence)
             if answer.is_ok():
-                self._note_success()
+                self._record_success()
                 self._finish(together, answer.ok)
                 return
             failures += 1
             fault = answer.error.fault
-            self._note_failure(fault, answer.error.detail, failures)
+            self._record_failure(fault, answer.error.detail, failures)
             if fault is LogFault.REJECTED:
                 self._finish(together, None)
                 return
@@ -177,12 +177,12 @@
                 offset += len(pending.payloads)
             pending.settled.set()
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self.failing_since is not None:
             log_event("appends_resumed", partition=str(self._partition))
         self.failing_since = None
 
-    def _note_failure(self, fault: LogFault, detail: str, failures: int) -> None:
+    def _record_failure(self, fault: LogFault, detail: str, failures: int) -> None:
         if self.failing_since is None:
             self.failing_since = steady_seconds()
         if failures == QUICK_RETRIES:
--- a/src/stagewalk/gateway/partitioned_log/follower.py
+++ b/src/stagewalk/gateway/partitioned_log/follower.py
@@ -109,7 +109,7 @@
             began = steady_seconds()
             answer = await self._log.read(self._partition, self.next_offset, wait_seconds)
             if answer.is_error():
-                self._note_failure(answer.error)
+                self._record_failure(answer.error)
                 return False
             page = answer.ok
             self._apply_page(page)
@@ -125,7 +125,7 @@
                 self.next_offset += 1
                 self._apply(record)
 
-    def _note_failure(self, failure: LogFailure) -> None:
+    def _record_failure(self, failure: LogFailure) -> None:
         if failure.fault is LogFault.DROPPED and failure.first_offset > self.next_offset:
             log_event(
                 "log_history_dropped",
--- a/src/stagewalk/gateway/peak_memory.py
+++ b/src/stagewalk/gateway/peak_memory.py
@@ -14,7 +14,7 @@
 STEP_MEGABYTES = 8.0
 """A new peak is told once it is this much higher: a dozen lines at most in a process's life."""
 
-KILOBYTES_A_MEGABYTE = 1_000.0
+KILOBYTES_PER_MEGABYTE = 1_000.0
 
 
 class PeakMemory:
@@ -32,7 +32,7 @@
 
     def write(self, state: Callable[[], Mapping[str, int]]) -> None:
         """Write the line if there is a new peak, with the state at that time."""
-        megabytes = self._peak_kilobytes() / KILOBYTES_A_MEGABYTE
+        megabytes = self._peak_kilobytes() / KILOBYTES_PER_MEGABYTE
         if megabytes < self._next_megabytes:
             return
         self._next_megabytes = megabytes + STEP_MEGABYTES
--- a/src/stagewalk/gateway/peer_calls/client.py
+++ b/src/stagewalk/gateway/peer_calls/client.py
@@ -11,12 +11,12 @@
 import httpx
 from expression import Error, Ok, Result
 
-from stagewalk.common.http.calls import NOT_SENT_ERRORS, describe, process_url
+from stagewalk.common.http.calls import NOT_SENT_ERRORS, describe_exception, url_for
 from stagewalk.common.http.connection_pools import ConnectionPools
 from stagewalk.common.identities import Address
 from stagewalk.common.logs.lines import log_event
 
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 """A node that accepts no connection within this time is gone or cut off."""
 
 MAXIMUM_POOLS = 32
@@ -25,7 +25,7 @@
 """Nodes with pooled connections at once, connections to one node, and idle ones of these that are
 kept."""
 
-KEEPALIVE_SECONDS = 10.0
+KEEPALIVE_EXPIRY_SECONDS = 10.0
 """How long an idle connection is kept."""
 
 
@@ -42,7 +42,9 @@
     """HTTP client of other nodes' listeners for peers."""
 
     def __init__(self) -> None:
-        self._pools = ConnectionPools(MAXIMUM_POOLS, PEER_CONNECTIONS, PEER_IDLE, KEEPALIVE_SECONDS)
+        self._pools = ConnectionPools(
+            MAXIMUM_POOLS, PEER_CONNECTIONS, PEER_IDLE, KEEPALIVE_EXPIRY_SECONDS
+        )
 
     async def call(
         self, peer: Address, path: str, content: bytes, answer_seconds: float
@@ -65,20 +67,22 @@
         answer_seconds
             How long the answer may take.
         """
-        timeout = httpx.Timeout(answer_seconds, connect=CONNECT_SECONDS, pool=CONNECT_SECONDS)
+        timeout = httpx.Timeout(
+            answer_seconds, connect=CONNECT_TIMEOUT_SECONDS, pool=CONNECT_TIMEOUT_SECONDS
+        )
         request = httpx.Request(
             "POST",
-            process_url(peer, path),
+            url_for(peer, path),
             content=content,
             extensions={"timeout": timeout.as_dict()},
         )
         try:
-            with anyio.fail_after(answer_seconds + CONNECT_SECONDS):
+            with anyio.fail_after(answer_seconds + CONNECT_TIMEOUT_SECONDS):
                 async with self._pools.use(str(peer)) as transport:
                     response = await transport.handle_async_request(request)
                     await response.aread()
         except (httpx.HTTPError, TimeoutError) as error:
-            log_event("peer_call_failed", "debug", peer=str(peer), detail=describe(error))
+            log_event("peer_call_failed", "debug", peer=str(peer), detail=describe_exception(error))
             not_sent = isinstance(error, NOT_SENT_ERRORS)
             return Error(PeerFault.NOT_SENT if not_sent else PeerFault.UNKNOWN)
         return Ok(response.content) if response.is_success else Error(PeerFault.UNKNOWN)
--- a/src/stagewalk/gateway/place_shares/claims.py
+++ b/src/stagewalk/gateway/place_shares/claims.py
@@ -14,12 +14,12 @@
 
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand
 
-MOST_CLAIMS = 16
+MAXIMUM_ANNOUNCED_CLAIMS = 16
 """Claimants of a service that a node announces one by one: more than the trainers of the largest
 deployment. The rest of a node's claimants is announced as one sum."""
 
 MARKED_SHARE = 0.25
-LEAST_MARKED_ITEMS = 4
+MINIMUM_MARKED_ITEMS = 4
 """A demand is announced before its time once it has grown by this share of it, and so many items:
 a step that begins is, a few items that come back are not."""
 
@@ -69,7 +69,9 @@
     return tuple(_service_claims(service, claims) for service, claims in sorted(by_service.items()))
 
 
-def rises_markedly(announced: Sequence[ServiceClaims], now: Sequence[ServiceClaims]) -> bool:
+def has_significant_increase(
+    announced: Sequence[ServiceClaims], now: Sequence[ServiceClaims]
+) -> bool:
     """Whether a demand is so much above the announced one that other nodes should know at once.
 
     They lend this node's places until they know. What falls is lent a renewal later.
@@ -80,7 +82,10 @@
 
 def _service_claims(service: str, claims: list[PlaceClaim]) -> ServiceClaims:
     largest_first = sorted(claims, key=lambda claim: (-claim.items, claim.claimant))
-    single, rest = largest_first[:MOST_CLAIMS], largest_first[MOST_CLAIMS:]
+    single, rest = (
+        largest_first[:MAXIMUM_ANNOUNCED_CLAIMS],
+        largest_first[MAXIMUM_ANNOUNCED_CLAIMS:],
+    )
     return ServiceClaims(
         service,
         tuple(sorted(single, key=lambda claim: claim.claimant)),
@@ -90,4 +95,4 @@
 
 
 def _marked(before: int, after: int) -> bool:
-    return after - before >= max(LEAST_MARKED_ITEMS, MARKED_SHARE * after)
+    return after - before >= max(MINIMUM_MARKED_ITEMS, MARKED_SHARE * after)
--- a/src/stagewalk/gateway/place_shares/limits.py
+++ b/src/stagewalk/gateway/place_shares/limits.py
@@ -18,13 +18,13 @@
 """A view of other nodes' claims that is older lends nothing any more. They count a node that is cut
 off for longer than this, so its part is given to others after it has been given back."""
 
-LEAST_PLACES = 1.0
+MINIMUM_PLACES = 1.0
 """What a claimant may have at each node that runs items of it, however many claimants there are:
 every step goes on."""
 
 
 @dataclass(frozen=True, slots=True)
-class OtherNodes:
+class PeerClaims:
     """What the other nodes that run batches announced.
 
     Attributes
@@ -67,7 +67,7 @@
         return self._shares
 
     def update(
-        self, own: Sequence[PlaceDemand], others: OtherNodes, places: Mapping[str, float]
+        self, own: Sequence[PlaceDemand], others: PeerClaims, places: Mapping[str, float]
     ) -> None:
         """Compute the shares anew.
 
@@ -106,7 +106,7 @@
         if shares is None or not shares.in_force:
             return math.inf
         level = shares.level if now - self._view_at <= VIEW_SECONDS else shares.floor
-        return max(LEAST_PLACES, level * self._part_here(claimant, service, shares))
+        return max(MINIMUM_PLACES, level * self._part_here(claimant, service, shares))
 
     def _part_here(self, claimant: Claimant, service: str, shares: ServiceShares) -> float:
         """Return which part of a claimant's items this node runs."""
--- a/src/stagewalk/gateway/place_shares/places.py
+++ b/src/stagewalk/gateway/place_shares/places.py
@@ -13,8 +13,8 @@
 
 from stagewalk.gateway.workers.worker import Worker
 
-LEAST_WEIGHT = 0.4
-MOST_WEIGHT = 2.5
+MINIMUM_SLOT_WEIGHT = 0.4
+MAXIMUM_SLOT_WEIGHT = 2.5
 """What a slot counts for at least and at most, in places: an engine's speed is an estimate."""
 
 
@@ -38,7 +38,7 @@
         seconds = _own_seconds(engine, self._now)
         if seconds is None or self._usual <= 0.0:
             return 1.0
-        return min(MOST_WEIGHT, max(LEAST_WEIGHT, self._usual / seconds))
+        return min(MAXIMUM_SLOT_WEIGHT, max(MINIMUM_SLOT_WEIGHT, self._usual / seconds))
 
     def total(self, evacuated: Collection[str]) -> float:
         """Return the places of the engines that may get items now.
@@ -60,4 +60,4 @@
 
 def _own_seconds(engine: Worker, now: float) -> float | None:
     """Return the time of an event at a machine's own speed, None if that isn't known."""
-    return engine.recent_latency(now) if engine.paced else None
+    return engine.recent_latency(now) if engine.reports_pace else None
--- a/src/stagewalk/gateway/place_shares/shares.py
+++ b/src/stagewalk/gateway/place_shares/shares.py
@@ -13,7 +13,7 @@
 
 from stagewalk.gateway.place_shares.claims import ServiceClaims
 
-HEADROOM = 1.05
+OVERCOMMIT_FACTOR = 1.05
 """Places that are shared, for each that there is: a place whose item ended is taken again at once,
 and parts of places that shares leave over are used."""
 
@@ -81,7 +81,7 @@
             unnamed.append((claims.others, claims.others_items / claims.others))
     demands = [(1, float(items)) for items in totals.values()] + unnamed
     claimants = sum(count for count, _ in demands)
-    level = fair_level(places * HEADROOM, demands) if claimants > 1 else math.inf
+    level = fair_level(places * OVERCOMMIT_FACTOR, demands) if claimants > 1 else math.inf
     items = round(sum(count * each for count, each in demands))
     return ServiceShares(places, level, claimants, items, totals)
 
--- a/src/stagewalk/gateway/policy.py
+++ b/src/stagewalk/gateway/policy.py
@@ -79,4 +79,4 @@
     engine_memory: bool = True
 
 
-ALL_ON = Policy()
+DEFAULT_POLICY = Policy()
--- a/src/stagewalk/gateway/ports/denials.py
+++ b/src/stagewalk/gateway/ports/denials.py
@@ -10,7 +10,7 @@
 
     NO_ROUTE = "no_route"
     """The configuration in force has no route for it."""
-    OUT_OF_TIME = "out_of_time"
+    DEADLINE_EXCEEDED = "out_of_time"
     """Its caller's time was over before its first byte could go."""
     VIEW_TOO_OLD = "view_too_old"
     """Its batch may have ended: the view that showed it as open is too old by now."""
@@ -24,7 +24,7 @@
     """It is cold, or may be, and another node has the right to send to it, or none yet."""
     CRASHES_WORKERS = "crashes_workers"
     """Workers ended one after the other as they ran it."""
-    CRASH_NEWS_TOO_OLD = "crash_news_too_old"
+    CRASH_REPORTS_TOO_OLD = "crash_news_too_old"
     """Workers ended under it, and whether it is held back by now could not be read."""
     COLD_RATE_REACHED = "cold_rate_reached"
     """It is cold, and gets as many requests a second as it withstands."""
--- a/src/stagewalk/gateway/ports/duties.py
+++ b/src/stagewalk/gateway/ports/duties.py
@@ -66,5 +66,5 @@
     async def report_usage(self, holder: DutyHolder, report: UsageReport) -> DutyOutcome:
         """Report a window's usage; an exact repeat changes nothing."""
 
-    async def order_workers(self, holder: DutyHolder, order: WorkerOrder) -> DutyOutcome:
+    async def request_worker_count(self, holder: DutyHolder, order: WorkerOrder) -> DutyOutcome:
         """Order workers."""
--- a/src/stagewalk/gateway/ports/keyed_records.py
+++ b/src/stagewalk/gateway/ports/keyed_records.py
@@ -7,7 +7,7 @@
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord
 
 
-class KeyedRecords(Protocol):
+class KeyedRecordHandler(Protocol):
     """Handles the records of the keys that are its own."""
 
     def owns(self, record: KeyedRecord) -> bool:
--- a/src/stagewalk/gateway/ports/workers.py
+++ b/src/stagewalk/gateway/ports/workers.py
@@ -16,12 +16,12 @@
 
 HeaderList = tuple[tuple[str, str], ...]
 
-POOL_SECONDS = 0.3
-CONNECT_SECONDS = 0.6
+POOL_TIMEOUT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.6
 """How long an attempt at a worker waits for a place among the connections to it, and then for its
 connection to be established."""
 
-SEND_SECONDS = POOL_SECONDS + CONNECT_SECONDS
+MAXIMUM_SEND_DELAY_SECONDS = POOL_TIMEOUT_SECONDS + CONNECT_TIMEOUT_SECONDS
 """Longest time from the start of an attempt until its request is on its way, or it has failed. What
 must not reach a worker after some moment is decided this long before it."""
 
@@ -51,7 +51,7 @@
 
     CLOSED = "closed"
     """The connection ended before a whole answer: at once where the worker's process ended."""
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     """Nothing whole came in time: a worker whose machine is gone, or one that is slow."""
 
 
@@ -71,7 +71,7 @@
 
     FIRST = "first"
     """None had been opened to it."""
-    SURGE = "surge"
+    ALL_BUSY = "surge"
     """All were in use."""
     IDLE_CLOSED = "idle_closed"
     """An idle one was closed, by either side."""
@@ -83,7 +83,7 @@
     """This node had ended the request on the last one."""
     LOST = "lost"
     """The last one broke."""
-    NOT_KEPT = "not_kept"
+    NOT_REUSABLE = "not_kept"
     """The request may not go over a kept one."""
 
 
@@ -166,7 +166,7 @@
     leaving: bool
 
     @property
-    def genuine(self) -> bool:
+    def is_signed(self) -> bool:
         """Whether it carries the worker's signature."""
         return bool(self.signature)
 
@@ -179,7 +179,7 @@
     ----------
     contact_loss
         How contact was lost, None if the worker answered, doesn't read, or was never reached.
-    own_limit
+    local_limit
         Whether a limit of this node ended it, which says nothing about the worker.
     """
 
@@ -187,7 +187,7 @@
     detail: str
     load: WorkerLoad | None = None
     contact_loss: ContactLoss | None = None
-    own_limit: bool = False
+    local_limit: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -292,5 +292,7 @@
     async def report(self, target: WorkerTarget) -> Result[WorkerReport, AttemptFailure]:
         """Return the state of an engine."""
 
-    async def order_version(self, target: WorkerTarget, order: VersionOrder) -> OrderOutcome:
+    async def request_version_change(
+        self, target: WorkerTarget, order: VersionOrder
+    ) -> OrderOutcome:
         """Order an engine to change a model's version."""
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -17,11 +17,11 @@
 from stagewalk.gateway.cold_starts.core import ColdStarts
 from stagewalk.gateway.dialect import Dialect, NamedVersion, OperatorRecord, ZoneEvacuation
 from stagewalk.gateway.directory.read_pace import (
-    LISTED_PACE,
+    IDLE_POLL_INTERVALS,
+    LISTED_POLL_INTERVALS,
     OLDEST_VIEW_SECONDS,
-    REFRESH_SECONDS,
-    RESTING_PACE,
-    ReadPace,
+    REFRESH_TIMEOUT_SECONDS,
+    PollIntervals,
 )
 from stagewalk.gateway.partitioned_log.freshness import Freshness
 from stagewalk.gateway.partitioned_log.keyed_follower import KeyedFollower
@@ -32,12 +32,12 @@
 from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement
 from stagewalk.gateway.zones.evacuations import Evacuations
 
-OLDEST_PUBLISHED_SECONDS = 2.0
+MAXIMUM_OPERATOR_VIEW_AGE_SECONDS = 2.0
 """A view of what operators publish that is older is read again before a request is served: twice
 the time between the ends of its reads (1 s). Without that a machine that slept served its first
 second of requests by the routes, keys and evacuations of before."""
 
-MOST_LOGGED_UNUSABLE = 256
+MAXIMUM_LOGGED_UNUSABLE = 256
 """Keys of unusable entries that are logged once each; beyond that every read of one is logged.
 It bounds memory."""
 
@@ -62,7 +62,7 @@
         evacuations.listen(_log_zone_evacuated, _log_zone_restored)
         self._routes = routes
         self._workers = workers
-        self._pace = LISTED_PACE
+        self._pace = LISTED_POLL_INTERVALS
         self._listing = False
         self._logged_unusable: set[str] = set()
         self._rollouts = rollouts
@@ -71,7 +71,7 @@
             dialect.operators,
             self._replace_published,
             self._apply_published,
-            wait_seconds=LISTED_PACE.configuration_wait,
+            wait_seconds=LISTED_POLL_INTERVALS.configuration_wait_seconds,
             on_confirm=_GapWatch(cold.views_renewed),
         )
         self._workers_follower = KeyedFollower(
@@ -79,7 +79,7 @@
             dialect.workers,
             self._replace_workers,
             self._apply_worker,
-            pause_seconds=LISTED_PACE.workers_pause,
+            pause_seconds=LISTED_POLL_INTERVALS.workers_pause_seconds,
             on_confirm=_GapWatch(cold.views_renewed),
         )
         workers.listen(self)
@@ -104,19 +104,21 @@
         """Whether the workers were listed at least once."""
         return self._workers_follower.freshness.ever_confirmed
 
-    def set_pace(self, pace: ReadPace) -> None:
+    def set_pace(self, pace: PollIntervals) -> None:
         """Set the pace of reading."""
         self._pace = pace
-        self._workers_follower.pause_seconds = pace.workers_pause
-        self._operators_follower.wait_seconds = pace.configuration_wait
+        self._workers_follower.pause_seconds = pace.workers_pause_seconds
+        self._operators_follower.wait_seconds = pace.configuration_wait_seconds
 
     async def refresh(self) -> None:
         """Renew views that are too old to serve a request from.
 
         The view of operators' records gets so old only in a process that was suspended.
         """
-        await self._workers_follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_SECONDS)
-        await self._operators_follower.refresh(OLDEST_PUBLISHED_SECONDS, REFRESH_SECONDS)
+        await self._workers_follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_TIMEOUT_SECONDS)
+        await self._operators_follower.refresh(
+            MAXIMUM_OPERATOR_VIEW_AGE_SECONDS, REFRESH_TIMEOUT_SECONDS
+        )
 
     async def renew_configuration(self, oldest_seconds: float, timeout_seconds: float) -> bool:
         """Return whether what operators published so long ago is known; read if it isn't."""
@@ -129,7 +131,7 @@
     def _replace_published(self, records: tuple[KeyedRecord, ...]) -> None:
         evacuated: set[str] = set()
         for record in records:
-            published = self._dialect.operator_record(record)
+            published = self._dialect.decode_operator_record(record)
             if not isinstance(published, ZoneEvacuation):
                 self._apply_decoded(record, published)
             elif published.in_force:
@@ -137,7 +139,7 @@
         self._evacuations.replace(evacuated, steady_seconds())
 
     def _apply_published(self, record: KeyedRecord) -> None:
-        self._apply_decoded(record, self._dialect.operator_record(record))
+        self._apply_decoded(record, self._dialect.decode_operator_record(record))
 
     def _apply_decoded(self, record: KeyedRecord, published: OperatorRecord | None) -> None:
         if published is None:
@@ -145,7 +147,7 @@
         elif isinstance(published, ZoneEvacuation):
             self._evacuations.apply(published.zone, published.in_force, steady_seconds())
         elif isinstance(published, NamedVersion):
-            if self._rollouts.name_version(published.model, published.version):
+            if self._rollouts.record_named_version(published.model, published.version):
                 log_event("version_named", model=published.model, version=published.version)
         elif self._routes.apply(published):
             log_event(
@@ -168,11 +170,11 @@
 
     def _worker_entry(self, record: KeyedRecord) -> WorkerAnnouncement | None:
         """Decode a worker's entry; an unusable one is logged once for each key."""
-        entry = self._dialect.worker_announcement(record)
+        entry = self._dialect.decode_worker_announcement(record)
         if entry is not None:
             self._logged_unusable.discard(record.key)
         elif record.value is not None and record.key not in self._logged_unusable:
-            if len(self._logged_unusable) < MOST_LOGGED_UNUSABLE:
+            if len(self._logged_unusable) < MAXIMUM_LOGGED_UNUSABLE:
                 self._logged_unusable.add(record.key)
             log_event("worker_entry_unusable", "warning", key=record.key, offset=record.offset)
         return entry
@@ -204,7 +206,7 @@
         Most of all lines would be those of resting nodes on each worker: what such a node reads,
         and whole listings, are logged in one line.
         """
-        unused = self._listing or self._pace is RESTING_PACE
+        unused = self._listing or self._pace is IDLE_POLL_INTERVALS
         log_event(
             "worker_changed", "debug" if unused else "info", worker=worker, change=change.value
         )
--- a/src/stagewalk/gateway/quarantine/core.py
+++ b/src/stagewalk/gateway/quarantine/core.py
@@ -19,10 +19,10 @@
 )
 from stagewalk.gateway.quarantine.records import CrashRecord
 
-MOST_CRASHES = 2048
+MAXIMUM_CRASH_RECORDS = 2048
 """Crash records remembered: of 0.65 KB each."""
 
-KEPT_CRASHES = MOST_CRASHES * 7 // 8
+KEPT_CRASHES = MAXIMUM_CRASH_RECORDS * 7 // 8
 """How many of them stay once there are more: making room for one would sort all for each."""
 
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldContent:
+class QuarantinedContent:
     """A request that is held back, for operators.
 
     Attributes
@@ -67,7 +67,7 @@
     seconds_left: float
 
 
-class CrashSuspects:
+class CrashHistory:
     """The contents that workers ended under, and whether each is held back.
 
     Parameters
@@ -122,10 +122,10 @@
             return False
         return unix_seconds < self._held_until(content.digest, suspect, item)
 
-    def held_contents(self, unix_seconds: float) -> list[HeldContent]:
+    def quarantined_contents(self, unix_seconds: float) -> list[QuarantinedContent]:
         """Return what is held back now."""
         return [
-            HeldContent(
+            QuarantinedContent(
                 content,
                 suspect.consecutive,
                 next(iter(suspect.crashes.values())).route,
@@ -203,7 +203,7 @@
 
     def _forget_oldest(self) -> None:
         """Make room: contents that are not held back go first, the oldest of them before others."""
-        if self._count <= MOST_CRASHES:
+        if self._count <= MAXIMUM_CRASH_RECORDS:
             return
         for content in sorted(self._suspects, key=self._worth_keeping):
             if self._count <= KEPT_CRASHES:
--- a/src/stagewalk/gateway/quarantine/crash_reports.py
+++ b/src/stagewalk/gateway/quarantine/crash_reports.py
@@ -14,7 +14,7 @@
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.workers.worker import Worker
 
-PUBLISH_FROM_CRASHES = 2
+MINIMUM_CRASHES_TO_PUBLISH = 2
 """Consecutive crashes from which a runner publishes those of its items and score calls. It goes on
 with them itself, so one crash matters to no other node, and an engine that ends loses up to sixteen
 items."""
--- a/src/stagewalk/gateway/quarantine/hold_rule.py
+++ b/src/stagewalk/gateway/quarantine/hold_rule.py
@@ -15,7 +15,7 @@
 
 import zlib
 
-from stagewalk.gateway.quarantine.records import MOST_CONSECUTIVE_CRASHES
+from stagewalk.gateway.quarantine.records import MAXIMUM_CONSECUTIVE_CRASHES
 
 HELD_AFTER_CRASHES = 3
 """Consecutive crashes after which a request is held back: the bound that users set on it."""
@@ -28,7 +28,7 @@
 """The same where all crashes were at one address: that worker may be at fault, but a service may
 also have only one."""
 
-SUSPECT_SECONDS = 600.0
+CRASHES_REMEMBERED_SECONDS = 600.0
 """How long crashes count of a content that is not held back: long enough for a caller that retries
 every few seconds, or minutes; too short for a request that lost a worker twice a day."""
 
@@ -40,7 +40,7 @@
 seeded losses of all workers). If that run crashes its worker too, the next comes after six hours,
 then after a day."""
 
-MOST_LATER_HOLDS = 4
+MAXIMUM_LATER_HOLDS = 4
 """After so many the length grows no more: 64 days."""
 
 HOLD_JITTER = 0.5
@@ -48,9 +48,9 @@
 all nodes try at once: the first one publishes the outcome."""
 
 
-def count_after(known: int) -> int:
+def next_crash_count(known: int) -> int:
     """Return the consecutive crashes with one more, whose request was sent when `known` were."""
-    return min(known + 1, MOST_CONSECUTIVE_CRASHES)
+    return min(known + 1, MAXIMUM_CONSECUTIVE_CRASHES)
 
 
 def crashes_needed(*, one_address: bool, item: bool) -> int:
@@ -69,7 +69,7 @@
     """
     if further <= 0:
         return FIRST_HOLD_SECONDS
-    return LATER_HOLD_SECONDS * LATER_HOLD_FACTOR ** min(further - 1, MOST_LATER_HOLDS)
+    return LATER_HOLD_SECONDS * LATER_HOLD_FACTOR ** min(further - 1, MAXIMUM_LATER_HOLDS)
 
 
 def remembered_seconds(further: int) -> float:
@@ -80,7 +80,7 @@
     further
         As in `hold_seconds`; below 0 if the content is not held back.
     """
-    return max(SUSPECT_SECONDS, 2.0 * (1.0 + HOLD_JITTER) * hold_seconds(further))
+    return max(CRASHES_REMEMBERED_SECONDS, 2.0 * (1.0 + HOLD_JITTER) * hold_seconds(further))
 
 
 def jittered(seconds: float, key: str) -> float:
--- a/src/stagewalk/gateway/quarantine/losses.py
+++ b/src/stagewalk/gateway/quarantine/losses.py
@@ -13,16 +13,16 @@
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
 
-EVIDENCE_SECONDS = 6.0
+LOSS_EVIDENCE_SECONDS = 6.0
 """How long a worker's entry may still show that it ended: one that is silent goes after three
 heartbeats (3.6 s), one that starts again is listed some seconds later, and news takes up to 2 s."""
 
-MOST_PENDING = 256
+MAXIMUM_PENDING_LOSSES = 256
 """Losses that wait for evidence; beyond that the oldest are forgotten."""
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerStart:
+class WorkerIncarnation:
     """One start of a worker, and where it listened."""
 
     worker: str
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
+class LostConnection:
     """A request whose worker may have ended while it ran it.
 
     Attributes
@@ -47,7 +47,7 @@
 
     request_id: str
     content: str
-    start: WorkerStart
+    start: WorkerIncarnation
     route: str
     known_crashes: int
     sent_at: float
@@ -55,46 +55,46 @@
     unix_seconds: float
 
 
-class LossWatch:
+class PendingLosses:
     """Lost connections that wait for evidence."""
 
     def __init__(self) -> None:
-        self._pending: dict[tuple[str, str], Loss] = {}
+        self._pending: dict[tuple[str, str], LostConnection] = {}
 
     def __len__(self) -> int:
         """Return how many wait."""
         return len(self._pending)
 
-    def add(self, loss: Loss) -> None:
+    def add(self, loss: LostConnection) -> None:
         """Add a loss that waits for evidence."""
         self._pending.setdefault((loss.content, loss.start.worker), loss)
-        if len(self._pending) > MOST_PENDING:
+        if len(self._pending) > MAXIMUM_PENDING_LOSSES:
             del self._pending[next(iter(self._pending))]
 
     def answered(self, content: str) -> None:
         """Drop a content's losses: one of its requests was answered, so they had other causes."""
         self._take([key for key in self._pending if key[0] == content])
 
-    def ended(self, worker: str) -> list[Loss]:
+    def ended(self, worker: str) -> list[LostConnection]:
         """Remove and return the losses that a worker's end explains."""
         return self._take([key for key in self._pending if key[1] == worker])
 
-    def due(self, workers: WorkerTable, now: float) -> list[Loss]:
+    def due(self, workers: WorkerTable, now: float) -> list[LostConnection]:
         """Return losses whose worker's entry shows its end; forget those it speaks against."""
         ended: list[tuple[str, str]] = []
         for key, loss in list(self._pending.items()):
             worker = workers.worker(loss.start.worker)
             if worker is None:
                 ended.append(key)
-            elif _explained(worker, loss) or now - loss.lost_at > EVIDENCE_SECONDS:
+            elif _explained(worker, loss) or now - loss.lost_at > LOSS_EVIDENCE_SECONDS:
                 del self._pending[key]
         return self._take(ended)
 
-    def _take(self, keys: list[tuple[str, str]]) -> list[Loss]:
+    def _take(self, keys: list[tuple[str, str]]) -> list[LostConnection]:
         return [self._pending.pop(key) for key in keys]
 
 
-def _explained(worker: Worker, loss: Loss) -> bool:
+def _explained(worker: Worker, loss: LostConnection) -> bool:
     """Whether a worker leaves as planned, or has answered since the connection was lost."""
     answered_at = max(worker.load_at, worker.latency_at)
     return worker.announcement.draining or answered_at > loss.lost_at
--- a/src/stagewalk/gateway/quarantine/records.py
+++ b/src/stagewalk/gateway/quarantine/records.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-KEY_PREFIX = "crash-strike/"
+CRASH_KEY_PREFIX = "crash-strike/"
 """Prefix of the keys of crash records among the records that all nodes follow."""
 
-MOST_CONSECUTIVE_CRASHES = 64
+MAXIMUM_CONSECUTIVE_CRASHES = 64
 """No node publishes more, so a record that claims more was not written by this product."""
 
-CrashCount = Annotated[int, msgspec.Meta(ge=1, le=MOST_CONSECUTIVE_CRASHES)]
+CrashCount = Annotated[int, msgspec.Meta(ge=1, le=MAXIMUM_CONSECUTIVE_CRASHES)]
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True, tag="strike"):
@@ -51,7 +51,7 @@
     def key(self) -> str:
         """Return the key of its record, of a bounded length whatever the worker is called."""
         worker = hashlib.blake2b(self.worker.encode(), digest_size=8).hexdigest()
-        return f"{KEY_PREFIX}{self.content}/{worker}"
+        return f"{CRASH_KEY_PREFIX}{self.content}/{worker}"
 
     def encode(self) -> bytes:
         """Return the record's value."""
--- a/src/stagewalk/gateway/role_controller.py
+++ b/src/stagewalk/gateway/role_controller.py
@@ -12,7 +12,11 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.directory.ledger_replicas import ReplicaRole
-from stagewalk.gateway.directory.read_pace import LISTED_PACE, ReadPace, read_pace
+from stagewalk.gateway.directory.read_pace import (
+    LISTED_POLL_INTERVALS,
+    PollIntervals,
+    poll_intervals,
+)
 from stagewalk.gateway.duties.duty_lease import DutyLease
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.published_records import PublishedRecords
@@ -55,10 +59,10 @@
         self._published = published
         self._replica = ReplicaRole()
         self._log_reserve = log_reserve
-        self._pace = LISTED_PACE
+        self._pace = LISTED_POLL_INTERVALS
 
     @property
-    def pace(self) -> ReadPace:
+    def pace(self) -> PollIntervals:
         """Return the pace of reading in force."""
         return self._pace
 
@@ -77,10 +81,10 @@
         following = follows_lease and not self._log_reserve.active
         if following != self._store.following:
             self._store.set_following(following)
-        self._set_pace(read_pace(following, self._nodes.listed))
+        self._set_pace(poll_intervals(following, self._nodes.listed))
 
-    def _set_pace(self, pace: ReadPace) -> None:
+    def _set_pace(self, pace: PollIntervals) -> None:
         if pace != self._pace:
             self._pace = pace
-            self._nodes.set_pause(pace.nodes_pause)
+            self._nodes.set_pause(pace.nodes_pause_seconds)
             self._published.set_pace(pace)
--- a/src/stagewalk/gateway/routes/table.py
+++ b/src/stagewalk/gateway/routes/table.py
@@ -12,7 +12,7 @@
 from stagewalk.gateway.tenants.key_table import KeyTable
 from stagewalk.gateway.zones.homes import AllowedRegions, allowed_regions
 
-MOST_TURNS_SKIPPED = 211
+MAXIMUM_TURNS_SKIPPED = 211
 """A node begins a split route at one of so many turns of its cycle, so that nodes don't all send
 their first requests to the largest share."""
 
@@ -105,7 +105,7 @@
         """Return the regions in which batches may be kept and run."""
         return self._batch_regions
 
-    def homes_of(self, host: str) -> AllowedRegions:
+    def regions_of_host(self, host: str) -> AllowedRegions:
         """Return where a host's callers are served; None if a route of it allows any region."""
         routes = self._by_host.get(host.lower(), {}).values()
         if not routes or any(not route.allowed_regions for route in routes):
@@ -139,7 +139,7 @@
 
     def _first_turn(self, route: Route) -> int:
         seed = f"{self._node}/{route.name}".encode()
-        return xxhash.xxh64_intdigest(seed) % MOST_TURNS_SKIPPED
+        return xxhash.xxh64_intdigest(seed) % MAXIMUM_TURNS_SKIPPED
 
 
 def _take_turn(route: Route, credits: dict[str, float]) -> BackEnd:
--- a/src/stagewalk/gateway/runners/batch_assignments.py
+++ b/src/stagewalk/gateway/runners/batch_assignments.py
@@ -16,14 +16,14 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.records import BatchEnded, BatchHeader
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.ports.partitioned_log import LogFailure
 from stagewalk.gateway.runners.batch_runner import BatchRunner
-from stagewalk.gateway.runners.runner_calls import RunnerCalls
+from stagewalk.gateway.runners.runner_calls import RunnerClient
 from stagewalk.gateway.runners.runner_messages import RunBatch
 
 NOTED_SECONDS = 0.2
@@ -49,8 +49,8 @@
         nodes: NodeService,
         store: BatchStore,
         runner: BatchRunner,
-        calls: RunnerCalls,
-        open_batches: OpenBatches,
+        calls: RunnerClient,
+        open_batches: BatchIndex,
         policy: Policy,
     ) -> None:
         self._identity = identity
@@ -112,7 +112,7 @@
         self, process: str, run: RunBatch, notification: _Notification
     ) -> None:
         """Notify a process of its batch; it notes the batch's place if its view is whole."""
-        peer = self._nodes.peer_of(process)
+        peer = self._nodes.peer_address_of(process)
         if process == str(self._identity):
             notification.noted = await self.accept(run)
         elif peer is not None and self._policy.ask_runner:
@@ -141,7 +141,7 @@
         )
         if followed:
             await self._store.catch_up(run.batch)
-            return await self._note_certain(run)
+            return await self._record_certain(run)
         place = BatchPlace(run.partition, run.offset, str(self._identity))
         partial = self._store.read_from(place, self._runner.ahead_changed)
         if not await partial.read():
@@ -152,7 +152,7 @@
             self._runner.begin_ahead(batch, partial, batch.epoch)
         return False
 
-    async def _note_certain(self, run: RunBatch) -> bool:
+    async def _record_certain(self, run: RunBatch) -> bool:
         """Note where a batch begins, if this node's view holds all that there ever was of it."""
         batch = self._store.ledger.get(run.batch)
         offset = self._store.first_offset(run.batch, steady_seconds())
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -12,12 +12,12 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.ledger import LedgerChange
 from stagewalk.gateway.batches.records import BatchReleased
-from stagewalk.gateway.batches.reusable_texts import FindText
+from stagewalk.gateway.batches.reusable_texts import ReusableTextLookup
 from stagewalk.gateway.batches.scheduler import BatchScheduler
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.runners.batch_views import BatchViews
@@ -42,7 +42,7 @@
         loop: SchedulerLoop,
         rollouts: VersionRollouts,
         views: BatchViews,
-        places: OpenBatches,
+        places: BatchIndex,
     ) -> None:
         self._process = str(identity)
         self._store = store
@@ -90,7 +90,7 @@
 
     def items_of_others(self, trainer: str) -> int:
         """Return how many attempts are under way at items of other trainers."""
-        return self._scheduler.running_of_others(trainer)
+        return self._scheduler.running_for_other_trainers(trainer)
 
     @property
     def awaited_scores(self) -> int:
@@ -101,7 +101,7 @@
         """Stop running: record what was made so far, and release the batches to other nodes."""
         self._stopping = True
         for batch in sorted(self._scheduler.batches):
-            self._loop.carry_out(self._scheduler.progress(batch))
+            self._loop.execute(self._scheduler.progress(batch))
             self._close(batch, "stopping")
             self._store.post(batch, BatchReleased(batch, self._process))
             log_event("batch_released", batch=batch, runner=self._process)
@@ -111,9 +111,9 @@
         name = batch.header.batch
         mine = batch.runner == self._process and not self._stopping
         if change is LedgerChange.OPENED:
-            self._rollouts.note_minimum(batch.header.model, batch.header.minimum_version)
-        if change is LedgerChange.LISTED:
-            self._loop.carry_out(self._scheduler.listed(name, batch.results[-1].item))
+            self._rollouts.record_minimum_version(batch.header.model, batch.header.minimum_version)
+        if change is LedgerChange.RESULT_ADDED:
+            self._loop.execute(self._scheduler.listed(name, batch.results[-1].item))
         elif change is LedgerChange.ENDED:
             self._end(name)
         elif change is LedgerChange.LOST:
@@ -134,7 +134,7 @@
         while (place := await self._places.find(name)).is_error():
             await anyio.sleep(LOOK_UP_RETRY_SECONDS)
         if place.ok is not None and place.ok.ended:
-            self._store.note_ended(name)
+            self._store.record_ended(name)
         elif batch.runner == self._process and not self._stopping:
             self._open(batch)
 
@@ -145,16 +145,16 @@
         if epoch is None:
             return
         match change:
-            case LedgerChange.LISTED:
-                self._loop.carry_out(self._scheduler.listed(name, batch.results[-1].item))
+            case LedgerChange.RESULT_ADDED:
+                self._loop.execute(self._scheduler.listed(name, batch.results[-1].item))
             case LedgerChange.ENDED:
                 self._end(name)
-            case LedgerChange.RUNNER:
+            case LedgerChange.RUNNER_CHANGED:
                 if batch.epoch >= epoch and batch.runner != self._process:
                     self._yield(batch)
 
     def _end(self, batch: str) -> None:
-        self._loop.carry_out(self._scheduler.progress(batch))
+        self._loop.execute(self._scheduler.progress(batch))
         self._close(batch, ENDED)
 
     def _lose(self, batch: str) -> None:
@@ -203,7 +203,7 @@
         taken_over = known.epoch >= epoch and known.runner != self._process
         return not known.open or taken_over
 
-    def _begin(self, batch: Batch, reusable_text: FindText) -> None:
+    def _begin(self, batch: Batch, reusable_text: ReusableTextLookup) -> None:
         name = batch.header.batch
         if not batch.open or name in self._scheduler.batches:
             return
@@ -218,12 +218,12 @@
             read_from=self._views.read_from(name),
             view_age=self._views.age(name, steady_seconds()),
         )
-        self._loop.carry_out(self._scheduler.open(batch, reusable_text, steady_seconds()))
+        self._loop.execute(self._scheduler.open(batch, reusable_text, steady_seconds()))
         self._loop.wake()
 
     def _close(self, batch: str, reason: str) -> None:
         if self.runs(batch):
             view_age = self._views.age(batch, steady_seconds())
             log_event("batch_closed", batch=batch, reason=reason, view_age=view_age)
-        self._loop.carry_out(self._scheduler.close(batch, reason))
+        self._loop.execute(self._scheduler.close(batch, reason))
         self._views.drop(batch)
--- a/src/stagewalk/gateway/runners/batch_views.py
+++ b/src/stagewalk/gateway/runners/batch_views.py
@@ -16,7 +16,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
-from stagewalk.gateway.batches.view_lease import longest_view_age, longest_view_age_at_send
+from stagewalk.gateway.batches.view_lease import maximum_view_age, maximum_view_age_at_send
 from stagewalk.gateway.ports.denials import Denial
 
 FOLLOW_SECONDS = 0.25
@@ -73,11 +73,11 @@
 
     def may_start(self, batch: str, now: float) -> bool:
         """Whether items of a batch may be sent to workers now."""
-        return self.age(batch, now) <= longest_view_age(self._batch_end_seconds())
+        return self.age(batch, now) <= maximum_view_age(self._batch_end_seconds())
 
     def may_send(self, batch: str, now: float) -> bool:
         """Whether an item that was started may reach a worker now."""
-        return self.age(batch, now) <= longest_view_age_at_send(self._batch_end_seconds())
+        return self.age(batch, now) <= maximum_view_age_at_send(self._batch_end_seconds())
 
     def denial(self, batch: str, now: float) -> Denial | None:
         """Return why an item that was started must not reach a worker now."""
--- a/src/stagewalk/gateway/runners/checked_sends.py
+++ b/src/stagewalk/gateway/runners/checked_sends.py
@@ -26,7 +26,7 @@
 )
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.quarantine.crash_reports import (
-    PUBLISH_FROM_CRASHES,
+    MINIMUM_CRASHES_TO_PUBLISH,
     CrashReports,
     SentRequest,
 )
@@ -109,11 +109,11 @@
             )
         )
 
-    def note_answer(self, sent: SentRequest) -> None:
+    def record_answer(self, sent: SentRequest) -> None:
         """Record that a worker ran a request to an answer."""
         self._crashes.answered(sent.content)
 
-    async def note_loss(self, sent: SentRequest, failure: AttemptFailure) -> None:
+    async def record_loss(self, sent: SentRequest, failure: AttemptFailure) -> None:
         """Record that contact with a worker may have been lost, for other nodes too."""
         await self._crashes.connection_lost(sent, failure)
-        self._crashes.publish(sent.content, PUBLISH_FROM_CRASHES)
+        self._crashes.publish(sent.content, MINIMUM_CRASHES_TO_PUBLISH)
--- a/src/stagewalk/gateway/runners/item_sender.py
+++ b/src/stagewalk/gateway/runners/item_sender.py
@@ -10,14 +10,14 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.gateway.batches.item_run import ITEM_METHOD, item_content
 from stagewalk.gateway.batches.messages import (
-    AttemptBroken,
     AttemptEnded,
     AttemptEvent,
     AttemptHead,
+    ItemAttemptFailed,
     SchedulerEvent,
     StartItem,
 )
-from stagewalk.gateway.batches.retry_rules import SUCCESS
+from stagewalk.gateway.batches.retry_rules import HTTP_OK
 from stagewalk.gateway.forwarding.inbound import HOST_HEADER
 from stagewalk.gateway.ports.workers import (
     AttemptFailure,
@@ -43,7 +43,7 @@
         self._sends = sends
         self._report = report
 
-    async def attempt(self, start: StartItem) -> AttemptEnded | AttemptBroken:
+    async def attempt(self, start: StartItem) -> AttemptEnded | ItemAttemptFailed:
         """Send an item to its engine; return how the attempt ended."""
         checked = await self._sends.check(_planned(start))
         if checked.is_error():
@@ -51,12 +51,12 @@
         delivery = _Delivery(start, self._report)
         result = await checked.ok.stream(_outbound(start), delivery.handle)
         if result.is_ok():
-            self._sends.note_answer(checked.ok.sent)
+            self._sends.record_answer(checked.ok.sent)
             _log_end(start, result.ok)
             return AttemptEnded(start.attempt, result.ok.status)
         if not delivery.progressed:
             # One that got further than before does not end each engine at the same place.
-            await self._sends.note_loss(checked.ok.sent, result.error)
+            await self._sends.record_loss(checked.ok.sent, result.error)
         return _broken(start, result.error)
 
 
@@ -99,7 +99,7 @@
     )
 
 
-def _broken(start: StartItem, failure: AttemptFailure) -> AttemptBroken:
+def _broken(start: StartItem, failure: AttemptFailure) -> ItemAttemptFailed:
     log_event(
         "item_attempt_failed",
         "warning",
@@ -109,12 +109,12 @@
         fault=failure.fault,
         detail=failure.detail,
     )
-    return AttemptBroken(start.attempt, failure)
+    return ItemAttemptFailed(start.attempt, failure)
 
 
 def _log_end(start: StartItem, end: StreamEnd) -> None:
     log_event(
-        "text_whole" if end.status == SUCCESS else "item_attempt_refused",
+        "text_whole" if end.status == HTTP_OK else "item_attempt_refused",
         item=start.item.item,
         batch=start.batch,
         attempt=start.attempt,
--- a/src/stagewalk/gateway/runners/place_sharing.py
+++ b/src/stagewalk/gateway/runners/place_sharing.py
@@ -15,7 +15,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batches.place_demand import ClaimantPlaces, WithheldStarts
+from stagewalk.gateway.batches.place_demand import ClaimantPlaces, ShareLimitedBatch
 from stagewalk.gateway.batches.scheduler import BatchScheduler
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.place_shares.claims import build_claims
@@ -26,7 +26,7 @@
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.zones.evacuations import Evacuations
 
-SHARE_SECONDS = 0.25
+SHARE_INTERVAL_SECONDS = 0.25
 """Between two computations of the shares: engines that are taken away, and demand that falls, count
 as soon as they are known."""
 
@@ -67,7 +67,7 @@
         """Compute the shares again and again."""
         while True:
             self.update()
-            await anyio.sleep(SHARE_SECONDS)
+            await anyio.sleep(SHARE_INTERVAL_SECONDS)
 
     def update(self) -> None:
         """Compute the shares from what is known now."""
@@ -114,7 +114,7 @@
                 most_places=current.level,
             )
 
-    def _log_withheld(self, withheld: list[WithheldStarts], now: float) -> None:
+    def _log_withheld(self, withheld: list[ShareLimitedBatch], now: float) -> None:
         """Log batches whose items wait for their claimant's share, so that `explain` finds them."""
         waiting = {starts.batch for starts in withheld}
         self._withheld_at = {
--- a/src/stagewalk/gateway/runners/runner_calls.py
+++ b/src/stagewalk/gateway/runners/runner_calls.py
@@ -22,11 +22,11 @@
 )
 
 RUNNER_PATH = "/runner"
-ANSWER_SECONDS = 0.3
+RESPONSE_TIMEOUT_SECONDS = 0.3
 """A process that takes longer than this to say who it is runs no batch well."""
 
 
-class RunnerCalls:
+class RunnerClient:
     """Asks other nodes about their runner, and notifies them of batches that are theirs."""
 
     def __init__(self, client: PeerClient) -> None:
@@ -41,7 +41,9 @@
         return await self._call(peer, run)
 
     async def _call(self, peer: Address, call: RunnerCall) -> RunnerAnswer | None:
-        content = await self._client.call(peer, RUNNER_PATH, encode_message(call), ANSWER_SECONDS)
+        content = await self._client.call(
+            peer, RUNNER_PATH, encode_message(call), RESPONSE_TIMEOUT_SECONDS
+        )
         return None if content is None else decode_answer(content)
 
 
--- a/src/stagewalk/gateway/runners/runner_choice.py
+++ b/src/stagewalk/gateway/runners/runner_choice.py
@@ -1,22 +1,22 @@
 """Chooses which process runs a batch that is handed in here.
 
-Owns how many nodes are asked. Inputs: the nodes that may hold the batch, in the order of `affinity`
-to its trainer, and how many items of other trainers each of them runs. Relies on `runner_calls` to
-ask: a node that the list of nodes still names may be gone.
+Owns how many nodes are asked. Inputs: the nodes that may hold the batch, in the order of
+`rendezvous_hash` to its trainer, and how many items of other trainers each of them runs. Relies on
+`runner_calls` to ask: a node that the list of nodes still names may be gone.
 """
 
 from __future__ import annotations
 
 from stagewalk.common.logs.lines import log_event
-from stagewalk.gateway.batches.batch import NOBODY
+from stagewalk.gateway.batches.batch import NO_RUNNER
 from stagewalk.gateway.batches.records import BatchHeader
-from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.batches.takeover import rendezvous_hash
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.nodes.identity import ProcessId, parse_process_id
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.runners.batch_runner import BatchRunner
-from stagewalk.gateway.runners.runner_calls import RunnerCalls
+from stagewalk.gateway.runners.runner_calls import RunnerClient
 from stagewalk.gateway.runners.runner_messages import RunnerAnswer
 
 NODES_ASKED = 2
@@ -32,7 +32,7 @@
         identity: ProcessId,
         nodes: NodeService,
         runner: BatchRunner,
-        calls: RunnerCalls,
+        calls: RunnerClient,
         policy: Policy,
     ) -> None:
         self._identity = identity
@@ -44,7 +44,7 @@
     async def choose(self, header: BatchHeader) -> str | None:
         """Return the process that is to run a batch which is handed in here now.
 
-        None if no node that may hold it is known to live; `NOBODY` leaves it to the node that
+        None if no node that may hold it is known to live; `NO_RUNNER` leaves it to the node that
         claims it.
 
         All batches of one trainer go to the same node while it lives: it has connections to the
@@ -52,7 +52,9 @@
         other trainers, the next one is asked as well, and the less busy of the two is taken.
         """
         trainer = header.trainer
-        ranked = sorted(self._nodes.replicas(), key=lambda node: affinity(trainer, node.node))
+        ranked = sorted(
+            self._nodes.replicas(), key=lambda node: rendezvous_hash(trainer, node.node)
+        )
         answers: list[RunnerAnswer] = []
         for node in ranked[:NODES_ASKED]:
             answer = await self._ask(node, trainer)
@@ -64,8 +66,8 @@
         if answers:
             return min(answers, key=lambda answer: answer.other_items).process
         if not self._nodes.may_hold_batches:
-            return NOBODY if ranked else None
-        return NOBODY if self._runner.stopping else str(self._identity)
+            return NO_RUNNER if ranked else None
+        return NO_RUNNER if self._runner.stopping else str(self._identity)
 
     def describe(self, trainer: str) -> RunnerAnswer:
         """Return whether this process runs batches, and how busy it is for other trainers."""
--- a/src/stagewalk/gateway/runners/runner_probes.py
+++ b/src/stagewalk/gateway/runners/runner_probes.py
@@ -15,9 +15,9 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batches.runner_liveness import RunnerLiveness
-from stagewalk.gateway.runners.runner_calls import RunnerCalls
+from stagewalk.gateway.runners.runner_calls import RunnerClient
 
-PROBE_SECONDS = 0.4
+PROBE_INTERVAL_SECONDS = 0.4
 """Between two probes of one runner. Batches were opened 2.1 to 2.5 s late while only 3 s of silence
 in the list of nodes showed a dead one."""
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        calls: RunnerCalls,
+        calls: RunnerClient,
         liveness: RunnerLiveness,
         targets: Callable[[], dict[str, Address]],
         wait_until_active: Callable[[], Awaitable[None]],
@@ -48,7 +48,7 @@
     async def run(self) -> None:
         """Probe for ever."""
         while True:
-            await anyio.sleep(PROBE_SECONDS)
+            await anyio.sleep(PROBE_INTERVAL_SECONDS)
             await self._wait_until_active()
             targets = self._targets()
             self._liveness.keep_only(set(targets))
@@ -60,9 +60,9 @@
         answer = await self._calls.ask(peer)
         now = steady_seconds()
         if answer is not None:
-            self._liveness.note_answer(process, answer.process, now)
+            self._liveness.record_answer(process, answer.process, now)
             return
         before = self._liveness.gone(process, now)
-        self._liveness.note_failure(process, now)
+        self._liveness.record_failure(process, now)
         if self._liveness.gone(process, now) and not before:
             log_event("runner_silent", "warning", runner=process, peer=str(peer))
--- a/src/stagewalk/gateway/runners/runner_service.py
+++ b/src/stagewalk/gateway/runners/runner_service.py
@@ -13,8 +13,8 @@
 import anyio.abc
 
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batches import OpenBatches
-from stagewalk.gateway.batches.prompt import PromptOf
+from stagewalk.gateway.batch_service.open_batches import BatchIndex
+from stagewalk.gateway.batches.prompt import PromptReader
 from stagewalk.gateway.batches.scheduler import BatchScheduler
 from stagewalk.gateway.eligibility_services import EligibilityServices
 from stagewalk.gateway.nodes.identity import ProcessId
@@ -32,7 +32,7 @@
 from stagewalk.gateway.runners.batch_views import BatchViews
 from stagewalk.gateway.runners.checked_sends import CheckedSends
 from stagewalk.gateway.runners.place_sharing import PlaceSharing
-from stagewalk.gateway.runners.runner_calls import RUNNER_PATH, RunnerCallHandler, RunnerCalls
+from stagewalk.gateway.runners.runner_calls import RUNNER_PATH, RunnerCallHandler, RunnerClient
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.runners.runner_probes import RunnerProbes
 from stagewalk.gateway.runners.scheduler_loop import SchedulerLoop
@@ -70,13 +70,13 @@
         *,
         identity: ProcessId,
         store: BatchStore,
-        places: OpenBatches,
+        places: BatchIndex,
         nodes: NodeService,
         peer_client: PeerClient,
         access: WorkerAccess,
         rollouts: VersionRollouts,
         policy: Policy,
-        prompt_of: PromptOf,
+        prompt_of: PromptReader,
         batch_end_seconds: Callable[[], float],
         on_item_started: Callable[[float], None],
     ) -> None:
@@ -107,7 +107,7 @@
             views=views,
             places=places,
         )
-        calls = RunnerCalls(peer_client)
+        calls = RunnerClient(peer_client)
         self.choice = RunnerChoice(
             identity=identity, nodes=nodes, runner=self.runner, calls=calls, policy=policy
         )
@@ -161,7 +161,7 @@
     policy: Policy,
     views: BatchViews,
     limits: PlaceLimits,
-    prompt_of: PromptOf,
+    prompt_of: PromptReader,
 ) -> BatchScheduler:
     return BatchScheduler(
         access.workers,
--- a/src/stagewalk/gateway/runners/scheduler_loop.py
+++ b/src/stagewalk/gateway/runners/scheduler_loop.py
@@ -16,7 +16,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batches.messages import (
-    ItemWithheld,
+    ItemAwaitingMemory,
     RecordItem,
     SchedulerEvent,
     SchedulerInstruction,
@@ -81,15 +81,15 @@
 
     def handle(self, event: SchedulerEvent) -> None:
         """Apply an event."""
-        self.carry_out(self._scheduler.handle(event, steady_seconds()))
+        self.execute(self._scheduler.handle(event, steady_seconds()))
 
-    def carry_out(self, instructions: Iterable[SchedulerInstruction]) -> None:
+    def execute(self, instructions: Iterable[SchedulerInstruction]) -> None:
         """Carry instructions out, in their order."""
         for instruction in instructions:
             match instruction:
                 case StartItem():
                     self._start_item(instruction)
-                case ItemWithheld():
+                case ItemAwaitingMemory():
                     self._log_withheld(instruction)
                 case StopItem():
                     self._stop_item(instruction)
@@ -126,7 +126,7 @@
         )
 
     @staticmethod
-    def _log_withheld(withheld: ItemWithheld) -> None:
+    def _log_withheld(withheld: ItemAwaitingMemory) -> None:
         log_event(
             "item_withheld",
             item=withheld.item,
--- a/src/stagewalk/gateway/runners/score_sender.py
+++ b/src/stagewalk/gateway/runners/score_sender.py
@@ -13,13 +13,13 @@
 from stagewalk.gateway.scoring.messages import (
     SCORE_METHOD,
     ScoreAnswered,
-    ScoreBroken,
+    ScoreAttemptFailed,
     ScoreEvent,
     SendScore,
     score_content,
 )
 
-SUCCESS = 200
+HTTP_OK = 200
 
 
 class ScoreSender:
@@ -38,13 +38,13 @@
     async def _send(self, send: SendScore) -> ScoreEvent:
         checked = await self._sends.check(_planned(send))
         if checked.is_error():
-            return ScoreBroken(send.attempt, checked.error)
+            return ScoreAttemptFailed(send.attempt, checked.error)
         result = await checked.ok.send(_outbound(send))
         if result.is_ok():
-            self._sends.note_answer(checked.ok.sent)
+            self._sends.record_answer(checked.ok.sent)
             return ScoreAnswered(send.attempt, result.ok)
-        await self._sends.note_loss(checked.ok.sent, result.error)
-        return ScoreBroken(send.attempt, result.error)
+        await self._sends.record_loss(checked.ok.sent, result.error)
+        return ScoreAttemptFailed(send.attempt, result.error)
 
 
 def _planned(send: SendScore) -> PlannedSend:
@@ -67,7 +67,7 @@
 
 def _log_outcome(send: SendScore, event: ScoreEvent, seconds: float) -> None:
     if isinstance(event, ScoreAnswered):
-        good = event.answer.status == SUCCESS
+        good = event.answer.status == HTTP_OK
         outcome, detail = f"answered_{event.answer.status}", ""
     else:
         good = False
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -14,8 +14,8 @@
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
-from stagewalk.gateway.batches.batch import NOBODY, Batch
+from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
+from stagewalk.gateway.batches.batch import NO_RUNNER, Batch
 from stagewalk.gateway.batches.records import BatchClaimed
 from stagewalk.gateway.batches.takeover import OpenBatch, RunnerState, Takeovers
 from stagewalk.gateway.nodes.identity import ProcessId
@@ -23,7 +23,7 @@
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.runners.batch_runner import BatchRunner
 
-SUPERVISE_SECONDS = 0.1
+ORPHAN_CHECK_INTERVAL_SECONDS = 0.1
 """How often orphaned batches are looked for: below the step between two ranks (0.3 s)."""
 
 IDLE_SECONDS = 1.0
@@ -48,7 +48,7 @@
         store: BatchStore,
         runner: BatchRunner,
         nodes: NodeService,
-        open_batches: OpenBatches,
+        open_batches: BatchIndex,
         policy: Policy,
     ) -> None:
         self._identity = identity
@@ -68,7 +68,9 @@
     async def _supervise(self) -> None:
         """Claim batches without a runner, for ever."""
         while True:
-            await anyio.sleep(SUPERVISE_SECONDS if self._store.following else IDLE_SECONDS)
+            await anyio.sleep(
+                ORPHAN_CHECK_INTERVAL_SECONDS if self._store.following else IDLE_SECONDS
+            )
             now = steady_seconds()
             may_run = not self._runner.stopping and self._nodes.may_hold_batches
             if may_run and self._store.following:
@@ -80,10 +82,10 @@
         assert self._tasks is not None
         replicas = self._replicas()
         for name in self._store.ledger.forget(now):
-            if self._takeovers.rank(name, NOBODY, replicas) == 0:
+            if self._takeovers.rank(name, NO_RUNNER, replicas) == 0:
                 self._tasks.start_soon(self._open_batches.drop, name)
 
-    async def resume_own(self) -> bool:
+    async def resume_own_batches(self) -> bool:
         """Resume the batches of this machine's last process, before the whole log is read.
 
         Returns
@@ -97,7 +99,7 @@
         listed = await self._open_batches.list()
         places = {b: p for b, p in listed.default_value({}).items() if not p.ended}
         for batch, place in places.items():
-            if self._nodes.runner_state(place.runner) is RunnerState.MINE_BEFORE:
+            if self._nodes.runner_state(place.runner) is RunnerState.PREVIOUS_PROCESS:
                 self._tasks.start_soon(self._resume, batch, place)
         return bool(places)
 
@@ -109,10 +111,10 @@
             return targets
         replicas = self._replicas()
         for batch in self._store.ledger.open_batches():
-            peer = self._nodes.peer_of(batch.runner)
+            peer = self._nodes.peer_address_of(batch.runner)
             state = self._nodes.runner_state(batch.runner)
             rank = self._takeovers.rank(batch.header.batch, batch.runner, replicas)
-            own = batch.runner == str(self._identity) or state is RunnerState.MINE_BEFORE
+            own = batch.runner == str(self._identity) or state is RunnerState.PREVIOUS_PROCESS
             if peer is not None and not own and rank < PROBERS:
                 targets[batch.runner] = peer
         return targets
@@ -129,9 +131,9 @@
         batch = partial.whole(name)
         if batch is None or not batch.open:
             return
-        if self._nodes.runner_state(batch.runner) is RunnerState.MINE_BEFORE:
+        if self._nodes.runner_state(batch.runner) is RunnerState.PREVIOUS_PROCESS:
             epoch = batch.epoch + 1
-            self._claim(batch, RunnerState.MINE_BEFORE, place)
+            self._claim(batch, RunnerState.PREVIOUS_PROCESS, place)
             self._runner.begin_ahead(batch, partial, epoch)
 
     def _replicas(self) -> list[str]:
--- a/src/stagewalk/gateway/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -14,13 +14,13 @@
 
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
 from stagewalk.gateway.forwarding.hedging import hedge_delay
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.routes.route import Route
 from stagewalk.gateway.scoring.messages import (
     ScoreAnswered,
-    ScoreBroken,
+    ScoreAttemptFailed,
     SendScore,
     StopScore,
     score_content,
@@ -72,7 +72,7 @@
 @dataclass(slots=True)
 class _Attempt:
     worker: Worker
-    began_at: float
+    started_at: float
     late_after: float
     """When another one is begun beside it."""
 
@@ -100,10 +100,10 @@
         return max(self.batch_attempts, route.maximum_attempts)
 
 
-RouteOf = Callable[[str, str], Route | None]
+RouteLookup = Callable[[str, str], Route | None]
 """Finds the route in force for a host and a path."""
 
-ServiceOf = Callable[[Route], str]
+ServiceChooser = Callable[[Route], str]
 """Chooses the service whose turn it is on a route."""
 
 MayStart = Callable[[str, float], bool]
@@ -130,11 +130,11 @@
     def __init__(
         self,
         eligibility: Eligibility,
-        route_of: RouteOf,
-        service_of: ServiceOf,
+        route_of: RouteLookup,
+        service_of: ServiceChooser,
         *,
         numbers: Iterator[int],
-        policy: Policy = ALL_ON,
+        policy: Policy = DEFAULT_POLICY,
         may_start: MayStart = lambda _batch, _now: True,
     ) -> None:
         self._eligibility = eligibility
@@ -195,15 +195,15 @@
         if pending is None:
             return None, []
         attempt = pending.under_way.pop(event.attempt)
-        attempt.worker.note_ended()
-        attempt.worker.note_load(event.answer.load, now)
+        attempt.worker.record_ended()
+        attempt.worker.record_load(event.answer.load, now)
         signature = event.answer.signature
         meaning = judge_answer(event.answer.status, signed=bool(signature))
         if meaning is AnswerMeaning.NO_SCORE:
-            attempt.worker.note_failure(now)
+            attempt.worker.record_failure(now)
             self._pause(pending, now)
             return self._result(pending, ScoreOutcome.PENDING), []
-        attempt.worker.note_success(now - attempt.began_at, now)
+        attempt.worker.record_success(now - attempt.started_at, now)
         if meaning is AnswerMeaning.SCORED:
             return self._settle(pending, ScoreOutcome.SCORED, signature, "scored")
         pending.failures += 1
@@ -213,16 +213,16 @@
         self._pause(pending, now)
         return self._result(pending, ScoreOutcome.PENDING), []
 
-    def broken(self, event: ScoreBroken, now: float) -> None:
+    def broken(self, event: ScoreAttemptFailed, now: float) -> None:
         """Handle the end of an attempt that brought no whole answer."""
         pending = self._attempts.pop(event.attempt, None)
         if pending is None:
             return
         attempt = pending.under_way.pop(event.attempt)
-        attempt.worker.note_ended()
-        attempt.worker.note_load(event.failure.load, now)
+        attempt.worker.record_ended()
+        attempt.worker.record_load(event.failure.load, now)
         if event.failure.fault not in _NO_FAULT_OF_THE_WORKER:
-            attempt.worker.note_failure(now)
+            attempt.worker.record_failure(now)
         self._pause(pending, now)
 
     def _settle(
@@ -244,7 +244,7 @@
     def _stop_attempts(self, pending: _PendingCall, reason: str) -> list[StopScore]:
         for number, attempt in pending.under_way.items():
             del self._attempts[number]
-            attempt.worker.note_ended()
+            attempt.worker.record_ended()
         return [StopScore(number, reason) for number in pending.under_way]
 
     def _next_attempt(self, pending: _PendingCall, now: float) -> SendScore | None:
@@ -259,7 +259,7 @@
         pending.under_way[number] = _Attempt(worker, now, late_after)
         pending.tried.append(worker.announcement.worker)
         self._attempts[number] = pending
-        worker.note_sent()
+        worker.record_sent()
         return SendScore(
             number,
             pending.batch,
@@ -287,9 +287,9 @@
         scope = RequestScope(route, pending.content, pending.tenant)
         found = self._eligibility.candidates(self._service_of(route), scope, now)
         self._eligibility.request_leases(found, now)
-        proximity, draws = self._eligibility.proximity, self._eligibility.draws
-        chosen = choose_worker(found.workers, now, proximity, pending.tried, draws=draws)
+        proximity, rng = self._eligibility.proximity, self._eligibility.rng
+        chosen = choose_worker(found.workers, now, proximity, pending.tried, rng=rng)
         if chosen is None and not pending.under_way:
             pending.tried.clear()
-            chosen = choose_worker(found.workers, now, proximity, draws=draws)
+            chosen = choose_worker(found.workers, now, proximity, rng=rng)
         return chosen
--- a/src/stagewalk/gateway/scoring/messages.py
+++ b/src/stagewalk/gateway/scoring/messages.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ScoreBroken:
+class ScoreAttemptFailed:
     """An attempt at a score call ended without a whole answer."""
 
     attempt: int
@@ -60,5 +60,5 @@
     reason: str
 
 
-ScoreEvent = ScoreAnswered | ScoreBroken
+ScoreEvent = ScoreAnswered | ScoreAttemptFailed
 ScoreInstruction = SendScore | StopScore
--- a/src/stagewalk/gateway/scoring/retry_rules.py
+++ b/src/stagewalk/gateway/scoring/retry_rules.py
@@ -14,18 +14,18 @@
 from stagewalk.gateway.forwarding.policy import SERVER_ERROR, is_success
 from stagewalk.gateway.routes.route import Route
 
-LONGEST_ATTEMPT_SECONDS = 1.5
+MAXIMUM_ATTEMPT_SECONDS = 1.5
 """What a worker may take: little of the time a step has, so that another attempt still counts."""
 
-MOST_AT_ONCE = 3
+MAXIMUM_CONCURRENT_ATTEMPTS = 3
 """Attempts at one call under way together: each next one is begun beside a late one."""
 
-FAILURE_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 0.8
+SCORE_RETRY_DELAY_SECONDS = 0.05
+MAXIMUM_SCORE_RETRY_DELAY_SECONDS = 0.8
 """How long a call waits after a failed attempt; twice as long after each further one, up to the
 longest."""
 
-_MOST_DOUBLINGS = 8
+_MAXIMUM_DOUBLINGS = 8
 """Bounds the power; the longest pause is reached after four."""
 
 
@@ -54,8 +54,8 @@
 
 def pause_seconds(failed_in_a_row: int) -> float:
     """Return how long a call waits after this many failed attempts in a row, at least one."""
-    doubled = FAILURE_PAUSE_SECONDS * 2.0 ** min(failed_in_a_row - 1, _MOST_DOUBLINGS)
-    return min(LONGEST_PAUSE_SECONDS, doubled)
+    doubled = SCORE_RETRY_DELAY_SECONDS * 2.0 ** min(failed_in_a_row - 1, _MAXIMUM_DOUBLINGS)
+    return min(MAXIMUM_SCORE_RETRY_DELAY_SECONDS, doubled)
 
 
 def most_attempts(allowed_failures: int, failures: int, *, hedges: bool) -> int:
@@ -70,9 +70,9 @@
     hedges
         Whether a second attempt is begun beside a late one at all.
     """
-    return min(MOST_AT_ONCE if hedges else 1, allowed_failures - failures)
+    return min(MAXIMUM_CONCURRENT_ATTEMPTS if hedges else 1, allowed_failures - failures)
 
 
 def attempt_seconds(route: Route) -> float:
     """Return how long one attempt at a call of a route may take."""
-    return min(LONGEST_ATTEMPT_SECONDS, route.timeout_seconds)
+    return min(MAXIMUM_ATTEMPT_SECONDS, route.timeout_seconds)
--- a/src/stagewalk/gateway/settings.py
+++ b/src/stagewalk/gateway/settings.py
@@ -18,11 +18,11 @@
 from stagewalk.common.settings.addresses import parse_listen_address, settings_error
 from stagewalk.common.settings.decoding import decode_table, read_table
 from stagewalk.common.settings.fields import LogLevel, Name, PositiveInteger
-from stagewalk.gateway.batches.view_lease import SHORTEST_BATCH_END_SECONDS
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.batches.view_lease import MINIMUM_BATCH_END_SECONDS
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-BatchEnd = Annotated[float, msgspec.Meta(gt=SHORTEST_BATCH_END_SECONDS)]
+BatchEnd = Annotated[float, msgspec.Meta(gt=MINIMUM_BATCH_END_SECONDS)]
 
 
 class Timing(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -152,7 +152,7 @@
     timing: Timing
     log_level: LogLevel
     processor: Processor = DEFAULT_PROCESSOR
-    policy: Policy = ALL_ON
+    policy: Policy = DEFAULT_POLICY
     duties: DutySettings | None = None
     memory: Memory | None = None
     autoscaling: Autoscaling = DEFAULT_AUTOSCALING
@@ -187,7 +187,7 @@
     timing: Timing = Timing()
     log_level: LogLevel = "info"
     processor: Processor = Processor()
-    policy: Policy = ALL_ON
+    policy: Policy = DEFAULT_POLICY
     duties: _DutiesSection | None = None
     memory: Memory | None = None
     autoscaling: Autoscaling = DEFAULT_AUTOSCALING
--- a/src/stagewalk/gateway/usage/reporting.py
+++ b/src/stagewalk/gateway/usage/reporting.py
@@ -17,7 +17,7 @@
 from stagewalk.gateway.usage.account import UsageAccount
 from stagewalk.gateway.usage.meter import window_of
 
-GATHER_SECONDS = 3.5
+SUM_DELAY_SECONDS = 3.5
 """How long after a window's end it is summed: counts are in the log 0.3 s after a request began,
 and a node that is cut off reaches it through another node within 2 s."""
 
@@ -32,7 +32,7 @@
 RETRY_SECONDS = 0.4
 """Between two tries at a report: three fit into the reserve."""
 
-MOST_BEHIND = 24
+MAXIMUM_RECORDS_BEHIND = 24
 """Windows that are further behind are not reported any more."""
 
 
@@ -78,10 +78,10 @@
     _begins: int | None = None
     """The first window to report where none was stored."""
 
-    def written(self, window: int, counts: dict[str, int]) -> None:
+    def apply_written_report(self, window: int, counts: dict[str, int]) -> None:
         """Apply a stored report; the first one of a window stands."""
         self._reports.setdefault(window, _Report(counts))
-        for old in sorted(self._reports)[:-MOST_BEHIND]:
+        for old in sorted(self._reports)[:-MAXIMUM_RECORDS_BEHIND]:
             del self._reports[old]
 
     def decide(
@@ -103,7 +103,7 @@
             window += 1
         return [*steps, *self._sends(wall, now)]
 
-    def sending(self, window: int) -> None:
+    def mark_sending(self, window: int) -> None:
         """Record that a report is being sent."""
         self._reports[window].under_way = True
 
@@ -125,13 +125,13 @@
                 self._begins = current
             counted = account.first_window
             first = self._begins if counted is None else min(counted, self._begins)
-        return max(first, current - MOST_BEHIND)
+        return max(first, current - MAXIMUM_RECORDS_BEHIND)
 
     def _may_sum(self, window: int, wall: float, seen_to: float) -> bool:
         end = (window + 1) * self.window_seconds
         latest = self.due_seconds - RESERVE_SECONDS
         whole = seen_to >= end + POSTED_SECONDS
-        return wall - end >= latest or (whole and wall - end >= min(GATHER_SECONDS, latest))
+        return wall - end >= latest or (whole and wall - end >= min(SUM_DELAY_SECONDS, latest))
 
     def _sends(self, wall: float, now: float) -> list[SendReport]:
         oldest = window_of(wall - self.due_seconds, self.window_seconds) - 1
--- a/src/stagewalk/gateway/version_rollouts/change_counts.py
+++ b/src/stagewalk/gateway/version_rollouts/change_counts.py
@@ -8,21 +8,21 @@
 
 from dataclasses import dataclass
 
-LEAST_LOADS_AT_ONCE = 2
+MINIMUM_CONCURRENT_LOADS = 2
 """Engines that may load at the same time where there are few."""
 
-LOADING_SHARE = 0.4
+CONCURRENT_LOADS_FRACTION = 0.4
 """Share of the engines that may load at the same time where there are many: the others serve
 meanwhile, and each load is still at full speed."""
 
-LEAST_SHARES = 2
+MINIMUM_CHANGE_DIVISOR = 2
 """With each version one engine in this many changes, or one in as many as there are models: a batch
 of step k takes weights k-1 and newer (docs/design/0100-platform.md)."""
 
 
 def loads_at_once(engines: int) -> int:
     """Return how many of the engines may load at the same time."""
-    return max(LEAST_LOADS_AT_ONCE, int(LOADING_SHARE * engines))
+    return max(MINIMUM_CONCURRENT_LOADS, int(CONCURRENT_LOADS_FRACTION * engines))
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,10 +73,10 @@
             return engines
         if self.own_set:
             return -(-engines // (self.lag + 1))
-        return engines // max(LEAST_SHARES, self.models)
+        return engines // max(MINIMUM_CHANGE_DIVISOR, self.models)
 
     def _needed(self, engines: int, share: int) -> int:
         """Return how many engines must hold a version that batches take."""
-        if self.lag > 0 and self.models > LEAST_SHARES and not self.own_set:
+        if self.lag > 0 and self.models > MINIMUM_CHANGE_DIVISOR and not self.own_set:
             return min(engines, (self.lag + 1) * share)
         return engines
--- a/src/stagewalk/gateway/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Container, Mapping
 from dataclasses import dataclass
 
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 from stagewalk.gateway.version_rollouts.change_counts import ChangeRule, loads_at_once
 from stagewalk.gateway.version_rollouts.engine_sets import (
     ModelDemand,
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderVersion:
+class PlannedVersionOrder:
     """Order an engine to bring a model to a version."""
 
     worker: str
@@ -55,7 +55,7 @@
     """
 
     urgency: tuple[int, float, str]
-    order: OrderVersion
+    order: PlannedVersionOrder
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
     def __init__(
         self,
         workers: WorkerTable,
-        policy: Policy = ALL_ON,
+        policy: Policy = DEFAULT_POLICY,
         evacuated: Callable[[], Container[str]] = tuple,
         configured: Callable[[str], bool] = lambda _service: True,
     ) -> None:
@@ -97,7 +97,7 @@
         self._set_sizes: dict[tuple[str, ...], SetSizes] = {}
         """By the models that engines hold."""
 
-    def name_version(self, model: str, version: int) -> bool:
+    def record_named_version(self, model: str, version: int) -> bool:
         """Record a named version; return whether it is the newest."""
         if version <= self._named.get(model, 0):
             return False
@@ -108,7 +108,7 @@
         """Return a model's newest named version, 0 if none was named."""
         return self._named.get(model, 0)
 
-    def note_minimum(self, model: str, minimum_version: int) -> None:
+    def record_minimum_version(self, model: str, minimum_version: int) -> None:
         """Record, from a submitted batch, how far behind the newest version engines may be.
 
         Batches are read again after a restart, old ones too and in any order: one that accepts
@@ -119,7 +119,7 @@
         self._minimum[model] = minimum_version
         self._lag[model] = max(0, self._named.get(model, 1) - minimum_version)
 
-    def note_open_items(self, open_items: Mapping[str, int], now: float) -> None:
+    def record_open_items(self, open_items: Mapping[str, int], now: float) -> None:
         """Record how many items of each model are unfinished."""
         self._demand.record(open_items, now)
 
@@ -127,7 +127,7 @@
         """Whether an engine has an order under way."""
         return worker in self._pending
 
-    def order_started(self, order: OrderVersion, now: float) -> None:
+    def order_started(self, order: PlannedVersionOrder, now: float) -> None:
         """Record that an order is being sent."""
         until = now + ORDER_DEADLINE_SECONDS
         self._pending[order.worker] = _Pending(order.model, order.version, until)
@@ -143,14 +143,14 @@
         self._pending.pop(worker, None)
         self._not_before[worker] = now + RETRY_SECONDS
 
-    def decide(self, now: float) -> list[OrderVersion]:
+    def decide(self, now: float) -> list[PlannedVersionOrder]:
         """Return the orders to send now: one an engine, the engines furthest behind first."""
         self._settle(now)
         loaded = sum(1 for worker in self._engines() if worker.versions)
         room = loads_at_once(loaded) - len(self._pending)
         if room <= 0:
             return []
-        orders: dict[str, OrderVersion] = {}
+        orders: dict[str, PlannedVersionOrder] = {}
         for candidate in sorted(self._candidates(now), key=lambda candidate: candidate.urgency):
             orders.setdefault(candidate.order.worker, candidate.order)
         return list(orders.values())[:room]
@@ -183,7 +183,7 @@
                 if name in self._pending or self._not_before.get(name, -math.inf) > now:
                     continue
                 urgency = (worker.versions[model] - version, worker.occupancy(now), name)
-                candidates.append(_Candidate(urgency, OrderVersion(name, model, version)))
+                candidates.append(_Candidate(urgency, PlannedVersionOrder(name, model, version)))
         return candidates
 
     def _engines(self) -> list[Worker]:
--- a/src/stagewalk/gateway/version_rollouts/engine_sets.py
+++ b/src/stagewalk/gateway/version_rollouts/engine_sets.py
@@ -21,7 +21,7 @@
 DEMAND_SECONDS = 20.0
 """Demand is averaged over five steps of a trainer, which come every 4 s."""
 
-LEAST_SHARE = 0.5
+MINIMUM_SHARE = 0.5
 """No model gets fewer engines than this part of an equal share."""
 
 RESIZE_ENGINES = 1.5
@@ -49,7 +49,7 @@
         alike = 1.0 / max(1, len(models))
         if total <= 0.0:
             return dict.fromkeys(models, alike)
-        least = LEAST_SHARE * alike
+        least = MINIMUM_SHARE * alike
         raw = {model: max(least, self._open.get(model, 0.0) / total) for model in models}
         whole = sum(raw.values())
         return {model: share / whole for model, share in raw.items()}
--- a/src/stagewalk/gateway/workers/near_best.py
+++ b/src/stagewalk/gateway/workers/near_best.py
@@ -40,7 +40,7 @@
     return min(preferred or choices, key=attrgetter("cost"))
 
 
-def draw_near_best(choices: Sequence[Choice], margin: float, now: float, draws: Random) -> Choice:
+def choose_near_best(choices: Sequence[Choice], margin: float, now: float, rng: Random) -> Choice:
     """Return one of the choices that cost at most a margin more than the best, at random.
 
     Of these the ones whose fixed part is least come first: nodes in other zones, and with other
@@ -56,7 +56,7 @@
         and _waits(choice, now) == _waits(best, now)
     ]
     least = min(choice.fixed for choice in near)
-    return draws.choice([choice for choice in near if choice.fixed == least])
+    return rng.choice([choice for choice in near if choice.fixed == least])
 
 
 def _waits(choice: Choice, now: float) -> bool:
--- a/src/stagewalk/gateway/workers/placement_costs.py
+++ b/src/stagewalk/gateway/workers/placement_costs.py
@@ -19,7 +19,7 @@
 DISTANCE_COST: Mapping[Distance, float] = {
     Distance.SAME_ZONE: 0.0,
     Distance.SAME_REGION: 0.05,
-    Distance.BEYOND: 0.3,
+    Distance.OTHER_REGION: 0.3,
 }
 """Zones of a region are 0.5 to 1.4 ms apart, regions 12 to 20 ms: a look-up of 38 ms takes 60%
 longer beyond, and still goes there rather than wait behind two more requests at a worker of six
@@ -58,12 +58,13 @@
 """An engine with this many requests per slot gets no more: the rest waits at the runner, where it
 can still go to whichever engine is free first."""
 
-ROOM_OCCUPANCY = 0.8
+MOVE_TARGET_OCCUPANCY = 0.8
 """Below this many requests per slot an engine takes an item from a slower one."""
 
-URGENT_ROOM_OCCUPANCY = 1.0
-"""The same for an urgent item: wherever a slot is free. With `ROOM_OCCUPANCY` a long item stayed at
-an engine half as fast for 6 s, since each of the others had seven of its eight slots taken."""
+URGENT_MOVE_TARGET_OCCUPANCY = 1.0
+"""The same for an urgent item: wherever a slot is free. With `MOVE_TARGET_OCCUPANCY` a long item
+stayed at an engine half as fast for 6 s, since each of the others had seven of its eight slots
+taken."""
 
 
 def distance_cost(proximity: Proximity, worker: Worker) -> float:
@@ -77,13 +78,13 @@
     return {zone: distance_cost(proximity, worker) for zone, worker in one_of_zone.items()}
 
 
-def fastest(latencies: Iterable[float | None]) -> float:
+def shortest_latency(latencies: Iterable[float | None]) -> float:
     """Return the shortest of the latencies that are known, in seconds; 0 if none is."""
     return min((latency for latency in latencies if latency is not None), default=0.0)
 
 
-def slowness(latency: float | None, fastest: float) -> float:
+def slowness(latency: float | None, shortest_latency: float) -> float:
     """Return how many times longer a worker takes than the fastest one, less one."""
-    if latency is None or fastest <= 0.0:
+    if latency is None or shortest_latency <= 0.0:
         return 0.0
-    return min(SLOWNESS_LIMIT, latency / fastest - 1.0)
+    return min(SLOWNESS_LIMIT, latency / shortest_latency - 1.0)
--- a/src/stagewalk/gateway/workers/selection.py
+++ b/src/stagewalk/gateway/workers/selection.py
@@ -9,12 +9,12 @@
 from collections.abc import Collection, Iterable, Sequence
 from random import Random
 
-from stagewalk.gateway.workers.near_best import Choice, draw_near_best, take_best
+from stagewalk.gateway.workers.near_best import Choice, choose_near_best, take_best
 from stagewalk.gateway.workers.placement_costs import (
     NEAR_BEST_REQUESTS,
     NEW_CONNECTION_COST,
     SLOWNESS_COST,
-    fastest,
+    shortest_latency,
     slowness,
     zone_costs,
 )
@@ -29,7 +29,7 @@
     tried: Collection[str] = (),
     *,
     prefer_warm: bool = False,
-    draws: Random | None = None,
+    rng: Random | None = None,
 ) -> Worker | None:
     """Return the worker expected to answer first, none that was tried already.
 
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    draws
+    rng
         Random numbers of this node: where workers report their pace, those nearly as good as the
         best one are drawn from. None: the best one is taken.
     """
@@ -47,10 +47,10 @@
         return None
     choices = _choices(candidates, now, proximity, prefer_warm=prefer_warm)
     best = take_best(choices).worker
-    if draws is None or not best.paced:
+    if rng is None or not best.reports_pace:
         return best
     margin = NEAR_BEST_REQUESTS / max(1, best.announcement.slots)
-    return draw_near_best(choices, margin, now, draws).worker
+    return choose_near_best(choices, margin, now, rng).worker
 
 
 def _choices(
@@ -58,7 +58,7 @@
 ) -> list[Choice]:
     """Return what each candidate costs, in parts of a full worker."""
     latencies = [worker.expected_latency(now) for worker in candidates]
-    shortest = fastest(latencies)
+    shortest = shortest_latency(latencies)
     distances = zone_costs(proximity, candidates)
     choices = []
     for worker, latency in zip(candidates, latencies, strict=True):
--- a/src/stagewalk/gateway/workers/speed.py
+++ b/src/stagewalk/gateway/workers/speed.py
@@ -15,20 +15,20 @@
 PACE_VALID_SECONDS = 0.3
 """How long a reported pace says how long work takes: it varies many times a second."""
 
-LEAST_PACE = 0.1
-LARGEST_PACE = 10.0
+MINIMUM_PACE = 0.1
+MAXIMUM_PACE = 10.0
 """A pace beyond these counts as the nearest of them: a single absurd report must not make its
 machine look many times as fast as it is."""
 
 OWN_SPEED_SECONDS = 1.5
 """Time over which a machine's own speed is smoothed: many of its slow moments, few of its items."""
 
-FIRST_SECONDS = 0.05
-MOST_SECONDS = 0.25
+FIRST_SAMPLE_SECONDS = 0.05
+MAXIMUM_SAMPLE_SECONDS = 0.25
 """What the first time stands for, and what each later one does at most, however long ago the one
 before it was."""
 
-LARGEST_LOG_STEP = 0.25
+MAXIMUM_LOG_STEP = 0.25
 """A time counts for at most this far from what is known, as the logarithm of their ratio: the many
 usual times outweigh those of slow moments. Downwards this holds once the estimate has settled: the
 first times may all have come in one slow moment."""
@@ -36,7 +36,7 @@
 LASTING_SECONDS = 0.5
 """A slowness lasts that every report of two successive spans of this length tells."""
 
-LEAST_LASTING_REPORTS = 4
+MINIMUM_LASTING_REPORTS = 4
 """Fewer reports may all have come in slow moments."""
 
 
@@ -61,19 +61,19 @@
         """Whether it was observed for so long that slow moments weigh little."""
         return self.observed_seconds >= OWN_SPEED_SECONDS
 
-    def note(self, seconds: float, now: float) -> None:
+    def observe(self, seconds: float, now: float) -> None:
         """Add a time, divided by the pace at which it was taken."""
         if seconds <= 0.0:
             return
-        stands_for = min(now - self._noted_at, MOST_SECONDS)
+        stands_for = min(now - self._noted_at, MAXIMUM_SAMPLE_SECONDS)
         self._noted_at = now
         if self.seconds is None:
             self.seconds = seconds
-            self.observed_seconds = FIRST_SECONDS
+            self.observed_seconds = FIRST_SAMPLE_SECONDS
             return
-        step = min(LARGEST_LOG_STEP, math.log(seconds / self.seconds))
+        step = min(MAXIMUM_LOG_STEP, math.log(seconds / self.seconds))
         if self.settled:
-            step = max(-LARGEST_LOG_STEP, step)
+            step = max(-MAXIMUM_LOG_STEP, step)
         self.observed_seconds = min(OWN_SPEED_SECONDS, self.observed_seconds + stands_for)
         self.seconds *= math.exp(step * stands_for / self.observed_seconds)
 
@@ -91,7 +91,7 @@
     lowest: float = math.inf
     reports: int = 0
 
-    def note(self, pace: float) -> None:
+    def observe(self, pace: float) -> None:
         self.lowest = min(self.lowest, pace)
         self.reports += 1
 
@@ -109,13 +109,13 @@
     _pace: float = 1.0
     _until: float = -math.inf
 
-    def note(self, pace: float, now: float) -> None:
+    def observe(self, pace: float, now: float) -> None:
         """Add a pace that was reported."""
         number = math.floor(now / LASTING_SECONDS)
         if number != self._current.number:
             self._before = self._current
             self._current = _Span(number)
-        self._current.note(pace)
+        self._current.observe(pace)
         self._pace = self._lowest()
         self._until = (number + 2) * LASTING_SECONDS
 
@@ -125,14 +125,14 @@
 
     def _lowest(self) -> float:
         successive = self._before.number == self._current.number - 1
-        if not successive or self._before.reports + self._current.reports < LEAST_LASTING_REPORTS:
+        if not successive or self._before.reports + self._current.reports < MINIMUM_LASTING_REPORTS:
             return 1.0
         return min(self._before.lowest, self._current.lowest)
 
 
 def plausible_pace(pace: float) -> float:
     """Return a reported pace within its bounds."""
-    return max(LEAST_PACE, min(LARGEST_PACE, pace))
+    return max(MINIMUM_PACE, min(MAXIMUM_PACE, pace))
 
 
 def seconds_at_pace(work: float, pace: float, seconds_left: float) -> float:
