--- a/src/stagewalk/gateway/workers/table.py
+++ b/src/stagewalk/gateway/workers/table.py
@@ -26,7 +26,7 @@
 """An entry of an earlier start is believed again after three heartbeats (of 1.2 s) without one of
 the later start."""
 
-LEFT_MEMORY_SECONDS = 300.0
+DEPARTURE_REMEMBERED_SECONDS = 300.0
 """How long it is remembered which workers said that they leave: entries written before, and read
 late, change nothing meanwhile."""
 
@@ -73,12 +73,12 @@
 
     Parameters
     ----------
-    reads_pace
+    uses_reported_pace
         Whether the pace that workers report is used.
     """
 
-    def __init__(self, *, reads_pace: bool = True) -> None:
-        self._reads_pace = reads_pace
+    def __init__(self, *, uses_reported_pace: bool = True) -> None:
+        self._reads_pace = uses_reported_pace
         self._workers: dict[str, Worker] = {}
         self._start_of: dict[str, str] = {}
         """By the name that an entry is listed under, its start."""
@@ -133,13 +133,13 @@
                 announcement,
                 now,
                 versions=dict(announcement.versions),
-                reads_pace=self._reads_pace,
+                uses_reported_pace=self._reads_pace,
             )
             self._workers[announcement.worker] = worker
             self._start_of[announcement.listed_as] = announcement.worker
             self._index()
             self._listener.worker_changed(announcement.worker, WorkerChange.JOINED)
-            self._note_cold(worker, now)
+            self._record_cold(worker, now)
             return
         if announcement.draining and not known.announcement.draining:
             self._listener.worker_changed(announcement.worker, WorkerChange.DRAINING)
@@ -147,7 +147,7 @@
             known.versions.update(announcement.versions)
         known.announcement = announcement
         known.last_seen_at = now
-        self._note_cold(known, now)
+        self._record_cold(known, now)
 
     def remove(self, name: str, now: float, disturbed_at: float) -> None:
         """Apply that the entry under a name is gone."""
@@ -171,7 +171,7 @@
     def expire(self, now: float) -> None:
         """Drop stale workers that were not listed again; forget who left long ago."""
         for worker, left_at in list(self._left_at.items()):
-            if now - left_at > LEFT_MEMORY_SECONDS:
+            if now - left_at > DEPARTURE_REMEMBERED_SECONDS:
                 del self._left_at[worker]
         for worker, until in list(self._stale_until.items()):
             if now >= until:
@@ -240,7 +240,7 @@
     def _serves(self, worker: Worker) -> bool:
         return not worker.announcement.draining and self._trusted(worker)
 
-    def _note_cold(self, worker: Worker, now: float) -> None:
+    def _record_cold(self, worker: Worker, now: float) -> None:
         if worker.announcement.cold_seconds > 0.0:
             self._listener.worker_cold(worker, worker.announcement.cold_seconds, now)
 
--- a/src/stagewalk/gateway/workers/worker.py
+++ b/src/stagewalk/gateway/workers/worker.py
@@ -33,11 +33,11 @@
 LOAD_VALID_SECONDS = 1.5
 """How long a load that came with an answer counts; after that, the node's own count alone."""
 
-WARM_SECONDS = 8.0
+CONNECTION_REUSE_SECONDS = 8.0
 """How long after an answer its connection is expected to be kept: workers close those that idle for
 ten seconds, and clients of them a little earlier (8.5 s)."""
 
-SUSPECT_SECONDS = (0.5, 1.0, 2.0, 4.0)
+FAILURE_BACKOFF_SECONDS = (0.5, 1.0, 2.0, 4.0)
 """How long a worker is avoided after one, two, ... consecutive failures."""
 
 
@@ -90,7 +90,7 @@
         return self.name or self.worker
 
 
-def start_identity(name: str, born_milliseconds: int | None) -> str:
+def incarnation_id(name: str, born_milliseconds: int | None) -> str:
     """Return the identity of a worker's start: of its name alone where it doesn't say when."""
     return name if born_milliseconds is None else f"{name}@{born_milliseconds}"
 
@@ -107,7 +107,7 @@
         When the load was received.
     sent_since_load, ended_since_load
         Requests that this node sent to it since then, and that ended there.
-    reads_pace
+    uses_reported_pace
         Whether the pace that it reports is used.
     """
 
@@ -120,7 +120,7 @@
     load_at: float = -math.inf
     sent_since_load: int = 0
     ended_since_load: int = 0
-    reads_pace: bool = True
+    uses_reported_pace: bool = True
     latency: float | None = None
     """Smoothed time to a whole answer, of engines to the next event, in seconds."""
     latency_at: float = -math.inf
@@ -142,7 +142,7 @@
         return now < self.suspect_until
 
     @property
-    def on_trial(self) -> bool:
+    def half_open(self) -> bool:
         """Whether it failed last, and a request that may show it sound again is under way."""
         return self.failures > 0 and self.in_flight > 0
 
@@ -150,20 +150,20 @@
         """Whether a repeatable request needs no new connection to it, as far as that is known."""
         return now < self.warm_until and self.in_flight < self.kept_connections
 
-    def note_connection(self, kept: bool, now: float) -> None:
+    def record_connection(self, kept: bool, now: float) -> None:
         """Record whether the connection of a whole answer is kept."""
         if now >= self.warm_until:
             self.kept_connections = 0
         if kept:
             self.kept_connections = max(self.kept_connections, self.in_flight + 1)
-            self.warm_until = now + WARM_SECONDS
+            self.warm_until = now + CONNECTION_REUSE_SECONDS
 
     def loading(self, model: str, now: float) -> bool:
         """Whether it is expected to refuse a model's requests while it loads weights."""
         return now < self.loading_until.get(model, -math.inf)
 
     @property
-    def paced(self) -> bool:
+    def reports_pace(self) -> bool:
         """Whether its last report said how long work takes there at the moment."""
         return self.load is not None and self.load.pace is not None
 
@@ -173,7 +173,7 @@
             return ReportKind.NONE
         if self.recent_load(now) is None:
             return ReportKind.OLD
-        return ReportKind.PACED if self.paced else ReportKind.LOAD
+        return ReportKind.PACED if self.reports_pace else ReportKind.LOAD
 
     def recent_load(self, now: float) -> WorkerLoad | None:
         """Return the load that it reported of late, None if it reported none or that is old."""
@@ -196,22 +196,22 @@
             reported -= self.ended_since_load
         return max(reported, self.in_flight) / slots
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Count a request sent to it."""
         self.in_flight += 1
         self.sent_since_load += 1
 
-    def note_ended(self) -> None:
+    def record_ended(self) -> None:
         """Count a request that ended there, however it did."""
         self.in_flight -= 1
         self.ended_since_load += 1
 
-    def note_load(self, load: WorkerLoad | None, now: float) -> None:
+    def record_load(self, load: WorkerLoad | None, now: float) -> None:
         """Record the load that came with an answer, if one did."""
         if load is None:
             return
         if load.pace is not None:
-            pace = plausible_pace(load.pace) if self.reads_pace else None
+            pace = plausible_pace(load.pace) if self.uses_reported_pace else None
             if pace != load.pace:
                 load = replace(load, pace=pace)
         self.load = load
@@ -219,7 +219,7 @@
         self.sent_since_load = 0
         self.ended_since_load = 0
         if load.pace is not None:
-            self.lasting_pace.note(load.pace, now)
+            self.lasting_pace.observe(load.pace, now)
 
     def recent_latency(self, now: float) -> float | None:
         """Return the time that its answers or events usually take, None if none is known of late.
@@ -232,7 +232,7 @@
         """
         if now - self.latency_at >= LATENCY_VALID_SECONDS:
             return None
-        if self.paced and self.speed.seconds is not None:
+        if self.reports_pace and self.speed.seconds is not None:
             return self.speed.seconds * self.lasting_pace.pace(now)
         return self.latency
 
@@ -251,7 +251,7 @@
         seconds_left = PACE_VALID_SECONDS - (now - self.load_at)
         return seconds_at_pace(work, pace / self.lasting_pace.pace(now), seconds_left)
 
-    def note_success(self, seconds: float, now: float) -> None:
+    def record_success(self, seconds: float, now: float) -> None:
         """Record the seconds that an answer or event took; clear its failures."""
         if now - self.latency_at >= LATENCY_VALID_SECONDS:
             self.latency = None
@@ -259,9 +259,9 @@
         self.latency_at = now
         self.failures = 0
         self.suspect_until = -math.inf
-        if self.paced:
+        if self.reports_pace:
             pace = self.recent_pace(now) or self.lasting_pace.pace(now)
-            self.speed.note(seconds / pace, now)
+            self.speed.observe(seconds / pace, now)
         before = self.latency
         if before is None:
             self.latency = seconds
@@ -269,8 +269,8 @@
         bounded = min(seconds, LATENCY_OUTLIER * before)
         self.latency = before + LATENCY_SMOOTHING * (bounded - before)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record a failure: avoid it for a while, longer with each consecutive one."""
-        pause = SUSPECT_SECONDS[min(self.failures, len(SUSPECT_SECONDS) - 1)]
+        pause = FAILURE_BACKOFF_SECONDS[min(self.failures, len(FAILURE_BACKOFF_SECONDS) - 1)]
         self.failures += 1
         self.suspect_until = now + pause
--- a/src/stagewalk/gateway/zones/distance.py
+++ b/src/stagewalk/gateway/zones/distance.py
@@ -16,7 +16,7 @@
 
     SAME_ZONE = 0
     SAME_REGION = 1
-    BEYOND = 2
+    OTHER_REGION = 2
     """In another region."""
 
 
@@ -49,4 +49,4 @@
         if zone == self._own.zone:
             return Distance.SAME_ZONE
         known = self._regions.get(zone, self._own.region)
-        return Distance.SAME_REGION if known == self._own.region else Distance.BEYOND
+        return Distance.SAME_REGION if known == self._own.region else Distance.OTHER_REGION
--- a/src/stagewalk/history/answer_text.py
+++ b/src/stagewalk/history/answer_text.py
@@ -112,7 +112,7 @@
     return None
 
 
-def true_spans(text: str) -> tuple[VersionSpan, ...]:
+def spans_from_text(text: str) -> tuple[VersionSpan, ...]:
     """Return which versions produced an answer's tokens, in order."""
     spans: tuple[VersionSpan, ...] = ()
     for chunk in parse_answer(text) or ():
--- a/src/stagewalk/history/checker_configuration.py
+++ b/src/stagewalk/history/checker_configuration.py
@@ -22,7 +22,7 @@
 from stagewalk.node.configuration.parameters import TenantParameters
 
 CONFIGURATION_STREAM = "configuration"
-IN_FORCE_SECONDS = 10.0
+CONFIGURATION_DEADLINE_SECONDS = 10.0
 """How long an accepted record may take until every node applies it."""
 
 EVERY_NODE = "*"
@@ -85,27 +85,29 @@
 
     def due(self, at: float) -> RecordAppended | None:
         """Return the last accepted record that must be in force by a time."""
-        count = bisect_right(self.accepted, at - IN_FORCE_SECONDS, key=lambda item: item.at)
+        count = bisect_right(
+            self.accepted, at - CONFIGURATION_DEADLINE_SECONDS, key=lambda item: item.at
+        )
         return self.accepted[count - 1].record if count else None
 
     def excused(self, node: str | None, at: float) -> FaultInjected | None:
         """Return a fault that kept a node (None: any) from the log in the last seconds."""
         for fault in self.faults:
             concerned = node is None or fault.target in {EVERY_NODE, node}
-            if concerned and fault.at <= at and fault.until >= at - IN_FORCE_SECONDS:
+            if concerned and fault.at <= at and fault.until >= at - CONFIGURATION_DEADLINE_SECONDS:
                 return fault
         return None
 
     def bounds(self, tenant: str, at: float) -> StalenessBounds | None:
         """Return the loosest bounds that can have been in force for a tenant at a time.
 
-        A node may lag behind the log by `IN_FORCE_SECONDS`, and by as long as it cannot
-        reach the log.
+        A node may lag behind the log by `CONFIGURATION_DEADLINE_SECONDS`, and by as long as it
+        cannot reach the log.
         """
-        since = at - IN_FORCE_SECONDS
+        since = at - CONFIGURATION_DEADLINE_SECONDS
         fault = self.excused(None, since)
         while fault is not None:
-            since = fault.at - IN_FORCE_SECONDS
+            since = fault.at - CONFIGURATION_DEADLINE_SECONDS
             fault = self.excused(None, since)
         first = max(0, bisect_right(self.accepted, since, key=lambda item: item.at) - 1)
         candidates = [
@@ -173,7 +175,11 @@
     seen: ConfigurationSeen, first_at: float, timeline: ConfigurationTimeline, verdict: Verdict
 ) -> None:
     due = timeline.due(seen.at)
-    if due is None or seen.offset > due.offset or seen.at < first_at + IN_FORCE_SECONDS:
+    if (
+        due is None
+        or seen.offset > due.offset
+        or seen.at < first_at + CONFIGURATION_DEADLINE_SECONDS
+    ):
         return
     if timeline.excused(seen.node, seen.at) is not None:
         return
--- a/src/stagewalk/history/checker_oracle.py
+++ b/src/stagewalk/history/checker_oracle.py
@@ -7,7 +7,7 @@
 
 from stagewalk.common.identities import RecordId
 from stagewalk.history.observations import RecordAppended
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted
 from stagewalk.node.configuration.parameters import TenantParameters
 from stagewalk.node.core.platform import LogRecord
@@ -17,7 +17,7 @@
     """Applies the log's records, in their order, to a fold that no node has touched."""
 
     def __init__(self) -> None:
-        self._fold = ConfigurationFold()
+        self._fold = ConfigurationStateMachine()
 
     def apply(self, record: RecordAppended) -> bool:
         """Apply the next record of the stream; return whether it was accepted."""
--- a/src/stagewalk/history/checker_requests.py
+++ b/src/stagewalk/history/checker_requests.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from stagewalk.common.errors import Ran
-from stagewalk.history.answer_text import parse_answer, true_spans, wholeness_fault
+from stagewalk.common.errors import ExecutionStatus
+from stagewalk.history.answer_text import parse_answer, spans_from_text, wholeness_fault
 from stagewalk.history.checker_verdict import Promise, Verdict
 from stagewalk.history.observations import (
     AnyObservation,
@@ -57,7 +57,7 @@
         for answer in story.answers:
             check_answer(story, answer, verdict)
         for refusal in story.refusals:
-            if refusal.ran == Ran.NO:
+            if refusal.ran == ExecutionStatus.NO:
                 _check_refusal(story, refusal, verdict)
         if any(not send.repeatable for send in story.sends):
             _check_at_most_once(story, verdict)
@@ -129,7 +129,7 @@
     merged: tuple[VersionSpan, ...] = ()
     for span in named:
         merged = append_span(merged, span.version, span.token_count)
-    truth = true_spans(text)
+    truth = spans_from_text(text)
     if merged == truth:
         return None
     return f"named {_spans(merged)}, produced by {_spans(truth)}"
@@ -160,7 +160,11 @@
 
 def _open_sends(story: RequestStory, at: float) -> list[RequestSent]:
     """Return the sends before a time that no refusal as "not run" had settled by then."""
-    settled = [refusal for refusal in story.refusals if refusal.at <= at and refusal.ran == Ran.NO]
+    settled = [
+        refusal
+        for refusal in story.refusals
+        if refusal.at <= at and refusal.ran == ExecutionStatus.NO
+    ]
     remaining = [send for send in story.sends if send.at <= at]
     for refusal in settled:
         matching = [
--- a/src/stagewalk/history/checker_samples.py
+++ b/src/stagewalk/history/checker_samples.py
@@ -9,7 +9,7 @@
 from collections import defaultdict
 from collections.abc import Sequence
 
-from stagewalk.common.identities import SlotKey, TenantName
+from stagewalk.common.identities import SampleSlotKey, TenantName
 from stagewalk.history.answer_text import parse_answer, wholeness_fault
 from stagewalk.history.checker_configuration import ConfigurationTimeline
 from stagewalk.history.checker_requests import naming_fault
@@ -31,7 +31,7 @@
     history: Sequence[AnyObservation], timeline: ConfigurationTimeline, verdict: Verdict
 ) -> None:
     """Judge version_named, whole_answer, staleness_bound and exactly_once of samples."""
-    accepted: defaultdict[SlotKey, list[SampleAccepted]] = defaultdict(list)
+    accepted: defaultdict[SampleSlotKey, list[SampleAccepted]] = defaultdict(list)
     for item in history:
         if isinstance(item, SampleAccepted):
             accepted[_slot(item)].append(item)
@@ -41,8 +41,8 @@
     _check_completed_steps(history, accepted, verdict)
 
 
-def _slot(sample: SampleAccepted) -> SlotKey:
-    return SlotKey(
+def _slot(sample: SampleAccepted) -> SampleSlotKey:
+    return SampleSlotKey(
         TenantName(sample.tenant),
         sample.trainer,
         sample.step,
@@ -83,7 +83,9 @@
         verdict.violate(Promise.STALENESS_BOUND, sample.at, subject, detail, [sample])
 
 
-def _check_accepted_once(accepted: dict[SlotKey, list[SampleAccepted]], verdict: Verdict) -> None:
+def _check_accepted_once(
+    accepted: dict[SampleSlotKey, list[SampleAccepted]], verdict: Verdict
+) -> None:
     for slot, samples in accepted.items():
         verdict.check(Promise.EXACTLY_ONCE)
         if len(samples) > 1:
@@ -93,7 +95,7 @@
 
 def _check_completed_steps(
     history: Sequence[AnyObservation],
-    accepted: dict[SlotKey, list[SampleAccepted]],
+    accepted: dict[SampleSlotKey, list[SampleAccepted]],
     verdict: Verdict,
 ) -> None:
     started: dict[StepKey, StepStarted] = {}
--- a/src/stagewalk/history/checker_stops.py
+++ b/src/stagewalk/history/checker_stops.py
@@ -100,13 +100,13 @@
                 self.verdict.check(Promise.PLANNED_STOP_CLEAN)
                 self.stops.setdefault(item.process, _Stop(item))
             case ProcessKilled():
-                self._note_killed(item.process)
+                self._record_killed(item.process)
             case RequestSent():
                 self.sends[item.caller, item.node, item.tenant, item.request_id] = item
             case WorkReceived() | EngineServing():
-                self._note_incarnation(item.engine, item.incarnation)
+                self._record_incarnation(item.engine, item.incarnation)
             case ConfigurationSeen():
-                self._note_incarnation(item.node, item.incarnation)
+                self._record_incarnation(item.node, item.incarnation)
             case WorkEnded():
                 self._judge_work(item)
             case RequestCut():
@@ -116,11 +116,11 @@
             case _:
                 pass
 
-    def _note_killed(self, process: str) -> None:
+    def _record_killed(self, process: str) -> None:
         if process in self.stops:
             self.stops[process].killed = True
 
-    def _note_incarnation(self, process: str, incarnation: int) -> None:
+    def _record_incarnation(self, process: str, incarnation: int) -> None:
         """A newer incarnation ends the stop of the older one."""
         if incarnation > self.incarnations.get(process, incarnation):
             self.stops.pop(process, None)
--- a/src/stagewalk/history/summary.py
+++ b/src/stagewalk/history/summary.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from stagewalk.common.errors import Ran
-from stagewalk.history.answer_text import true_spans
+from stagewalk.common.errors import ExecutionStatus
+from stagewalk.history.answer_text import spans_from_text
 from stagewalk.history.observations import (
     AnyObservation,
     RequestAnswered,
@@ -80,7 +80,7 @@
             case RequestAnswered():
                 sent = self.first_sent.get(observation.request_id, observation.at)
                 self.latencies.setdefault(observation.request_id, observation.at - sent)
-            case RequestRefused() if observation.ran == Ran.NO:
+            case RequestRefused() if observation.ran == ExecutionStatus.NO:
                 self.refused_not_run += 1
             case RequestRefused():
                 self.outcome_unknown += 1
@@ -94,7 +94,7 @@
                 pass
 
     def _add_sample(self, sample: SampleAccepted) -> None:
-        oldest = min((span.version for span in true_spans(sample.text)), default=0)
+        oldest = min((span.version for span in spans_from_text(sample.text)), default=0)
         self.staleness_versions.append(float(max(0, sample.trainer_version - oldest)))
         self.staleness_seconds.append(sample.age_seconds)
 
--- a/src/stagewalk/node/adapters/engine_frames.py
+++ b/src/stagewalk/node/adapters/engine_frames.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from stagewalk.common.errors import Ran
+from stagewalk.common.errors import ExecutionStatus
 from stagewalk.common.identities import WeightVersion
 from stagewalk.node.core.completions import TokenChunk
 from stagewalk.node.core.instructions import StartAttempt
@@ -76,7 +76,7 @@
     """An engine's error."""
 
     detail: str = ""
-    ran: str = Ran.UNKNOWN
+    ran: str = ExecutionStatus.UNKNOWN
 
 
 _EVENT_DECODER = msgspec.json.Decoder(StreamEvent)
--- a/src/stagewalk/node/adapters/engine_stream.py
+++ b/src/stagewalk/node/adapters/engine_stream.py
@@ -12,13 +12,13 @@
 import httpx
 import msgspec
 
-from stagewalk.common.errors import Ran
+from stagewalk.common.errors import ExecutionStatus
 from stagewalk.common.http.calls import (
     NOT_SENT_ERRORS,
     call_timeout,
-    describe,
-    path_part,
-    process_url,
+    describe_exception,
+    quote_path_segment,
+    url_for,
 )
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.node.adapters.engine_frames import (
@@ -35,7 +35,7 @@
 ATTEMPT_GRACE_SECONDS = 5.0
 """How long a stream may outlive its request's deadline before it is given up."""
 
-RECONNECTIONS = 3
+MAXIMUM_RECONNECTIONS = 3
 """How often in a row, without a further chunk, a lost stream is resumed."""
 
 RECONNECTION_DELAY_SECONDS = 0.2
@@ -64,7 +64,7 @@
         self._deliver = deliver
         self._next_offset = start.resume_offset
         self._next_sequence = 0
-        self._reconnections_left = RECONNECTIONS
+        self._reconnections_left = MAXIMUM_RECONNECTIONS
 
     async def run(self) -> None:
         """Deliver the attempt's chunks, then exactly one final event."""
@@ -92,7 +92,7 @@
     async def _send(self) -> FinalAttemptEvent | _Lost:
         request = self._client.stream(
             "POST",
-            process_url(self._start.address, "/v1/completions"),
+            url_for(self._start.address, "/v1/completions"),
             content=encode_attempt(self._start),
             headers={"Content-Type": "application/json", "X-Request-Id": self._start.attempt},
             timeout=call_timeout(None),
@@ -103,14 +103,14 @@
                     return await self._relay(response)
                 return await self._refusal(response)
         except NOT_SENT_ERRORS as error:
-            return AttemptFailed(self._start.attempt, False, describe(error))
+            return AttemptFailed(self._start.attempt, False, describe_exception(error))
         except httpx.HTTPError as error:
-            return _Lost(describe(error))
+            return _Lost(describe_exception(error))
 
     async def _reconnect(self, lost: _Lost) -> FinalAttemptEvent | _Lost:
-        path = f"/v1/streams/{path_part(self._start.attempt)}?offset={self._next_offset}"
+        path = f"/v1/streams/{quote_path_segment(self._start.attempt)}?offset={self._next_offset}"
         request = self._client.stream(
-            "GET", process_url(self._start.address, path), timeout=call_timeout(None)
+            "GET", url_for(self._start.address, path), timeout=call_timeout(None)
         )
         try:
             async with request as response:
@@ -118,9 +118,9 @@
                     return await self._relay(response, renumber=True)
                 return self._failed(f"{lost.detail}; asked again: status {response.status_code}")
         except NOT_SENT_ERRORS as error:
-            return self._failed(f"{lost.detail}; asked again: {describe(error)}")
+            return self._failed(f"{lost.detail}; asked again: {describe_exception(error)}")
         except httpx.HTTPError as error:
-            return _Lost(describe(error))
+            return _Lost(describe_exception(error))
 
     async def _relay(
         self, response: httpx.Response, *, renumber: bool = False
@@ -158,7 +158,7 @@
         self._next_sequence = max(self._next_sequence, chunk.sequence + 1)
         if chunk.offset <= self._next_offset:
             self._next_offset = max(self._next_offset, chunk.offset + chunk.token_count)
-        self._reconnections_left = RECONNECTIONS
+        self._reconnections_left = MAXIMUM_RECONNECTIONS
         await self._deliver(AttemptChunk(self._start.attempt, chunk))
 
     async def _refusal(self, response: httpx.Response) -> FinalAttemptEvent:
@@ -169,7 +169,7 @@
                 break
         problem = decode_problem(content)
         detail = f"status {response.status_code}: {problem.detail}"
-        if problem.ran != Ran.NO or response.status_code == _DUPLICATE_STATUS:
+        if problem.ran != ExecutionStatus.NO or response.status_code == _DUPLICATE_STATUS:
             return self._failed(detail)
         return AttemptRefused(self._start.attempt, detail, _retry_after(response))
 
--- a/src/stagewalk/node/adapters/http_engines.py
+++ b/src/stagewalk/node/adapters/http_engines.py
@@ -9,13 +9,13 @@
 import msgspec
 from expression import Result
 
-from stagewalk.common.errors import StagewalkError, Step
-from stagewalk.common.http.calls import call_json, describe, process_url, send_json
+from stagewalk.common.errors import ErrorStep, StagewalkError
+from stagewalk.common.http.calls import call_json, describe_exception, send_json, url_for
 from stagewalk.common.identities import Address
 from stagewalk.node.adapters.engine_stream import AttemptStream
 from stagewalk.node.core.events import OrderAnswered
-from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, StartAttempt
-from stagewalk.node.core.platform import EngineReport, OrderOutcome
+from stagewalk.node.core.instructions import CancelAttempt, SendEngineOrder, StartAttempt
+from stagewalk.node.core.platform import EngineOrderOutcome, EngineReport
 from stagewalk.node.ports.engines import AttemptSink
 
 REPORT_TIMEOUT_SECONDS = 1.5
@@ -30,7 +30,7 @@
 
 
 class _OrderAnswer(msgspec.Struct):
-    outcome: OrderOutcome
+    outcome: EngineOrderOutcome
     detail: str = ""
     epoch: int | None = None
 
@@ -54,10 +54,10 @@
         answer = await call_json(
             self._control,
             "POST",
-            process_url(cancel.address, "/control/cancel"),
+            url_for(cancel.address, "/control/cancel"),
             body={"attempt": cancel.attempt},
             answer=_CancelAnswer,
-            step=Step.EXECUTION,
+            step=ErrorStep.EXECUTION,
             peer=cancel.engine,
             read_seconds=CANCEL_TIMEOUT_SECONDS,
         )
@@ -68,25 +68,25 @@
         return await call_json(
             self._control,
             "GET",
-            process_url(address, "/control/report"),
+            url_for(address, "/control/report"),
             answer=EngineReport,
-            step=Step.ROUTING,
+            step=ErrorStep.ROUTING,
             peer=engine,
             read_seconds=REPORT_TIMEOUT_SECONDS,
         )
 
-    async def order(self, order: OrderEngine) -> OrderAnswered:
+    async def order(self, order: SendEngineOrder) -> OrderAnswered:
         """Send a fenced order."""
         try:
             response = await send_json(
                 self._control,
                 "POST",
-                process_url(order.address, "/control/orders"),
+                url_for(order.address, "/control/orders"),
                 read_seconds=ORDER_TIMEOUT_SECONDS,
                 body=order.order,
             )
             answer = msgspec.json.decode(response.content, type=_OrderAnswer)
         except (httpx.HTTPError, msgspec.DecodeError) as error:
-            answer = _OrderAnswer(OrderOutcome.UNKNOWN, describe(error))
+            answer = _OrderAnswer(EngineOrderOutcome.UNKNOWN, describe_exception(error))
         detail = answer.detail if answer.epoch is None else f"largest epoch seen {answer.epoch}"
         return OrderAnswered(order.engine, order.order.order_id, answer.outcome, detail)
--- a/src/stagewalk/node/adapters/http_platform.py
+++ b/src/stagewalk/node/adapters/http_platform.py
@@ -9,8 +9,8 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
-from stagewalk.common.http.calls import call_json, call_json_if_changed, path_part
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
+from stagewalk.common.http.calls import call_json, call_json_if_changed, quote_path_segment
 from stagewalk.common.identities import Address, ModelName, Placement, RecordId, WeightVersion
 from stagewalk.node.core.instructions import ScoreSample
 from stagewalk.node.core.platform import (
@@ -22,10 +22,10 @@
 )
 from stagewalk.node.ports.platform_services import LogPage
 
-LOG_WAIT_SECONDS = 5.0
+LOG_LONG_POLL_SECONDS = 5.0
 """How long the log may hold a read back for a first record."""
 
-LOG_READ_TIMEOUT_SECONDS = LOG_WAIT_SECONDS + 5.0
+LOG_READ_TIMEOUT_SECONDS = LOG_LONG_POLL_SECONDS + 5.0
 """A held read must not look like a failed one."""
 
 LOG_APPEND_TIMEOUT_SECONDS = 5.0
@@ -107,15 +107,15 @@
     async def read(
         self, stream: str, offset: int, *, wait: bool = True
     ) -> Result[LogPage, StagewalkError]:
-        """Read records from an offset on; `wait`: up to `LOG_WAIT_SECONDS` for a first one."""
-        wait_seconds = LOG_WAIT_SECONDS if wait else 0
+        """Read records from an offset on; `wait`: up to `LOG_LONG_POLL_SECONDS` for a first one."""
+        wait_seconds = LOG_LONG_POLL_SECONDS if wait else 0
         query = f"offset={offset}&limit={LOG_PAGE_RECORDS}&wait_seconds={wait_seconds}"
         answer = await call_json(
             self._transport,
             "GET",
             f"{self._records_url(stream)}?{query}",
             answer=_LogAnswer,
-            step=Step.LOG_READ,
+            step=ErrorStep.LOG_READ,
             peer=LOG_PEER,
             read_seconds=LOG_READ_TIMEOUT_SECONDS,
         )
@@ -131,21 +131,25 @@
             self._records_url(stream),
             body=_AppendBody((_AppendedRecord(record_id, payload),)),
             answer=_AppendAnswer,
-            step=Step.LOG_APPEND,
+            step=ErrorStep.LOG_APPEND,
             peer=LOG_PEER,
             read_seconds=LOG_APPEND_TIMEOUT_SECONDS,
         )
         return answer.bind(_single_offset)
 
     def _records_url(self, stream: str) -> str:
-        return f"{self._base_url}/streams/{path_part(stream)}/records"
+        return f"{self._base_url}/streams/{quote_path_segment(stream)}/records"
 
 
 def _single_offset(answer: _AppendAnswer) -> Result[int, StagewalkError]:
     if len(answer.offsets) == 1:
         return Ok(answer.offsets[0])
     detail = f"expected one offset, got {len(answer.offsets)}"
-    return Error(StagewalkError(ErrorKind.REJECTED, Step.LOG_APPEND, LOG_PEER, detail, Ran.UNKNOWN))
+    return Error(
+        StagewalkError(
+            ErrorKind.REJECTED, ErrorStep.LOG_APPEND, LOG_PEER, detail, ExecutionStatus.UNKNOWN
+        )
+    )
 
 
 class HttpMachineList:
@@ -167,7 +171,7 @@
             f"{self._base_url}/machines",
             self._entity_tag,
             answer=_MachinesAnswer,
-            step=Step.ROUTING,
+            step=ErrorStep.ROUTING,
             peer=MACHINES_PEER,
             read_seconds=MACHINES_TIMEOUT_SECONDS,
         )
@@ -194,9 +198,9 @@
         answer = await call_json(
             self._transport,
             "GET",
-            f"{self._base_url}/models/{path_part(model)}/versions",
+            f"{self._base_url}/models/{quote_path_segment(model)}/versions",
             answer=_VersionsAnswer,
-            step=Step.WEIGHTS,
+            step=ErrorStep.WEIGHTS,
             peer=WEIGHTS_PEER,
             read_seconds=VERSIONS_TIMEOUT_SECONDS,
         )
@@ -222,7 +226,7 @@
             f"{self._base_url}/score",
             body=sample,
             answer=_ScoreAnswer,
-            step=Step.SCORING,
+            step=ErrorStep.SCORING,
             peer=SCORER_PEER,
             read_seconds=SCORE_TIMEOUT_SECONDS,
         )
--- a/src/stagewalk/node/admission/controller.py
+++ b/src/stagewalk/node/admission/controller.py
@@ -14,7 +14,7 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import ModelName, NodeName, RequestKey, TenantName
 from stagewalk.node.admission import rules
 from stagewalk.node.admission.config import AdmissionConfig
@@ -25,7 +25,7 @@
 from stagewalk.node.core.completions import CompletionRequest, Priority
 
 
-class Admission(StrEnum):
+class AdmissionDecision(StrEnum):
     """What became of a request that was not rejected."""
 
     ADMITTED = "admitted"
@@ -62,7 +62,7 @@
         for model, pool in self._pools.items():
             pool.shares = self._shares_of(model)
 
-    def set_pool(self, model: ModelName, capacity: PoolCapacity) -> None:
+    def set_pool_capacity(self, model: ModelName, capacity: PoolCapacity) -> None:
         """Replace the view of a pool's slots and load."""
         self._pool(model).set_capacity(capacity)
 
@@ -82,19 +82,19 @@
 
     def admit(
         self, key: RequestKey, request: CompletionRequest, now: float
-    ) -> Result[Admission, StagewalkError]:
+    ) -> Result[AdmissionDecision, StagewalkError]:
         """Admit a request, queue it, or reject it at once; the rejection says `ran: no`."""
         pool = self._pool(request.model)
         queue = QueueName(request.priority, key.tenant)
         if not rules.waits_behind_own_tenant(pool, queue) and self._may_start(pool, queue):
             self._start(key, request.model, request.priority, now)
-            return Ok(Admission.ADMITTED)
+            return Ok(AdmissionDecision.ADMITTED)
         rejection = rules.rejection_of(pool, key.tenant, request, self._config, now)
         if rejection is not None:
             return Error(self._error_of(rejection))
         pool.waiting.add(key, request.priority)
         self._waiting[key] = request.model
-        return Ok(Admission.WAITING)
+        return Ok(AdmissionDecision.WAITING)
 
     def release(self, now: float) -> list[RequestKey]:
         """Admit the waiting requests that may start now; return them in the order of the rules."""
@@ -118,15 +118,15 @@
             return
         pool = self._pool(admitted.model)
         pool.record_duration(admitted.priority, now - admitted.admitted_at)
-        pool.limiter.note_completed(pool.in_flight + 1)
+        pool.limiter.record_completed(pool.in_flight + 1)
 
-    def note_refused(self, model: ModelName, now: float) -> None:
+    def record_refused(self, model: ModelName, now: float) -> None:
         """Record that an engine of a pool refused work for want of room."""
-        self._pool(model).limiter.note_refused(now)
+        self._pool(model).limiter.record_refused(now)
 
-    def note_first_token(self, model: ModelName, delay_seconds: float, now: float) -> None:
+    def record_first_token(self, model: ModelName, delay_seconds: float, now: float) -> None:
         """Record how long an attempt waited for its first token."""
-        self._pool(model).limiter.note_first_token(delay_seconds, now)
+        self._pool(model).limiter.record_first_token(delay_seconds, now)
 
     def limit(self, model: ModelName) -> float:
         """Return the adaptive limit of a pool, in requests in flight."""
@@ -163,10 +163,10 @@
     def _error_of(self, rejection: Rejection) -> StagewalkError:
         return StagewalkError(
             kind=rejection.kind,
-            step=Step.ADMISSION,
+            step=ErrorStep.ADMISSION,
             peer=str(self._owner),
             detail=rejection.detail,
-            ran=Ran.NO,
+            ran=ExecutionStatus.NO,
             retry_after_seconds=rejection.retry_after_seconds,
         )
 
--- a/src/stagewalk/node/admission/limiter.py
+++ b/src/stagewalk/node/admission/limiter.py
@@ -29,7 +29,7 @@
         """Return the requests that may be in flight."""
         return self._limit
 
-    def note_completed(self, in_flight: int) -> None:
+    def record_completed(self, in_flight: int) -> None:
         """Raise the limit after a completion, if at least half of it was in use."""
         if in_flight * 2 < self._limit:
             return
@@ -37,11 +37,11 @@
         growth = 1.0 if never_fell else self._config.growth_per_completion
         self._limit = min(self._config.maximum_limit, self._limit + growth)
 
-    def note_refused(self, now: float) -> None:
+    def record_refused(self, now: float) -> None:
         """Lower the limit: an engine had no room."""
         self._decrease(self._config.decrease_factor, now)
 
-    def note_first_token(self, delay_seconds: float, now: float) -> None:
+    def record_first_token(self, delay_seconds: float, now: float) -> None:
         """Lower the limit a little if a first token came much later than usual."""
         if delay_seconds < self._usual_delay:
             self._usual_delay = delay_seconds
--- a/src/stagewalk/node/claims/core.py
+++ b/src/stagewalk/node/claims/core.py
@@ -38,10 +38,10 @@
 from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimPlacementRequest
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
-REPORT_INTERVAL_SECONDS = 30.0
+ABANDONMENT_REPORT_INTERVAL_SECONDS = 30.0
 """An abandoned recovery is reported again after this, until the log shows it."""
 
-ASK_INTERVAL_SECONDS = 2.0
+PLACEMENT_REQUEST_INTERVAL_SECONDS = 2.0
 """A node that knows no groups asks another peer after this."""
 
 
@@ -96,7 +96,7 @@
         """Return an estimate of the memory these take."""
         return self._replica.usage.size_bytes
 
-    def set_groups(self, placement: GroupPlacement) -> None:
+    def set_placement(self, placement: GroupPlacement) -> None:
         """Set the groups in the log; they apply before anything else is handled."""
         self._view.apply_log(placement)
         self._placement_changed = True
@@ -171,7 +171,7 @@
         groups = self._replica.transfers.unreported_abandonments()
         if not groups:
             return
-        self._report_at = now + REPORT_INTERVAL_SECONDS
+        self._report_at = now + ABANDONMENT_REPORT_INTERVAL_SECONDS
         member = MemberRecord(self._member.name, self._member.incarnation)
         payload = encode_record(RecoveryAbandoned(member=member, groups=groups))
         self._outputs.append(AppendToStream(PLACEMENT_STREAM, payload))
@@ -180,7 +180,7 @@
         """Request the groups from a peer while this node knows none: the log may be down."""
         if not self._view.is_empty or now < self._ask_at:
             return
-        self._ask_at = now + ASK_INTERVAL_SECONDS
+        self._ask_at = now + PLACEMENT_REQUEST_INTERVAL_SECONDS
         others = sorted(set(self._members) - {self._member.name})
         if others:
             message = ClaimMessage(placement_request=ClaimPlacementRequest())
--- a/src/stagewalk/node/claims/notifications.py
+++ b/src/stagewalk/node/claims/notifications.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.errors import StagewalkError
-from stagewalk.node.core.instructions import LogEvent, SendPeerMessage
+from stagewalk.node.core.instructions import SendPeerMessage, WriteLogLine
 from stagewalk.node.log_client.notifications import AppendToStream
 
 
@@ -74,5 +74,5 @@
 
 
 ClaimOutput = (
-    SendPeerMessage | LogEvent | ClaimDecided | ClaimAbsent | ClaimUndecided | AppendToStream
+    SendPeerMessage | WriteLogLine | ClaimDecided | ClaimAbsent | ClaimUndecided | AppendToStream
 )
--- a/src/stagewalk/node/claims/partition.py
+++ b/src/stagewalk/node/claims/partition.py
@@ -13,7 +13,7 @@
 from stagewalk.node.claims.codec import read_ballot
 from stagewalk.node.claims.config import ClaimConfig
 from stagewalk.node.claims.messages import Reason
-from stagewalk.node.claims.placement import Group, PartitionChain
+from stagewalk.node.claims.placement import GroupHistory, ReplicaGroup
 from stagewalk.node.claims.register import ClaimEntry, Register, Usage
 from stagewalk.node.wire.claims_pb2 import ClaimAccept, ClaimDecision, ClaimMessage, ClaimPrepare
 
@@ -40,7 +40,7 @@
     config: ClaimConfig
     register: Register
     usage: Usage
-    chain: PartitionChain = field(default_factory=PartitionChain)
+    chain: GroupHistory = field(default_factory=GroupHistory)
     held_epoch: int = 0
     complete: bool = False
     known_epoch: int = 0
@@ -48,7 +48,7 @@
     lost_until: float = float("-inf")
 
     def begin_epoch(
-        self, group: Group, incarnations: dict[NodeName, Incarnation], sealed: bool = False
+        self, group: ReplicaGroup, incarnations: dict[NodeName, Incarnation], sealed: bool = False
     ) -> None:
         """Hold the state of an epoch completely and vote in it unless a later one is known."""
         self.held_epoch = group.epoch
--- a/src/stagewalk/node/claims/placement.py
+++ b/src/stagewalk/node/claims/placement.py
@@ -23,10 +23,10 @@
 DEFAULT_PARTITION_COUNT = 64
 """Part of the log's format: all nodes must agree on it."""
 
-GROUP_SIZE = 3
+REPLICATION_FACTOR = 3
 """Replicas of a partition: the least that survive the loss of one."""
 
-CHAIN_LENGTH = 8
+GROUP_HISTORY_LENGTH = 8
 """Groups remembered for a partition: a replica further behind can't take over any more."""
 
 
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class ReplicaGroup:
     """The replicas of a partition during one epoch.
 
     Attributes
@@ -106,17 +106,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartitionChain:
+class GroupHistory:
     """The last groups of one partition, oldest first; empty before the first.
 
     `abandonments` are those of members of the current group, the latest of each member.
     """
 
-    groups: tuple[Group, ...] = ()
+    groups: tuple[ReplicaGroup, ...] = ()
     abandonments: tuple[Abandonment, ...] = ()
 
     @property
-    def current(self) -> Group | None:
+    def current(self) -> ReplicaGroup | None:
         """Return the group in force."""
         return self.groups[-1] if self.groups else None
 
@@ -144,7 +144,7 @@
             for seen in item.recovering
         )
 
-    def group_at(self, epoch: int) -> Group | None:
+    def group_at(self, epoch: int) -> ReplicaGroup | None:
         """Return the group of an epoch, if it is remembered."""
         for group in reversed(self.groups):
             if group.epoch == epoch:
@@ -156,12 +156,12 @@
 class GroupPlacement:
     """All partitions' groups as of some offset of the log."""
 
-    partitions: tuple[PartitionChain, ...]
+    partitions: tuple[GroupHistory, ...]
 
     @classmethod
     def empty(cls, partition_count: int = DEFAULT_PARTITION_COUNT) -> GroupPlacement:
         """Return the placement before the first record."""
-        return cls(partitions=(PartitionChain(),) * partition_count)
+        return cls(partitions=(GroupHistory(),) * partition_count)
 
     def partition_of(self, key: str) -> int:
         """Return the partition that holds a key."""
@@ -225,7 +225,7 @@
     rejections: tuple[str, ...] = ()
 
 
-class PlacementFold:
+class PlacementStateMachine:
     """State machine over the records of the placement stream: same prefix, same placement."""
 
     def __init__(self, partition_count: int = DEFAULT_PARTITION_COUNT) -> None:
@@ -263,7 +263,7 @@
         return PlacementOutcome(changed, tuple(rejections))
 
     @staticmethod
-    def _fault(change: GroupChange, chains: list[PartitionChain]) -> str | None:
+    def _fault(change: GroupChange, chains: list[GroupHistory]) -> str | None:
         if not 0 <= change.partition < len(chains):
             return f"partition {change.partition} does not exist"
         chain = chains[change.partition]
@@ -271,8 +271,8 @@
         if change.base_epoch != chain.epoch:
             return f"{where}: based on epoch {change.base_epoch}, in force is {chain.epoch}"
         names = {member.name for member in change.members}
-        if not 1 <= len(change.members) <= GROUP_SIZE or len(names) != len(change.members):
-            return f"{where}: a group has 1 to {GROUP_SIZE} distinct members"
+        if not 1 <= len(change.members) <= REPLICATION_FACTOR or len(names) != len(change.members):
+            return f"{where}: a group has 1 to {REPLICATION_FACTOR} distinct members"
         if change.forgets and not chain.groups:
             return f"{where}: there is nothing to forget"
         if chain.lost and not change.forgets:
@@ -305,7 +305,7 @@
     return GroupMember(NodeName(record.name), Incarnation(record.incarnation))
 
 
-def _with_abandonment(chain: PartitionChain, abandonment: Abandonment) -> PartitionChain:
+def _with_abandonment(chain: GroupHistory, abandonment: Abandonment) -> GroupHistory:
     others = [item for item in chain.abandonments if item.member.name != abandonment.member.name]
     older = [item for item in chain.abandonments if item.member.name == abandonment.member.name]
     if any(item.member.incarnation > abandonment.member.incarnation for item in older):
@@ -313,11 +313,11 @@
     return replace(chain, abandonments=(*others, abandonment))
 
 
-def _extended(chain: PartitionChain, change: GroupChange) -> PartitionChain:
-    group = Group(
+def _extended(chain: GroupHistory, change: GroupChange) -> GroupHistory:
+    group = ReplicaGroup(
         epoch=chain.epoch + 1,
         members=tuple(_member(member) for member in change.members),
         forgets=change.forgets,
         certified=change.forgets and chain.lost,
     )
-    return PartitionChain(groups=(*chain.groups, group)[-CHAIN_LENGTH:])
+    return GroupHistory(groups=(*chain.groups, group)[-GROUP_HISTORY_LENGTH:])
--- a/src/stagewalk/node/claims/planner.py
+++ b/src/stagewalk/node/claims/planner.py
@@ -3,7 +3,7 @@
 Owns how long nodes have been missing. Inputs: the live nodes with their zones, the groups in the
 log and the time in seconds. The rule, for each partition: form a first group, replace one that is
 lost, replace missing, leaving or given-up replicas, and else spread crowded ones over zones. Every
-change costs a transfer of state, so each waits for its delay in `PlannerConfig`.
+change costs a transfer of state, so each waits for its delay in `PlacementPlannerConfig`.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 from stagewalk.common.identities import Incarnation, NodeName, Placement
 from stagewalk.node.claims.placement import (
-    GROUP_SIZE,
-    Group,
+    REPLICATION_FACTOR,
     GroupChange,
+    GroupHistory,
     GroupMember,
     GroupPlacement,
     MemberRecord,
-    PartitionChain,
     PlacementChange,
+    ReplicaGroup,
 )
 
 
 @dataclass(frozen=True, slots=True)
-class PlannerConfig:
+class PlacementPlannerConfig:
     """Delays of the planner; every change costs a transfer of state.
 
     Attributes
@@ -60,7 +60,7 @@
     leaving: bool = False
 
 
-Candidates = Mapping[NodeName, PlacementCandidate]
+PlacementCandidates = Mapping[NodeName, PlacementCandidate]
 
 
 class PlacementPlanner:
@@ -69,7 +69,7 @@
     It decides nothing: its records are folded by everyone, and one that lost a race is rejected.
     """
 
-    def __init__(self, config: PlannerConfig) -> None:
+    def __init__(self, config: PlacementPlannerConfig) -> None:
         self._config = config
         self._members: dict[NodeName, PlacementCandidate] = {}
         self._changed_at = float("-inf")
@@ -78,7 +78,7 @@
         self._retry_at = float("-inf")
 
     def plan(
-        self, members: Candidates, placement: GroupPlacement, fence: int, now: float
+        self, members: PlacementCandidates, placement: GroupPlacement, fence: int, now: float
     ) -> PlacementChange | None:
         """Return the record to append now, if any. `fence` is the placement lease's epoch."""
         self._track_members(members, placement, now)
@@ -101,7 +101,9 @@
         later = [change for change in changes if change.base_epoch > 0]
         return first + later[: self._config.maximum_changes]
 
-    def _track_members(self, members: Candidates, placement: GroupPlacement, now: float) -> None:
+    def _track_members(
+        self, members: PlacementCandidates, placement: GroupPlacement, now: float
+    ) -> None:
         if dict(members) != self._members:
             self._members = dict(members)
             self._changed_at = now
@@ -113,7 +115,7 @@
                     self._missing_since.setdefault(name, now)
 
     def _plan_partition(
-        self, partition: int, chain: PartitionChain, now: float
+        self, partition: int, chain: GroupHistory, now: float
     ) -> GroupChange | None:
         group = chain.current
         if group is None:
@@ -131,7 +133,7 @@
         return self._change(partition, 0, self._chosen(partition, []))
 
     def _renewed_group(
-        self, partition: int, chain: PartitionChain, group: Group, now: float
+        self, partition: int, chain: GroupHistory, group: ReplicaGroup, now: float
     ) -> GroupChange | None:
         """Return the change that replaces replicas of a group that can hand over, if any."""
         kept = [name for name in group.names if self._is_kept(name, now)]
@@ -148,10 +150,10 @@
     def _settled(self, now: float) -> bool:
         return now >= self._changed_at + self._config.settle_seconds
 
-    def _present(self, group: Group) -> list[GroupMember]:
+    def _present(self, group: ReplicaGroup) -> list[GroupMember]:
         return [member for member in group.members if member.name in self._members]
 
-    def _is_given_up(self, group: Group, now: float) -> bool:
+    def _is_given_up(self, group: ReplicaGroup, now: float) -> bool:
         """Return whether too few members are left to hand over, for long enough."""
         lost_after = self._config.lost_after_seconds
         missing = [
@@ -168,7 +170,7 @@
         missing_since = self._missing_since.get(name, now)
         return now < missing_since + self._config.replace_after_seconds
 
-    def _has_given_up(self, name: NodeName, chain: PartitionChain) -> bool:
+    def _has_given_up(self, name: NodeName, chain: GroupHistory) -> bool:
         """Return whether a live member has abandoned its recovery: it must join anew."""
         member = self._members.get(name)
         return member is not None and any(
@@ -196,7 +198,7 @@
             for name, member in self._members.items()
             if not member.leaving and name not in kept
         }
-        while len(chosen) < GROUP_SIZE and free:
+        while len(chosen) < REPLICATION_FACTOR and free:
             best = min(free, key=lambda name: self._preference(partition, name, chosen))
             chosen.append(best)
             free.remove(best)
--- a/src/stagewalk/node/claims/proposal.py
+++ b/src/stagewalk/node/claims/proposal.py
@@ -14,8 +14,8 @@
 from stagewalk.common.identities import NodeName
 from stagewalk.node.claims.codec import read_ballot
 from stagewalk.node.claims.messages import Reason
-from stagewalk.node.claims.placement import Group
-from stagewalk.node.claims.quorum import Answer, add_answer, consistent_answers
+from stagewalk.node.claims.placement import ReplicaGroup
+from stagewalk.node.claims.quorum import ReplicaAnswer, add_answer, consistent_answers
 from stagewalk.node.claims.types import Ballot
 from stagewalk.node.wire.claims_pb2 import ClaimMessage
 
@@ -31,14 +31,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptedValue:
     """What a replica had accepted when it promised."""
 
     ballot: Ballot | None
     value: bytes
 
 
-class Verdict(Enum):
+class PhaseOutcome(Enum):
     """What the answers so far amount to."""
 
     PENDING = "pending"
@@ -76,10 +76,10 @@
     has_reader: bool = False
     phase: Phase = Phase.WAITING
     exchange_id: int = 0
-    group: Group | None = None
+    group: ReplicaGroup | None = None
     ballot: Ballot | None = None
     value: bytes = b""
-    answers: dict[NodeName, Answer[Accepted]] = field(default_factory=dict)
+    answers: dict[NodeName, ReplicaAnswer[AcceptedValue]] = field(default_factory=dict)
     refusals: dict[NodeName, Reason.ValueType] = field(default_factory=dict)
     largest_round: int = 0
     conflicts: int = 0
@@ -99,7 +99,7 @@
         self.answers = {}
         self.refusals = {}
 
-    def note_refusal(self, name: NodeName, message: ClaimMessage) -> None:
+    def record_refusal(self, name: NodeName, message: ClaimMessage) -> None:
         """Record that a replica did not vote, and why."""
         self.refusals[name] = message.reject.reason
         self.retry_after_seconds = max(self.retry_after_seconds, message.reject.retry_after_seconds)
@@ -107,30 +107,30 @@
             promised = read_ballot(message.reject.promised)
             self.largest_round = max(self.largest_round, promised.round)
 
-    def note_answer(self, name: NodeName, answer: Answer[Accepted]) -> None:
+    def record_answer(self, name: NodeName, answer: ReplicaAnswer[AcceptedValue]) -> None:
         """Record a replica's vote."""
         self.refusals.pop(name, None)
         add_answer(self.answers, name, answer)
 
-    def verdict(self) -> Verdict:
+    def verdict(self) -> PhaseOutcome:
         """Return what the answers of this phase amount to."""
         assert self.group is not None
         quorum = self.group.quorum
         if len(consistent_answers(self.answers)) >= quorum:
-            return Verdict.QUORUM
+            return PhaseOutcome.QUORUM
         if len(self.group.members) - len(self.refusals) >= quorum:
-            return Verdict.PENDING
+            return PhaseOutcome.PENDING
         reasons = list(self.refusals.values())
         blocking = len(self.group.members) - quorum + 1
         if reasons.count(Reason.LOST) >= blocking:
-            return Verdict.LOST
+            return PhaseOutcome.LOST
         if reasons.count(Reason.OVER_LIMIT) >= blocking:
-            return Verdict.OVER_LIMIT
-        return Verdict.CONFLICT
+            return PhaseOutcome.OVER_LIMIT
+        return PhaseOutcome.CONFLICT
 
-    def largest_accepted(self) -> Accepted:
+    def largest_accepted(self) -> AcceptedValue:
         """Return what the quorum has accepted with the largest ballot, if anything."""
-        largest = Accepted(None, b"")
+        largest = AcceptedValue(None, b"")
         for answer in consistent_answers(self.answers).values():
             ballot = answer.payload.ballot
             if ballot is not None and (largest.ballot is None or ballot > largest.ballot):
--- a/src/stagewalk/node/claims/proposer.py
+++ b/src/stagewalk/node/claims/proposer.py
@@ -8,16 +8,16 @@
 
 import random
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import NodeName
 from stagewalk.node.claims import messages
 from stagewalk.node.claims.codec import read_ballot, read_incarnations
 from stagewalk.node.claims.config import ClaimConfig
 from stagewalk.node.claims.messages import Reason
 from stagewalk.node.claims.notifications import ClaimAbsent, ClaimDecided, ClaimUndecided
-from stagewalk.node.claims.placement import Group, GroupMember, GroupPlacement
-from stagewalk.node.claims.proposal import Accepted, Phase, Proposal, Verdict
-from stagewalk.node.claims.quorum import Answer
+from stagewalk.node.claims.placement import GroupMember, GroupPlacement, ReplicaGroup
+from stagewalk.node.claims.proposal import AcceptedValue, Phase, PhaseOutcome, Proposal
+from stagewalk.node.claims.quorum import ReplicaAnswer
 from stagewalk.node.claims.relay import write_chain
 from stagewalk.node.claims.transfers import Outgoing
 from stagewalk.node.claims.types import Ballot
@@ -25,7 +25,7 @@
 
 RETRY_AFTER_SECONDS = 5.0
 """Retry-After unless a replica knows better: about the time to replace a replica
-(`PlannerConfig.replace_after_seconds`)."""
+(`PlacementPlannerConfig.replace_after_seconds`)."""
 
 Notification = ClaimDecided | ClaimAbsent | ClaimUndecided
 
@@ -184,7 +184,7 @@
     def _handle_body(
         self,
         proposal: Proposal,
-        group: Group,
+        group: ReplicaGroup,
         sender: GroupMember,
         message: ClaimMessage,
         now: float,
@@ -193,7 +193,7 @@
         if body == "decision":
             self._decide(proposal, message.decision.value)
         elif body == "reject":
-            proposal.note_refusal(sender.name, message)
+            proposal.record_refusal(sender.name, message)
             if message.reject.reason == Reason.EPOCH and message.epoch < group.epoch:
                 self._send_groups(proposal, sender.name)
             self._judge(proposal, now)
@@ -201,9 +201,9 @@
             promise = message.promise
             accepted = promise.HasField("accepted_ballot")
             ballot = read_ballot(promise.accepted_ballot) if accepted else None
-            self._note_vote(proposal, sender, message, Accepted(ballot, promise.value), now)
+            self._record_vote(proposal, sender, message, AcceptedValue(ballot, promise.value), now)
         elif body == "accepted" and proposal.phase == Phase.ACCEPT:
-            self._note_vote(proposal, sender, message, Accepted(None, b""), now)
+            self._record_vote(proposal, sender, message, AcceptedValue(None, b""), now)
 
     def _send_groups(self, proposal: Proposal, name: NodeName) -> None:
         """Send the groups to a replica that has not read of them."""
@@ -212,29 +212,31 @@
         write_chain(message, proposal.partition, chain, 0)
         self._outgoing.append(Outgoing(name, message))
 
-    def _note_vote(
+    def _record_vote(
         self,
         proposal: Proposal,
         sender: GroupMember,
         message: ClaimMessage,
-        accepted: Accepted,
+        accepted: AcceptedValue,
         now: float,
     ) -> None:
         incarnations = read_incarnations(message)
-        proposal.note_answer(sender.name, Answer(sender.incarnation, incarnations, accepted))
+        proposal.record_answer(
+            sender.name, ReplicaAnswer(sender.incarnation, incarnations, accepted)
+        )
         self._judge(proposal, now)
 
     def _judge(self, proposal: Proposal, now: float) -> None:
         verdict = proposal.verdict()
-        if verdict == Verdict.QUORUM:
+        if verdict == PhaseOutcome.QUORUM:
             self._advance(proposal, now)
-        elif verdict == Verdict.LOST:
+        elif verdict == PhaseOutcome.LOST:
             detail = "the claim's replicas lost their state and cannot vouch for the key"
             self._fail(proposal, ErrorKind.OUTCOME_UNKNOWN, detail)
-        elif verdict == Verdict.OVER_LIMIT:
+        elif verdict == PhaseOutcome.OVER_LIMIT:
             detail = "the claim's replicas hold as many claims as they may"
             self._fail(proposal, ErrorKind.OVER_LIMIT, detail)
-        elif verdict == Verdict.CONFLICT:
+        elif verdict == PhaseOutcome.CONFLICT:
             self._back_off(proposal, now)
 
     def _advance(self, proposal: Proposal, now: float) -> None:
@@ -343,9 +345,9 @@
     """
     return StagewalkError(
         kind=kind,
-        step=Step.CLAIM,
+        step=ErrorStep.CLAIM,
         peer=peer,
         detail=detail,
-        ran=Ran.UNKNOWN,
+        ran=ExecutionStatus.UNKNOWN,
         retry_after_seconds=retry_after_seconds,
     )
--- a/src/stagewalk/node/claims/quorum.py
+++ b/src/stagewalk/node/claims/quorum.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer(Generic[Payload]):
+class ReplicaAnswer(Generic[Payload]):
     """One replica's answer, with the incarnations it knew when giving it."""
 
     incarnation: Incarnation
@@ -29,7 +29,7 @@
 
 
 def add_answer(
-    answers: dict[NodeName, Answer[Payload]], name: NodeName, answer: Answer[Payload]
+    answers: dict[NodeName, ReplicaAnswer[Payload]], name: NodeName, answer: ReplicaAnswer[Payload]
 ) -> None:
     """Add a replica's answer; one of an earlier start never replaces that of a later."""
     known = answers.get(name)
@@ -38,8 +38,8 @@
 
 
 def consistent_answers(
-    answers: Mapping[NodeName, Answer[Payload]],
-) -> dict[NodeName, Answer[Payload]]:
+    answers: Mapping[NodeName, ReplicaAnswer[Payload]],
+) -> dict[NodeName, ReplicaAnswer[Payload]]:
     """Return the answers that no other answer shows to be of an earlier start."""
     latest = merged_incarnations(answers)
     return {
@@ -50,7 +50,7 @@
 
 
 def merged_incarnations(
-    answers: Mapping[NodeName, Answer[Payload]],
+    answers: Mapping[NodeName, ReplicaAnswer[Payload]],
 ) -> dict[NodeName, Incarnation]:
     """Return the latest incarnation of each replica that any answerer knew."""
     latest: dict[NodeName, Incarnation] = {}
--- a/src/stagewalk/node/claims/relay.py
+++ b/src/stagewalk/node/claims/relay.py
@@ -8,11 +8,11 @@
 
 from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.node.claims.placement import (
-    CHAIN_LENGTH,
-    Group,
+    GROUP_HISTORY_LENGTH,
+    GroupHistory,
     GroupMember,
     GroupPlacement,
-    PartitionChain,
+    ReplicaGroup,
 )
 from stagewalk.node.wire.claims_pb2 import ClaimMessage
 
@@ -64,7 +64,7 @@
 
 
 def write_chain(
-    message: ClaimMessage, partition: int, chain: PartitionChain, first_epoch: int
+    message: ClaimMessage, partition: int, chain: GroupHistory, first_epoch: int
 ) -> None:
     """Write a partition's groups into a message, from one epoch on."""
     written = message.chains.add(partition=partition)
@@ -78,20 +78,20 @@
             item.members.add(name=member.name, incarnation=member.incarnation)
 
 
-def _joined(known: PartitionChain, news: PartitionChain) -> PartitionChain:
+def _joined(known: GroupHistory, news: GroupHistory) -> GroupHistory:
     """Return a chain with the groups known before those that are news."""
     first_epoch = news.groups[0].epoch
     older = tuple(group for group in known.groups if group.epoch < first_epoch)
-    return PartitionChain((*older, *news.groups)[-CHAIN_LENGTH:])
+    return GroupHistory((*older, *news.groups)[-GROUP_HISTORY_LENGTH:])
 
 
-def _read_chains(message: ClaimMessage) -> list[tuple[int, PartitionChain]]:
+def _read_chains(message: ClaimMessage) -> list[tuple[int, GroupHistory]]:
     return [
         (
             chain.partition,
-            PartitionChain(
+            GroupHistory(
                 tuple(
-                    Group(
+                    ReplicaGroup(
                         epoch=group.epoch,
                         members=tuple(
                             GroupMember(NodeName(member.name), Incarnation(member.incarnation))
--- a/src/stagewalk/node/claims/replica.py
+++ b/src/stagewalk/node/claims/replica.py
@@ -13,10 +13,10 @@
 from stagewalk.node.claims.messages import Purpose, Reason
 from stagewalk.node.claims.partition import PartitionReplica
 from stagewalk.node.claims.placement import (
-    Group,
+    GroupHistory,
     GroupMember,
     GroupPlacement,
-    PartitionChain,
+    ReplicaGroup,
 )
 from stagewalk.node.claims.register import Register, Usage, key_hash
 from stagewalk.node.claims.relay import write_chain
@@ -65,10 +65,10 @@
             if known is not None or self._is_member_of_any(chain):
                 self._adopt_chain(partition, chain, now)
 
-    def _is_member_of_any(self, chain: PartitionChain) -> bool:
+    def _is_member_of_any(self, chain: GroupHistory) -> bool:
         return any(self.member.name in group.names for group in chain.groups)
 
-    def _adopt_chain(self, partition: int, chain: PartitionChain, now: float) -> None:
+    def _adopt_chain(self, partition: int, chain: GroupHistory, now: float) -> None:
         replica = self._partitions.get(partition)
         if replica is None:
             replica = PartitionReplica(self._config, Register(self.usage), self.usage)
@@ -86,7 +86,7 @@
         self.transfers.drop_obsolete(partition)
 
     def _enter_group(
-        self, partition: int, replica: PartitionReplica, group: Group, now: float
+        self, partition: int, replica: PartitionReplica, group: ReplicaGroup, now: float
     ) -> None:
         joined_as = group.incarnation_of(self.member.name)
         if joined_as is None or group.epoch <= replica.held_epoch:
@@ -104,7 +104,7 @@
         else:
             self.transfers.begin(partition, group, now)
 
-    def _quarantine(self, group: Group) -> float:
+    def _quarantine(self, group: ReplicaGroup) -> float:
         seconds = self._config.entry_retention_seconds
         return seconds if group.certified else 2 * seconds
 
--- a/src/stagewalk/node/claims/transfer.py
+++ b/src/stagewalk/node/claims/transfer.py
@@ -9,9 +9,9 @@
 
 from stagewalk.common.identities import Incarnation, NodeName
 from stagewalk.node.claims.messages import Purpose
-from stagewalk.node.claims.placement import Group, GroupMember
+from stagewalk.node.claims.placement import GroupMember, ReplicaGroup
 from stagewalk.node.claims.quorum import (
-    Answer,
+    ReplicaAnswer,
     add_answer,
     consistent_answers,
     merge_incarnations,
@@ -69,20 +69,20 @@
     """
 
     partition: int
-    group: Group
-    previous: Group | None
+    group: ReplicaGroup
+    previous: ReplicaGroup | None
     purpose: Purpose.ValueType
-    began_at: float
+    started_at: float
     sources: dict[NodeName, Source] = field(default_factory=dict)
-    answers: dict[NodeName, Answer[HeldState]] = field(default_factory=dict)
+    answers: dict[NodeName, ReplicaAnswer[HeldState]] = field(default_factory=dict)
     stuck_since: float | None = None
 
     @classmethod
     def begin(
         cls,
         partition: int,
-        group: Group,
-        previous: Group | None,
+        group: ReplicaGroup,
+        previous: ReplicaGroup | None,
         own: GroupMember,
         now: float,
     ) -> StateTransfer:
@@ -115,14 +115,14 @@
         """Return the purpose as log lines show it."""
         return Purpose.Name(self.purpose).lower()
 
-    def note_state(self, name: NodeName, answer: Answer[HeldState]) -> None:
+    def record_state(self, name: NodeName, answer: ReplicaAnswer[HeldState]) -> None:
         """Record that a replica's state was read to its end."""
         add_answer(self.answers, name, answer)
         for void in sorted(set(self.answers) - set(consistent_answers(self.answers))):
             del self.answers[void]
             self.sources[void].restart()
 
-    def finished(self, own: GroupMember, own_answer: Answer[HeldState] | None) -> bool:
+    def finished(self, own: GroupMember, own_answer: ReplicaAnswer[HeldState] | None) -> bool:
         """Return whether the states read so far are sure to hold all that may not be lost."""
         if self.purpose == Purpose.RECOVERY:
             return self._count(self.answers, self.group, self.group.epoch) >= self.group.recovery
@@ -140,7 +140,9 @@
         )
 
     @staticmethod
-    def _count(answers: dict[NodeName, Answer[HeldState]], group: Group, held_epoch: int) -> int:
+    def _count(
+        answers: dict[NodeName, ReplicaAnswer[HeldState]], group: ReplicaGroup, held_epoch: int
+    ) -> int:
         return sum(
             name in group.names and answer.payload.held_epoch == held_epoch
             for name, answer in answers.items()
--- a/src/stagewalk/node/claims/transfers.py
+++ b/src/stagewalk/node/claims/transfers.py
@@ -14,11 +14,11 @@
 from stagewalk.node.claims.config import ClaimConfig
 from stagewalk.node.claims.messages import Purpose, Reason
 from stagewalk.node.claims.partition import PartitionReplica
-from stagewalk.node.claims.placement import AbandonedGroup, Group, GroupMember, MemberRecord
-from stagewalk.node.claims.quorum import Answer
+from stagewalk.node.claims.placement import AbandonedGroup, GroupMember, MemberRecord, ReplicaGroup
+from stagewalk.node.claims.quorum import ReplicaAnswer
 from stagewalk.node.claims.relay import write_chain
 from stagewalk.node.claims.transfer import HeldState, Source, StateTransfer
-from stagewalk.node.core.instructions import LogEvent, LogFields
+from stagewalk.node.core.instructions import LogLineFields, WriteLogLine
 from stagewalk.node.wire.claims_pb2 import ClaimMessage
 
 MAXIMUM_RETRY_FACTOR = 8
@@ -55,7 +55,7 @@
         self._transfer_of_exchange: dict[int, tuple[tuple[int, int], NodeName]] = {}
         self._abandoned: dict[tuple[int, int], AbandonedGroup] = {}
         self._exchange_count = 0
-        self._events: list[LogEvent] = []
+        self._events: list[WriteLogLine] = []
 
     @property
     def idle(self) -> bool:
@@ -65,13 +65,13 @@
             epoch == self._partitions[partition].chain.epoch for partition, epoch in waiting
         )
 
-    def take_events(self) -> list[LogEvent]:
+    def take_events(self) -> list[WriteLogLine]:
         """Return the log lines due since the last call."""
         events = self._events
         self._events = []
         return events
 
-    def begin(self, partition: int, group: Group, now: float) -> None:
+    def begin(self, partition: int, group: ReplicaGroup, now: float) -> None:
         """Obtain a partition's state for a group, unless that is under way or was given up."""
         identity = (partition, group.epoch)
         if identity in self._transfers or identity in self._abandoned:
@@ -104,14 +104,16 @@
             if identity[1] < replica.chain.epoch:
                 del self._abandoned[identity]
 
-    def log(self, name: str, partition: int, group: Group, **fields: str | int | float) -> None:
+    def log(
+        self, name: str, partition: int, group: ReplicaGroup, **fields: str | int | float
+    ) -> None:
         """Write a log line about a group."""
-        place: LogFields = {
+        place: LogLineFields = {
             "partition": partition,
             "epoch": group.epoch,
             "members": ",".join(group.names),
         }
-        self._events.append(LogEvent(name, {**place, **fields}))
+        self._events.append(WriteLogLine(name, {**place, **fields}))
 
     def _remove(self, identity: tuple[int, int]) -> None:
         transfer = self._transfers.pop(identity)
@@ -188,8 +190,8 @@
         if not state.last:
             return [self._request_piece(transfer, sender.name, source, now)]
         held = HeldState(state.held_epoch, state.sealed, state.lost_seconds)
-        answer = Answer(sender.incarnation, read_incarnations(message), held)
-        transfer.note_state(sender.name, answer)
+        answer = ReplicaAnswer(sender.incarnation, read_incarnations(message), held)
+        transfer.record_state(sender.name, answer)
         self._finish_if_complete(transfer, now)
         return []
 
@@ -207,23 +209,23 @@
             transfer.partition,
             transfer.group,
             purpose=transfer.purpose_name,
-            seconds=round(now - transfer.began_at, 3),
+            seconds=round(now - transfer.started_at, 3),
             entries=len(replica.register.entries),
         )
         self.drop_obsolete(transfer.partition)
         return True
 
-    def _own_answer(self, replica: PartitionReplica) -> Answer[HeldState] | None:
+    def _own_answer(self, replica: PartitionReplica) -> ReplicaAnswer[HeldState] | None:
         if not replica.complete:
             return None
         held = HeldState(replica.held_epoch, False, 0.0)
-        return Answer(self._member.incarnation, replica.incarnations, held)
+        return ReplicaAnswer(self._member.incarnation, replica.incarnations, held)
 
     def _give_up(self, transfer: StateTransfer, now: float) -> bool:
         identity = (transfer.partition, transfer.group.epoch)
         if transfer.group.epoch != self._partitions[transfer.partition].chain.epoch:
             # Kept for a while: a later group may need this epoch's state from here.
-            if now < transfer.began_at + self._config.handover_seconds:
+            if now < transfer.started_at + self._config.handover_seconds:
                 return False
             self._remove(identity)
             return True
--- a/src/stagewalk/node/configuration/fold.py
+++ b/src/stagewalk/node/configuration/fold.py
@@ -15,9 +15,9 @@
 from stagewalk.common.identities import RecordId, TenantName
 from stagewalk.node.configuration.outcomes import (
     ChangeAccepted,
+    ChangeOutcome,
     ChangeRejected,
     ChangeRepeated,
-    FoldOutcome,
     HistoryEntry,
     RejectionReason,
 )
@@ -42,15 +42,15 @@
 )
 from stagewalk.node.core.platform import LogRecord
 
-HISTORY_LIMIT = 512
+MAXIMUM_HISTORY_ENTRIES = 512
 """Records of which the outcome is kept; a record repeated later than that is judged anew.
 
 It is rejected all the same, because its base revision has been passed."""
 
-REVISION_LIMIT = 12
+MAXIMUM_KEPT_REVISIONS = 12
 """Revisions of a tenant that can be rolled back to."""
 
-TENANT_LIMIT_PER_PARTNER = 64
+MAXIMUM_TENANT_NAMES_PER_PARTNER = 64
 """Names a partner may take up, deleted ones included.
 
 With the bounds of `TenantParameters` it keeps a snapshot of two partners' full use below 3 MB,
@@ -59,7 +59,7 @@
 RECORD_ID_PATTERN = re.compile(r"[!-~]{1,128}")
 
 
-class ConfigurationFold:
+class ConfigurationStateMachine:
     """State of the configuration after a prefix of the stream `configuration`."""
 
     def __init__(self) -> None:
@@ -107,7 +107,7 @@
         entry = self._entries.get(record_id)
         return None if entry is None else entry.outcome
 
-    def apply(self, record: LogRecord) -> FoldOutcome:
+    def apply(self, record: LogRecord) -> ChangeOutcome:
         """Fold the next record, whatever its payload.
 
         A record below `offset` was folded before and is reported as repeated.
@@ -198,8 +198,10 @@
             return ChangeRejected(RejectionReason.NOT_OWNER, detail, "partner")
         if record is None and isinstance(change, CreateTenant):
             owned = sum(r.tenant.partner == change.partner for r in self._records.values())
-            if owned >= TENANT_LIMIT_PER_PARTNER:
-                detail = f"{change.partner} has used up its {TENANT_LIMIT_PER_PARTNER} names"
+            if owned >= MAXIMUM_TENANT_NAMES_PER_PARTNER:
+                detail = (
+                    f"{change.partner} has used up its {MAXIMUM_TENANT_NAMES_PER_PARTNER} names"
+                )
                 return ChangeRejected(RejectionReason.TOO_MANY_TENANTS, detail, "tenant")
         return None
 
@@ -266,7 +268,7 @@
         revisions = () if record is None else record.revisions
         deleted = isinstance(change, DeleteTenant)
         if not deleted:
-            revisions = (*revisions, RevisionEntry(revision, parameters))[-REVISION_LIMIT:]
+            revisions = (*revisions, RevisionEntry(revision, parameters))[-MAXIMUM_KEPT_REVISIONS:]
         self._records[change.tenant] = TenantRecord(tenant, deleted, revisions)
         self._refresh_tenants()
         return ChangeAccepted(revision)
@@ -295,7 +297,7 @@
         )
         self._history.append(entry)
         self._entries[record.record_id] = entry
-        if len(self._history) > HISTORY_LIMIT:
+        if len(self._history) > MAXIMUM_HISTORY_ENTRIES:
             oldest = self._history.popleft()
             del self._entries[oldest.record_id]
         self._extend_chain(record.record_id, outcome)
--- a/src/stagewalk/node/configuration/follower.py
+++ b/src/stagewalk/node/configuration/follower.py
@@ -12,25 +12,25 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import Address, NodeName, ProcessIdentity
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.outcomes import ChangeRejected
 from stagewalk.node.configuration.progress import ProgressTable
 from stagewalk.node.configuration.relay import RelayCache, relayed_records
 from stagewalk.node.configuration.state import snapshot_offset
-from stagewalk.node.core.instructions import LogEvent, LogFields, SendPeerMessage, Transport
+from stagewalk.node.core.instructions import LogLineFields, SendPeerMessage, Transport, WriteLogLine
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.wire.configuration_pb2 import ConfigurationMessage
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
-FollowerOutput = SendPeerMessage | LogEvent | ConfigurationChanged
+ConfigurationOutput = SendPeerMessage | WriteLogLine | ConfigurationChanged
 
-DIGEST_HEX_DIGITS = 16
+ANNOUNCED_DIGEST_HEX_DIGITS = 16
 """Leading digits of the digest that announcements carry."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class FollowerConfig:
+class ConfigurationFollowerConfig:
     """Timing and sizes of the relay; durations in seconds. What they cost at
     420 nodes is in docs/design/0030-configuration.md.
 
@@ -84,12 +84,15 @@
     """
 
     def __init__(
-        self, identity: ProcessIdentity, config: FollowerConfig, generator: random.Random
+        self,
+        identity: ProcessIdentity,
+        config: ConfigurationFollowerConfig,
+        generator: random.Random,
     ) -> None:
         self._identity = identity
         self._config = config
         self._generator = generator
-        self._fold = ConfigurationFold()
+        self._fold = ConfigurationStateMachine()
         self._members: tuple[tuple[NodeName, Address], ...] = ()
         self._peers: tuple[tuple[NodeName, Address], ...] = ()
         self._addresses: dict[NodeName, Address] = {}
@@ -112,7 +115,7 @@
         self._members_changed = False
 
     @property
-    def fold(self) -> ConfigurationFold:
+    def fold(self) -> ConfigurationStateMachine:
         """Return the fold, to be read only."""
         return self._fold
 
@@ -143,7 +146,7 @@
 
     def handle_records(
         self, records: tuple[LogRecord, ...], now: float, head: int | None = None
-    ) -> list[FollowerOutput]:
+    ) -> list[ConfigurationOutput]:
         """Fold records of the log, in order.
 
         Parameters
@@ -158,7 +161,9 @@
                 self._current = True
         return output + self._notify()
 
-    def handle_snapshots(self, records: tuple[LogRecord, ...], now: float) -> list[FollowerOutput]:
+    def handle_snapshots(
+        self, records: tuple[LogRecord, ...], now: float
+    ) -> list[ConfigurationOutput]:
         """Apply the newest of the snapshots read from the stream of snapshots."""
         for record in reversed(records):
             offset = snapshot_offset(record.payload)
@@ -183,9 +188,9 @@
 
     def handle_message(
         self, source: Address, sender: NodeName, message: ConfigurationMessage, now: float
-    ) -> list[FollowerOutput]:
+    ) -> list[ConfigurationOutput]:
         """Handle another node's message that came from an address."""
-        output: list[FollowerOutput] = []
+        output: list[ConfigurationOutput] = []
         self._use_members()
         self._progress.learn(sender, message.offset, restarted=not message.current)
         self._progress.read(message)
@@ -200,9 +205,9 @@
             output += self._compare(address, sender, message, now)
         return output + self._notify()
 
-    def tick(self, now: float) -> list[FollowerOutput]:
+    def tick(self, now: float) -> list[ConfigurationOutput]:
         """Announce, request missing records, and end the wait at the start."""
-        output: list[FollowerOutput] = []
+        output: list[ConfigurationOutput] = []
         if self._news_pending and now >= self._next_news:
             output += self._announce(self._config.news_fanout, now)
         if now >= self._next_announcement:
@@ -216,8 +221,10 @@
             output += self._notify()
         return output
 
-    def _fold_records(self, records: tuple[LogRecord, ...], now: float) -> list[FollowerOutput]:
-        output: list[FollowerOutput] = []
+    def _fold_records(
+        self, records: tuple[LogRecord, ...], now: float
+    ) -> list[ConfigurationOutput]:
+        output: list[ConfigurationOutput] = []
         before = self._fold.offset
         for record in records:
             if record.offset < self._fold.offset:
@@ -261,7 +268,7 @@
 
     def _compare(
         self, address: Address, sender: NodeName, message: ConfigurationMessage, now: float
-    ) -> list[FollowerOutput]:
+    ) -> list[ConfigurationOutput]:
         """Compare a peer's announced state with this node's own."""
         if message.offset <= self._fold.offset:
             self._ahead.pop(sender, None)
@@ -275,8 +282,8 @@
         if message.digest == self._short_digest() or self._mismatch_offset == message.offset:
             return []
         self._mismatch_offset = message.offset
-        fields: LogFields = {"level": "error", "peer": sender, "offset": message.offset}
-        return [LogEvent("configuration_digest_mismatch", fields)]
+        fields: LogLineFields = {"level": "error", "peer": sender, "offset": message.offset}
+        return [WriteLogLine("configuration_digest_mismatch", fields)]
 
     def _trust_peers(self, now: float) -> None:
         """Treat the newest announced state as current if the log has stayed unreachable."""
@@ -290,13 +297,13 @@
         """Return a member's listening address; a stream's source port is not one."""
         return self._addresses.get(sender, source)
 
-    def _notify(self) -> list[FollowerOutput]:
+    def _notify(self) -> list[ConfigurationOutput]:
         if not self._current or self._notified_offset == self._fold.offset:
             return []
         self._notified_offset = self._fold.offset
         return [ConfigurationChanged(tuple(self._fold.tenants.values()), self._fold.offset)]
 
-    def _request(self, now: float) -> list[FollowerOutput]:
+    def _request(self, now: float) -> list[ConfigurationOutput]:
         """Request what is missing from one of the peers ahead, unless a request is under way."""
         if self._behind_since is None or now < self._behind_since + self._config.request_delay:
             return []
@@ -312,7 +319,7 @@
         message.records_wanted = True
         return [self._send(peer.address, message, Transport.STREAM)]
 
-    def _answer(self, address: Address, offset: int) -> list[FollowerOutput]:
+    def _answer(self, address: Address, offset: int) -> list[ConfigurationOutput]:
         """Send a peer the records it lacks, or a snapshot if they are no longer kept."""
         if offset >= self._fold.offset:
             return []
@@ -330,7 +337,7 @@
         self._snapshot_for_peers = (self._fold.offset, payload)
         return payload
 
-    def _announce(self, fanout: int, now: float) -> list[FollowerOutput]:
+    def _announce(self, fanout: int, now: float) -> list[ConfigurationOutput]:
         self._news_pending = False
         self._next_news = now + self._config.news_interval
         self._use_members()
@@ -351,7 +358,7 @@
         )
 
     def _short_digest(self) -> int:
-        return int(self._fold.digest()[:DIGEST_HEX_DIGITS], 16)
+        return int(self._fold.digest()[:ANNOUNCED_DIGEST_HEX_DIGITS], 16)
 
     def _send(
         self, address: Address, message: ConfigurationMessage, transport: Transport
@@ -364,8 +371,8 @@
         return SendPeerMessage(address, envelope, transport)
 
 
-def _rejection_event(record: LogRecord, outcome: ChangeRejected) -> LogEvent:
-    return LogEvent(
+def _rejection_event(record: LogRecord, outcome: ChangeRejected) -> WriteLogLine:
+    return WriteLogLine(
         "configuration_rejected",
         {
             "offset": record.offset,
--- a/src/stagewalk/node/configuration/outcomes.py
+++ b/src/stagewalk/node/configuration/outcomes.py
@@ -47,7 +47,7 @@
     first_offset: int
 
 
-FoldOutcome = ChangeAccepted | ChangeRejected | ChangeRepeated
+ChangeOutcome = ChangeAccepted | ChangeRejected | ChangeRepeated
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/stagewalk/node/configuration/parameters.py
+++ b/src/stagewalk/node/configuration/parameters.py
@@ -11,7 +11,7 @@
 
 from stagewalk.common.identities import ModelName, TenantName, WeightVersion
 
-MAXIMUM_INTEGER = 2**53 - 1
+MAXIMUM_JSON_INTEGER = 2**53 - 1
 """Largest integer that every JSON reader represents exactly."""
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}\Z"
@@ -20,11 +20,11 @@
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
-NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_INTEGER)]
+NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_JSON_INTEGER)]
 Name = Annotated[str, msgspec.Meta(pattern=NAME_PATTERN)]
 TenantNameField = Annotated[TenantName, msgspec.Meta(pattern=NAME_PATTERN)]
 ModelNameField = Annotated[ModelName, msgspec.Meta(pattern=NAME_PATTERN)]
-VersionField = Annotated[WeightVersion, msgspec.Meta(ge=0, le=MAXIMUM_INTEGER)]
+VersionField = Annotated[WeightVersion, msgspec.Meta(ge=0, le=MAXIMUM_JSON_INTEGER)]
 
 
 class TenantParameters(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/src/stagewalk/node/configuration/records.py
+++ b/src/stagewalk/node/configuration/records.py
@@ -11,9 +11,9 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
 from stagewalk.node.configuration.parameters import (
-    MAXIMUM_INTEGER,
+    MAXIMUM_JSON_INTEGER,
     Name,
     TenantNameField,
     TenantParameters,
@@ -23,16 +23,16 @@
 CONFIGURATION_STREAM = "configuration"
 """Stream of the log on which operators publish."""
 
-SNAPSHOT_STREAM = "configuration-snapshots"
+CONFIGURATION_SNAPSHOT_STREAM = "configuration-snapshots"
 """The system's own stream of snapshots of the folded state."""
 
 MAXIMUM_PAYLOAD_BYTES = 32 * 1024
 """Longest record; a longer one is rejected by every node."""
 
-MAXIMUM_DETAIL_LENGTH = 200
+MAXIMUM_DETAIL_CHARACTERS = 200
 """Characters kept of a decoder's message, which may quote the input at length."""
 
-Revision = Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_INTEGER)]
+Revision = Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_JSON_INTEGER)]
 
 
 class ConfigurationChange(
@@ -112,13 +112,13 @@
     path = _PATH.search(text)
     named = _NAMED_FIELD.search(text)
     parts = [path.group(1) if path else "", named.group(1) if named else ""]
-    field = ".".join(part for part in parts if part)[:MAXIMUM_DETAIL_LENGTH]
+    field = ".".join(part for part in parts if part)[:MAXIMUM_DETAIL_CHARACTERS]
     detail = text[: path.start()] if path else text
-    return invalid(detail[:MAXIMUM_DETAIL_LENGTH], field or None)
+    return invalid(detail[:MAXIMUM_DETAIL_CHARACTERS], field or None)
 
 
 def invalid(detail: str, field: str | None) -> StagewalkError:
     """Return the error of a record that breaks the schema."""
     return StagewalkError(
-        ErrorKind.INVALID_REQUEST, Step.CONFIGURATION, "operator", detail, field=field
+        ErrorKind.INVALID_REQUEST, ErrorStep.CONFIGURATION, "operator", detail, field=field
     )
--- a/src/stagewalk/node/configuration/relay.py
+++ b/src/stagewalk/node/configuration/relay.py
@@ -1,6 +1,6 @@
 """The latest records as read from the log, kept for peers that lack them.
 
-Owns a gap-free run, bounded in number and bytes by `FollowerConfig`.
+Owns a gap-free run, bounded in number and bytes by `ConfigurationFollowerConfig`.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/node/configuration/state.py
+++ b/src/stagewalk/node/configuration/state.py
@@ -17,7 +17,7 @@
 SHARE_UNITS = 1_000_000
 """Capacity shares are added up in millionths, so that the sum is exact on every machine."""
 
-SNAPSHOT_FORMAT = 1
+SNAPSHOT_FORMAT_VERSION = 1
 """Raised when the form of a snapshot changes; other forms are ignored."""
 
 
@@ -77,7 +77,7 @@
 def encode_snapshot(state: FoldState) -> bytes:
     """Return a state as the payload of a snapshot record."""
     digest = state_digest(state.offset, state.chain, state.tenants)
-    return _ENCODER.encode(Snapshot(format=SNAPSHOT_FORMAT, digest=digest, state=state))
+    return _ENCODER.encode(Snapshot(format=SNAPSHOT_FORMAT_VERSION, digest=digest, state=state))
 
 
 def decode_snapshot(payload: bytes) -> FoldState | None:
@@ -87,7 +87,7 @@
     except (msgspec.MsgspecError, ValueError, RecursionError):
         return None
     state = snapshot.state
-    if snapshot.format != SNAPSHOT_FORMAT:
+    if snapshot.format != SNAPSHOT_FORMAT_VERSION:
         return None
     if snapshot.digest != state_digest(state.offset, state.chain, state.tenants):
         return None
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -11,12 +11,12 @@
 
 from stagewalk.common.identities import Epoch, Incarnation, ModelName, NodeName
 from stagewalk.node.claims.core import ClaimCore
-from stagewalk.node.claims.placement import PLACEMENT_STREAM, PlacementFold, encode_record
+from stagewalk.node.claims.placement import PLACEMENT_STREAM, PlacementStateMachine, encode_record
 from stagewalk.node.claims.planner import PlacementCandidate, PlacementPlanner
 from stagewalk.node.claims.types import Peer
 from stagewalk.node.configuration.follower import ConfigurationFollower
 from stagewalk.node.configuration.notifications import ConfigurationChanged
-from stagewalk.node.configuration.records import CONFIGURATION_STREAM, SNAPSHOT_STREAM
+from stagewalk.node.configuration.records import CONFIGURATION_SNAPSHOT_STREAM, CONFIGURATION_STREAM
 from stagewalk.node.core.events import (
     AppendConfirmed,
     AppendFailed,
@@ -24,9 +24,9 @@
     LogReadFailed,
     PeerMessageReceived,
 )
-from stagewalk.node.core.instructions import LogEvent, LogFields
+from stagewalk.node.core.instructions import LogLineFields, WriteLogLine
 from stagewalk.node.core.platform import LogRecord, Machine, MachineKind, MachineState
-from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
+from stagewalk.node.leases.core import LeaseCandidate, LeaseCore, LiveMember
 from stagewalk.node.leases.fold import LEASE_STREAM
 from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost
 from stagewalk.node.log_client.core import LogClientCore
@@ -36,7 +36,7 @@
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
 from stagewalk.node.outputs import NodeOutput
-from stagewalk.node.weights.core import RolloutCore
+from stagewalk.node.weights.core import WeightRolloutCore
 
 PLACEMENT_DUTY = "placement"
 """The lease whose holder plans replica groups and appends snapshots of the configuration."""
@@ -68,20 +68,20 @@
         self.log_client = LogClientCore(generator, config.log_client)
         self.follower = ConfigurationFollower(identity, config.follower, generator)
         self.leases = LeaseCore(
-            Candidate(identity.name, identity.incarnation), config.leases, generator
+            LeaseCandidate(identity.name, identity.incarnation), config.leases, generator
         )
         self.claims = ClaimCore(
             identity,
             config.claims,
             generator,
         )
-        self.weights = RolloutCore(identity, config.weights)
-        self._placement = PlacementFold()
+        self.weights = WeightRolloutCore(identity, config.weights)
+        self._placement = PlacementStateMachine()
         self._planner = PlacementPlanner(config.planner)
         self._leaving_machines: frozenset[str] = frozenset()
         self._plan_at = 0.0
         self._members_changed = True
-        self.log_client.follow_latest(SNAPSHOT_STREAM, 1)
+        self.log_client.follow_latest(CONFIGURATION_SNAPSHOT_STREAM, 1)
         for stream in (LEASE_STREAM, PLACEMENT_STREAM):
             self.log_client.follow(stream, 0)
         self._follows_configuration = False
@@ -125,7 +125,7 @@
                     event.source, sender, envelope.configuration, now
                 )
             case _:
-                output.append(LogEvent("unknown_peer_message", {"peer": sender}))
+                output.append(WriteLogLine("unknown_peer_message", {"peer": sender}))
         return output
 
     def handle_log(
@@ -137,7 +137,7 @@
     def lease_stream_read(self, event: LogRead, now: float) -> list[NodeOutput]:
         """Record, after its records are folded, that a read reached the lease stream's head."""
         reached_head = not event.records or event.records[-1].offset + 1 >= event.head
-        return list(self.leases.note_caught_up(now)) if reached_head else []
+        return list(self.leases.record_caught_up(now)) if reached_head else []
 
     def handle_machines(self, machines: tuple[Machine, ...], now: float) -> None:
         """Apply the platform's machine list."""
@@ -156,7 +156,7 @@
 
     def records_read(self, read: RecordsRead, now: float) -> list[NodeOutput]:
         """Fold the next records of a stream."""
-        if read.stream == SNAPSHOT_STREAM:
+        if read.stream == CONFIGURATION_SNAPSHOT_STREAM:
             return self._snapshots_read(read.records, now)
         if read.stream == CONFIGURATION_STREAM:
             return list(self.follower.handle_records(read.records, now, read.head))
@@ -169,12 +169,14 @@
         queued = self.log_client.append(record.stream, record.payload, now)
         if queued.is_ok():
             return list(queued.ok.output)
-        return [LogEvent("append_refused", {"stream": record.stream, "detail": str(queued.error)})]
+        return [
+            WriteLogLine("append_refused", {"stream": record.stream, "detail": str(queued.error)})
+        ]
 
     def append_abandoned(self, abandoned: AppendAbandoned, now: float) -> list[NodeOutput]:
         """Log that an append was given up; its core repeats it if it is still needed."""
         fields = {"stream": abandoned.stream, "detail": abandoned.detail}
-        return [LogEvent("append_abandoned", {"level": "warning", **fields})]
+        return [WriteLogLine("append_abandoned", {"level": "warning", **fields})]
 
     def configuration_changed(self, changed: ConfigurationChanged, now: float) -> list[NodeOutput]:
         """Apply a configuration to the control plane's cores."""
@@ -184,18 +186,18 @@
         models = {model for tenant in changed.tenants for model in tenant.parameters.models}
         duties = [f"{ROLLOUT_DUTY_PREFIX}{model}" for model in sorted(models)]
         self.leases.set_duties([PLACEMENT_DUTY, *duties])
-        fields: LogFields = {"offset": changed.offset, "digest": self.follower.fold.digest()}
-        return [LogEvent("configuration_in_force", fields)]
+        fields: LogLineFields = {"offset": changed.offset, "digest": self.follower.fold.digest()}
+        return [WriteLogLine("configuration_in_force", fields)]
 
     def lease_acquired(self, acquired: LeaseAcquired, now: float) -> list[NodeOutput]:
         """Start acting for a duty."""
         self._set_rollout_lease(acquired.duty, acquired.epoch)
-        return [LogEvent("lease_acquired", {"duty": acquired.duty, "epoch": acquired.epoch})]
+        return [WriteLogLine("lease_acquired", {"duty": acquired.duty, "epoch": acquired.epoch})]
 
     def lease_lost(self, lost: LeaseLost, now: float) -> list[NodeOutput]:
         """Stop acting for a duty."""
         self._set_rollout_lease(lost.duty, None)
-        return [LogEvent("lease_lost", {"duty": lost.duty})]
+        return [WriteLogLine("lease_lost", {"duty": lost.duty})]
 
     def members_changed(self) -> None:
         """Record that members changed; the cores get them once, at the next tick."""
@@ -233,7 +235,7 @@
         if PLACEMENT_DUTY not in self.leases.held():
             return []
         snapshot = self.follower.take_snapshot()
-        return [] if snapshot is None else [AppendToStream(SNAPSHOT_STREAM, snapshot)]
+        return [] if snapshot is None else [AppendToStream(CONFIGURATION_SNAPSHOT_STREAM, snapshot)]
 
     def _fold_placement(self, records: tuple[LogRecord, ...]) -> list[NodeOutput]:
         output: list[NodeOutput] = []
@@ -242,9 +244,9 @@
             outcome = self._placement.apply(record)
             changed = changed or outcome.changed
             for rejection in outcome.rejections:
-                output.append(LogEvent("placement_rejected", {"detail": rejection}))
+                output.append(WriteLogLine("placement_rejected", {"detail": rejection}))
         if changed:
-            self.claims.set_groups(self._placement.placement)
+            self.claims.set_placement(self._placement.placement)
         return output
 
     def _plan_placement(self, now: float) -> list[NodeOutput]:
--- a/src/stagewalk/node/core/events.py
+++ b/src/stagewalk/node/core/events.py
@@ -22,10 +22,10 @@
 )
 from stagewalk.node.core.completions import CompletionRequest, TokenChunk
 from stagewalk.node.core.platform import (
+    EngineOrderOutcome,
     EngineReport,
     LogRecord,
     Machine,
-    OrderOutcome,
     PublishedVersion,
 )
 from stagewalk.node.core.rollouts import RolloutLot, SamplePull
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerRequested:
+class RetainedAnswerRequested:
     """A caller asked for the retained answer of an earlier request."""
 
     call: CallId
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SamplesPulled:
+class SamplesRequested:
     """A trainer asked for finished samples."""
 
     call: CallId
@@ -141,7 +141,7 @@
 
     engine: EngineName
     order_id: str
-    outcome: OrderOutcome
+    outcome: EngineOrderOutcome
     detail: str
 
 
@@ -228,10 +228,10 @@
 Event = (
     Tick
     | CompletionRequested
-    | AnswerRequested
+    | RetainedAnswerRequested
     | CallAbandoned
     | LotSubmitted
-    | SamplesPulled
+    | SamplesRequested
     | AttemptChunk
     | AttemptFinished
     | AttemptRefused
--- a/src/stagewalk/node/core/instructions.py
+++ b/src/stagewalk/node/core/instructions.py
@@ -12,7 +12,7 @@
 from stagewalk.common.identities import Address, AttemptId, CallId, EngineName, ModelName, RecordId
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
 from stagewalk.node.core.platform import EngineOrder
-from stagewalk.node.core.rollouts import RolloutLot, SampleBatch
+from stagewalk.node.core.rollouts import RolloutLot, SamplePage
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 
@@ -53,7 +53,7 @@
     """Answer a pull."""
 
     call: CallId
-    batch: SampleBatch
+    batch: SamplePage
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderEngine:
+class SendEngineOrder:
     """Send a fenced order to an engine."""
 
     engine: EngineName
@@ -163,16 +163,16 @@
     transport: Transport = Transport.DATAGRAM
 
 
-LogFields = dict[str, str | int | float | bool]
+LogLineFields = dict[str, str | int | float | bool]
 """Key and value pairs of one log line; the key `level` sets its level."""
 
 
 @dataclass(frozen=True, slots=True)
-class LogEvent:
+class WriteLogLine:
     """Write one structured log line."""
 
     name: str
-    fields: LogFields = field(default_factory=dict)
+    fields: LogLineFields = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -189,13 +189,13 @@
     | StartAttempt
     | CancelAttempt
     | PollEngine
-    | OrderEngine
+    | SendEngineOrder
     | ReadMachines
     | ReadVersions
     | ReadLog
     | AppendRecord
     | ScoreSample
     | SendPeerMessage
-    | LogEvent
+    | WriteLogLine
     | ExitProcess
 )
--- a/src/stagewalk/node/core/platform.py
+++ b/src/stagewalk/node/core/platform.py
@@ -127,7 +127,7 @@
     version: WeightVersion
 
 
-class OrderOutcome(StrEnum):
+class EngineOrderOutcome(StrEnum):
     """An engine's answer to an order."""
 
     ACCEPTED = "accepted"
--- a/src/stagewalk/node/core/rollouts.py
+++ b/src/stagewalk/node/core/rollouts.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from stagewalk.common.identities import ModelName, SlotKey, TenantName, WeightVersion
+from stagewalk.common.identities import ModelName, SampleSlotKey, TenantName, WeightVersion
 from stagewalk.node.core.completions import VersionSpan
 
 
@@ -82,7 +82,7 @@
         Node's clock, seconds.
     """
 
-    slot: SlotKey
+    slot: SampleSlotKey
     sample_id: str
     text: str
     token_count: int
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SampleBatch:
+class SamplePage:
     """The answer to a pull.
 
     `cursor` acknowledges these samples once the trainer sends it back.
@@ -110,6 +110,6 @@
     remaining: int
 
 
-def slot_seed(slot: SlotKey) -> int:
+def sample_seed(slot: SampleSlotKey) -> int:
     """Return the sampling seed of a slot: the same for every attempt, known to the trainer."""
     return xxhash.xxh32_intdigest(str(slot).encode())
--- a/src/stagewalk/node/core_runner.py
+++ b/src/stagewalk/node/core_runner.py
@@ -44,13 +44,13 @@
         self,
         core: Core,
         events: EventQueue,
-        carry_out: Callable[[Instruction], None],
+        execute: Callable[[Instruction], None],
         metrics: CoreMetrics,
         clock: Clock = steady_seconds,
     ) -> None:
         self._core = core
         self._events = events
-        self._carry_out = carry_out
+        self._execute = execute
         self._metrics = metrics
         self._clock = clock
         self._tick_queued_at: float | None = None
@@ -84,5 +84,5 @@
             log_event("core_failed", "error", input=type(event).__name__, trace=trace)
             raise
         for instruction in instructions:
-            self._carry_out(instruction)
+            self._execute(instruction)
         self._metrics.event_handling.observe(self._clock() - now)
--- a/src/stagewalk/node/daemon.py
+++ b/src/stagewalk/node/daemon.py
@@ -126,8 +126,8 @@
             engines = await self._open_engines(resources)
             services = await self._open_platform(resources)
             tasks = await resources.enter_async_context(anyio.create_task_group())
-            carry_out = self._build_instruction_runner(engines, services, tasks)
-            runner = CoreRunner(self._core, self._events, carry_out, self._metrics.core)
+            execute = self._build_instruction_runner(engines, services, tasks)
+            runner = CoreRunner(self._core, self._events, execute, self._metrics.core)
             tasks.start_soon(self._watch_signals)
             await tasks.start(self._peers.run)
             tasks.start_soon(runner.run)
@@ -167,7 +167,7 @@
             self._peers,
             self._exit_process,
         )
-        return runner.carry_out
+        return runner.execute
 
     def _build_app(self, runner: CoreRunner) -> EdgeApp:
         limits = self._settings.limits
--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -10,13 +10,12 @@
 from collections import defaultdict
 from dataclasses import dataclass, replace
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import CallId, RequestId, RequestKey
 from stagewalk.node.admission.controller import AdmissionController
 from stagewalk.node.configuration.parameters import Tenant
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult
 from stagewalk.node.core.events import (
-    AnswerRequested,
     AttemptChunk,
     AttemptFailed,
     AttemptFinished,
@@ -25,9 +24,10 @@
     CompletionRequested,
     EngineReported,
     LotSubmitted,
-    SamplesPulled,
+    RetainedAnswerRequested,
+    SamplesRequested,
 )
-from stagewalk.node.core.instructions import FailCall, FinishCall, LogEvent, SendChunk
+from stagewalk.node.core.instructions import FailCall, FinishCall, SendChunk, WriteLogLine
 from stagewalk.node.core.platform import Machine
 from stagewalk.node.node_config import NodeConfig
 from stagewalk.node.node_identity import NodeIdentity
@@ -45,7 +45,7 @@
 from stagewalk.node.samples.core import LotCore
 from stagewalk.node.samples.notifications import CancelRollout, StartRollout
 
-STOPPING_RETRY_SECONDS = 1.0
+STOPPING_RETRY_AFTER_SECONDS = 1.0
 """Retry-After of a stopping node: another one takes the call."""
 
 STARTING_RETRY_SECONDS = 1.0
@@ -122,7 +122,7 @@
         self._submitting = event.call
         return list(self.requests.submit(event.request, now))
 
-    def answer_requested(self, event: AnswerRequested, now: float) -> list[NodeOutput]:
+    def answer_requested(self, event: RetainedAnswerRequested, now: float) -> list[NodeOutput]:
         """Return the retained answer of an earlier request."""
         key = RequestKey(event.tenant, event.request_id)
         outcome = self.requests.retained(key, now)
@@ -133,11 +133,11 @@
         detail = "the request is still running" if self.requests.in_progress(key) else "not known"
         error = StagewalkError(
             ErrorKind.OUTCOME_UNKNOWN,
-            Step.DELIVERY,
+            ErrorStep.DELIVERY,
             self._identity.name,
             f"{detail} at this node",
-            ran=Ran.UNKNOWN,
-            retry_after_seconds=STOPPING_RETRY_SECONDS,
+            ran=ExecutionStatus.UNKNOWN,
+            retry_after_seconds=STOPPING_RETRY_AFTER_SECONDS,
         )
         return [FailCall(event.call, error)]
 
@@ -160,7 +160,7 @@
             return [FailCall(event.call, refusal)]
         return list(self.lots.submit(event.call, event.lot, now))
 
-    def samples_pulled(self, event: SamplesPulled, now: float) -> list[NodeOutput]:
+    def samples_pulled(self, event: SamplesRequested, now: float) -> list[NodeOutput]:
         """Answer a trainer's pull, now or when samples are there."""
         refusal = self._refusal()
         if refusal is not None:
@@ -183,7 +183,7 @@
         """Apply an engine's report."""
         self.engine_table.handle_report(event.engine, event.report, now)
         report = event.report
-        return list(self.lots.version_seen(report.model, report.active_version, now))
+        return list(self.lots.record_served_version(report.model, report.active_version, now))
 
     # Notifications of the request core
 
@@ -244,7 +244,7 @@
         """
         resent = self._open_calls[call].resent
         self._forget_call(call)
-        return FailCall(call, replace(error, ran=Ran.UNKNOWN) if resent else error)
+        return FailCall(call, replace(error, ran=ExecutionStatus.UNKNOWN) if resent else error)
 
     def _remove_calls(self, key: RequestKey) -> list[CallId]:
         calls = list(self._calls_of_key.get(key, ()))
@@ -278,7 +278,7 @@
     def _starting_error(self) -> StagewalkError:
         return StagewalkError(
             ErrorKind.STARTING,
-            Step.ADMISSION,
+            ErrorStep.ADMISSION,
             self._identity.name,
             "this node has not yet read the configuration in force; use another one",
             retry_after_seconds=STARTING_RETRY_SECONDS,
@@ -287,10 +287,10 @@
     def _stopping_error(self) -> StagewalkError:
         return StagewalkError(
             ErrorKind.STOPPING,
-            Step.ADMISSION,
+            ErrorStep.ADMISSION,
             self._identity.name,
             "this node is stopping; use another one",
-            retry_after_seconds=STOPPING_RETRY_SECONDS,
+            retry_after_seconds=STOPPING_RETRY_AFTER_SECONDS,
         )
 
 
@@ -298,8 +298,8 @@
     return RequestKey(request.tenant, request.request_id)
 
 
-def _failure_event(key: RequestKey, error: StagewalkError) -> LogEvent:
-    return LogEvent(
+def _failure_event(key: RequestKey, error: StagewalkError) -> WriteLogLine:
+    return WriteLogLine(
         "request_failed",
         {
             "level": "warning",
--- a/src/stagewalk/node/edge/app.py
+++ b/src/stagewalk/node/edge/app.py
@@ -10,10 +10,10 @@
 
 from hypercorn.typing import ASGIReceiveCallable, ASGISendCallable, HTTPScope, Scope
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.http.asgi import run_exchange, serve_connection
 from stagewalk.common.http.body_budget import BodyBudget
-from stagewalk.common.http.exchange import PROBLEM_CONTENT, Exchange
+from stagewalk.common.http.exchange import PROBLEM_CONTENT_TYPE, Exchange
 from stagewalk.common.http.peer_names import EDGE_PEER
 from stagewalk.common.http.problems import render_problem
 from stagewalk.common.settings.fields import Limits
@@ -90,11 +90,17 @@
 
 
 async def _respond_plainly(exchange: Exchange, status: int, detail: str) -> None:
-    await exchange.respond(status, PROBLEM_CONTENT, render_problem(invalid("", detail), status))
+    await exchange.respond(
+        status, PROBLEM_CONTENT_TYPE, render_problem(invalid("", detail), status)
+    )
 
 
 async def _respond_crashed(exchange: Exchange) -> None:
     failure = StagewalkError(
-        ErrorKind.OUTCOME_UNKNOWN, Step.DELIVERY, EDGE_PEER, "internal error", Ran.UNKNOWN
+        ErrorKind.OUTCOME_UNKNOWN,
+        ErrorStep.DELIVERY,
+        EDGE_PEER,
+        "internal error",
+        ExecutionStatus.UNKNOWN,
     )
     await exchange.fail(failure)
--- a/src/stagewalk/node/edge/call_runner.py
+++ b/src/stagewalk/node/edge/call_runner.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.http.exchange import Exchange
 from stagewalk.common.http.peer_names import EDGE_PEER
 from stagewalk.common.identities import CallId
@@ -20,7 +20,7 @@
 from stagewalk.node.core.instructions import FailCall
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import EdgeMetrics
-from stagewalk.node.open_calls import AnswerPiece, LastAnswer, OpenCall, OpenCalls
+from stagewalk.node.open_calls import FinalAnswer, OpenCall, OpenCalls, TextDelta
 
 ANSWER_GRACE_SECONDS = 5.0
 """How long after its deadline the edge still waits for the core's answer."""
@@ -29,7 +29,7 @@
 OUTCOME_ABANDONED = "abandoned"
 OUTCOME_SLOW_READER = "slow_reader"
 
-Answerer = Callable[[OpenCall], Awaitable[str]]
+CallResponder = Callable[[OpenCall], Awaitable[str]]
 """Sends the core's answers to the caller and returns the call's outcome."""
 
 
@@ -46,10 +46,10 @@
         exchange: Exchange,
         endpoint: str,
         ask: Callable[[CallId], Event],
-        answer: Answerer,
+        answer: CallResponder,
         *,
         streaming: bool = False,
-        ran_if_refused: Ran = Ran.NO,
+        ran_if_refused: ExecutionStatus = ExecutionStatus.NO,
     ) -> None:
         """Send the call's event to the core and its answers to the caller, until that disconnects.
 
@@ -79,7 +79,7 @@
         exchange: Exchange,
         call: OpenCall,
         ask: Callable[[CallId], Event],
-        answer: Answerer,
+        answer: CallResponder,
     ) -> str:
         with anyio.CancelScope() as scope:
             exchange.on_disconnect(scope.cancel)
@@ -97,12 +97,12 @@
         self._metrics.calls.labels(endpoint=endpoint, outcome=outcome).inc()
 
 
-async def whole_answer(call: OpenCall, seconds: float) -> LastAnswer:
+async def whole_answer(call: OpenCall, seconds: float) -> FinalAnswer:
     """Return the core's last answer to a call, or an error if none came in time."""
     with anyio.move_on_after(seconds + ANSWER_GRACE_SECONDS):
         while True:
             answer = await call.next_answer()
-            if not isinstance(answer, AnswerPiece):
+            if not isinstance(answer, TextDelta):
                 return answer
     return FailCall(call.id, late_error())
 
@@ -114,4 +114,6 @@
 
 def delivery_error(detail: str) -> StagewalkError:
     """Return the error for an answer that could not be delivered."""
-    return StagewalkError(ErrorKind.OUTCOME_UNKNOWN, Step.DELIVERY, EDGE_PEER, detail, Ran.UNKNOWN)
+    return StagewalkError(
+        ErrorKind.OUTCOME_UNKNOWN, ErrorStep.DELIVERY, EDGE_PEER, detail, ExecutionStatus.UNKNOWN
+    )
--- a/src/stagewalk/node/edge/completions.py
+++ b/src/stagewalk/node/edge/completions.py
@@ -16,14 +16,14 @@
 import xxhash
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import Ran, StagewalkError
-from stagewalk.common.http.exchange import JSON_CONTENT, Exchange
+from stagewalk.common.errors import ExecutionStatus, StagewalkError
+from stagewalk.common.http.exchange import JSON_CONTENT_TYPE, Exchange
 from stagewalk.common.http.problems import render_stream_error
 from stagewalk.common.identities import ModelName, RequestId, TenantName
 from stagewalk.common.settings.fields import Limits
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, Priority
-from stagewalk.node.core.events import AnswerRequested, CompletionRequested
+from stagewalk.node.core.events import CompletionRequested, RetainedAnswerRequested
 from stagewalk.node.core.instructions import FailCall, FinishCall
 from stagewalk.node.edge.call_runner import (
     ANSWER_GRACE_SECONDS,
@@ -44,15 +44,15 @@
     invalid,
 )
 from stagewalk.node.metrics import EdgeMetrics
-from stagewalk.node.open_calls import AnswerPiece, LastAnswer, OpenCall
+from stagewalk.node.open_calls import FinalAnswer, OpenCall, TextDelta
 
 COMPLETIONS_ENDPOINT = "completions"
 ANSWERS_ENDPOINT = "answers"
 CHARACTERS_PER_TOKEN = 4
 """Estimated characters of a token, as in `PrefixIndexConfig`."""
 
-EVENT_STREAM_CONTENT = "text/event-stream; charset=utf-8"
-RETAINED_ANSWER_SECONDS = 10.0
+EVENT_STREAM_CONTENT_TYPE = "text/event-stream; charset=utf-8"
+RETAINED_ANSWER_TIMEOUT_SECONDS = 10.0
 """Longest wait for the core's answer about an earlier request."""
 
 _OBJECT = "text_completion"
@@ -71,7 +71,7 @@
     request: CompletionRequest
     arrived: float
     deadline_seconds: float
-    ran_if_refused: Ran
+    ran_if_refused: ExecutionStatus
 
 
 class CompletionEndpoints:
@@ -117,7 +117,7 @@
         await self._calls.run(
             exchange,
             ANSWERS_ENDPOINT,
-            lambda call: AnswerRequested(call, tenant, request),
+            lambda call: RetainedAnswerRequested(call, tenant, request),
             lambda call: _answer_retained(exchange, call, request_id),
         )
 
@@ -137,14 +137,20 @@
             "tenant": body.tenant or exchange.header("x-tenant"),
             "request_id": given_id or uuid.uuid4().hex,
         }
-        ran_if_refused = Ran.NO if body.repeatable or given_id is None else Ran.UNKNOWN
+        ran_if_refused = (
+            ExecutionStatus.NO if body.repeatable or given_id is None else ExecutionStatus.UNKNOWN
+        )
         headers = check_fields(fields, CallerHeaders)
         return headers.bind(
             lambda names: Ok(self._request_of(body, names, ran_if_refused, exchange.resent))
         )
 
     def _request_of(
-        self, body: CompletionBody, headers: CallerHeaders, ran_if_refused: Ran, resent: bool
+        self,
+        body: CompletionBody,
+        headers: CallerHeaders,
+        ran_if_refused: ExecutionStatus,
+        resent: bool,
     ) -> _CheckedRequest:
         arrived = self._clock()
         priority = Priority.INTERACTIVE if body.priority == "interactive" else Priority.ROLLOUT
@@ -199,7 +205,7 @@
         """Relay the core's answers until the last; return the call's outcome."""
         while True:
             answer = await call.next_answer()
-            if isinstance(answer, AnswerPiece):
+            if isinstance(answer, TextDelta):
                 await self._send_piece(answer.text)
             elif isinstance(answer, FinishCall):
                 return await self._finish(answer.result)
@@ -209,7 +215,7 @@
     async def fail(self, error: StagewalkError) -> str:
         """Send an error: as the response, or as the stream's last event if it has begun."""
         if self._exchange.started:
-            error = self._exchange.truthful(error)
+            error = self._exchange.adjust_for_resend(error)
             await self._exchange.write(_event(render_stream_error(error)), last=True)
         else:
             await self._exchange.fail(error)
@@ -238,16 +244,18 @@
             return
         self._metrics.first_chunk_latency.observe(self._clock() - self._checked_request.arrived)
         headers = (("cache-control", "no-cache"),)
-        await self._exchange.start(200, EVENT_STREAM_CONTENT, headers)
+        await self._exchange.start(200, EVENT_STREAM_CONTENT_TYPE, headers)
 
     async def _send(self, answer: CompletionAnswer) -> None:
         await self._exchange.write(_event(msgspec.json.encode(answer)))
 
 
-async def _respond_whole(exchange: Exchange, answer: LastAnswer, request: CompletionRequest) -> str:
+async def _respond_whole(
+    exchange: Exchange, answer: FinalAnswer, request: CompletionRequest
+) -> str:
     if isinstance(answer, FinishCall):
         body = msgspec.json.encode(_whole(request, answer.result))
-        await exchange.respond(200, JSON_CONTENT, body)
+        await exchange.respond(200, JSON_CONTENT_TYPE, body)
         return OUTCOME_OK
     error = answer.error if isinstance(answer, FailCall) else late_error()
     await exchange.fail(error)
@@ -255,10 +263,10 @@
 
 
 async def _answer_retained(exchange: Exchange, call: OpenCall, request_id: str) -> str:
-    answer = await whole_answer(call, RETAINED_ANSWER_SECONDS)
+    answer = await whole_answer(call, RETAINED_ANSWER_TIMEOUT_SECONDS)
     if isinstance(answer, FinishCall):
         completion = _completion(request_id, "", 0, answer.result)
-        await exchange.respond(200, JSON_CONTENT, msgspec.json.encode(completion))
+        await exchange.respond(200, JSON_CONTENT_TYPE, msgspec.json.encode(completion))
         return OUTCOME_OK
     error = answer.error if isinstance(answer, FailCall) else late_error()
     await exchange.fail(error)
--- a/src/stagewalk/node/edge/rollouts.py
+++ b/src/stagewalk/node/edge/rollouts.py
@@ -12,13 +12,13 @@
 from expression import Error, Ok, Result
 
 from stagewalk.common.errors import StagewalkError
-from stagewalk.common.http.exchange import JSON_CONTENT, Exchange
+from stagewalk.common.http.exchange import JSON_CONTENT_TYPE, Exchange
 from stagewalk.common.identities import ModelName, TenantName, WeightVersion
 from stagewalk.common.settings.fields import Limits
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.node.core.events import LotSubmitted, SamplesPulled
+from stagewalk.node.core.events import LotSubmitted, SamplesRequested
 from stagewalk.node.core.instructions import AcceptLot, DeliverSamples, FailCall
-from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample, SampleBatch, SamplePull
+from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample, SamplePage, SamplePull
 from stagewalk.node.edge.call_runner import OUTCOME_OK, CallRunner, late_error, whole_answer
 from stagewalk.node.edge.completions import estimate_tokens
 from stagewalk.node.edge.schemas import (
@@ -30,11 +30,11 @@
     decode_body,
     invalid,
 )
-from stagewalk.node.open_calls import LastAnswer, OpenCall
+from stagewalk.node.open_calls import FinalAnswer, OpenCall
 
 LOTS_ENDPOINT = "rollouts"
 PULLS_ENDPOINT = "rollouts_pull"
-LOT_ANSWER_SECONDS = 10.0
+LOT_ANSWER_TIMEOUT_SECONDS = 10.0
 """Longest wait for the core's answer to a submitted lot."""
 
 
@@ -60,7 +60,7 @@
             exchange,
             LOTS_ENDPOINT,
             lambda call: LotSubmitted(call, lot),
-            lambda call: _answer(exchange, call, LOT_ANSWER_SECONDS),
+            lambda call: _answer(exchange, call, LOT_ANSWER_TIMEOUT_SECONDS),
         )
 
     async def pull(self, exchange: Exchange) -> None:
@@ -75,7 +75,7 @@
         await self._calls.run(
             exchange,
             PULLS_ENDPOINT,
-            lambda call: SamplesPulled(call, pull),
+            lambda call: SamplesRequested(call, pull),
             lambda call: _answer(exchange, call, wait_seconds),
         )
 
@@ -123,17 +123,19 @@
 async def _answer(exchange: Exchange, call: OpenCall, seconds: float) -> str:
     answer = await whole_answer(call, seconds)
     if isinstance(answer, AcceptLot):
-        await exchange.respond(202, JSON_CONTENT, msgspec.json.encode(_lot_answer(answer.lot)))
+        await exchange.respond(202, JSON_CONTENT_TYPE, msgspec.json.encode(_lot_answer(answer.lot)))
         return OUTCOME_OK
     if isinstance(answer, DeliverSamples):
-        await exchange.respond(200, JSON_CONTENT, msgspec.json.encode(_pull_answer(answer.batch)))
+        await exchange.respond(
+            200, JSON_CONTENT_TYPE, msgspec.json.encode(_pull_answer(answer.batch))
+        )
         return OUTCOME_OK
     error = _error_of(answer)
     await exchange.fail(error)
     return error.kind.value
 
 
-def _error_of(answer: LastAnswer) -> StagewalkError:
+def _error_of(answer: FinalAnswer) -> StagewalkError:
     return answer.error if isinstance(answer, FailCall) else late_error()
 
 
@@ -141,7 +143,7 @@
     return LotAnswer(lot.step, len(lot.prompts) * lot.samples_per_prompt)
 
 
-def _pull_answer(batch: SampleBatch) -> PullAnswer:
+def _pull_answer(batch: SamplePage) -> PullAnswer:
     samples = [_sample_answer(sample) for sample in batch.samples]
     return PullAnswer(samples, batch.cursor, batch.complete, batch.remaining)
 
--- a/src/stagewalk/node/edge/schemas.py
+++ b/src/stagewalk/node/edge/schemas.py
@@ -11,7 +11,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
 from stagewalk.common.http.peer_names import CALLER_PEER
 from stagewalk.node.core.completions import VersionSpan
 
@@ -23,14 +23,14 @@
 MAXIMUM_WAIT_SECONDS = 60.0
 """Bounds of what a body may ask for."""
 
-Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._:@+-]+$", max_length=200)]
+KeyName = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._:@+-]+$", max_length=200)]
 """Names that become parts of keys: no separator, no blank."""
 
 RequestIdText = Annotated[str, msgspec.Meta(pattern=r"^[!-~]+$", max_length=200)]
-Text = Annotated[str, msgspec.Meta(min_length=1)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 TokenLimit = Annotated[int, msgspec.Meta(ge=1, le=MAXIMUM_TOKENS)]
-Deadline = Annotated[float, msgspec.Meta(gt=0.0, le=MAXIMUM_DEADLINE_SECONDS)]
-Version = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
+DeadlineSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=MAXIMUM_DEADLINE_SECONDS)]
+NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 Seed = Annotated[int, msgspec.Meta(ge=-(2**63), le=2**63 - 1)]
 
 Body = TypeVar("Body")
@@ -52,19 +52,19 @@
     accepted and change nothing.
     """
 
-    model: Name
-    prompt: Text
+    model: KeyName
+    prompt: NonEmptyText
     max_tokens: TokenLimit = 16
     stream: bool = False
     seed: Seed | None = None
     n: Literal[1] = 1
     user: str | None = None
     stream_options: StreamOptions | None = None
-    tenant: Name | None = None
+    tenant: KeyName | None = None
     request_id: RequestIdText | None = None
     repeatable: bool = True
     resent: bool = False
-    deadline_seconds: Deadline = 60.0
+    deadline_seconds: DeadlineSeconds = 60.0
     priority: Literal["interactive", "rollout"] = "interactive"
     request_class: Annotated[str, msgspec.Meta(max_length=200)] = ""
 
@@ -72,7 +72,7 @@
 class CallerHeaders(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Values of `X-Tenant` and `X-Request-Id`, used where the body has none."""
 
-    tenant: Name
+    tenant: KeyName
     request_id: RequestIdText
 
 
@@ -80,31 +80,31 @@
     """One prompt of a lot."""
 
     prompt_id: Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-    prompt: Text
+    prompt: NonEmptyText
     max_tokens: TokenLimit
 
 
 class LotBody(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Body of `POST /v1/rollouts`."""
 
-    tenant: Name
-    trainer: Name
-    step: Version
-    model: Name
-    version: Version
+    tenant: KeyName
+    trainer: KeyName
+    step: NonNegativeInteger
+    model: KeyName
+    version: NonNegativeInteger
     prompts: Annotated[list[PromptBody], msgspec.Meta(min_length=1, max_length=MAXIMUM_PROMPTS)]
     samples_per_prompt: Annotated[int, msgspec.Meta(ge=1, le=MAXIMUM_SAMPLES_PER_PROMPT)] = 1
-    deadline_seconds: Deadline = 600.0
+    deadline_seconds: DeadlineSeconds = 600.0
 
 
 class PullBody(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Body of `POST /v1/rollouts/pull`."""
 
-    tenant: Name
-    trainer: Name
-    step: Version
+    tenant: KeyName
+    trainer: KeyName
+    step: NonNegativeInteger
     cursor: str = ""
-    version: Version
+    version: NonNegativeInteger
     max_samples: Annotated[int, msgspec.Meta(ge=1, le=MAXIMUM_SAMPLES_PER_PULL)] = 64
     wait_seconds: Annotated[float, msgspec.Meta(ge=0.0, le=MAXIMUM_WAIT_SECONDS)] = 0.0
 
@@ -204,7 +204,7 @@
 def invalid(field: str, detail: str) -> StagewalkError:
     """Return the error for an offending input field."""
     return StagewalkError(
-        ErrorKind.INVALID_REQUEST, Step.VALIDATION, CALLER_PEER, detail, field=field or None
+        ErrorKind.INVALID_REQUEST, ErrorStep.VALIDATION, CALLER_PEER, detail, field=field or None
     )
 
 
--- a/src/stagewalk/node/engine_tasks.py
+++ b/src/stagewalk/node/engine_tasks.py
@@ -18,8 +18,13 @@
     EngineReportFailed,
     Event,
 )
-from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, PollEngine, StartAttempt
-from stagewalk.node.core.platform import OrderOutcome
+from stagewalk.node.core.instructions import (
+    CancelAttempt,
+    PollEngine,
+    SendEngineOrder,
+    StartAttempt,
+)
+from stagewalk.node.core.platform import EngineOrderOutcome
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import EngineMetrics, ServiceMetrics
 from stagewalk.node.ports.engines import AttemptEvent, EngineClient
@@ -60,7 +65,7 @@
         """Read an engine's report."""
         self._tasks.start_soon(self._poll, poll)
 
-    def order(self, order: OrderEngine) -> None:
+    def order(self, order: SendEngineOrder) -> None:
         """Send an order."""
         self._tasks.start_soon(self._order, order)
 
@@ -97,9 +102,9 @@
             event = EngineReportFailed(poll.engine, answer.error.detail)
         await self._events.put(event)
 
-    async def _order(self, order: OrderEngine) -> None:
+    async def _order(self, order: SendEngineOrder) -> None:
         answered = await self._client.order(order)
-        if answered.outcome is OrderOutcome.UNKNOWN:
+        if answered.outcome is EngineOrderOutcome.UNKNOWN:
             self._services.count("engine_order", "unreachable")
         await self._events.put(answered)
 
--- a/src/stagewalk/node/instruction_runner.py
+++ b/src/stagewalk/node/instruction_runner.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from stagewalk.common.logs.lines import LEVELS, log_event
+from stagewalk.common.logs.lines import LOG_LEVELS, log_event
 from stagewalk.node.core.instructions import (
     AcceptLot,
     AppendRecord,
@@ -18,16 +18,16 @@
     FailCall,
     FinishCall,
     Instruction,
-    LogEvent,
-    OrderEngine,
     PollEngine,
     ReadLog,
     ReadMachines,
     ReadVersions,
     ScoreSample,
     SendChunk,
+    SendEngineOrder,
     SendPeerMessage,
     StartAttempt,
+    WriteLogLine,
 )
 from stagewalk.node.engine_tasks import EngineTasks
 from stagewalk.node.open_calls import OpenCalls
@@ -58,23 +58,23 @@
             StartAttempt: engines.start_attempt,
             CancelAttempt: engines.cancel_attempt,
             PollEngine: engines.poll,
-            OrderEngine: engines.order,
+            SendEngineOrder: engines.order,
             ReadMachines: platform.read_machines,
             ReadVersions: platform.read_versions,
             ReadLog: platform.read_log,
             AppendRecord: platform.append,
             ScoreSample: platform.score,
             SendPeerMessage: peers.send,
-            LogEvent: _write_log_event,
+            WriteLogLine: _write_log_event,
             ExitProcess: lambda _: exit_process(),
         }
 
-    def carry_out(self, instruction: Instruction) -> None:
+    def execute(self, instruction: Instruction) -> None:
         """Carry an instruction out, or start the task that does."""
         self._handlers[type(instruction)](instruction)
 
 
-def _write_log_event(event: LogEvent) -> None:
+def _write_log_event(event: WriteLogLine) -> None:
     fields = dict(event.fields)
     level = str(fields.pop(_LEVEL_FIELD, _DEFAULT_LEVEL))
-    log_event(event.name, level if level in LEVELS else _DEFAULT_LEVEL, **fields)
+    log_event(event.name, level if level in LOG_LEVELS else _DEFAULT_LEVEL, **fields)
--- a/src/stagewalk/node/leases/core.py
+++ b/src/stagewalk/node/leases/core.py
@@ -20,7 +20,7 @@
     LEASE_STREAM,
     Acquire,
     Lease,
-    LeaseFold,
+    LeaseStateMachine,
     Release,
     encode_record,
 )
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Candidate:
+class LeaseCandidate:
     """This process as a candidate for duties."""
 
     name: NodeName
@@ -56,11 +56,13 @@
         Source of the jitter between tries.
     """
 
-    def __init__(self, identity: Candidate, config: LeaseConfig, generator: random.Random) -> None:
+    def __init__(
+        self, identity: LeaseCandidate, config: LeaseConfig, generator: random.Random
+    ) -> None:
         self._identity = identity
         self._config = config
         self._generator = generator
-        self._fold = LeaseFold()
+        self._fold = LeaseStateMachine()
         self._duties: tuple[str, ...] = ()
         self._members: dict[NodeName, LiveMember] = {}
         self._acting: dict[str, Epoch] = {}
@@ -112,7 +114,7 @@
         self._check_at = float("-inf")
         return self._settle(duty)
 
-    def note_caught_up(self, now: float) -> list[LeaseOutput]:
+    def record_caught_up(self, now: float) -> list[LeaseOutput]:
         """Record that the lease stream was folded to a head read since the last doubt arose."""
         if not self._in_doubt:
             return []
--- a/src/stagewalk/node/leases/fold.py
+++ b/src/stagewalk/node/leases/fold.py
@@ -70,7 +70,7 @@
     rejection: str | None = None
 
 
-class LeaseFold:
+class LeaseStateMachine:
     """State machine over the records of the lease stream: same prefix, same leases."""
 
     def __init__(self) -> None:
--- a/src/stagewalk/node/log_client/core.py
+++ b/src/stagewalk/node/log_client/core.py
@@ -14,15 +14,17 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
 from stagewalk.common.identities import RecordId
 from stagewalk.node.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
-from stagewalk.node.core.instructions import AppendRecord, LogEvent, ReadLog
+from stagewalk.node.core.instructions import AppendRecord, ReadLog, WriteLogLine
 from stagewalk.node.log_client.config import LogClientConfig
 from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
 from stagewalk.node.log_client.stream import StreamState
 
-LogClientOutput = ReadLog | AppendRecord | LogEvent | RecordsRead | AppendSettled | AppendAbandoned
+LogClientOutput = (
+    ReadLog | AppendRecord | WriteLogLine | RecordsRead | AppendSettled | AppendAbandoned
+)
 
 LogClientEvent = LogRead | LogReadFailed | AppendConfirmed | AppendFailed
 
@@ -82,7 +84,7 @@
             return Error(
                 StagewalkError(
                     ErrorKind.OVERLOADED,
-                    Step.LOG_APPEND,
+                    ErrorStep.LOG_APPEND,
                     "log",
                     detail,
                     retry_after_seconds=self._config.maximum_backoff,
--- a/src/stagewalk/node/log_client/stream.py
+++ b/src/stagewalk/node/log_client/stream.py
@@ -15,13 +15,13 @@
 
 from stagewalk.common.identities import RecordId
 from stagewalk.node.core.events import AppendFailed, LogRead
-from stagewalk.node.core.instructions import AppendRecord, LogEvent, LogFields, ReadLog
+from stagewalk.node.core.instructions import AppendRecord, LogLineFields, ReadLog, WriteLogLine
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.log_client.backoff import Backoff
 from stagewalk.node.log_client.config import LogClientConfig
 from stagewalk.node.log_client.notifications import AppendAbandoned, AppendSettled, RecordsRead
 
-StreamOutput = ReadLog | AppendRecord | LogEvent | RecordsRead | AppendSettled | AppendAbandoned
+StreamOutput = ReadLog | AppendRecord | WriteLogLine | RecordsRead | AppendSettled | AppendAbandoned
 
 
 class AppendState(Enum):
@@ -159,7 +159,7 @@
         else:
             append.state = AppendState.WAITING
             append.not_before = now + self._append_backoff.draw()
-        fields: LogFields = {
+        fields: LogLineFields = {
             "record_id": event.record_id,
             "outcome_unknown": event.outcome_unknown,
             "detail": event.detail,
@@ -294,5 +294,5 @@
             wake = min(wake, append.not_before)
         return wake
 
-    def _event(self, name: str, fields: LogFields) -> LogEvent:
-        return LogEvent(name, {"level": "warning", "stream": self._name, **fields})
+    def _event(self, name: str, fields: LogLineFields) -> WriteLogLine:
+        return WriteLogLine(name, {"level": "warning", "stream": self._name, **fields})
--- a/src/stagewalk/node/membership/core.py
+++ b/src/stagewalk/node/membership/core.py
@@ -39,16 +39,16 @@
 
 MembershipOutput = SendPeerMessage | MembershipNotification
 
-JOIN_CONTACTS = 2
+JOIN_FANOUT = 2
 """Machines contacted in each round while no member is known."""
 LEAVE_FANOUT = 8
 """Members notified at once that this node leaves."""
 FULL_STATE_INTERVAL_SECONDS = 1.0
 """Least time between two whole lists offered: at 420 members one takes about 30 KB."""
-LASTING_DIFFERENCE_SECONDS = 3.0
+DIGEST_MISMATCH_TOLERANCE_SECONDS = 3.0
 """Difference of lists that gossip under way does not explain: it spreads within a second or two."""
 
-FORGET_INTERVAL_SECONDS = 60.0
+ENDED_MEMBER_CLEANUP_INTERVAL_SECONDS = 60.0
 """Time between two removals of members that ended long ago."""
 
 
@@ -151,7 +151,7 @@
         if now >= self._next_contact_at:
             self._try_contacts(now)
         if now >= self._next_forget_at:
-            self._next_forget_at = now + FORGET_INTERVAL_SECONDS
+            self._next_forget_at = now + ENDED_MEMBER_CLEANUP_INTERVAL_SECONDS
             self._table.forget_ended_before(now - self._config.dead_retention)
         return self._drain()
 
@@ -352,7 +352,7 @@
             self._differs_since = None
         elif self._differs_since is None:
             self._differs_since = now
-        elif now - self._differs_since >= LASTING_DIFFERENCE_SECONDS:
+        elif now - self._differs_since >= DIGEST_MISMATCH_TOLERANCE_SECONDS:
             self._differs_since = None
             self._next_exchange_at = now
 
@@ -375,7 +375,7 @@
         """Join through the machine list, or probe whether one believed dead answers after all."""
         if len(self._table.present()) <= 1 and not self._leaving:
             self._next_contact_at = now + self._config.probe_interval
-            for address in self._contacts.choose(JOIN_CONTACTS):
+            for address in self._contacts.choose(JOIN_FANOUT):
                 self._outputs.append(self._writer.full_state(address, answer_wanted=True))
             return
         jitter = 0.5 + self._generator.random()
--- a/src/stagewalk/node/membership/suspicion.py
+++ b/src/stagewalk/node/membership/suspicion.py
@@ -14,8 +14,8 @@
 from stagewalk.common.identities import NodeName
 from stagewalk.node.membership.config import MembershipConfig
 
-LAST_CALLS = 3
-LAST_CALL_INTERVAL_SECONDS = 0.2
+FINAL_PROBES = 3
+FINAL_PROBE_INTERVAL_SECONDS = 0.2
 """Probes of a suspect before it is declared dead, and the time between them, in case its refutation
 was lost: without them nodes that lose a fifth of their datagrams declare live members dead
 (docs/design/0050-membership.md)."""
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class _Suspicion:
-    began_at: float
+    started_at: float
     terms: SuspicionTerms
     accusers: set[NodeName] = field(default_factory=set)
     last_calls: int = 0
@@ -87,7 +87,7 @@
     def postpone(self, seconds: float) -> None:
         """Move all timers on, because this process was paused for that long."""
         for suspicion in self._running.values():
-            suspicion.began_at += seconds
+            suspicion.started_at += seconds
 
     def overdue(self, now: float) -> list[LastCall]:
         """Return the suspects whose time to deny is over, in the order of their names.
@@ -98,11 +98,11 @@
         calls: list[LastCall] = []
         for name in sorted(self._running):
             suspicion = self._running[name]
-            if now < suspicion.began_at + _duration(suspicion) or now < suspicion.next_call_at:
+            if now < suspicion.started_at + _duration(suspicion) or now < suspicion.next_call_at:
                 continue
-            calls.append(LastCall(name, is_final=suspicion.last_calls == LAST_CALLS))
+            calls.append(LastCall(name, is_final=suspicion.last_calls == FINAL_PROBES))
             suspicion.last_calls += 1
-            suspicion.next_call_at = now + LAST_CALL_INTERVAL_SECONDS
+            suspicion.next_call_at = now + FINAL_PROBE_INTERVAL_SECONDS
         return calls
 
 
--- a/src/stagewalk/node/node_config.py
+++ b/src/stagewalk/node/node_config.py
@@ -9,17 +9,17 @@
 
 from stagewalk.node.admission.config import AdmissionConfig
 from stagewalk.node.claims.config import ClaimConfig
-from stagewalk.node.claims.planner import PlannerConfig
-from stagewalk.node.configuration.follower import FollowerConfig
+from stagewalk.node.claims.planner import PlacementPlannerConfig
+from stagewalk.node.configuration.follower import ConfigurationFollowerConfig
 from stagewalk.node.leases.config import LeaseConfig
 from stagewalk.node.log_client.config import LogClientConfig
 from stagewalk.node.membership.config import MembershipConfig
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.routing.config import EngineTableConfig, RouterConfig
 from stagewalk.node.samples.config import LotConfig
-from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.config import WeightRolloutConfig
 
-LARGEST_CLAIMED_SAMPLE_BYTES = 64 * 1024
+MAXIMUM_CLAIMED_SAMPLE_BYTES = 64 * 1024
 """A claim holds a whole finished sample; a longer one is handed over without a claim."""
 
 
@@ -39,13 +39,13 @@
     planning_interval_seconds: float = 1.0
     membership: MembershipConfig = field(default_factory=MembershipConfig)
     log_client: LogClientConfig = field(default_factory=LogClientConfig)
-    follower: FollowerConfig = field(default_factory=FollowerConfig)
+    follower: ConfigurationFollowerConfig = field(default_factory=ConfigurationFollowerConfig)
     leases: LeaseConfig = field(default_factory=LeaseConfig)
     claims: ClaimConfig = field(
-        default_factory=lambda: ClaimConfig(maximum_value_bytes=LARGEST_CLAIMED_SAMPLE_BYTES)
+        default_factory=lambda: ClaimConfig(maximum_value_bytes=MAXIMUM_CLAIMED_SAMPLE_BYTES)
     )
-    planner: PlannerConfig = field(default_factory=PlannerConfig)
-    weights: RolloutConfig = field(default_factory=RolloutConfig)
+    planner: PlacementPlannerConfig = field(default_factory=PlacementPlannerConfig)
+    weights: WeightRolloutConfig = field(default_factory=WeightRolloutConfig)
     engine_table: EngineTableConfig = field(default_factory=EngineTableConfig)
     router: RouterConfig = field(default_factory=RouterConfig)
     admission: AdmissionConfig = field(default_factory=AdmissionConfig)
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -24,7 +24,6 @@
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.control_plane import ControlPlane
 from stagewalk.node.core.events import (
-    AnswerRequested,
     AppendConfirmed,
     AppendFailed,
     AttemptChunk,
@@ -42,9 +41,10 @@
     MachinesRead,
     OrderAnswered,
     PeerMessageReceived,
+    RetainedAnswerRequested,
     SampleScored,
     SampleScoringFailed,
-    SamplesPulled,
+    SamplesRequested,
     StopRequested,
     Tick,
     VersionsRead,
@@ -52,9 +52,9 @@
 from stagewalk.node.core.instructions import (
     ExitProcess,
     Instruction,
-    LogEvent,
-    LogFields,
+    LogLineFields,
     ReadMachines,
+    WriteLogLine,
 )
 from stagewalk.node.data_plane import DataPlane
 from stagewalk.node.leases.fold import LEASE_STREAM
@@ -193,10 +193,10 @@
         return {
             Tick: self._tick,
             CompletionRequested: data.completion_requested,
-            AnswerRequested: data.answer_requested,
+            RetainedAnswerRequested: data.answer_requested,
             CallAbandoned: data.call_abandoned,
             LotSubmitted: data.lot_submitted,
-            SamplesPulled: data.samples_pulled,
+            SamplesRequested: data.samples_pulled,
             AttemptChunk: data.attempt_event,
             AttemptFinished: data.attempt_event,
             AttemptRefused: data.attempt_event,
@@ -281,7 +281,7 @@
         newest = max((published.version for published in event.versions), default=None)
         if newest is None:
             return []
-        return list(self.data.lots.versions_known(event.model, newest, now))
+        return list(self.data.lots.record_published_version(event.model, newest, now))
 
     def _peer_message_received(self, event: PeerMessageReceived, now: float) -> list[NodeOutput]:
         if event.envelope.WhichOneof("body") == "answers":
@@ -306,19 +306,19 @@
             return []
         self._stopping = True
         self.data.stop()
-        return [LogEvent("node_stopping", {}), *self.control.leases.release_all()]
+        return [WriteLogLine("node_stopping", {}), *self.control.leases.release_all()]
 
     # Notifications that concern both planes
 
     def _member_changed(self, changed: MemberChanged, now: float) -> list[NodeOutput]:
         self.control.members_changed()
         fields = {"member": changed.name, "state": changed.new_state.name.lower()}
-        return [LogEvent("member_changed", {**fields, "incarnation": changed.incarnation})]
+        return [WriteLogLine("member_changed", {**fields, "incarnation": changed.incarnation})]
 
     def _identity_superseded(self, superseded: IdentitySuperseded, now: float) -> list[NodeOutput]:
         """Stop: two processes under one name would both act for it."""
-        fields: LogFields = {"level": "error", "incarnation": superseded.incarnation}
-        event = LogEvent("identity_superseded", fields)
+        fields: LogLineFields = {"level": "error", "incarnation": superseded.incarnation}
+        event = WriteLogLine("identity_superseded", fields)
         return [event, *self._stop_requested(StopRequested(), now)]
 
     def _configuration_changed(self, changed: ConfigurationChanged, now: float) -> list[NodeOutput]:
--- a/src/stagewalk/node/open_calls.py
+++ b/src/stagewalk/node/open_calls.py
@@ -13,8 +13,8 @@
 import anyio
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
-from stagewalk.common.http.peer_names import BUSY_RETRY_SECONDS, EDGE_PEER
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
+from stagewalk.common.http.peer_names import BUSY_RETRY_AFTER_SECONDS, EDGE_PEER
 from stagewalk.common.identities import CallId
 from stagewalk.node.core.instructions import (
     AcceptLot,
@@ -24,11 +24,11 @@
     SendChunk,
 )
 
-LastAnswer = FinishCall | FailCall | AcceptLot | DeliverSamples
+FinalAnswer = FinishCall | FailCall | AcceptLot | DeliverSamples
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerPiece:
+class TextDelta:
     """Text of one or more chunks that was not yet sent to the caller."""
 
     text: str
@@ -50,7 +50,7 @@
         self._maximum_characters = maximum_characters
         self._texts: list[str] = []
         self._characters = 0
-        self._last: LastAnswer | None = None
+        self._last: FinalAnswer | None = None
         self._news = anyio.Event()
         self._on_overflow: Callable[[], None] | None = None
 
@@ -72,12 +72,12 @@
         self._characters += len(text)
         self._news.set()
 
-    def end(self, answer: LastAnswer) -> None:
+    def end(self, answer: FinalAnswer) -> None:
         """Set the core's last answer."""
         self._last = answer
         self._news.set()
 
-    async def next_answer(self) -> AnswerPiece | LastAnswer:
+    async def next_answer(self) -> TextDelta | FinalAnswer:
         """Wait for the core's next answer."""
         while not self._texts and self._last is None:
             self._news = anyio.Event()
@@ -87,8 +87,8 @@
         assert self._last is not None
         return self._last
 
-    def _drain_texts(self) -> AnswerPiece:
-        piece = AnswerPiece("".join(self._texts))
+    def _drain_texts(self) -> TextDelta:
+        piece = TextDelta("".join(self._texts))
         self._texts.clear()
         self._characters = 0
         return piece
@@ -136,7 +136,7 @@
         if call is not None and call.streaming:
             call.add_text(send.chunk.text)
 
-    def end(self, answer: LastAnswer) -> None:
+    def end(self, answer: FinalAnswer) -> None:
         """Set the core's last answer to a call, if that is still open."""
         call = self._find(answer.call)
         if call is not None:
@@ -152,8 +152,8 @@
 def _refusal(kind: ErrorKind, detail: str) -> StagewalkError:
     return StagewalkError(
         kind=kind,
-        step=Step.ADMISSION,
+        step=ErrorStep.ADMISSION,
         peer=EDGE_PEER,
         detail=detail,
-        retry_after_seconds=BUSY_RETRY_SECONDS,
+        retry_after_seconds=BUSY_RETRY_AFTER_SECONDS,
     )
--- a/src/stagewalk/node/outputs.py
+++ b/src/stagewalk/node/outputs.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stagewalk.node.claims.notifications import ClaimOutput
-from stagewalk.node.configuration.follower import FollowerOutput
+from stagewalk.node.configuration.follower import ConfigurationOutput
 from stagewalk.node.core.instructions import Instruction
 from stagewalk.node.leases.notifications import LeaseOutput
 from stagewalk.node.log_client.core import LogClientOutput
@@ -15,7 +15,7 @@
     Instruction
     | MembershipOutput
     | LogClientOutput
-    | FollowerOutput
+    | ConfigurationOutput
     | LeaseOutput
     | ClaimOutput
     | RequestOutput
--- a/src/stagewalk/node/peers/peer_frames.py
+++ b/src/stagewalk/node/peers/peer_frames.py
@@ -9,7 +9,7 @@
 
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
-LENGTH_BYTES = 4
+LENGTH_PREFIX_BYTES = 4
 MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024
 MAXIMUM_SENDER_CHARACTERS = 100
 """Bounds against broken or hostile peers."""
@@ -17,7 +17,7 @@
 
 def encode_frame(payload: bytes) -> bytes:
     """Return a payload with its length before it, big-endian."""
-    return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
+    return len(payload).to_bytes(LENGTH_PREFIX_BYTES, "big") + payload
 
 
 def decode_length(prefix: bytes) -> int | None:
--- a/src/stagewalk/node/peers/peer_streams.py
+++ b/src/stagewalk/node/peers/peer_streams.py
@@ -15,7 +15,7 @@
 from stagewalk.common.identities import Address
 from stagewalk.node.metrics import PeerMetrics
 
-QUEUED_FRAMES = 256
+MAXIMUM_QUEUED_FRAMES = 256
 """Most frames that wait for one peer; a further one is dropped."""
 
 MAXIMUM_PEERS = 1024
@@ -26,8 +26,8 @@
 IDLE_SECONDS = 60.0
 """Time without a frame after which a connection is closed."""
 
-FIRST_BACKOFF_SECONDS = 0.1
-LAST_BACKOFF_SECONDS = 5.0
+INITIAL_BACKOFF_SECONDS = 0.1
+MAXIMUM_BACKOFF_SECONDS = 5.0
 """Pauses after failed connections double from the first to the last."""
 
 _STREAM_ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
@@ -43,10 +43,10 @@
     def __init__(self, address: Address, metrics: PeerMetrics) -> None:
         self.address = address
         self._metrics = metrics
-        send, receive = anyio.create_memory_object_stream[bytes](QUEUED_FRAMES)
+        send, receive = anyio.create_memory_object_stream[bytes](MAXIMUM_QUEUED_FRAMES)
         self._send = send
         self._receive = receive
-        self._backoff_seconds = FIRST_BACKOFF_SECONDS
+        self._backoff_seconds = INITIAL_BACKOFF_SECONDS
 
     def offer(self, frame: bytes) -> None:
         """Queue a frame, or drop it if too many wait."""
@@ -72,7 +72,7 @@
             self._drop_waiting()
             await self._back_off()
             return True
-        self._backoff_seconds = FIRST_BACKOFF_SECONDS
+        self._backoff_seconds = INITIAL_BACKOFF_SECONDS
         return await _Connection(connection, self._receive, self._metrics).use(frame)
 
     async def _connect(self) -> anyio.abc.SocketStream | None:
@@ -90,7 +90,7 @@
 
     async def _back_off(self) -> None:
         await anyio.sleep(self._backoff_seconds)
-        self._backoff_seconds = min(LAST_BACKOFF_SECONDS, 2 * self._backoff_seconds)
+        self._backoff_seconds = min(MAXIMUM_BACKOFF_SECONDS, 2 * self._backoff_seconds)
 
 
 class _Connection:
--- a/src/stagewalk/node/peers/peer_transport.py
+++ b/src/stagewalk/node/peers/peer_transport.py
@@ -16,14 +16,14 @@
 from stagewalk.node.event_queue import EventQueue
 from stagewalk.node.metrics import PeerMetrics
 from stagewalk.node.peers.peer_frames import (
-    LENGTH_BYTES,
+    LENGTH_PREFIX_BYTES,
     decode_envelope,
     decode_length,
     encode_frame,
 )
 from stagewalk.node.peers.peer_streams import OutgoingStreams
 
-QUEUED_DATAGRAMS = 512
+MAXIMUM_QUEUED_DATAGRAMS = 512
 """Most datagrams that wait for the socket; a further one is dropped."""
 
 MAXIMUM_INCOMING_CONNECTIONS = 1024
@@ -53,7 +53,9 @@
         self._listening_addresses: dict[str, Address] = {}
         self._incoming = 0
         self._outgoing: OutgoingStreams | None = None
-        send, receive = anyio.create_memory_object_stream[tuple[bytes, Address]](QUEUED_DATAGRAMS)
+        send, receive = anyio.create_memory_object_stream[tuple[bytes, Address]](
+            MAXIMUM_QUEUED_DATAGRAMS
+        )
         self._datagrams_out = send
         self._datagrams_in_queue = receive
 
@@ -129,7 +131,7 @@
         buffered = BufferedByteReceiveStream(stream)
         while True:
             with anyio.fail_after(INCOMING_IDLE_SECONDS):
-                length = decode_length(await buffered.receive_exactly(LENGTH_BYTES))
+                length = decode_length(await buffered.receive_exactly(LENGTH_PREFIX_BYTES))
                 if length is None:
                     self._metrics.count_dropped("bad_frame")
                     return
--- a/src/stagewalk/node/platform_tasks.py
+++ b/src/stagewalk/node/platform_tasks.py
@@ -10,7 +10,7 @@
 
 import anyio.abc
 
-from stagewalk.common.errors import Ran, StagewalkError
+from stagewalk.common.errors import ExecutionStatus, StagewalkError
 from stagewalk.common.logs.lines import log_event
 from stagewalk.node.core.events import (
     AppendConfirmed,
@@ -102,7 +102,7 @@
         else:
             error = answer.error
             self._record_error(error)
-            unknown = error.ran is Ran.UNKNOWN
+            unknown = error.ran is ExecutionStatus.UNKNOWN
             event = AppendFailed(append.stream, append.record_id, unknown, error.detail)
         await self._events.put(event)
 
--- a/src/stagewalk/node/ports/engines.py
+++ b/src/stagewalk/node/ports/engines.py
@@ -19,7 +19,7 @@
     AttemptRefused,
     OrderAnswered,
 )
-from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, StartAttempt
+from stagewalk.node.core.instructions import CancelAttempt, SendEngineOrder, StartAttempt
 from stagewalk.node.core.platform import EngineReport
 
 FinalAttemptEvent = AttemptFinished | AttemptRefused | AttemptFailed
@@ -40,5 +40,5 @@
     async def report(self, engine: str, address: Address) -> Result[EngineReport, StagewalkError]:
         """Read the engine's report."""
 
-    async def order(self, order: OrderEngine) -> OrderAnswered:
-        """Send a fenced order; no answer in time is `OrderOutcome.UNKNOWN`."""
+    async def order(self, order: SendEngineOrder) -> OrderAnswered:
+        """Send a fenced order; no answer in time is `EngineOrderOutcome.UNKNOWN`."""
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import replace
 
-from stagewalk.common.errors import StagewalkError, Step
+from stagewalk.common.errors import ErrorStep, StagewalkError
 from stagewalk.common.identities import AttemptId, EngineName, ProcessIdentity, TenantName
 from stagewalk.node.admission.controller import AdmissionController
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
@@ -23,7 +23,7 @@
 from stagewalk.node.requests.retries import RetryBudget, backoff_seconds
 from stagewalk.node.requests.states import AttemptClass, Cause
 from stagewalk.node.requests.store import RequestStore
-from stagewalk.node.requests.timers import Timer, TimerKind
+from stagewalk.node.requests.timers import RequestTimer, RequestTimerKind
 from stagewalk.node.routing.router import EngineChoice, Router
 
 AttemptEvent = AttemptChunk | AttemptFinished | AttemptRefused | AttemptFailed
@@ -61,12 +61,12 @@
 
     def record_submission(self, tenant: TenantName) -> None:
         """Add to a tenant's retry budget what a new request earns."""
-        self._budget.note_request(tenant)
+        self._budget.record_request(tenant)
 
     def dispatch(self, record: RequestRecord, now: float) -> None:
         """Start an attempt of a record in `ROUTING`, or look again later, or give up."""
         if now >= record.request.deadline:
-            error = faults.deadline_passed(record, self._identity.name, Step.ROUTING)
+            error = faults.deadline_passed(record, self._identity.name, ErrorStep.ROUTING)
             self._fail(record, Cause.DEADLINE, error, now)
             return
         request = attempt_rules.pinned_request(record)
@@ -96,7 +96,7 @@
             case AttemptFailed():
                 self._handle_failed(record, attempt, event, now)
 
-    def handle_hedge_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
+    def handle_hedge_timer(self, record: RequestRecord, timer: RequestTimer, now: float) -> None:
         """Start a second attempt if the first has not answered by now."""
         first = record.attempts.get(timer.attempt) if timer.attempt is not None else None
         if first is None or not attempt_rules.may_hedge_now(record, first):
@@ -107,7 +107,7 @@
             return
         self._start(record, record.request, choice.ok, Cause.HEDGED, now)
 
-    def handle_stall_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
+    def handle_stall_timer(self, record: RequestRecord, timer: RequestTimer, now: float) -> None:
         """Give up an attempt that has been silent for too long; its request is resumed."""
         attempt = record.attempts.get(timer.attempt) if timer.attempt is not None else None
         if attempt is None or timer.at != attempt.stall_timer_at:
@@ -137,7 +137,7 @@
         first = attempt.last_chunk_at is None
         attempt.last_chunk_at = now
         if first:
-            self._note_first_token(record, attempt, now)
+            self._record_first_token(record, attempt, now)
         self._stream(record, attempt, taken.ok)
 
     def _handle_finished(
@@ -160,8 +160,8 @@
             self._attempt_ended(record, attempt, AttemptClass.MAY_HAVE_RUN, detail, now)
             return
         retry_after = event.retry_after_seconds
-        if self._router.note_refused(attempt.engine, attempt.attempt, retry_after, now):
-            self._admission.note_refused(record.request.model, now)
+        if self._router.record_refused(attempt.engine, attempt.attempt, retry_after, now):
+            self._admission.record_refused(record.request.model, now)
         self._attempt_ended(
             record,
             attempt,
@@ -205,7 +205,7 @@
         record.attempts[attempt.attempt] = attempt
         record.attempt_count += 1
         self._store.by_attempt[attempt.attempt] = record
-        self._router.note_started(choice.engine, attempt.attempt, request, now)
+        self._router.record_started(choice.engine, attempt.attempt, request, now)
         self._set_attempt_timers(record, attempt, now)
         self._store.output(
             StartAttempt(
@@ -224,17 +224,19 @@
         self._set_stall_timer(record, attempt)
         delay = attempt_rules.hedge_delay(record, self._delays, self._config)
         if delay is not None:
-            self._store.set_timer(record, TimerKind.HEDGE, now + delay, attempt.attempt)
+            self._store.set_timer(record, RequestTimerKind.HEDGE, now + delay, attempt.attempt)
 
     def _set_stall_timer(self, record: RequestRecord, attempt: Attempt) -> None:
         attempt.stall_timer_at = attempt_rules.silent_until(attempt, self._config)
-        self._store.set_timer(record, TimerKind.STALL, attempt.stall_timer_at, attempt.attempt)
+        self._store.set_timer(
+            record, RequestTimerKind.STALL, attempt.stall_timer_at, attempt.attempt
+        )
 
-    def _note_first_token(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
+    def _record_first_token(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
         delay = now - attempt.started_at
         self._delays.add(delay)
-        self._admission.note_first_token(record.request.model, delay, now)
-        self._router.note_progress(attempt.attempt)
+        self._admission.record_first_token(record.request.model, delay, now)
+        self._router.record_progress(attempt.attempt)
         if record.request.repeatable:
             self._set_stall_timer(record, attempt)
 
@@ -251,7 +253,7 @@
     def _finish(
         self, record: RequestRecord, attempt: Attempt, finish_reason: str, now: float
     ) -> None:
-        self._router.note_finished(attempt.engine, attempt.attempt, now)
+        self._router.record_finished(attempt.engine, attempt.attempt, now)
         self._forget(record, attempt)
         record.may_have_run = True
         self.cancel_all(record, now)
@@ -278,7 +280,7 @@
         """Handle an attempt's end without a whole answer, and go on as its class allows."""
         self._forget(record, attempt)
         if outcome is not AttemptClass.REFUSED:
-            self._router.note_failed(attempt.engine, attempt.attempt, now)
+            self._router.record_failed(attempt.engine, attempt.attempt, now)
         if outcome is AttemptClass.MAY_HAVE_RUN:
             record.may_have_run = True
             self._keep(record, attempt)
@@ -297,7 +299,7 @@
         self, record: RequestRecord, outcome: AttemptClass, error: StagewalkError, now: float
     ) -> None:
         if attempt_rules.outcome_is_unknown(record):
-            unknown = faults.outcome_unknown(Step.EXECUTION, error.peer, error.detail)
+            unknown = faults.outcome_unknown(ErrorStep.EXECUTION, error.peer, error.detail)
             self._fail(record, Cause.OUTCOME_UNKNOWN, unknown, now)
             return
         retry = self._config.retry
@@ -310,7 +312,7 @@
         if attempt_rules.retries_at_once(record, outcome):
             self.dispatch(record, now)
         else:
-            self._store.set_timer(record, TimerKind.ROUTE, now + pause)
+            self._store.set_timer(record, RequestTimerKind.ROUTE, now + pause)
 
     def _wait_for_engine(self, record: RequestRecord, error: StagewalkError, now: float) -> None:
         """Look again soon, or fail with the error of the last attempt, if there was one."""
@@ -321,7 +323,7 @@
             final = replace(record.last_error or error, ran=record.ran)
             self._fail(record, Cause.GAVE_UP, final, now)
             return
-        self._store.set_timer(record, TimerKind.ROUTE, again)
+        self._store.set_timer(record, RequestTimerKind.ROUTE, again)
 
     def _finish_at_length(self, record: RequestRecord, now: float) -> None:
         """End an answer that has all the tokens it may have; only its final frame was lost."""
@@ -355,7 +357,7 @@
 
     def _cancel(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
         self._store.output(CancelAttempt(attempt.attempt, attempt.engine, attempt.address))
-        self._router.note_cancelled(attempt.attempt, now)
+        self._router.record_cancelled(attempt.attempt, now)
         self._forget(record, attempt)
         record.may_have_run = True
 
--- a/src/stagewalk/node/requests/claim_gate.py
+++ b/src/stagewalk/node/requests/claim_gate.py
@@ -11,18 +11,23 @@
 import random
 from dataclasses import replace
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import ProcessIdentity, RequestKey
 from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import CompletionResult
 from stagewalk.node.requests import faults
-from stagewalk.node.requests.claim_value import ClaimValue, claim_key, decode_claim, encode_claim
+from stagewalk.node.requests.claim_value import (
+    ClaimValue,
+    decode_claim,
+    encode_claim,
+    request_claim_key,
+)
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.notifications import FetchAnswer
 from stagewalk.node.requests.record import RequestRecord
 from stagewalk.node.requests.states import Cause, RequestState
 from stagewalk.node.requests.store import RequestStore
-from stagewalk.node.requests.timers import TimerKind
+from stagewalk.node.requests.timers import RequestTimerKind
 
 NONCE_BITS = 128
 """Enough that no two processes ever draw the same nonce."""
@@ -60,7 +65,7 @@
                 nonce=f"{self._generator.getrandbits(NONCE_BITS):032x}",
                 fingerprint=record.fingerprint,
             )
-        key = claim_key(record.key)
+        key = request_claim_key(record.key)
         self._claiming[key] = record
         self._store.move(record, Cause.CLAIM_WANTED)
         self._store.output(ProposeClaim(key, encode_claim(record.claim)))
@@ -89,7 +94,9 @@
         record = self._claiming.pop(key, None)
         if record is None or record.state is not RequestState.CLAIMING:
             return
-        unknown = replace(error, kind=ErrorKind.OUTCOME_UNKNOWN, step=Step.CLAIM, ran=record.ran)
+        unknown = replace(
+            error, kind=ErrorKind.OUTCOME_UNKNOWN, step=ErrorStep.CLAIM, ran=record.ran
+        )
         self._store.fail(record, Cause.CLAIM_UNDECIDED, unknown, now)
 
     def answer_fetched(
@@ -138,12 +145,12 @@
     def forget(self, record: RequestRecord) -> None:
         """Drop a record that no longer waits; its claim may still be chosen, to no effect."""
         if record.state is RequestState.CLAIMING:
-            self._claiming.pop(claim_key(record.key), None)
+            self._claiming.pop(request_claim_key(record.key), None)
 
     def fail_unknown(self, record: RequestRecord, cause: Cause, detail: str, now: float) -> None:
         """Fail a request that another submission may have run."""
         peer = str(self._identity.name) if record.owner is None else str(record.owner)
-        self._store.fail(record, cause, faults.outcome_unknown(Step.CLAIM, peer, detail), now)
+        self._store.fail(record, cause, faults.outcome_unknown(ErrorStep.CLAIM, peer, detail), now)
 
     def _lost(self, record: RequestRecord, chosen: ClaimValue | None, now: float) -> None:
         """Fail a request that another submission owns, or ask that one's node for the answer."""
@@ -153,7 +160,7 @@
             return
         record.owner = chosen.node
         if chosen.fingerprint != record.fingerprint:
-            error = faults.duplicate(self._identity.name, Ran.UNKNOWN)
+            error = faults.duplicate(self._identity.name, ExecutionStatus.UNKNOWN)
             self._store.fail(record, Cause.OUTCOME_UNKNOWN, error, now)
             return
         if chosen.node == self._identity.name:
@@ -162,7 +169,7 @@
             return
         self._store.move(record, Cause.CLAIM_LOST)
         until = now + self._config.fetch_timeout_seconds
-        self._store.set_timer(record, TimerKind.FETCH, until)
+        self._store.set_timer(record, RequestTimerKind.FETCH, until)
         record.owners_claim = chosen
         self._store.output(
             FetchAnswer(record.key, chosen.node, chosen.incarnation, chosen.nonce, record.serial)
--- a/src/stagewalk/node/requests/claim_value.py
+++ b/src/stagewalk/node/requests/claim_value.py
@@ -29,7 +29,7 @@
     fingerprint: str
 
 
-def claim_key(key: RequestKey) -> str:
+def request_claim_key(key: RequestKey) -> str:
     """Return the key of a request's claim."""
     return f"request/{key.tenant}/{key.request_id}"
 
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -13,14 +13,14 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import (
     ModelName,
     ProcessIdentity,
     RequestKey,
     TenantName,
 )
-from stagewalk.node.admission.controller import Admission, AdmissionController
+from stagewalk.node.admission.controller import AdmissionController, AdmissionDecision
 from stagewalk.node.admission.pool import PoolCapacity
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
@@ -46,10 +46,10 @@
     resubmission,
 )
 from stagewalk.node.requests.tenancy import apply_parameters
-from stagewalk.node.requests.timers import Timer, TimerKind
+from stagewalk.node.requests.timers import RequestTimer, RequestTimerKind
 from stagewalk.node.routing.router import Router
 
-POOL_VIEW_SECONDS = 0.1
+POOL_REFRESH_INTERVAL_SECONDS = 0.1
 """Least time between two views of a pool: a fifth of the poll interval."""
 
 CLAIM_STATES = frozenset({RequestState.CLAIMING, RequestState.AWAITING_OWNER})
@@ -234,7 +234,9 @@
                 self._store.answer_again(key, outcome.result, request.stream)
             case Resubmission.ERROR:
                 detail = "it was sent before, and may not be sent again"
-                error = faults.outcome_unknown(Step.EXECUTION, str(self._identity.name), detail)
+                error = faults.outcome_unknown(
+                    ErrorStep.EXECUTION, str(self._identity.name), detail
+                )
                 self._reject(key, outcome.error or error)
             case Resubmission.RUN:
                 return False
@@ -268,7 +270,7 @@
             return
         self._store.add(record)
         self._runner.record_submission(key.tenant)
-        self._store.set_timer(record, TimerKind.DEADLINE, request.deadline)
+        self._store.set_timer(record, RequestTimerKind.DEADLINE, request.deadline)
         if request.repeatable:
             self._admit(record, now)
         else:
@@ -289,10 +291,10 @@
             refusal = replace(admission.error, ran=record.ran)
             self._store.fail(record, Cause.REFUSED, refusal, now)
             return
-        if admission.ok is Admission.WAITING:
+        if admission.ok is AdmissionDecision.WAITING:
             self._store.move(record, Cause.QUEUED)
             shed_at = self._admission.latest_start(record.request)
-            self._store.set_timer(record, TimerKind.SHED, shed_at)
+            self._store.set_timer(record, RequestTimerKind.SHED, shed_at)
             return
         self._store.move(record, Cause.ADMITTED)
         self._runner.dispatch(record, now)
@@ -306,21 +308,21 @@
             self._store.move(record, Cause.ADMITTED)
             self._runner.dispatch(record, now)
 
-    def _handle_timer(self, record: RequestRecord, timer: Timer, now: float) -> None:
+    def _handle_timer(self, record: RequestRecord, timer: RequestTimer, now: float) -> None:
         match timer.kind:
-            case TimerKind.DEADLINE:
+            case RequestTimerKind.DEADLINE:
                 self._handle_deadline(record, now)
-            case TimerKind.SHED:
+            case RequestTimerKind.SHED:
                 if record.state is RequestState.WAITING:
                     self._shed(record, now)
-            case TimerKind.ROUTE:
+            case RequestTimerKind.ROUTE:
                 if record.state is RequestState.ROUTING:
                     self._runner.dispatch(record, now)
-            case TimerKind.HEDGE:
+            case RequestTimerKind.HEDGE:
                 self._runner.handle_hedge_timer(record, timer, now)
-            case TimerKind.STALL:
+            case RequestTimerKind.STALL:
                 self._runner.handle_stall_timer(record, timer, now)
-            case TimerKind.FETCH:
+            case RequestTimerKind.FETCH:
                 if record.state is RequestState.AWAITING_OWNER:
                     detail = "the owner of the request did not say its answer"
                     self._gate.fail_unknown(record, Cause.ANSWER_UNKNOWN, detail, now)
@@ -329,7 +331,7 @@
         if record.state is RequestState.WAITING:
             self._shed(record, now)
             return
-        step = Step.CLAIM if record.state in CLAIM_STATES else Step.EXECUTION
+        step = ErrorStep.CLAIM if record.state in CLAIM_STATES else ErrorStep.EXECUTION
         self._gate.forget(record)
         self._runner.cancel_all(record, now)
         self._admission.withdraw(record.key)
@@ -348,12 +350,12 @@
             self._refresh_pool(model, now)
 
     def _refresh_pool(self, model: ModelName, now: float) -> None:
-        """Set admission's view of a pool, at most once in `POOL_VIEW_SECONDS`."""
-        if now - self._pool_views_at.get(model, -math.inf) < POOL_VIEW_SECONDS:
+        """Set admission's view of a pool, at most once in `POOL_REFRESH_INTERVAL_SECONDS`."""
+        if now - self._pool_views_at.get(model, -math.inf) < POOL_REFRESH_INTERVAL_SECONDS:
             return
         self._pool_views_at[model] = now
         view = self._router.pool_view(model, now)
-        self._admission.set_pool(model, PoolCapacity(view.slots, view.load))
+        self._admission.set_pool_capacity(model, PoolCapacity(view.slots, view.load))
 
     def _reject(self, key: RequestKey, error: StagewalkError) -> None:
         self._store.output(SubmissionRejected(key, error))
@@ -367,6 +369,6 @@
             kind, field, detail = ErrorKind.UNKNOWN_MODEL, "model", "not a model of the tenant"
         # A node that has just started knows no tenant: another may have run the request before.
         unproven = request.resent or not request.repeatable
-        ran = Ran.UNKNOWN if unproven else Ran.NO
+        ran = ExecutionStatus.UNKNOWN if unproven else ExecutionStatus.NO
         node = str(self._identity.name)
-        return StagewalkError(kind, Step.VALIDATION, node, detail, ran=ran, field=field)
+        return StagewalkError(kind, ErrorStep.VALIDATION, node, detail, ran=ran, field=field)
--- a/src/stagewalk/node/requests/faults.py
+++ b/src/stagewalk/node/requests/faults.py
@@ -5,34 +5,36 @@
 
 from __future__ import annotations
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import EngineName, NodeName
 from stagewalk.node.requests.record import RequestRecord
 
-STOPPING_RETRY_SECONDS = 0.0
+STOPPING_RETRY_AFTER_SECONDS = 0.0
 """Retry-After of a stopping node: another one takes the request at once."""
 
-BUSY_RETRY_SECONDS = 1.0
+BUSY_RETRY_AFTER_SECONDS = 1.0
 """Least Retry-After of a node or engine without room."""
 
 
-def deadline_passed(record: RequestRecord, node: NodeName, step: Step) -> StagewalkError:
+def deadline_passed(record: RequestRecord, node: NodeName, step: ErrorStep) -> StagewalkError:
     """Return the error of a request whose deadline passed."""
     return StagewalkError(
         ErrorKind.DEADLINE, step, str(node), "the deadline passed", ran=record.ran
     )
 
 
-def outcome_unknown(step: Step, peer: str, detail: str) -> StagewalkError:
+def outcome_unknown(step: ErrorStep, peer: str, detail: str) -> StagewalkError:
     """Return the error of a request that may have run and may not run again."""
-    return StagewalkError(ErrorKind.OUTCOME_UNKNOWN, step, peer, detail, ran=Ran.UNKNOWN)
+    return StagewalkError(
+        ErrorKind.OUTCOME_UNKNOWN, step, peer, detail, ran=ExecutionStatus.UNKNOWN
+    )
 
 
-def duplicate(node: NodeName, ran: Ran) -> StagewalkError:
+def duplicate(node: NodeName, ran: ExecutionStatus) -> StagewalkError:
     """Return the error of a submission whose id belongs to another request."""
     return StagewalkError(
         ErrorKind.DUPLICATE,
-        Step.VALIDATION,
+        ErrorStep.VALIDATION,
         str(node),
         "another request was sent under this id",
         ran=ran,
@@ -40,40 +42,42 @@
     )
 
 
-def stopping(node: NodeName, ran: Ran) -> StagewalkError:
+def stopping(node: NodeName, ran: ExecutionStatus) -> StagewalkError:
     """Return the error of a submission to a node that is about to stop."""
     return StagewalkError(
         ErrorKind.STOPPING,
-        Step.ADMISSION,
+        ErrorStep.ADMISSION,
         str(node),
         "the node is stopping; send the request to another",
         ran=ran,
-        retry_after_seconds=STOPPING_RETRY_SECONDS,
+        retry_after_seconds=STOPPING_RETRY_AFTER_SECONDS,
     )
 
 
-def too_many(node: NodeName, ran: Ran, detail: str) -> StagewalkError:
+def too_many(node: NodeName, ran: ExecutionStatus, detail: str) -> StagewalkError:
     """Return the error of a submission beyond what the node can hold."""
     return StagewalkError(
         ErrorKind.OVERLOADED,
-        Step.ADMISSION,
+        ErrorStep.ADMISSION,
         str(node),
         detail,
         ran=ran,
-        retry_after_seconds=BUSY_RETRY_SECONDS,
+        retry_after_seconds=BUSY_RETRY_AFTER_SECONDS,
     )
 
 
 def attempt_failed(record: RequestRecord, engine: EngineName, detail: str) -> StagewalkError:
     """Return the error of a request whose last attempt failed at an engine."""
     return StagewalkError(
-        ErrorKind.ENGINE_FAILED, Step.EXECUTION, str(engine), detail, ran=record.ran
+        ErrorKind.ENGINE_FAILED, ErrorStep.EXECUTION, str(engine), detail, ran=record.ran
     )
 
 
 def attempt_unsent(record: RequestRecord, engine: EngineName, detail: str) -> StagewalkError:
     """Return the error of a request whose last attempt did not reach an engine."""
-    return StagewalkError(ErrorKind.UNREACHABLE, Step.DISPATCH, str(engine), detail, ran=record.ran)
+    return StagewalkError(
+        ErrorKind.UNREACHABLE, ErrorStep.DISPATCH, str(engine), detail, ran=record.ran
+    )
 
 
 def attempt_refused(
@@ -82,21 +86,21 @@
     """Return the error of a request whose last attempt an engine refused."""
     return StagewalkError(
         ErrorKind.OVERLOADED,
-        Step.DISPATCH,
+        ErrorStep.DISPATCH,
         str(engine),
         detail,
         ran=record.ran,
-        retry_after_seconds=retry_after_seconds or BUSY_RETRY_SECONDS,
+        retry_after_seconds=retry_after_seconds or BUSY_RETRY_AFTER_SECONDS,
     )
 
 
-def shed(node: NodeName, ran: Ran, wait_seconds: float) -> StagewalkError:
+def shed(node: NodeName, ran: ExecutionStatus, wait_seconds: float) -> StagewalkError:
     """Return the error of a waiting request that can't be answered in time any more."""
     return StagewalkError(
         ErrorKind.OVERLOADED,
-        Step.ADMISSION,
+        ErrorStep.ADMISSION,
         str(node),
         "the deadline can't be met any more",
         ran=ran,
-        retry_after_seconds=max(BUSY_RETRY_SECONDS, wait_seconds),
+        retry_after_seconds=max(BUSY_RETRY_AFTER_SECONDS, wait_seconds),
     )
--- a/src/stagewalk/node/requests/record.py
+++ b/src/stagewalk/node/requests/record.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from stagewalk.common.errors import Ran, StagewalkError
+from stagewalk.common.errors import ExecutionStatus, StagewalkError
 from stagewalk.common.identities import Address, AttemptId, EngineName, NodeName, RequestKey
 from stagewalk.node.core.completions import CompletionRequest
 from stagewalk.node.requests.answer import AnswerAssembly, HeldAnswer
@@ -90,7 +90,7 @@
     characters: int = 0
 
     @property
-    def ran(self) -> Ran:
+    def ran(self) -> ExecutionStatus:
         """Return what may be said of the request: `no` only if it is proven.
 
         A request that is not repeatable may have been sent through another node before: only
@@ -98,8 +98,8 @@
         """
         proven = not self.request.resent if self.request.repeatable else self.claim_held
         if self.may_have_run or self.attempts or not proven:
-            return Ran.UNKNOWN
-        return Ran.NO
+            return ExecutionStatus.UNKNOWN
+        return ExecutionStatus.NO
 
 
 def fingerprint_of(request: CompletionRequest) -> str:
--- a/src/stagewalk/node/requests/retries.py
+++ b/src/stagewalk/node/requests/retries.py
@@ -19,7 +19,7 @@
         self._config = config
         self._tokens: dict[TenantName, float] = {}
 
-    def note_request(self, tenant: TenantName) -> None:
+    def record_request(self, tenant: TenantName) -> None:
         """Add what a new request earns."""
         capacity = self._config.budget_capacity
         tokens = self._tokens.get(tenant, capacity) + self._config.budget_per_request
--- a/src/stagewalk/node/requests/store.py
+++ b/src/stagewalk/node/requests/store.py
@@ -23,10 +23,10 @@
 from stagewalk.node.requests.record import RequestRecord
 from stagewalk.node.requests.retained import RetainedOutcome, RetainedOutcomes
 from stagewalk.node.requests.states import Cause, next_state
-from stagewalk.node.requests.timers import Timer, TimerKind
+from stagewalk.node.requests.timers import RequestTimer, RequestTimerKind
 
-SPARE_TIMERS = 1024
-TIMERS_PER_REQUEST = 8
+COMPACTION_SPARE_TIMERS = 1024
+COMPACTION_TIMERS_PER_REQUEST = 8
 """Timers kept without looking for those of ended requests."""
 
 
@@ -48,7 +48,7 @@
     def __init__(self, config: RequestConfig) -> None:
         self.records: dict[RequestKey, RequestRecord] = {}
         self.by_attempt: dict[AttemptId, RequestRecord] = {}
-        self._timers: DueQueue[Timer] = DueQueue()
+        self._timers: DueQueue[RequestTimer] = DueQueue()
         self.retained = RetainedOutcomes(config.memory)
         self.held_characters = 0
         self._outputs: list[RequestOutput] = []
@@ -127,12 +127,16 @@
         self._end(record, Cause.ABANDONED, now)
 
     def set_timer(
-        self, record: RequestRecord, kind: TimerKind, at: float, attempt: AttemptId | None = None
+        self,
+        record: RequestRecord,
+        kind: RequestTimerKind,
+        at: float,
+        attempt: AttemptId | None = None,
     ) -> None:
         """Set a timer of a record; it is never removed, and ignored once the record has ended."""
-        self._timers.add(at, Timer(at, kind, record.key, record.serial, attempt))
+        self._timers.add(at, RequestTimer(at, kind, record.key, record.serial, attempt))
 
-    def due_timers(self, now: float) -> Iterator[tuple[RequestRecord, Timer]]:
+    def due_timers(self, now: float) -> Iterator[tuple[RequestRecord, RequestTimer]]:
         """Yield the due timers of records in progress, each with its record as it is then."""
         for timer in self._timers.pop_due(now):
             record = self.records.get(timer.key)
@@ -141,10 +145,12 @@
 
     def compact_timers(self) -> None:
         """Drop timers of ended requests when they are most of the queue."""
-        if len(self._timers) > SPARE_TIMERS + TIMERS_PER_REQUEST * len(self.records):
+        if len(self._timers) > COMPACTION_SPARE_TIMERS + COMPACTION_TIMERS_PER_REQUEST * len(
+            self.records
+        ):
             self._timers.compact(self._is_live)
 
-    def _is_live(self, timer: Timer) -> bool:
+    def _is_live(self, timer: RequestTimer) -> bool:
         record = self.records.get(timer.key)
         return record is not None and record.serial == timer.serial
 
--- a/src/stagewalk/node/requests/submission_rules.py
+++ b/src/stagewalk/node/requests/submission_rules.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from stagewalk.common.errors import Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import NodeName
 from stagewalk.node.requests import faults
 from stagewalk.node.requests.config import MemoryConfig
@@ -55,7 +55,7 @@
     if load.stopping:
         return faults.stopping(node, record.ran)
     if now >= record.request.deadline:
-        return faults.deadline_passed(record, node, Step.VALIDATION)
+        return faults.deadline_passed(record, node, ErrorStep.VALIDATION)
     if load.requests >= memory.maximum_requests:
         return faults.too_many(node, record.ran, "too many requests are in progress")
     if load.held_characters >= memory.maximum_held_characters:
@@ -76,6 +76,6 @@
     return Resubmission.ERROR
 
 
-def ran_before(outcome: RetainedOutcome) -> Ran:
+def ran_before(outcome: RetainedOutcome) -> ExecutionStatus:
     """Return what may be said of an ended request to a submission of other content."""
-    return Ran.UNKNOWN if outcome.may_have_run else Ran.NO
+    return ExecutionStatus.UNKNOWN if outcome.may_have_run else ExecutionStatus.NO
--- a/src/stagewalk/node/requests/timers.py
+++ b/src/stagewalk/node/requests/timers.py
@@ -11,7 +11,7 @@
 from stagewalk.common.identities import AttemptId, RequestKey
 
 
-class TimerKind(IntEnum):
+class RequestTimerKind(IntEnum):
     """What is due."""
 
     DEADLINE = 0
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class RequestTimer:
     """Something due for a request.
 
     Attributes
@@ -35,7 +35,7 @@
     """
 
     at: float
-    kind: TimerKind
+    kind: RequestTimerKind
     key: RequestKey
     serial: int
     attempt: AttemptId | None = None
--- a/src/stagewalk/node/routing/choice.py
+++ b/src/stagewalk/node/routing/choice.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 
 from stagewalk.node.routing.engine_record import EngineRecord
-from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex
+from stagewalk.node.routing.prefix_index import PrefixBlockHashes, PrefixIndex
 from stagewalk.node.routing.scoring import CompletionTimeModel, RequestShape
 
 
@@ -46,7 +46,7 @@
         return min(drawn, key=lambda record: self._model.score(shape, record, now))
 
     def _draw(
-        self, blocks: PrefixBlocks, candidates: Sequence[EngineRecord]
+        self, blocks: PrefixBlockHashes, candidates: Sequence[EngineRecord]
     ) -> Sequence[EngineRecord]:
         if len(candidates) <= self._choices:
             return candidates
@@ -59,7 +59,7 @@
 
 
 def longest_match(
-    prefix_index: PrefixIndex, blocks: PrefixBlocks, candidates: Sequence[EngineRecord]
+    prefix_index: PrefixIndex, blocks: PrefixBlockHashes, candidates: Sequence[EngineRecord]
 ) -> EngineRecord | None:
     """Return the candidate with the longest cached prefix, the less loaded among equals.
 
--- a/src/stagewalk/node/routing/config.py
+++ b/src/stagewalk/node/routing/config.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-FRESHNESS_MARGIN = 0.75
+USABLE_POLL_FRACTION = 0.75
 """Part of the polls that evidence's lifetime allows for which engines are taken: one in four may be
 lost."""
 
@@ -83,7 +83,7 @@
     def sustainable_engines(self, engine_count: int) -> int:
         """Return how many engines the budget keeps fresh, one poll of each lost now and then."""
         budget = self.poll_budget(engine_count)
-        return max(1, int(budget * self.evidence_seconds * FRESHNESS_MARGIN))
+        return max(1, int(budget * self.evidence_seconds * USABLE_POLL_FRACTION))
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/node/routing/engine_record.py
+++ b/src/stagewalk/node/routing/engine_record.py
@@ -13,7 +13,7 @@
 from stagewalk.common.identities import AttemptId, EngineName, WeightVersion
 from stagewalk.node.core.platform import EngineReport, EngineState, Machine, MachineState
 
-MAXIMUM_REMEMBERED_ENDS = 256
+MAXIMUM_ENDED_ATTEMPTS = 256
 """Ended attempts kept until a report counts them out: bounds memory."""
 
 
@@ -119,7 +119,7 @@
         self.added_sequences -= 1
         self.added_tokens -= load.expected_tokens
         self.ended.append(EndedAttempt(now, load))
-        del self.ended[:-MAXIMUM_REMEMBERED_ENDS]
+        del self.ended[:-MAXIMUM_ENDED_ATTEMPTS]
 
     def apply_report(self, report: EngineReport, reported_at: float) -> None:
         """Replace the report by a newer one and count anew what it can't know."""
--- a/src/stagewalk/node/routing/engine_table.py
+++ b/src/stagewalk/node/routing/engine_table.py
@@ -91,11 +91,11 @@
         if record is not None:
             record.poll_sent_at = None
 
-    def note_demand(self, now: float) -> None:
+    def record_demand(self, now: float) -> None:
         """Record that a request needs an engine: an idle node begins to poll faster."""
-        self._polls.note_demand(now)
+        self._polls.record_demand(now)
 
-    def note_started(
+    def record_started(
         self, engine: EngineName, attempt: AttemptId, expected_tokens: float, now: float
     ) -> None:
         """Record that this node sent an attempt to an engine."""
@@ -105,20 +105,20 @@
         record.begin_attempt(attempt, AttemptLoad(now, expected_tokens))
         self._attempts[attempt] = engine
 
-    def note_progress(self, attempt: AttemptId) -> None:
+    def record_progress(self, attempt: AttemptId) -> None:
         """Record that an attempt's engine generates: it is not failing."""
         record = self._record_of(attempt)
         if record is not None:
             record.failures_in_row = 0
 
-    def note_ended(self, attempt: AttemptId, now: float) -> None:
+    def record_ended(self, attempt: AttemptId, now: float) -> None:
         """Record that an attempt ended, however it did."""
         record = self._record_of(attempt)
         self._attempts.pop(attempt, None)
         if record is not None:
             record.end_attempt(attempt, now)
 
-    def note_refused(
+    def record_refused(
         self, engine: EngineName, retry_after_seconds: float | None, now: float
     ) -> bool:
         """Record that an engine refused work; return whether it looked full."""
--- a/src/stagewalk/node/routing/outliers.py
+++ b/src/stagewalk/node/routing/outliers.py
@@ -11,13 +11,13 @@
 from stagewalk.node.routing.engine_record import EngineRecord
 
 
-def note_success(record: EngineRecord) -> None:
+def record_success(record: EngineRecord) -> None:
     """End an engine's row of failures."""
     record.failures_in_row = 0
     record.ejections_in_row = 0
 
 
-def note_failure(record: EngineRecord, config: OutlierConfig, now: float) -> None:
+def record_failure(record: EngineRecord, config: OutlierConfig, now: float) -> None:
     """Count a failure and eject the engine when there were enough in a row."""
     record.failures_in_row += 1
     if record.failures_in_row < config.failures_to_eject:
--- a/src/stagewalk/node/routing/polling.py
+++ b/src/stagewalk/node/routing/polling.py
@@ -30,7 +30,7 @@
         due = {name: at for at, name in self._queue}
         self._queue = sorted((due.get(name, now), name) for name in engines)
 
-    def note_demand(self, now: float) -> None:
+    def record_demand(self, now: float) -> None:
         """Record that a request needs an engine: an idle node begins to poll faster."""
         if self._is_idle(now):
             self._queue = [(min(at, now), name) for at, name in self._queue]
--- a/src/stagewalk/node/routing/prefix_index.py
+++ b/src/stagewalk/node/routing/prefix_index.py
@@ -15,10 +15,10 @@
 from stagewalk.node.routing.config import PrefixIndexConfig
 from stagewalk.node.routing.engine_record import EngineRecord
 
-PrefixBlocks = tuple[int, ...]
+PrefixBlockHashes = tuple[int, ...]
 
 
-def hash_blocks(prompt: str, config: PrefixIndexConfig) -> PrefixBlocks:
+def hash_blocks(prompt: str, config: PrefixIndexConfig) -> PrefixBlockHashes:
     """Return the chained hashes of a prompt's whole blocks, bounded in number."""
     size = config.block_characters
     octets = prompt[: size * config.maximum_blocks_per_prompt].encode()
@@ -41,7 +41,7 @@
         self._config = config
         self._tokens_per_block = config.block_characters / config.characters_per_token
 
-    def note_sent(self, record: EngineRecord, blocks: PrefixBlocks) -> None:
+    def record_sent(self, record: EngineRecord, blocks: PrefixBlockHashes) -> None:
         """Record that an engine was sent a prompt and caches its blocks now."""
         held = record.cached_blocks
         for block in reversed(blocks):
@@ -50,7 +50,7 @@
         while len(held) > self._config.maximum_blocks_per_engine:
             held.popitem(last=False)
 
-    def matched_tokens(self, record: EngineRecord, blocks: PrefixBlocks) -> float:
+    def matched_tokens(self, record: EngineRecord, blocks: PrefixBlockHashes) -> float:
         """Return the estimated number of prompt tokens an engine need not take in again."""
         held = record.cached_blocks
         if not blocks or blocks[0] not in held:
@@ -58,7 +58,7 @@
         return self._longest_held(held, blocks) * self._tokens_per_block
 
     @staticmethod
-    def _longest_held(held: OrderedDict[int, None], blocks: PrefixBlocks) -> int:
+    def _longest_held(held: OrderedDict[int, None], blocks: PrefixBlockHashes) -> int:
         """Return how many leading blocks are held, the first of which is.
 
         A prompt's later blocks are always less recently used than its earlier ones and go
--- a/src/stagewalk/node/routing/router.py
+++ b/src/stagewalk/node/routing/router.py
@@ -11,7 +11,7 @@
 
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import (
     Address,
     AttemptId,
@@ -25,11 +25,11 @@
 from stagewalk.node.routing.config import RouterConfig
 from stagewalk.node.routing.engine_record import EngineRecord
 from stagewalk.node.routing.engine_table import EngineTable, PoolView
-from stagewalk.node.routing.outliers import note_failure, note_success, without_outliers
-from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex, hash_blocks
+from stagewalk.node.routing.outliers import record_failure, record_success, without_outliers
+from stagewalk.node.routing.prefix_index import PrefixBlockHashes, PrefixIndex, hash_blocks
 from stagewalk.node.routing.scoring import CompletionTimeModel, expected_tokens, shape_of
 
-NO_ENGINE_RETRY_SECONDS = 1.0
+NO_ENGINE_RETRY_AFTER_SECONDS = 1.0
 """Retry-After when no engine may take a request: two polls of each engine."""
 
 
@@ -83,13 +83,13 @@
         model = CompletionTimeModel(identity.placement, config, self._prefix_index)
         self._chooser = EngineChooser(config.choices, model, self._prefix_index, generator)
         self._last_prompt = ""
-        self._last_blocks: PrefixBlocks = ()
+        self._last_blocks: PrefixBlockHashes = ()
 
     def choose(
         self, request: CompletionRequest, excluded: frozenset[EngineName], now: float
     ) -> Result[EngineChoice, StagewalkError]:
         """Return the engine for an attempt; the error is `NO_ENGINE`, never sent (`ran: no`)."""
-        self._table.note_demand(now)
+        self._table.record_demand(now)
         serving = self._table.eligible(request.model, now)
         suitable = self._suitable(request, serving, excluded)
         if not suitable:
@@ -106,32 +106,32 @@
         """Return this node's view of the engines that serve a model."""
         return self._table.pool_view(model, now)
 
-    def note_started(
+    def record_started(
         self, engine: EngineName, attempt: AttemptId, request: CompletionRequest, now: float
     ) -> None:
         """Record that an attempt was sent."""
         tokens = expected_tokens(request, self._config.score)
-        self._table.note_started(engine, attempt, tokens, now)
+        self._table.record_started(engine, attempt, tokens, now)
         record = self._table.record(engine)
         if record is not None:
-            self._prefix_index.note_sent(record, self._blocks_of(request.prompt))
+            self._prefix_index.record_sent(record, self._blocks_of(request.prompt))
 
-    def note_progress(self, attempt: AttemptId) -> None:
+    def record_progress(self, attempt: AttemptId) -> None:
         """Record that an attempt's engine generates."""
-        self._table.note_progress(attempt)
+        self._table.record_progress(attempt)
 
-    def note_finished(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
+    def record_finished(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
         """Record that an attempt ended whole."""
         record = self._table.record(engine)
-        self._table.note_ended(attempt, now)
+        self._table.record_ended(attempt, now)
         if record is not None:
-            note_success(record)
+            record_success(record)
 
-    def note_cancelled(self, attempt: AttemptId, now: float) -> None:
+    def record_cancelled(self, attempt: AttemptId, now: float) -> None:
         """Record that this node cancelled an attempt: no fault of the engine."""
-        self._table.note_ended(attempt, now)
+        self._table.record_ended(attempt, now)
 
-    def note_refused(
+    def record_refused(
         self,
         engine: EngineName,
         attempt: AttemptId,
@@ -139,17 +139,17 @@
         now: float,
     ) -> bool:
         """Record that an engine refused an attempt; return whether it looked full."""
-        self._table.note_ended(attempt, now)
-        return self._table.note_refused(engine, retry_after_seconds, now)
+        self._table.record_ended(attempt, now)
+        return self._table.record_refused(engine, retry_after_seconds, now)
 
-    def note_failed(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
+    def record_failed(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
         """Record that an attempt failed at an engine or on the way to it."""
         record = self._table.record(engine)
-        self._table.note_ended(attempt, now)
+        self._table.record_ended(attempt, now)
         if record is not None:
-            note_failure(record, self._config.outlier, now)
+            record_failure(record, self._config.outlier, now)
 
-    def _blocks_of(self, prompt: str) -> PrefixBlocks:
+    def _blocks_of(self, prompt: str) -> PrefixBlockHashes:
         """Return a prompt's blocks; a request's choice and its start hash them only once."""
         if prompt is not self._last_prompt:
             self._last_prompt = prompt
@@ -175,12 +175,12 @@
     def _no_engine(self, request: CompletionRequest, serving: int, excluded: int) -> StagewalkError:
         return StagewalkError(
             kind=ErrorKind.NO_ENGINE,
-            step=Step.ROUTING,
+            step=ErrorStep.ROUTING,
             peer=str(request.model),
             detail=(
                 f"no engine may take the request: {serving} serve the model, {excluded} were "
                 f"tried, versions allowed: {request.minimum_version} to {request.maximum_version}"
             ),
-            ran=Ran.NO,
-            retry_after_seconds=NO_ENGINE_RETRY_SECONDS,
+            ran=ExecutionStatus.NO,
+            retry_after_seconds=NO_ENGINE_RETRY_AFTER_SECONDS,
         )
