--- a/src/stagewalk/node/routing/scoring.py
+++ b/src/stagewalk/node/routing/scoring.py
@@ -14,7 +14,7 @@
 from stagewalk.node.core.completions import CompletionRequest
 from stagewalk.node.routing.config import RouterConfig, ScoreConfig
 from stagewalk.node.routing.engine_record import EngineRecord
-from stagewalk.node.routing.prefix_index import PrefixBlocks, PrefixIndex
+from stagewalk.node.routing.prefix_index import PrefixBlockHashes, PrefixIndex
 
 KV_PRESSURE_FACTOR = 10.0
 """How much slower decode counts per unit of KV memory in use above the threshold: a full memory
@@ -37,7 +37,7 @@
 
     prompt_tokens: float
     answer_tokens: float
-    blocks: PrefixBlocks
+    blocks: PrefixBlockHashes
 
 
 def expected_tokens(request: CompletionRequest, config: ScoreConfig) -> float:
@@ -47,7 +47,7 @@
 
 
 def shape_of(
-    request: CompletionRequest, blocks: PrefixBlocks, config: RouterConfig
+    request: CompletionRequest, blocks: PrefixBlockHashes, config: RouterConfig
 ) -> RequestShape:
     """Return the shape of a request whose blocks are known."""
     tokens = float(request.prompt_token_count)
--- a/src/stagewalk/node/routing/subsets.py
+++ b/src/stagewalk/node/routing/subsets.py
@@ -16,7 +16,7 @@
 from stagewalk.node.core.platform import Machine
 from stagewalk.node.routing.config import EngineTableConfig
 
-HASH_SPAN = float(1 << 64)
+HASH_VALUE_COUNT = float(1 << 64)
 """Number of values of the 64-bit hash."""
 
 
@@ -27,7 +27,7 @@
     and a change of one engine moves only the nodes that had or will have it.
     """
     digest = xxhash.xxh64_intdigest(f"{node}\x00{engine}".encode())
-    uniform = (digest + 0.5) / HASH_SPAN
+    uniform = (digest + 0.5) / HASH_VALUE_COUNT
     return -weight / math.log(uniform)
 
 
--- a/src/stagewalk/node/samples/core.py
+++ b/src/stagewalk/node/samples/core.py
@@ -33,7 +33,7 @@
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.settlement import LotOutput, SampleSettlement
 from stagewalk.node.samples.store import LotStore
-from stagewalk.node.samples.timers import Timer
+from stagewalk.node.samples.timers import SlotTimer
 from stagewalk.node.samples.validation import check_lot, check_pull, invalid, unknown_lot
 
 _HOUSEKEEPING_SECONDS = 1.0
@@ -57,7 +57,7 @@
         self._node = identity.name
         self._config = config
         self._store = LotStore()
-        self._timers: DueQueue[Timer] = DueQueue()
+        self._timers: DueQueue[SlotTimer] = DueQueue()
         self._scheduler = RolloutScheduler(self._store, config, identity.name, identity.incarnation)
         self._settlement = SampleSettlement(
             self._store, self._scheduler, self._timers, config, generator
@@ -85,7 +85,7 @@
         elif known.digest != lot_digest(lot):
             detail = f"step {lot.step} was submitted with other contents before"
             return [FailCall(call, invalid(self._node, "step", detail))]
-        self._store.note_trainer(known, lot.trainer_version, pulling=False)
+        self._store.record_trainer(known, lot.trainer_version, pulling=False)
         self._touch(known, now)
         output: list[LotOutput] = [AcceptLot(call, lot)]
         output += self._maintenance.forget_superseded(key)
@@ -108,7 +108,7 @@
             return [FailCall(call, invalid(self._node, "cursor", decoded.error.detail))]
         moved_here = not lot.pulled and decoded.ok != 0
         lot.pulled = True
-        self._store.note_trainer(lot, pull.trainer_version, pulling=True)
+        self._store.record_trainer(lot, pull.trainer_version, pulling=True)
         self._touch(lot, now)
         output = self._delivery.pull(lot, OpenPull(call, pull, decoded.ok), now)
         if moved_here:
@@ -158,7 +158,7 @@
         lot = None if place is None else self._store.lots.get(place.lot)
         return output + self._advance(lot, now)
 
-    def versions_known(
+    def record_published_version(
         self, model: ModelName, newest: WeightVersion, now: float
     ) -> list[LotOutput]:
         """Record that the weight store's list, read by this node, ends with a version.
@@ -169,7 +169,9 @@
         self._store.versions.read_as_newest(model, newest, at)
         return self._advance_model(model, now)
 
-    def version_seen(self, model: ModelName, version: WeightVersion, now: float) -> list[LotOutput]:
+    def record_served_version(
+        self, model: ModelName, version: WeightVersion, now: float
+    ) -> list[LotOutput]:
         """Record an engine's report that it runs a version."""
         self._store.served.reported(model, version, now)
         known = self._store.versions.newest(model)
--- a/src/stagewalk/node/samples/cursor.py
+++ b/src/stagewalk/node/samples/cursor.py
@@ -17,7 +17,7 @@
 import xxhash
 from expression import Error, Ok, Result
 
-FORMAT_VERSION = 1
+CURSOR_FORMAT_VERSION = 1
 """Raised when the encoding changes; a cursor of another format is refused."""
 
 MAXIMUM_CURSOR_CHARACTERS = 65536
@@ -60,8 +60,8 @@
         Bit i is set if the slot at position i of the lot's order is delivered.
     """
     compressed = zlib.compress(_bitmap_bytes(slot_count, delivered), 6)
-    checksum = _checksum(FORMAT_VERSION, lot_digest, slot_count, compressed)
-    encoded = _EncodedCursor(FORMAT_VERSION, lot_digest, slot_count, compressed, checksum)
+    checksum = _checksum(CURSOR_FORMAT_VERSION, lot_digest, slot_count, compressed)
+    encoded = _EncodedCursor(CURSOR_FORMAT_VERSION, lot_digest, slot_count, compressed, checksum)
     octets = msgspec.msgpack.encode(encoded)
     return base64.urlsafe_b64encode(octets).rstrip(b"=").decode("ascii")
 
@@ -91,7 +91,7 @@
     )
     if encoded.checksum != expected:
         return Error(CursorFault("the cursor is damaged"))
-    if encoded.format_version != FORMAT_VERSION:
+    if encoded.format_version != CURSOR_FORMAT_VERSION:
         return Error(CursorFault(f"the cursor has the unknown format {encoded.format_version}"))
     if encoded.lot_digest != lot_digest or encoded.slot_count != slot_count:
         return Error(CursorFault("the cursor belongs to another tenant, trainer, step or lot"))
--- a/src/stagewalk/node/samples/delivery.py
+++ b/src/stagewalk/node/samples/delivery.py
@@ -11,13 +11,13 @@
 
 from stagewalk.common.identities import CallId
 from stagewalk.node.core.instructions import DeliverSamples
-from stagewalk.node.core.rollouts import Sample, SampleBatch, SamplePull
+from stagewalk.node.core.rollouts import Sample, SamplePage, SamplePull
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.cursor import encode_cursor
 from stagewalk.node.samples.lots import Lot, LotKey, SlotPhase
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.settlement import LotOutput, SampleSettlement
-from stagewalk.node.samples.staleness import Freshness, judge_freshness
+from stagewalk.node.samples.staleness import SampleFreshness, judge_freshness
 from stagewalk.node.samples.store import LotStore
 
 _SAMPLE_OVERHEAD_BYTES = 400
@@ -132,10 +132,10 @@
             if sample is None:
                 continue
             match self._judge(lot, sample, opened.pull, now):
-                case Freshness.FRESH:
+                case SampleFreshness.FRESH:
                     samples.append(sample)
                     handed |= 1 << index
-                case Freshness.STALE:
+                case SampleFreshness.STALE:
                     output += self._settlement.run_again(lot, index, "too stale at hand-over")
         complete = handed == lot.all_slots
         if not samples and not complete and now < opened.pull.wait_until:
@@ -145,7 +145,7 @@
             lot.completed_at = now
         cursor = encode_cursor(lot.digest, len(lot.slots), handed)
         remaining = (lot.all_slots & ~handed).bit_count()
-        batch = SampleBatch(tuple(samples), cursor, complete, remaining)
+        batch = SamplePage(tuple(samples), cursor, complete, remaining)
         output.append(DeliverSamples(opened.call, batch))
         return output
 
@@ -153,10 +153,10 @@
         ready = sorted(lot.indices[SlotPhase.READY])
         return [index for index in ready if not delivered >> index & 1]
 
-    def _judge(self, lot: Lot, sample: Sample, pull: SamplePull, now: float) -> Freshness:
+    def _judge(self, lot: Lot, sample: Sample, pull: SamplePull, now: float) -> SampleFreshness:
         parameters = self._store.parameters(lot.key.tenant)
         if parameters is None:
-            return Freshness.UNCERTAIN
+            return SampleFreshness.UNCERTAIN
         return judge_freshness(
             parameters,
             self._store.versions,
@@ -207,7 +207,7 @@
     def _empty_answer(self, lot: Lot, opened: OpenPull) -> DeliverSamples:
         cursor = encode_cursor(lot.digest, len(lot.slots), opened.delivered)
         missing = (lot.all_slots & ~opened.delivered).bit_count()
-        return DeliverSamples(opened.call, SampleBatch((), cursor, missing == 0, missing))
+        return DeliverSamples(opened.call, SamplePage((), cursor, missing == 0, missing))
 
 
 def _set_bits(bitmap: int) -> list[int]:
--- a/src/stagewalk/node/samples/housekeeping.py
+++ b/src/stagewalk/node/samples/housekeeping.py
@@ -11,11 +11,11 @@
 from stagewalk.common.identities import ModelName
 from stagewalk.node.claims.notifications import ReadClaim
 from stagewalk.node.configuration.parameters import Tenant
-from stagewalk.node.core.instructions import LogEvent, LogFields, ReadVersions
+from stagewalk.node.core.instructions import LogLineFields, ReadVersions, WriteLogLine
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.delivery import Delivery
 from stagewalk.node.samples.lots import Lot, LotKey, SlotPhase
-from stagewalk.node.samples.sample_codec import claim_key
+from stagewalk.node.samples.sample_codec import sample_claim_key
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.settlement import LotOutput
 from stagewalk.node.samples.store import LotStore, SlotPlace
@@ -143,13 +143,13 @@
             output += self._scheduler.cancel(lot.slots[index])
             lot.move(index, SlotPhase.WAITING)
             self._scheduler.enqueue(lot, index)
-        fields: LogFields = {
+        fields: LogLineFields = {
             "tenant": lot.key.tenant,
             "trainer": lot.key.trainer,
             "step": lot.key.step,
             "silent_seconds": round(now - lot.active_at, 1),
         }
-        return [*output, LogEvent("lot_paused", fields)]
+        return [*output, WriteLogLine("lot_paused", fields)]
 
     def _read_claims(self, lot: Lot, now: float) -> list[LotOutput]:
         unfinished = [index for phase in _UNFINISHED for index in sorted(lot.indices[phase])]
@@ -161,6 +161,6 @@
 
     def _read_claim(self, lot: Lot, index: int) -> ReadClaim:
         slot = lot.slots[index]
-        key = claim_key(slot.key, slot.generation, lot.digest)
+        key = sample_claim_key(slot.key, slot.generation, lot.digest)
         self._store.claims[key] = SlotPlace(lot.key, index)
         return ReadClaim(key)
--- a/src/stagewalk/node/samples/lots.py
+++ b/src/stagewalk/node/samples/lots.py
@@ -17,7 +17,7 @@
 
 from stagewalk.common.identities import (
     RequestId,
-    SlotKey,
+    SampleSlotKey,
     TenantName,
 )
 from stagewalk.node.core.completions import CompletionResult
@@ -73,7 +73,7 @@
         Grows with each change of phase; a timer set before it is out of date.
     """
 
-    key: SlotKey
+    key: SampleSlotKey
     prompt: RolloutPrompt
     phase: SlotPhase = SlotPhase.WAITING
     generation: int = 0
@@ -204,7 +204,7 @@
 def make_lot(lot: RolloutLot, window: int, now: float) -> Lot:
     """Return a lot with all its slots waiting, in the order its cursors count them."""
     slots = [
-        Slot(SlotKey(lot.tenant, lot.trainer, lot.step, prompt.prompt_id, index), prompt)
+        Slot(SampleSlotKey(lot.tenant, lot.trainer, lot.step, prompt.prompt_id, index), prompt)
         for prompt in lot.prompts
         for index in range(lot.samples_per_prompt)
     ]
--- a/src/stagewalk/node/samples/sample_codec.py
+++ b/src/stagewalk/node/samples/sample_codec.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from stagewalk.common.identities import SlotKey, WeightVersion
+from stagewalk.common.identities import SampleSlotKey, WeightVersion
 from stagewalk.node.core.completions import VersionSpan
 from stagewalk.node.core.rollouts import Sample
 
-CLAIM_KEY_PREFIX = "slot/"
+SAMPLE_CLAIM_KEY_PREFIX = "slot/"
 """Begins the keys of all claims that decide slots."""
 
 _MINIMUM_COMPRESSED_BYTES = 256
@@ -31,13 +31,13 @@
 _DECODER = msgspec.msgpack.Decoder(_EncodedSample)
 
 
-def claim_key(slot: SlotKey, generation: int, lot_digest: int) -> str:
+def sample_claim_key(slot: SampleSlotKey, generation: int, lot_digest: int) -> str:
     """Return the key of the claim that decides a slot's sample.
 
     A generation whose chosen sample grew too stale is dead; the next one has a key of its own.
     So has a step that was submitted elsewhere with other prompts: its samples are not this one's.
     """
-    return f"{CLAIM_KEY_PREFIX}{slot}/{generation}/{lot_digest:016x}"
+    return f"{SAMPLE_CLAIM_KEY_PREFIX}{slot}/{generation}/{lot_digest:016x}"
 
 
 def encode_sample(sample: Sample) -> bytes:
@@ -56,7 +56,7 @@
     )
 
 
-def decode_sample(slot: SlotKey, value: bytes, now: float) -> Sample | None:
+def decode_sample(slot: SampleSlotKey, value: bytes, now: float) -> Sample | None:
     """Return the sample in a claim's value, or None if it is not one.
 
     `now` becomes its `finished_at`: clocks of other nodes mean nothing here.
--- a/src/stagewalk/node/samples/scheduler.py
+++ b/src/stagewalk/node/samples/scheduler.py
@@ -12,7 +12,7 @@
 
 from stagewalk.common.identities import Incarnation, NodeName, RequestId, WeightVersion
 from stagewalk.node.core.completions import CompletionRequest, Priority
-from stagewalk.node.core.rollouts import RolloutPrompt, slot_seed
+from stagewalk.node.core.rollouts import RolloutPrompt, sample_seed
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.lengths import LengthPredictor
 from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
@@ -26,7 +26,7 @@
 _STRAGGLER_PERCENTILE = 0.9
 """Of a lot's durations: the usual longest, which `straggler_factor` multiplies."""
 
-MINIMUM_WINDOW = 4
+MINIMUM_WINDOW_ROLLOUTS = 4
 """Rollouts of a lot that may run at once even if they are refused: they notice free room."""
 
 _WINDOW_DECREASE = 0.8
@@ -130,7 +130,7 @@
         if now - lot.window_shrunk_at < _WINDOW_DECREASE_SECONDS:
             return
         lot.window_shrunk_at = now
-        lot.window = max(float(MINIMUM_WINDOW), lot.window * _WINDOW_DECREASE)
+        lot.window = max(float(MINIMUM_WINDOW_ROLLOUTS), lot.window * _WINDOW_DECREASE)
 
     def _predicted_tokens(self, lot: Lot, prompt: RolloutPrompt) -> float:
         return self.lengths.predict(lot.key.tenant, prompt)
@@ -221,7 +221,7 @@
                 repeatable=True,
                 deadline=max(lot.lot.deadline, now + self._config.request_deadline_seconds),
                 priority=Priority.ROLLOUT,
-                seed=slot_seed(slot.key),
+                seed=sample_seed(slot.key),
                 prompt_token_count=slot.prompt.prompt_token_count,
                 minimum_version=minimum,
                 maximum_version=None if parameters is None else parameters.maximum_version,
--- a/src/stagewalk/node/samples/served_versions.py
+++ b/src/stagewalk/node/samples/served_versions.py
@@ -9,10 +9,10 @@
 
 from stagewalk.common.identities import ModelName, WeightVersion
 
-WINDOW_SECONDS = 1.5
+MAXIMUM_REPORT_AGE_SECONDS = 1.5
 """Age up to which reports count: each engine is polled at least once in this time."""
 
-MAXIMUM_REPORTS = 512
+MAXIMUM_REPORTS_PER_MODEL = 512
 """Reports of one model that are kept; the oldest go first."""
 
 
@@ -29,15 +29,15 @@
 
     def reported(self, model: ModelName, version: WeightVersion, now: float) -> None:
         """Record the version that an engine reports to run."""
-        reports = self._reports.setdefault(model, deque(maxlen=MAXIMUM_REPORTS))
+        reports = self._reports.setdefault(model, deque(maxlen=MAXIMUM_REPORTS_PER_MODEL))
         reports.append((now, version))
-        while reports[0][0] < now - WINDOW_SECONDS:
+        while reports[0][0] < now - MAXIMUM_REPORT_AGE_SECONDS:
             reports.popleft()
 
     def share_at_least(self, model: ModelName, minimum: WeightVersion, now: float) -> float:
         """Return the share of reports that name `minimum` or newer; 1 if there are no reports."""
         reports = self._reports.get(model, ())
-        recent = [version for at, version in reports if at >= now - WINDOW_SECONDS]
+        recent = [version for at, version in reports if at >= now - MAXIMUM_REPORT_AGE_SECONDS]
         if not recent:
             return 1.0
         return sum(1 for version in recent if version >= minimum) / len(recent)
--- a/src/stagewalk/node/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -10,21 +10,21 @@
 import random
 
 from stagewalk.common.errors import ErrorKind, StagewalkError
-from stagewalk.common.identities import RequestId, SlotKey
+from stagewalk.common.identities import RequestId, SampleSlotKey
 from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.backoff import retry_delay
 from stagewalk.node.core.completions import CompletionResult
 from stagewalk.node.core.due_queue import DueQueue
-from stagewalk.node.core.instructions import Instruction, LogEvent, LogFields, ScoreSample
+from stagewalk.node.core.instructions import Instruction, LogLineFields, ScoreSample, WriteLogLine
 from stagewalk.node.core.rollouts import Sample
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
 from stagewalk.node.samples.notifications import LotNotification
-from stagewalk.node.samples.sample_codec import claim_key, decode_sample, encode_sample
+from stagewalk.node.samples.sample_codec import decode_sample, encode_sample, sample_claim_key
 from stagewalk.node.samples.scheduler import RolloutScheduler
-from stagewalk.node.samples.staleness import Freshness, judge_freshness
+from stagewalk.node.samples.staleness import SampleFreshness, judge_freshness
 from stagewalk.node.samples.store import LotStore, SlotPlace
-from stagewalk.node.samples.timers import Timer, TimerKind
+from stagewalk.node.samples.timers import SlotTimer, SlotTimerKind
 
 _UNFINISHED = frozenset({SlotPhase.WAITING, SlotPhase.RUNNING})
 
@@ -45,7 +45,7 @@
         self,
         store: LotStore,
         scheduler: RolloutScheduler,
-        timers: DueQueue[Timer],
+        timers: DueQueue[SlotTimer],
         config: LotConfig,
         generator: random.Random,
     ) -> None:
@@ -100,7 +100,7 @@
             limit = self._config.no_room_retry_seconds
         delay = self._retry_delay(failures)
         delay = min(limit, max(delay, error.retry_after_seconds or 0.0))
-        self._set_timer(now + delay, TimerKind.RUN, lot, place.index)
+        self._set_timer(now + delay, SlotTimerKind.RUN, lot, place.index)
         return self._log_if_stuck(lot, slot, error, now)
 
     def scored(self, sample_id: str, score: float, now: float) -> list[LotOutput]:
@@ -125,7 +125,7 @@
             self._stop_waiting_for_claim(lot, index)
             return []
         wait_until = now + self._config.claim_wait_seconds
-        self._set_timer(wait_until, TimerKind.CLAIM_WAIT, lot, index)
+        self._set_timer(wait_until, SlotTimerKind.CLAIM_WAIT, lot, index)
         return [self._propose(lot, index, slot.sample)]
 
     def scoring_failed(self, sample_id: str, error: StagewalkError, now: float) -> list[LotOutput]:
@@ -139,7 +139,7 @@
             return []
         slot.failures += 1
         delay = self._retry_delay(slot.failures)
-        self._set_timer(now + delay, TimerKind.SCORE, lot, place.index)
+        self._set_timer(now + delay, SlotTimerKind.SCORE, lot, place.index)
         return self._log_if_stuck(lot, slot, error, now)
 
     def claim_decided(self, key: str, value: bytes, now: float) -> list[LotOutput]:
@@ -151,7 +151,7 @@
         slot = lot.slots[place.index]
         chosen = decode_sample(slot.key, value, now)
         if chosen is None:
-            return [LogEvent("claim_value_damaged", {"key": key})]
+            return [WriteLogLine("claim_value_damaged", {"key": key})]
         slot.sample = chosen
         slot.decided = True
         if slot.phase in _UNFINISHED:
@@ -174,25 +174,25 @@
             return []
         slot.failures += 1
         delay = self._retry_delay(slot.failures)
-        self._set_timer(now + delay, TimerKind.CLAIM, lot, place.index)
+        self._set_timer(now + delay, SlotTimerKind.CLAIM, lot, place.index)
         return []
 
-    def timer_due(self, kind: TimerKind, lot: Lot, index: int) -> list[LotOutput]:
+    def timer_due(self, kind: SlotTimerKind, lot: Lot, index: int) -> list[LotOutput]:
         """Handle a due timer of a slot."""
         slot = lot.slots[index]
         match kind:
-            case TimerKind.RUN:
+            case SlotTimerKind.RUN:
                 self._scheduler.enqueue(lot, index)
                 return []
-            case TimerKind.SCORE:
+            case SlotTimerKind.SCORE:
                 if slot.candidate_id is None or slot.candidate is None:
                     return []
                 return [_score(slot, slot.candidate_id, slot.candidate)]
-            case TimerKind.CLAIM:
+            case SlotTimerKind.CLAIM:
                 if slot.sample is None or slot.decided:
                     return []
                 return [self._propose(lot, index, slot.sample)]
-            case TimerKind.CLAIM_WAIT:
+            case SlotTimerKind.CLAIM_WAIT:
                 self._stop_waiting_for_claim(lot, index)
                 return []
 
@@ -203,19 +203,19 @@
         """
         slot = lot.slots[index]
         if slot.sample is not None:
-            self._store.claims.pop(claim_key(slot.key, slot.generation, lot.digest), None)
+            self._store.claims.pop(sample_claim_key(slot.key, slot.generation, lot.digest), None)
             slot.generation += 1
             slot.sample = None
             slot.decided = False
         lot.move(index, SlotPhase.WAITING)
         self._scheduler.enqueue(lot, index)
-        fields: LogFields = {
+        fields: LogLineFields = {
             "slot": str(slot.key),
             "generation": slot.generation,
             "reason": reason,
             "trainer_version": self._store.trainer_version(lot.key),
         }
-        return [LogEvent("slot_run_again", fields)]
+        return [WriteLogLine("slot_run_again", fields)]
 
     def _answer_fault(self, lot: Lot, result: CompletionResult, now: float) -> str | None:
         """Return why an answer can't become a sample; None if it can."""
@@ -234,7 +234,7 @@
             trainer_version=self._store.trainer_version(lot.key),
             at=now + self._config.hand_over_margin_seconds,
         )
-        return "too stale when it finished" if verdict is Freshness.STALE else None
+        return "too stale when it finished" if verdict is SampleFreshness.STALE else None
 
     def _stop_waiting_for_claim(self, lot: Lot, index: int) -> None:
         """Make a sample ready without a decided claim.
@@ -248,12 +248,12 @@
 
     def _propose(self, lot: Lot, index: int, sample: Sample) -> ProposeClaim:
         slot = lot.slots[index]
-        key = claim_key(slot.key, slot.generation, lot.digest)
+        key = sample_claim_key(slot.key, slot.generation, lot.digest)
         self._store.claims[key] = SlotPlace(lot.key, index)
         return ProposeClaim(key, encode_sample(sample))
 
-    def _set_timer(self, due: float, kind: TimerKind, lot: Lot, index: int) -> None:
-        self._timers.add(due, Timer(kind, lot.key, index, lot.slots[index].change))
+    def _set_timer(self, due: float, kind: SlotTimerKind, lot: Lot, index: int) -> None:
+        self._timers.add(due, SlotTimer(kind, lot.key, index, lot.slots[index].change))
 
     def _retry_delay(self, failures: int) -> float:
         base, limit = self._config.retry_base_seconds, self._config.retry_limit_seconds
@@ -275,8 +275,8 @@
     return ScoreSample(request_id, slot.key.tenant, slot.prompt.prompt, result.text)
 
 
-def _stuck_event(slot: SlotKey, failures: int, error: StagewalkError) -> LogEvent:
-    fields: LogFields = {
+def _stuck_event(slot: SampleSlotKey, failures: int, error: StagewalkError) -> WriteLogLine:
+    fields: LogLineFields = {
         "slot": str(slot),
         "failures": failures,
         "kind": error.kind,
@@ -284,4 +284,4 @@
         "peer": error.peer,
         "detail": error.detail,
     }
-    return LogEvent("slot_stuck", fields)
+    return WriteLogLine("slot_stuck", fields)
--- a/src/stagewalk/node/samples/staleness.py
+++ b/src/stagewalk/node/samples/staleness.py
@@ -80,7 +80,7 @@
         return min(fresh, default=versions.newest)
 
 
-class Freshness(Enum):
+class SampleFreshness(Enum):
     """Whether a sample may be delivered."""
 
     FRESH = "fresh"
@@ -99,15 +99,17 @@
     *,
     trainer_version: WeightVersion,
     at: float,
-) -> Freshness:
+) -> SampleFreshness:
     """Judge a sample by the oldest version among its spans, for an arrival at time `at`."""
     if trainer_version - oldest > parameters.staleness_bound_versions:
-        return Freshness.STALE
+        return SampleFreshness.STALE
     bound = parameters.staleness_bound_seconds
     if bound is None or versions.age_bound(model, oldest, at) <= bound:
-        return Freshness.FRESH
+        return SampleFreshness.FRESH
     newest = versions.newest(model)
-    return Freshness.UNCERTAIN if newest is None or oldest >= newest else Freshness.STALE
+    return (
+        SampleFreshness.UNCERTAIN if newest is None or oldest >= newest else SampleFreshness.STALE
+    )
 
 
 def version_slack(parameters: TenantParameters) -> int:
--- a/src/stagewalk/node/samples/store.py
+++ b/src/stagewalk/node/samples/store.py
@@ -76,7 +76,7 @@
         trainer = self._trainers.get((key.tenant, key.trainer))
         return WeightVersion(0) if trainer is None else trainer.version
 
-    def note_trainer(self, lot: Lot, version: WeightVersion, *, pulling: bool) -> None:
+    def record_trainer(self, lot: Lot, version: WeightVersion, *, pulling: bool) -> None:
         """Record the version a trainer's call names; an older one, come late, changes nothing."""
         key = lot.key
         trainer = self._trainers.setdefault((key.tenant, key.trainer), TrainerView(version))
--- a/src/stagewalk/node/samples/timers.py
+++ b/src/stagewalk/node/samples/timers.py
@@ -8,7 +8,7 @@
 from stagewalk.node.samples.lots import LotKey
 
 
-class TimerKind(IntEnum):
+class SlotTimerKind(IntEnum):
     """What is due for a slot."""
 
     RUN = 0
@@ -22,10 +22,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class SlotTimer:
     """Something due for a slot; out of date if the slot has moved on since `change`."""
 
-    kind: TimerKind
+    kind: SlotTimerKind
     lot: LotKey
     index: int
     change: int
--- a/src/stagewalk/node/samples/validation.py
+++ b/src/stagewalk/node/samples/validation.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
 from stagewalk.common.identities import NodeName, TenantName
 from stagewalk.node.configuration.parameters import Tenant
 from stagewalk.node.core.rollouts import RolloutLot, SamplePull
@@ -13,13 +13,17 @@
 
 def invalid(node: NodeName, field: str, detail: str) -> StagewalkError:
     """Return the error for an input field at fault."""
-    return StagewalkError(ErrorKind.INVALID_REQUEST, Step.VALIDATION, node, detail, field=field)
+    return StagewalkError(
+        ErrorKind.INVALID_REQUEST, ErrorStep.VALIDATION, node, detail, field=field
+    )
 
 
 def unknown_tenant(node: NodeName, tenant: TenantName) -> StagewalkError:
     """Return the error for a tenant that does not exist."""
     detail = f"there is no tenant {tenant!r}"
-    return StagewalkError(ErrorKind.UNKNOWN_TENANT, Step.VALIDATION, node, detail, field="tenant")
+    return StagewalkError(
+        ErrorKind.UNKNOWN_TENANT, ErrorStep.VALIDATION, node, detail, field="tenant"
+    )
 
 
 def unknown_lot(node: NodeName, pull: SamplePull) -> StagewalkError:
@@ -28,7 +32,7 @@
         f"this node does not know step {pull.step} of trainer {pull.trainer!r}:"
         " submit it again and pull with the same cursor"
     )
-    return StagewalkError(ErrorKind.UNKNOWN_LOT, Step.DELIVERY, node, detail)
+    return StagewalkError(ErrorKind.UNKNOWN_LOT, ErrorStep.DELIVERY, node, detail)
 
 
 def check_lot(
@@ -39,7 +43,9 @@
         return unknown_tenant(node, lot.tenant)
     if lot.model not in tenant.parameters.models:
         detail = f"tenant {lot.tenant!r} may not use model {lot.model!r}"
-        return StagewalkError(ErrorKind.UNKNOWN_MODEL, Step.VALIDATION, node, detail, field="model")
+        return StagewalkError(
+            ErrorKind.UNKNOWN_MODEL, ErrorStep.VALIDATION, node, detail, field="model"
+        )
     if not lot.trainer or _NAME_SEPARATOR in lot.trainer:
         return invalid(node, "trainer", "a trainer's name must not be empty nor contain '/'")
     if lot.step < 0:
--- a/src/stagewalk/node/weights/config.py
+++ b/src/stagewalk/node/weights/config.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutConfig:
+class WeightRolloutConfig:
     """How the duty holder of a pool brings new weights to its engines.
 
     Attributes
--- a/src/stagewalk/node/weights/core.py
+++ b/src/stagewalk/node/weights/core.py
@@ -17,19 +17,19 @@
 from stagewalk.node.configuration.parameters import Tenant
 from stagewalk.node.core.instructions import Instruction, ReadVersions
 from stagewalk.node.core.platform import (
+    EngineOrderOutcome,
     EngineReport,
     Machine,
     MachineKind,
     MachineState,
-    OrderOutcome,
     PublishedVersion,
 )
-from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.config import WeightRolloutConfig
 from stagewalk.node.weights.engines import EngineView
 from stagewalk.node.weights.pool import PoolRollout
 
 
-class RolloutCore:
+class WeightRolloutCore:
     """Decides which weights engines fetch and swap to, for each pool by lease.
 
     A pool is a model; its engines are those of the machine list whose service is the model's
@@ -41,7 +41,7 @@
         This node; its name and incarnation make order ids unique.
     """
 
-    def __init__(self, identity: ProcessIdentity, config: RolloutConfig) -> None:
+    def __init__(self, identity: ProcessIdentity, config: WeightRolloutConfig) -> None:
         self._config = config
         self._source = f"{identity.name}.{identity.incarnation}"
         self._pools: dict[ModelName, PoolRollout] = {}
@@ -98,7 +98,7 @@
             rollout.set_published(published)
 
     def handle_order_answer(
-        self, engine: EngineName, order_id: str, outcome: OrderOutcome, now: float
+        self, engine: EngineName, order_id: str, outcome: EngineOrderOutcome, now: float
     ) -> list[Instruction]:
         """Handle an engine's answer to an order, or that none came."""
         output: list[Instruction] = []
--- a/src/stagewalk/node/weights/engines.py
+++ b/src/stagewalk/node/weights/engines.py
@@ -13,7 +13,7 @@
 from stagewalk.common.identities import Address, EngineName, WeightVersion
 from stagewalk.node.core.backoff import retry_delay
 from stagewalk.node.core.platform import EngineOrder, EngineReport, EngineState, OrderKind
-from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.config import WeightRolloutConfig
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
             self.open_order.seen_loading = True
         return True
 
-    def has_evidence(self, now: float, config: RolloutConfig) -> bool:
+    def has_evidence(self, now: float, config: WeightRolloutConfig) -> bool:
         """Return whether a fresh enough report shows that it is alive."""
         return self.reported_at is not None and now - self.reported_at <= config.evidence_seconds
 
@@ -116,13 +116,13 @@
         """Return whether it is under an order to fetch weights that it did not hold."""
         return self.open_order is not None and self.open_order.fetches
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Close the open order: a report shows its effect."""
         self.open_order = None
         self.failures = 0
         self.retry_at = 0.0
 
-    def note_failure(self, now: float, config: RolloutConfig) -> None:
+    def record_failure(self, now: float, config: WeightRolloutConfig) -> None:
         """Close the open order as failed, and wait before the next."""
         self.open_order = None
         self.failures += 1
--- a/src/stagewalk/node/weights/pool.py
+++ b/src/stagewalk/node/weights/pool.py
@@ -14,20 +14,20 @@
 from stagewalk.node.configuration.parameters import Tenant
 from stagewalk.node.core.instructions import (
     Instruction,
-    LogEvent,
-    LogFields,
-    OrderEngine,
+    LogLineFields,
     PollEngine,
+    SendEngineOrder,
+    WriteLogLine,
 )
 from stagewalk.node.core.platform import (
     EngineOrder,
+    EngineOrderOutcome,
     EngineReport,
     EngineState,
     OrderKind,
-    OrderOutcome,
 )
 from stagewalk.node.weights import swap_rules
-from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.config import WeightRolloutConfig
 from stagewalk.node.weights.engines import EngineView, OpenOrder
 from stagewalk.node.weights.staging import StagingProgress
 from stagewalk.node.weights.targets import (
@@ -50,7 +50,9 @@
 class PoolRollout:
     """Brings a pool's engines to their target versions, while this node holds its duty."""
 
-    def __init__(self, pool: ModelName, epoch: Epoch, source: str, config: RolloutConfig) -> None:
+    def __init__(
+        self, pool: ModelName, epoch: Epoch, source: str, config: WeightRolloutConfig
+    ) -> None:
         self.pool = pool
         self.epoch = epoch
         self.engines: dict[EngineName, EngineView] = {}
@@ -94,7 +96,7 @@
         return self._settle(view, view.open_order, report, now)
 
     def handle_answer(
-        self, engine: EngineName, order_id: str, outcome: OrderOutcome, now: float
+        self, engine: EngineName, order_id: str, outcome: EngineOrderOutcome, now: float
     ) -> list[Instruction]:
         """Handle an engine's answer to an order; the order's effect is in the engine's reports.
 
@@ -106,9 +108,9 @@
             return []
         if view.open_order.order.order_id != order_id:
             return []
-        if outcome is OrderOutcome.STALE_EPOCH:
+        if outcome is EngineOrderOutcome.STALE_EPOCH:
             return [*self._fail(view, "obeys a newer epoch", now), *self._fence(engine, now)]
-        if outcome is OrderOutcome.REFUSED:
+        if outcome is EngineOrderOutcome.REFUSED:
             return self._fail(view, "refused", now)
         return []
 
@@ -232,7 +234,7 @@
 
     def _order(
         self, view: EngineView, kind: OrderKind, version: WeightVersion, now: float
-    ) -> OrderEngine:
+    ) -> SendEngineOrder:
         self._orders_sent += 1
         order_id = f"{self.pool}.{self.epoch}.{self._source}.{self._orders_sent}"
         order = EngineOrder(order_id, self.epoch, kind, self.pool, version)
@@ -240,7 +242,7 @@
         first_sent_at = now if opened is None else opened.first_sent_at
         fetches = kind is OrderKind.STAGE and version != view.active_version()
         view.open_order = OpenOrder(order, first_sent_at, now, fetches)
-        return OrderEngine(view.name, view.address, order)
+        return SendEngineOrder(view.name, view.address, order)
 
     def _settle(
         self, view: EngineView, opened: OpenOrder, report: EngineReport, now: float
@@ -254,7 +256,7 @@
         if report.state is not EngineState.SERVING:
             return []
         if report.active_version == version:
-            view.note_success()
+            view.record_success()
             return []
         if opened.seen_loading:
             return self._fail(view, f"came up on version {report.active_version}", now)
@@ -263,7 +265,7 @@
     def _close_stage(self, view: EngineView) -> None:
         if view.is_fetching():
             self._staging_limit = min(self._staging_limit + 1, self._config.maximum_staging)
-        view.note_success()
+        view.record_success()
 
     def _follow_order(self, view: EngineView, now: float) -> list[Instruction]:
         """Repeat an order that may be lost, give up one without effect, end a quarantine."""
@@ -292,8 +294,8 @@
             return []
         if opened.order.kind is OrderKind.STAGE:
             self._staging_limit = max(1, self._staging_limit // 2)
-        view.note_failure(now, self._config)
-        fields: LogFields = {
+        view.record_failure(now, self._config)
+        fields: LogLineFields = {
             "engine": view.name,
             "order": opened.order.order_id,
             "kind": opened.order.kind,
@@ -302,10 +304,10 @@
             "failures": view.failures,
             "detail": detail,
         }
-        output: list[Instruction] = [LogEvent("engine_order_failed", fields)]
+        output: list[Instruction] = [WriteLogLine("engine_order_failed", fields)]
         if view.failures >= self._config.quarantine_after_failures:
             view.quarantined_until = now + self._config.quarantine_seconds
-            output.append(LogEvent("engine_quarantined", dict(fields)))
+            output.append(WriteLogLine("engine_quarantined", dict(fields)))
         return output
 
     def _fence(self, engine: EngineName, now: float) -> list[Instruction]:
@@ -317,8 +319,8 @@
         if self._fenced_until is not None:
             return []
         self._fenced_until = now + self._config.fence_pause_seconds
-        fields: LogFields = {"pool": self.pool, "epoch": self.epoch, "engine": engine}
-        return [LogEvent("rollout_fenced", fields)]
+        fields: LogLineFields = {"pool": self.pool, "epoch": self.epoch, "engine": engine}
+        return [WriteLogLine("rollout_fenced", fields)]
 
 
 def _differ(before: EngineReport, after: EngineReport) -> bool:
--- a/src/stagewalk/node/weights/staging.py
+++ b/src/stagewalk/node/weights/staging.py
@@ -1,7 +1,7 @@
 """The rule for when a version that engines have staged may be activated.
 
 Owns how far each version has spread over the pool. Inputs: which engines hold it, and since when.
-The constants are fields of `RolloutConfig`.
+The constants are fields of `WeightRolloutConfig`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import WeightVersion
-from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.config import WeightRolloutConfig
 from stagewalk.node.weights.engines import EngineView
 from stagewalk.node.weights.targets import VersionTarget
 
@@ -19,7 +19,7 @@
 class _Spread:
     """When the first engine held a version, when one more last did, and how many do."""
 
-    began_at: float
+    started_at: float
     grew_at: float
     holders: int
 
@@ -32,7 +32,7 @@
     be run.
     """
 
-    def __init__(self, config: RolloutConfig) -> None:
+    def __init__(self, config: WeightRolloutConfig) -> None:
         self._config = config
         self._spreads: dict[WeightVersion, _Spread] = {}
 
@@ -68,7 +68,7 @@
         if engines <= self._config.immediate_activation_engines:
             return True
         stalled = now - spread.grew_at >= self._config.stage_stall_seconds
-        overdue = now - spread.began_at >= self._config.maximum_stage_wait_seconds
+        overdue = now - spread.started_at >= self._config.maximum_stage_wait_seconds
         return stalled or overdue or holders >= self._config.staged_quorum * engines
 
 
--- a/src/stagewalk/node/weights/swap_rules.py
+++ b/src/stagewalk/node/weights/swap_rules.py
@@ -3,7 +3,7 @@
 Pure functions of the engines' views; times in seconds of the holder's clock. An engine that loads
 serves nothing, so a pool swaps in waves: at most a fraction of it loads at once, which is the
 pool's capacity floor. Engines that are missing, or that a predecessor could still order to load,
-count as loading. The constants, with their reasons, are fields of `RolloutConfig`.
+count as loading. The constants, with their reasons, are fields of `WeightRolloutConfig`.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from stagewalk.common.identities import Epoch, WeightVersion
 from stagewalk.node.core.platform import EngineState
-from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.config import WeightRolloutConfig
 from stagewalk.node.weights.engines import EngineView
 from stagewalk.node.weights.targets import VersionTarget
 
 
-def wave_size(engines: int, idle_weight: float, config: RolloutConfig) -> int:
+def wave_size(engines: int, idle_weight: float, config: WeightRolloutConfig) -> int:
     """Return how many engines of a pool may be out of service for a swap at once.
 
     A pool whose tenants weigh idle time more swaps faster, so that its samples stay fresh.
@@ -32,7 +32,7 @@
 
 
 def may_be_ordered_elsewhere(
-    engines: Sequence[EngineView], epoch: Epoch, held_seconds: float, config: RolloutConfig
+    engines: Sequence[EngineView], epoch: Epoch, held_seconds: float, config: WeightRolloutConfig
 ) -> int:
     """Return how many engines a predecessor could still order to load.
 
@@ -44,7 +44,7 @@
     return sum(1 for view in engines if is_behind(view, epoch) and not view.is_loading())
 
 
-def is_newly_missing(view: EngineView, config: RolloutConfig, now: float) -> bool:
+def is_newly_missing(view: EngineView, config: WeightRolloutConfig, now: float) -> bool:
     """Return whether an engine without evidence counts as lost capacity for now.
 
     It may be loading still, or come back; after the grace time it is left out of the pool.
@@ -83,7 +83,7 @@
     return active < version or active > target.version or not target.allows(active)
 
 
-def poll_interval(view: EngineView, config: RolloutConfig) -> float:
+def poll_interval(view: EngineView, config: WeightRolloutConfig) -> float:
     """Return the largest age of an engine's report: short while an order or a swap is open."""
     busy = view.open_order is not None or view.report is None or view.is_loading()
     return config.busy_poll_seconds if busy else config.idle_poll_seconds
--- a/src/stagewalk/simulation/callers.py
+++ b/src/stagewalk/simulation/callers.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError
+from stagewalk.common.errors import ErrorKind, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import CallId, RequestId
 from stagewalk.history.answer_text import answer_length
 from stagewalk.history.checker_stops import CONNECTION_CUT
@@ -152,12 +152,12 @@
             return
         current.connection = connection
         self._current = current
-        self._note_sent(node)
+        self._record_sent(node)
 
     def answered(self, node: NodeHost, text: str, result: CompletionResult) -> None:
         """Handle the whole answer."""
         self._done = True
-        self.caller.world.witness.note(
+        self.caller.world.witness.observe(
             RequestAnswered(
                 at=self.caller.world.scheduler.now,
                 caller=self.caller.name,
@@ -171,7 +171,7 @@
 
     def refused(self, node: NodeHost, error: StagewalkError) -> None:
         """Handle a final error; a refused request may be sent again under the same id."""
-        self.caller.world.witness.note(
+        self.caller.world.witness.observe(
             RequestRefused(
                 at=self.caller.world.scheduler.now,
                 caller=self.caller.name,
@@ -185,7 +185,7 @@
             )
         )
         chance = self.caller.generator.random() < RETRY_AFTER_REFUSAL_FRACTION
-        if error.ran is Ran.NO and error.kind in RETRIABLE and chance:
+        if error.ran is ExecutionStatus.NO and error.kind in RETRIABLE and chance:
             self._retry(error.retry_after_seconds or 0.0)
         else:
             self._done = True
@@ -195,10 +195,10 @@
         self._unsettled = True
         now = self.caller.world.scheduler.now
         if by_network:
-            self.caller.world.witness.note(
+            self.caller.world.witness.observe(
                 FaultInjected(at=now, kind=CONNECTION_CUT, target=node.name, until=now)
             )
-        self.caller.world.witness.note(
+        self.caller.world.witness.observe(
             RequestCut(
                 at=now,
                 caller=self.caller.name,
@@ -228,12 +228,12 @@
         if self._current is not None:
             self._current.close()
 
-    def _note_sent(self, node: NodeHost) -> None:
+    def _record_sent(self, node: NodeHost) -> None:
         world, question, load = self.caller.world, self.question, self.caller.load
         expected = answer_length(
             question.prompt, question.seed, load.max_tokens, world.engine_settings.lengths
         )
-        world.witness.note(
+        world.witness.observe(
             RequestSent(
                 at=world.scheduler.now,
                 caller=self.caller.name,
--- a/src/stagewalk/simulation/claims_explorer.py
+++ b/src/stagewalk/simulation/claims_explorer.py
@@ -29,7 +29,7 @@
 from stagewalk.node.claims.config import ClaimConfig
 from stagewalk.node.claims.core import ClaimCore
 from stagewalk.node.claims.notifications import ClaimDecided, ClaimOutput
-from stagewalk.node.claims.placement import Group, GroupMember, GroupPlacement, PartitionChain
+from stagewalk.node.claims.placement import GroupHistory, GroupMember, GroupPlacement, ReplicaGroup
 from stagewalk.node.claims.types import Peer
 from stagewalk.node.core.instructions import SendPeerMessage
 from stagewalk.node.node_identity import NodeIdentity
@@ -111,7 +111,7 @@
     nodes: dict[str, bytes] = field(default_factory=dict)
     incarnations: dict[str, int] = field(default_factory=dict)
     messages: list[InFlight] = field(default_factory=list)
-    groups: tuple[Group, ...] = ()
+    groups: tuple[ReplicaGroup, ...] = ()
     """The groups in the log."""
     knows: dict[str, int] = field(default_factory=dict)
     """How many of them each node has read."""
@@ -164,7 +164,7 @@
         members = tuple(
             GroupMember(NodeName(name), Incarnation(self.incarnations[name])) for name in names
         )
-        self.groups = (*self.groups, Group(len(self.groups) + 1, members))
+        self.groups = (*self.groups, ReplicaGroup(len(self.groups) + 1, members))
 
     def start(self, name: str) -> None:
         """Start a node without memory; it reads the whole log."""
@@ -185,7 +185,7 @@
         """Deliver the log to a node up to its end."""
         self.knows[name] = len(self.groups)
         core = pickle.loads(self.nodes[name])
-        core.set_groups(GroupPlacement((PartitionChain(self.groups),)))
+        core.set_placement(GroupPlacement((GroupHistory(self.groups),)))
         self.put(name, core, core.tick(self.now))
 
     def steps(self, limits: Limits) -> Iterator[Step]:
@@ -275,7 +275,7 @@
     decided_states: int = 0
     exhausted: bool = True
 
-    def note(self, world: World, depth: int) -> None:
+    def observe(self, world: World, depth: int) -> None:
         """Count a new state."""
         self.states += 1
         self.deepest = max(self.deepest, depth)
@@ -312,7 +312,7 @@
             if mark in seen:
                 continue
             seen.add(mark)
-            coverage.note(world, level + 1)
+            coverage.observe(world, level + 1)
             if coverage.states >= maximum_states:
                 coverage.exhausted = False
                 return coverage
@@ -341,7 +341,7 @@
             path.append(step)
             world.take_step(step)
             coverage.steps += 1
-            coverage.note(world, len(path))
+            coverage.observe(world, len(path))
             if not world.is_sound:
                 raise DecidedTwice(path, sorted(world.decided))
     return coverage
--- a/src/stagewalk/simulation/engine_host.py
+++ b/src/stagewalk/simulation/engine_host.py
@@ -22,7 +22,7 @@
     WorkReceived,
     WorkRefused,
 )
-from stagewalk.node.core.platform import EngineOrder, EngineReport, EngineState, OrderOutcome
+from stagewalk.node.core.platform import EngineOrder, EngineOrderOutcome, EngineReport, EngineState
 from stagewalk.simulation.engine_messages import (
     Accepted,
     ActivationEnded,
@@ -32,11 +32,11 @@
     EngineRequest,
     OrderAnswer,
     Refused,
-    StageBegan,
+    StagingStarted,
     Submission,
     WorkOutcome,
 )
-from stagewalk.simulation.engine_model import EngineModel
+from stagewalk.simulation.engine_model import SimulatedEngine
 from stagewalk.simulation.layout import EngineSite
 from stagewalk.simulation.network import STALL_LIMIT_SECONDS, Connection, Network
 from stagewalk.simulation.platform_services import WeightStoreService
@@ -44,7 +44,7 @@
 from stagewalk.simulation.virtual_time import Scheduler
 from stagewalk.simulation.witness import Witness
 
-LOST_STREAM_SECONDS = 10.0
+DISCONNECT_GRACE_SECONDS = 10.0
 """How long an attempt goes on after its client was lost."""
 
 StreamOutput = ChunkProduced | AttemptDone
@@ -63,7 +63,7 @@
 class _Life:
     """What dies with one incarnation."""
 
-    model: EngineModel
+    model: SimulatedEngine
     streams: dict[AttemptId, EngineStream] = field(default_factory=dict)
     wakeup_at: float = math.inf
     told_leaving: bool = False
@@ -124,7 +124,7 @@
     def start(self, version: WeightVersion) -> None:
         """Start a new incarnation that runs a version."""
         self.incarnation = Incarnation(self.incarnation + 1)
-        model = EngineModel(
+        model = SimulatedEngine(
             self._settings,
             engine=EngineName(self.name),
             incarnation=self.incarnation,
@@ -134,7 +134,7 @@
             started_at=self.now,
         )
         self._life = _Life(model)
-        self._witness.note(
+        self._witness.observe(
             EngineServing(at=self.now, engine=self.name, incarnation=self.incarnation)
         )
 
@@ -144,7 +144,7 @@
         if life is None or life.stopping:
             return
         life.stopping = True
-        self._witness.note(PlannedStopBegan(at=self.now, process=self.name))
+        self._witness.observe(PlannedStopBegan(at=self.now, process=self.name))
         life.model.leave(self.now)
         self._pump(life)
 
@@ -154,9 +154,9 @@
         if life is None:
             return
         self._life = None
-        self._witness.note(ProcessKilled(at=self.now, process=self.name))
+        self._witness.observe(ProcessKilled(at=self.now, process=self.name))
         for attempt in life.model.crash(self.now):
-            self._note_ended(attempt, WorkOutcome.CUT, 0)
+            self._record_ended(attempt, WorkOutcome.CUT, 0)
         silence = STALL_LIMIT_SECONDS if machine_lost else 0.0
         for stream in life.streams.values():
             self._scheduler.after(silence, stream.connection.server_gone)
@@ -169,7 +169,7 @@
         submission = life.model.submit(request, self.now)
         if isinstance(submission, Accepted):
             life.streams[request.attempt] = stream
-            self._witness.note(
+            self._witness.observe(
                 WorkReceived(
                     at=self.now,
                     engine=self.name,
@@ -181,7 +181,7 @@
                 )
             )
         elif isinstance(submission, Refused) and life.told_leaving:
-            self._witness.note(
+            self._witness.observe(
                 WorkRefused(
                     at=self.now,
                     engine=self.name,
@@ -199,7 +199,9 @@
         life = self._life
         if life is None or self.incarnation != incarnation or attempt not in life.streams:
             return
-        self._scheduler.after(LOST_STREAM_SECONDS, lambda: self._cancel_lost(attempt, incarnation))
+        self._scheduler.after(
+            DISCONNECT_GRACE_SECONDS, lambda: self._cancel_lost(attempt, incarnation)
+        )
 
     def cancel(self, attempt: AttemptId) -> None:
         """Stop an attempt for its client."""
@@ -223,8 +225,8 @@
         epoch_before = life.model.true_report().epoch
         answer = life.model.order(order, self.now)
         report = life.model.true_report()
-        if answer.outcome is OrderOutcome.ACCEPTED:
-            self._witness.note(
+        if answer.outcome is EngineOrderOutcome.ACCEPTED:
+            self._witness.observe(
                 OrderObeyed(
                     at=self.now,
                     engine=self.name,
@@ -251,7 +253,7 @@
         """Carry out the model's outputs and schedule its next wake-up."""
         for output in life.model.advance(self.now):
             self._dispatch(life, output)
-        self._note_state(life)
+        self._record_state(life)
         if life.stopping and life.model.idle and self._life is life:
             self._life = None
             self._on_exit(self)
@@ -272,11 +274,11 @@
             case ChunkProduced():
                 self._send(life, output)
             case AttemptDone():
-                self._note_ended(output.attempt, output.outcome, output.token_count)
+                self._record_ended(output.attempt, output.outcome, output.token_count)
                 if output.outcome is WorkOutcome.FINISHED:
                     self._send(life, output)
                 life.streams.pop(output.attempt, None)
-            case StageBegan(version=version):
+            case StagingStarted(version=version):
                 self._store.fetch(lambda succeeded: self._staged(life, version, succeeded))
             case ActivationEnded():
                 pass
@@ -293,17 +295,17 @@
             life.model.stage_ended(version, succeeded, self.now)
             self._pump(life)
 
-    def _note_state(self, life: _Life) -> None:
+    def _record_state(self, life: _Life) -> None:
         state = life.model.state
         leaving = state in (EngineState.LEAVING, EngineState.DRAINING)
         if leaving == life.told_leaving:
             return
         life.told_leaving = leaving
         kind = EngineLeaving if leaving else EngineServing
-        self._witness.note(kind(at=self.now, engine=self.name, incarnation=self.incarnation))
+        self._witness.observe(kind(at=self.now, engine=self.name, incarnation=self.incarnation))
 
-    def _note_ended(self, attempt: AttemptId, outcome: WorkOutcome, token_count: int) -> None:
-        self._witness.note(
+    def _record_ended(self, attempt: AttemptId, outcome: WorkOutcome, token_count: int) -> None:
+        self._witness.observe(
             WorkEnded(
                 at=self.now,
                 engine=self.name,
--- a/src/stagewalk/simulation/engine_messages.py
+++ b/src/stagewalk/simulation/engine_messages.py
@@ -10,7 +10,7 @@
 
 from stagewalk.common.identities import AttemptId, ModelName, RequestId, TenantName, WeightVersion
 from stagewalk.node.core.completions import Priority, TokenChunk
-from stagewalk.node.core.platform import OrderOutcome
+from stagewalk.node.core.platform import EngineOrderOutcome
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 class OrderAnswer:
     """Answer to a fenced order; `epoch` is the largest the engine has seen."""
 
-    outcome: OrderOutcome
+    outcome: EngineOrderOutcome
     epoch: int
     detail: str = ""
 
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StageBegan:
+class StagingStarted:
     """The engine fetches weights; the model's driver answers with `stage_ended`."""
 
     model: ModelName
@@ -116,7 +116,7 @@
     active: WeightVersion
 
 
-EngineOutput = ChunkProduced | AttemptDone | AttemptPreempted | StageBegan | ActivationEnded
+EngineOutput = ChunkProduced | AttemptDone | AttemptPreempted | StagingStarted | ActivationEnded
 
 
 class CacheEventKind(StrEnum):
--- a/src/stagewalk/simulation/engine_model.py
+++ b/src/stagewalk/simulation/engine_model.py
@@ -51,7 +51,7 @@
 QUEUE_RETRY_SECONDS = 1.0
 
 
-class EngineModel:
+class SimulatedEngine:
     """One engine, from its start to its crash or end.
 
     Parameters
--- a/src/stagewalk/simulation/engine_weights.py
+++ b/src/stagewalk/simulation/engine_weights.py
@@ -11,12 +11,12 @@
 from collections import OrderedDict
 
 from stagewalk.common.identities import Epoch, ModelName, WeightVersion
-from stagewalk.node.core.platform import EngineOrder, OrderKind, OrderOutcome
+from stagewalk.node.core.platform import EngineOrder, EngineOrderOutcome, OrderKind
 from stagewalk.simulation.engine_messages import (
     ActivationEnded,
     EngineOutput,
     OrderAnswer,
-    StageBegan,
+    StagingStarted,
 )
 from stagewalk.simulation.platform_settings import EngineSettings
 
@@ -68,12 +68,14 @@
 
     def refuse_leaving(self, order: EngineOrder) -> OrderAnswer:
         """Refuse an order because the engine is about to stop."""
-        return OrderAnswer(OrderOutcome.REFUSED, self.epoch, f"leaving; {order.kind} not obeyed")
+        return OrderAnswer(
+            EngineOrderOutcome.REFUSED, self.epoch, f"leaving; {order.kind} not obeyed"
+        )
 
     def order(self, order: EngineOrder, now: float) -> OrderAnswer:
         """Obey an order unless a newer epoch was seen; the same order again is answered alike."""
         if order.epoch < self.epoch:
-            return OrderAnswer(OrderOutcome.STALE_EPOCH, self.epoch)
+            return OrderAnswer(EngineOrderOutcome.STALE_EPOCH, self.epoch)
         known = self._answers.get(order.order_id)
         if known is not None:
             return known
@@ -119,8 +121,8 @@
             case OrderKind.STAGE | OrderKind.ACTIVATE:
                 detail = self._begin(order, now)
                 if detail is not None:
-                    return OrderAnswer(OrderOutcome.REFUSED, self.epoch, detail)
-        return OrderAnswer(OrderOutcome.ACCEPTED, self.epoch)
+                    return OrderAnswer(EngineOrderOutcome.REFUSED, self.epoch, detail)
+        return OrderAnswer(EngineOrderOutcome.ACCEPTED, self.epoch)
 
     def _begin(self, order: EngineOrder, now: float) -> str | None:
         """Begin to stage or to activate, or say why not."""
@@ -144,7 +146,7 @@
         if version == self.active_version or version in self._staged or version in self._fetching:
             return
         self._fetching.add(version)
-        self._outputs.append(StageBegan(self._model, version))
+        self._outputs.append(StagingStarted(self._model, version))
 
     def _landing(self, ordered: WeightVersion) -> WeightVersion:
         failed = self._failure_planned
--- a/src/stagewalk/simulation/fault_injector.py
+++ b/src/stagewalk/simulation/fault_injector.py
@@ -82,7 +82,7 @@
 
     def _note(self, kind: str, target: str, seconds: float) -> None:
         now = self._network.scheduler.now
-        self._keeper.witness.note(
+        self._keeper.witness.observe(
             FaultInjected(at=now, kind=kind, target=target, until=now + seconds)
         )
 
@@ -115,14 +115,14 @@
         self._keeper.engines[fault.targets[0]].fail_next_activation()
 
     def _lose_zone(self, fault: Fault) -> None:
-        for name in self._keeper.layout.names_in(_zone(fault)):
+        for name in self._keeper.layout.names_in_zone(_zone(fault)):
             if name in self._keeper.nodes:
                 self._keeper.kill_node(name, fault.seconds, machine_lost=True)
             else:
                 self._keeper.crash_engine(name, fault.seconds, machine_lost=True)
 
     def _cut_zone(self, fault: Fault) -> None:
-        inside = frozenset(self._keeper.layout.names_in(_zone(fault)))
+        inside = frozenset(self._keeper.layout.names_in_zone(_zone(fault)))
         self._cut(fault, inside, self._outside(inside))
 
     def _cut_region(self, fault: Fault) -> None:
@@ -135,10 +135,10 @@
         self._cut(fault, inside | log_side, others | far_services)
 
     def _cut_zone_one_way(self, fault: Fault) -> None:
-        inside = frozenset(self._keeper.layout.names_in(_zone(fault)))
+        inside = frozenset(self._keeper.layout.names_in_zone(_zone(fault)))
         outside = self._outside(inside)
         self._block(fault, [Partition(inside, outside)])
-        self._note_cut_from_log(fault, inside)
+        self._record_cut_from_log(fault, inside)
 
     def _cut_link(self, fault: Fault) -> None:
         first, second = (frozenset({name}) for name in fault.targets)
@@ -154,7 +154,7 @@
     def _cut(self, fault: Fault, inside: frozenset[str], outside: frozenset[str]) -> None:
         self._block(fault, [Partition(inside, outside), Partition(outside, inside)])
         services = self._keeper.service_names
-        self._note_cut_from_log(fault, outside if services & inside else inside)
+        self._record_cut_from_log(fault, outside if services & inside else inside)
 
     def _block(self, fault: Fault, partitions: list[Partition]) -> None:
         for partition in partitions:
@@ -166,7 +166,7 @@
 
         self._after(fault, mend)
 
-    def _note_cut_from_log(self, fault: Fault, names: frozenset[str]) -> None:
+    def _record_cut_from_log(self, fault: Fault, names: frozenset[str]) -> None:
         for name in sorted(names & self._keeper.nodes.keys()):
             self._note(LOG_CUT_KIND, name, fault.seconds)
 
--- a/src/stagewalk/simulation/layout.py
+++ b/src/stagewalk/simulation/layout.py
@@ -154,7 +154,7 @@
         places = {site.endpoint.placement for site in self.nodes}
         return tuple(sorted(places, key=lambda place: (place.region, place.zone)))
 
-    def names_in(self, place: Placement) -> tuple[str, ...]:
+    def names_in_zone(self, place: Placement) -> tuple[str, ...]:
         """Return the names of all machines in a zone."""
         sites: tuple[NodeSite | EngineSite, ...] = (*self.nodes, *self.engines)
         return tuple(site.endpoint.name for site in sites if site.endpoint.placement == place)
--- a/src/stagewalk/simulation/log_service.py
+++ b/src/stagewalk/simulation/log_service.py
@@ -18,7 +18,7 @@
 from stagewalk.simulation.remote_call import Answer, RemoteCall
 from stagewalk.simulation.witness import Witness
 
-READ_LIMIT = 500
+MAXIMUM_RECORDS_PER_READ = 500
 READ_WAIT_SECONDS = 5.0
 CALL_TIMEOUT_SECONDS = 8.0
 SERVICE_SECONDS = 0.004
@@ -149,7 +149,7 @@
             return
         waiter.settled = True
         records = self._streams[stream]
-        page = tuple(records[waiter.offset : waiter.offset + READ_LIMIT])
+        page = tuple(records[waiter.offset : waiter.offset + MAXIMUM_RECORDS_PER_READ])
         waiter.respond(LogPage(page, len(records)))
 
     def _serve_append(
@@ -160,7 +160,7 @@
         records = self._streams[stream]
         offset = len(records)
         records.append(LogRecord(offset, record_id, payload))
-        self._witness.note(
+        self._witness.observe(
             RecordAppended(
                 at=self._network.scheduler.now,
                 stream=stream,
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from stagewalk.common.errors import Ran
+from stagewalk.common.errors import ExecutionStatus
 from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
 from stagewalk.history.checker_verdict import Promise
 from stagewalk.node.claims.notifications import ProposeClaim
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.outcomes import ChangeRejected, RejectionReason
 from stagewalk.node.configuration.parameters import Tenant
@@ -33,7 +33,7 @@
     LotSubmitted,
     MachinesRead,
     PeerMessageReceived,
-    SamplesPulled,
+    SamplesRequested,
     StopRequested,
     VersionsRead,
 )
@@ -121,7 +121,7 @@
         if isinstance(event, LotSubmitted):
             lot = event.lot
             self._asked_at.setdefault((lot.tenant, lot.trainer, lot.step), lot.trainer_version)
-        if isinstance(event, SamplesPulled):
+        if isinstance(event, SamplesRequested):
             pull = event.pull
             version = self._asked_at.get((pull.tenant, pull.trainer, pull.step))
             if version is not None:
@@ -152,7 +152,7 @@
 
     def alter_event(self, event: Event) -> Event | None:
         """Drop the cursor."""
-        if isinstance(event, SamplesPulled) and self.core.identity.incarnation > 1:
+        if isinstance(event, SamplesRequested) and self.core.identity.incarnation > 1:
             return replace(event, pull=replace(event.pull, cursor=""))
         return event
 
@@ -181,7 +181,7 @@
     ) -> list[Instruction]:
         """Replace every `unknown` with `no`."""
         return [
-            replace(each, error=replace(each.error, ran=Ran.NO))
+            replace(each, error=replace(each.error, ran=ExecutionStatus.NO))
             if isinstance(each, FailCall)
             else each
             for each in instructions
@@ -234,7 +234,7 @@
         return [*instructions, ExitProcess()] if isinstance(event, StopRequested) else instructions
 
 
-class _LastWriterWinsFold(ConfigurationFold):
+class _LastWriterWinsFold(ConfigurationStateMachine):
     def _reject_stale(
         self, change: AnyChange, record: TenantRecord | None
     ) -> ChangeRejected | None:
--- a/src/stagewalk/simulation/node_host.py
+++ b/src/stagewalk/simulation/node_host.py
@@ -41,7 +41,7 @@
 from stagewalk.simulation.witness import Witness
 
 BACKLOG_LIMIT = 4096
-GRACEFUL_SECONDS = 3.0
+GRACEFUL_TIMEOUT_SECONDS = 3.0
 """How long the HTTP server of an exiting node still answers calls on open connections."""
 
 GRACEFUL_CHECK_SECONDS = 0.1
@@ -202,7 +202,7 @@
         if life is None or life.stopping:
             return
         life.stopping = True
-        self._witness.note(PlannedStopBegan(at=self._scheduler.now, process=self.name))
+        self._witness.observe(PlannedStopBegan(at=self._scheduler.now, process=self.name))
         self._take(life, StopRequested())
 
     def kill(self, machine_lost: bool = False) -> None:
@@ -210,7 +210,7 @@
         life = self._life
         if life is None:
             return
-        self._witness.note(ProcessKilled(at=self._scheduler.now, process=self.name))
+        self._witness.observe(ProcessKilled(at=self._scheduler.now, process=self.name))
         self._end(STALL_LIMIT_SECONDS if machine_lost else 0.0)
 
     def pause(self) -> None:
@@ -300,7 +300,7 @@
             self._fail(event, error)
             return
         for instruction in instructions:
-            self._carry_out(life, instruction)
+            self._execute(life, instruction)
 
     def _require_known(self, instruction: object) -> None:
         """Count an output that the daemon's shell could not carry out as the core's failure."""
@@ -312,7 +312,7 @@
         self._on_failure(CoreFailure(self._scheduler.now, self.name, type(event).__name__, trace))
         self.kill()
 
-    def _carry_out(self, life: NodeLife, instruction: Instruction) -> None:
+    def _execute(self, life: NodeLife, instruction: Instruction) -> None:
         match instruction:
             case SendPeerMessage():
                 self._send_peer_message(life, instruction)
@@ -321,7 +321,7 @@
             case ExitProcess():
                 self._exit(life)
             case _:
-                life.outbound.carry_out(instruction)
+                life.outbound.execute(instruction)
 
     def _answer(self, life: NodeLife, answer: CallAnswer) -> None:
         """Send a piece of an answer to its caller."""
@@ -373,7 +373,7 @@
         if self._life is not life or life.exiting_since is None:
             return
         waited = self._scheduler.now - life.exiting_since
-        if life.calls and waited < GRACEFUL_SECONDS:
+        if life.calls and waited < GRACEFUL_TIMEOUT_SECONDS:
             self._scheduler.after(GRACEFUL_CHECK_SECONDS, lambda: self._leave_when_done(life))
             return
         self._end(0.0)
--- a/src/stagewalk/simulation/operators.py
+++ b/src/stagewalk/simulation/operators.py
@@ -18,7 +18,7 @@
 
 from stagewalk.common.identities import RecordId, TenantName
 from stagewalk.history.observations import PublishAnswered
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted
 from stagewalk.node.configuration.parameters import TenantParameters
 from stagewalk.node.configuration.records import (
@@ -77,7 +77,7 @@
         self._world = world
         self._endpoint = endpoint
         self._generator = generator
-        self._fold = ConfigurationFold()
+        self._fold = ConfigurationStateMachine()
         self._published = 0
 
     def run(self, creates_tenants: bool) -> Steps:
@@ -146,7 +146,7 @@
             return
         while (outcome := self._fold.outcome_of(record_id)) is None:
             yield from self._read()
-        self._world.witness.note(
+        self._world.witness.observe(
             PublishAnswered(
                 at=self._world.scheduler.now,
                 operator=self.name,
--- a/src/stagewalk/simulation/outbound.py
+++ b/src/stagewalk/simulation/outbound.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import Address, AttemptId
 from stagewalk.node.core.events import (
     AppendConfirmed,
@@ -34,16 +34,16 @@
     AppendRecord,
     CancelAttempt,
     Instruction,
-    LogEvent,
-    OrderEngine,
     PollEngine,
     ReadLog,
     ReadMachines,
     ReadVersions,
     ScoreSample,
+    SendEngineOrder,
     StartAttempt,
+    WriteLogLine,
 )
-from stagewalk.node.core.platform import EngineReport, OrderOutcome
+from stagewalk.node.core.platform import EngineOrderOutcome, EngineReport
 from stagewalk.simulation.engine_host import EngineHost, EngineStream, StreamOutput
 from stagewalk.simulation.engine_messages import (
     Accepted,
@@ -109,16 +109,16 @@
             StartAttempt: self._start_attempt,
             CancelAttempt: self._cancel_attempt,
             PollEngine: self._poll,
-            OrderEngine: self._order,
+            SendEngineOrder: self._order,
             ReadLog: self._read_log,
             AppendRecord: self._append,
             ReadMachines: self._read_machines,
             ReadVersions: self._read_versions,
             ScoreSample: self._score,
-            LogEvent: lambda _: None,
+            WriteLogLine: lambda _: None,
         }
 
-    def carry_out(self, instruction: Instruction) -> None:
+    def execute(self, instruction: Instruction) -> None:
         """Carry out an instruction that concerns an engine or the platform."""
         handler = self._handlers.get(type(instruction))
         if handler is None:
@@ -254,10 +254,10 @@
             failed=lambda _: self._feed(failed),
         )
 
-    def _order(self, order: OrderEngine) -> None:
+    def _order(self, order: SendEngineOrder) -> None:
         engine = self._services.engines.engine_at(order.address)
         unknown = OrderAnswered(
-            order.engine, order.order.order_id, OrderOutcome.UNKNOWN, "no answer"
+            order.engine, order.order.order_id, EngineOrderOutcome.UNKNOWN, "no answer"
         )
         if engine is None:
             self._network.scheduler.after(CONNECT_TIMEOUT_SECONDS, lambda: self._feed(unknown))
@@ -323,7 +323,7 @@
 
     def _score(self, sample: ScoreSample) -> None:
         error = StagewalkError(
-            ErrorKind.UNREACHABLE, Step.SCORING, "scorer", "no score", Ran.UNKNOWN
+            ErrorKind.UNREACHABLE, ErrorStep.SCORING, "scorer", "no score", ExecutionStatus.UNKNOWN
         )
         self._services.scorer.score(
             self._endpoint,
--- a/src/stagewalk/simulation/platform_services.py
+++ b/src/stagewalk/simulation/platform_services.py
@@ -108,7 +108,7 @@
             return
         now = self._network.scheduler.now
         known.append(PublishedVersion(model, version, self._version_bytes, now))
-        self._witness.note(VersionPublished(at=now, model=model, version=version))
+        self._witness.observe(VersionPublished(at=now, model=model, version=version))
 
     def superseded_at(self, model: ModelName, version: WeightVersion) -> float | None:
         """Return when a version newer than this was first published."""
--- a/src/stagewalk/simulation/trainers.py
+++ b/src/stagewalk/simulation/trainers.py
@@ -14,16 +14,16 @@
 import simpy
 
 from stagewalk.common.errors import ErrorKind
-from stagewalk.common.identities import SlotKey, WeightVersion
-from stagewalk.history.answer_text import answer_length, true_spans
+from stagewalk.common.identities import SampleSlotKey, WeightVersion
+from stagewalk.history.answer_text import answer_length, spans_from_text
 from stagewalk.history.observations import (
     SampleAccepted,
     StepCompleted,
     StepStarted,
 )
-from stagewalk.node.core.events import LotSubmitted, SamplesPulled
+from stagewalk.node.core.events import LotSubmitted, SamplesRequested
 from stagewalk.node.core.instructions import AcceptLot, DeliverSamples, FailCall
-from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample, SamplePull, slot_seed
+from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample, SamplePull, sample_seed
 from stagewalk.simulation.client_calls import call_once, other_nodes
 from stagewalk.simulation.engine_prefix_cache import prompt_token_count
 from stagewalk.simulation.layout import TrainerLoad
@@ -139,7 +139,7 @@
         yield self._world.scheduler.sleep(self.load.training_seconds)
         if self._life != life:
             return
-        self._world.witness.note(
+        self._world.witness.observe(
             StepCompleted(
                 at=self._world.scheduler.now,
                 tenant=self.load.tenant,
@@ -166,7 +166,7 @@
             self._world.scheduler,
             self._home.endpoint,
             progress.node,
-            lambda call, node_time: SamplesPulled(
+            lambda call, node_time: SamplesRequested(
                 call, self._pull_request(checkpoint, node_time + PULL_WAIT_SECONDS)
             ),
             CALL_TIMEOUT_SECONDS,
@@ -201,7 +201,7 @@
 
     def _submit(self, life: int, progress: _Progress, step: int) -> Steps:
         """Submit a step's lot until some node takes it."""
-        self._note_started(step)
+        self._record_started(step)
         while self._life == life:
             answer = yield from call_once(
                 self._world.scheduler,
@@ -262,8 +262,8 @@
             )
         return self._lots[step]
 
-    def _note_started(self, step: int) -> None:
-        self._world.witness.note(
+    def _record_started(self, step: int) -> None:
+        self._world.witness.observe(
             StepStarted(
                 at=self._world.scheduler.now,
                 tenant=self.load.tenant,
@@ -277,11 +277,11 @@
         """Accept a delivered sample, whatever it is: the checker judges."""
         slot = sample.slot
         prompt = self._prompt(slot)
-        spans = true_spans(sample.text)
+        spans = spans_from_text(sample.text)
         oldest = min((span.version for span in spans), default=WeightVersion(0))
         now = self._world.scheduler.now
         superseded_at = self._world.store.superseded_at(self.load.model, oldest)
-        self._world.witness.note(
+        self._world.witness.observe(
             SampleAccepted(
                 at=now,
                 tenant=slot.tenant,
@@ -291,7 +291,7 @@
                 sample_index=slot.sample_index,
                 sample_id=sample.sample_id,
                 prompt=prompt,
-                seed=slot_seed(slot),
+                seed=sample_seed(slot),
                 expected_tokens=self._length(prompt, slot),
                 text=sample.text,
                 spans=sample.spans,
@@ -300,7 +300,7 @@
             )
         )
 
-    def _prompt(self, slot: SlotKey) -> str:
+    def _prompt(self, slot: SampleSlotKey) -> str:
         """Return a slot's prompt, or nothing if the trainer never asked for it."""
         if slot.trainer != self.name:
             return ""
@@ -309,15 +309,15 @@
         known = index.isdecimal() and int(index) < len(prompts)
         return prompts[int(index)].prompt if known else ""
 
-    def _length(self, prompt: str, slot: SlotKey) -> int:
+    def _length(self, prompt: str, slot: SampleSlotKey) -> int:
         lengths = self._world.engine_settings.lengths
-        return answer_length(prompt, slot_seed(slot), self.load.max_tokens, lengths)
+        return answer_length(prompt, sample_seed(slot), self.load.max_tokens, lengths)
 
     def _need(self, step: int) -> StepNeed:
         lengths = [
             self._length(
                 prompt.prompt,
-                SlotKey(self.load.tenant, self.name, step, prompt.prompt_id, index),
+                SampleSlotKey(self.load.tenant, self.name, step, prompt.prompt_id, index),
             )
             for prompt in self._prompts(step)
             for index in range(self.load.samples_per_prompt)
--- a/src/stagewalk/simulation/witness.py
+++ b/src/stagewalk/simulation/witness.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.history: list[AnyObservation] = []
 
-    def note(self, observation: AnyObservation) -> None:
+    def observe(self, observation: AnyObservation) -> None:
         """Add an observation; time never decreases between two of them."""
         self.history.append(observation)
 
--- a/src/stagewalk/simulation/world.py
+++ b/src/stagewalk/simulation/world.py
@@ -205,7 +205,7 @@
             status = node.status()
             if status is None:
                 return
-            self.witness.note(
+            self.witness.observe(
                 ConfigurationSeen(
                     at=self.scheduler.now,
                     node=node.name,
--- a/src/stagewalk_standins/caller.py
+++ b/src/stagewalk_standins/caller.py
@@ -15,7 +15,7 @@
 import httpx
 import msgspec
 
-from stagewalk.common.errors import Ran
+from stagewalk.common.errors import ExecutionStatus
 from stagewalk.history.answer_text import answer_length
 from stagewalk.history.observations import (
     FaultInjected,
@@ -325,7 +325,7 @@
 def _worth_sending_again(result: Result) -> bool:
     """Return whether no answer came, or a refusal that names a passing trouble of its node."""
     if isinstance(result, Problem):
-        return result.ran == Ran.NO and result.status == UNAVAILABLE_STATUS
+        return result.ran == ExecutionStatus.NO and result.status == UNAVAILABLE_STATUS
     return isinstance(result, Broken)
 
 
--- a/src/stagewalk_standins/commands.py
+++ b/src/stagewalk_standins/commands.py
@@ -55,10 +55,10 @@
 
 async def run_forwarder(options: argparse.Namespace) -> None:
     """Run the faulty network."""
-    from stagewalk_standins.forwarder import Forwarder, read_links
+    from stagewalk_standins.forwarder import LinkForwarder, read_links
     from stagewalk_standins.serving import serve_until_signal
 
-    forwarder = Forwarder(read_links(Path(options.links)), options.seed)
+    forwarder = LinkForwarder(read_links(Path(options.links)), options.seed)
     async with anyio.create_task_group() as group:
         group.start_soon(forwarder.run)
         await serve_until_signal(forwarder.application(), options.listen)
@@ -69,7 +69,7 @@
     """Run an engine until it was asked to stop and has finished what ran."""
     from stagewalk.common.identities import EngineName, Incarnation, ModelName, WeightVersion
     from stagewalk.node.core.platform import MachineState
-    from stagewalk.simulation.engine_model import EngineModel
+    from stagewalk.simulation.engine_model import SimulatedEngine
     from stagewalk.simulation.platform_settings import EngineSettings
     from stagewalk_standins.engine_history import EngineHistory
     from stagewalk_standins.engine_server import EngineServer
@@ -91,7 +91,7 @@
         activation_seconds=options.activation_seconds,
         activation_failure_fraction=options.activation_failure_fraction,
     )
-    model = EngineModel(
+    model = SimulatedEngine(
         settings,
         engine=name,
         incarnation=incarnation,
--- a/src/stagewalk_standins/demo/operator.py
+++ b/src/stagewalk_standins/demo/operator.py
@@ -27,7 +27,7 @@
     PublishAnswered,
 )
 from stagewalk_standins.demo.processes import ProcessGroup
-from stagewalk_standins.demo.topology import Host, NodeHost, Topology
+from stagewalk_standins.demo.topology import Host, NodeProcess, Topology
 from stagewalk_standins.history_file import HistoryFile
 
 PROBE_INTERVAL_SECONDS = 0.5
@@ -205,7 +205,7 @@
         )
 
 
-def _machine_row(node: NodeHost) -> dict[str, str | int]:
+def _machine_row(node: NodeProcess) -> dict[str, str | int]:
     address, _, port = node.peer_address.rpartition(":")
     return {
         "kind": "node",
--- a/src/stagewalk_standins/demo/topology.py
+++ b/src/stagewalk_standins/demo/topology.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeHost:
+class NodeProcess:
     """A node, and the caller or trainer beside it.
 
     Attributes
@@ -75,7 +75,7 @@
     services: dict[str, Host]
     service_processes: tuple[ProcessSpecification, ...]
     engines: tuple[ProcessSpecification, ...]
-    nodes: tuple[NodeHost, ...]
+    nodes: tuple[NodeProcess, ...]
     clients: tuple[ProcessSpecification, ...]
 
 
@@ -109,7 +109,7 @@
             for service in self._deployment.engine_services
             for index in range(service.count)
         ]
-        nodes: list[NodeHost] = []
+        nodes: list[NodeProcess] = []
         clients: list[ProcessSpecification] = []
         for caller in self._deployment.caller_services:
             group = [self._node(caller, index) for index in range(caller.count)]
@@ -173,14 +173,14 @@
             self._history(name),
         )
 
-    def _node(self, service: CallerService | TrainerService, index: int) -> NodeHost:
+    def _node(self, service: CallerService | TrainerService, index: int) -> NodeProcess:
         name = f"{service.name}-node-{index + 1}"
         host = self._host(name, self._regions[service.region], index)
         path = self._directory / f"{name}.toml"
         path.write_text(self._node_settings(host))
         command = (sys.executable, "-m", "stagewalk", "node", f"--settings={path}")
         peer_address = f"{host.address}:{PEER_PORT}"
-        return NodeHost(host, ProcessSpecification(name, command), peer_address)
+        return NodeProcess(host, ProcessSpecification(name, command), peer_address)
 
     def _node_settings(self, host: Host) -> str:
         platform = "\n".join(f'{name} = "{peer.url}"' for name, peer in self._services.items())
@@ -194,7 +194,7 @@
         )
 
     def _caller(
-        self, service: CallerService, nodes: list[NodeHost], index: int
+        self, service: CallerService, nodes: list[NodeProcess], index: int
     ) -> ProcessSpecification:
         name = f"{service.name}-{index + 1}"
         return standin(
@@ -216,8 +216,8 @@
     def _trainer(
         self,
         service: TrainerService,
-        nodes: list[NodeHost],
-        spares: list[NodeHost],
+        nodes: list[NodeProcess],
+        spares: list[NodeProcess],
         index: int,
     ) -> ProcessSpecification:
         name = f"{service.name}-{index + 1}"
@@ -248,7 +248,7 @@
     return ProcessSpecification(name, (sys.executable, "-m", "stagewalk_standins", kind, *flags))
 
 
-def preferring(nodes: list[NodeHost], index: int) -> str:
+def preferring(nodes: list[NodeProcess], index: int) -> str:
     """Return the nodes as a flag, the one at `index` first, the others as spares."""
     ordered = [*nodes[index:], *nodes[:index]]
     return ",".join(f"{node.host.name}={node.host.url}" for node in ordered)
--- a/src/stagewalk_standins/engine_server.py
+++ b/src/stagewalk_standins/engine_server.py
@@ -21,7 +21,7 @@
     WeightVersion,
 )
 from stagewalk.node.core.completions import Priority
-from stagewalk.node.core.platform import EngineOrder, EngineState, OrderKind, OrderOutcome
+from stagewalk.node.core.platform import EngineOrder, EngineOrderOutcome, EngineState, OrderKind
 from stagewalk.simulation.engine_messages import (
     ActivationEnded,
     AttemptDone,
@@ -31,9 +31,9 @@
     EngineOutput,
     EngineRequest,
     Refused,
-    StageBegan,
+    StagingStarted,
 )
-from stagewalk.simulation.engine_model import EngineModel
+from stagewalk.simulation.engine_model import SimulatedEngine
 from stagewalk_standins.engine_history import EngineHistory
 from stagewalk_standins.engine_stream import AttemptStream
 from stagewalk_standins.event_log import log_event
@@ -50,9 +50,9 @@
 )
 from stagewalk_standins.weight_fetcher import WeightFetcher
 
-LOST_STREAM_SECONDS = 10.0
+DISCONNECT_GRACE_SECONDS = 10.0
 SWEEP_SECONDS = 1.0
-LEAVE_SECONDS = 2.0
+DRAIN_DELAY_SECONDS = 2.0
 """Usual least time between `leaving` and the exit: long enough for clients to read it."""
 STOP_POLL_SECONDS = 0.05
 
@@ -97,9 +97,9 @@
 
 
 ORDER_STATUS = {
-    OrderOutcome.ACCEPTED: 200,
-    OrderOutcome.STALE_EPOCH: 409,
-    OrderOutcome.REFUSED: 422,
+    EngineOrderOutcome.ACCEPTED: 200,
+    EngineOrderOutcome.STALE_EPOCH: 409,
+    EngineOrderOutcome.REFUSED: 422,
 }
 
 
@@ -108,10 +108,10 @@
 
     def __init__(
         self,
-        model: EngineModel,
+        model: SimulatedEngine,
         history: EngineHistory,
         weights: WeightFetcher,
-        leave_seconds: float = LEAVE_SECONDS,
+        leave_seconds: float = DRAIN_DELAY_SECONDS,
     ) -> None:
         self._leave_seconds = leave_seconds
         self._model = model
@@ -170,7 +170,7 @@
                 case AttemptDone():
                     self._history.work_ended(output)
                     self._streams[output.attempt].end(output)
-                case StageBegan(model, version):
+                case StagingStarted(model, version):
                     assert self._group is not None
                     self._group.start_soon(self._fetch, model, version)
                 case ActivationEnded(ordered, active):
@@ -189,7 +189,7 @@
             await anyio.sleep(SWEEP_SECONDS)
             now = clock()
             for attempt, stream in list(self._streams.items()):
-                if stream.readers or now < stream.unread_since + LOST_STREAM_SECONDS:
+                if stream.readers or now < stream.unread_since + DISCONNECT_GRACE_SECONDS:
                     continue
                 if stream.done:
                     del self._streams[attempt]
@@ -270,10 +270,10 @@
             epoch=order.epoch,
             outcome=str(answer.outcome),
         )
-        if answer.outcome is OrderOutcome.ACCEPTED:
+        if answer.outcome is EngineOrderOutcome.ACCEPTED:
             self._history.obeyed(order, self._model.weights.active_version)
         self._wake()
-        stale = answer.outcome is OrderOutcome.STALE_EPOCH
+        stale = answer.outcome is EngineOrderOutcome.STALE_EPOCH
         value = OrderAnswerBody(
             str(answer.outcome), answer.epoch if stale else None, answer.detail or None
         )
--- a/src/stagewalk_standins/forwarder.py
+++ b/src/stagewalk_standins/forwarder.py
@@ -49,7 +49,7 @@
     counts: LinkCounts
 
 
-class Forwarder:
+class LinkForwarder:
     """Carries all links of a file.
 
     Parameters
--- a/src/stagewalk_standins/forwarder_streams.py
+++ b/src/stagewalk_standins/forwarder_streams.py
@@ -16,7 +16,7 @@
 from stagewalk_standins.event_log import log_event
 from stagewalk_standins.forwarder_faults import Direction, LinkState
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 CONNECT_TIMEOUT_SECONDS = 5.0
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """`SO_LINGER` with a time of zero: closing discards what is queued and sends a reset."""
@@ -134,7 +134,7 @@
 async def _pieces(source: anyio.abc.SocketStream) -> AsyncGenerator[bytes, None]:
     while True:
         try:
-            yield await source.receive(PIECE_BYTES)
+            yield await source.receive(CHUNK_BYTES)
         except anyio.EndOfStream:
             return
 
--- a/src/stagewalk_standins/http_client.py
+++ b/src/stagewalk_standins/http_client.py
@@ -7,8 +7,8 @@
 
 import httpx
 
-MOST_IDLE_CONNECTIONS = 32
-KEEP_ALIVE_SECONDS = 4.0
+MAXIMUM_IDLE_CONNECTIONS = 32
+SERVER_KEEP_ALIVE_SECONDS = 4.0
 
 
 def open_client(timeout: httpx.Timeout | float) -> httpx.AsyncClient:
@@ -21,7 +21,7 @@
     """
     limits = httpx.Limits(
         max_connections=None,
-        max_keepalive_connections=MOST_IDLE_CONNECTIONS,
-        keepalive_expiry=KEEP_ALIVE_SECONDS,
+        max_keepalive_connections=MAXIMUM_IDLE_CONNECTIONS,
+        keepalive_expiry=SERVER_KEEP_ALIVE_SECONDS,
     )
     return httpx.AsyncClient(timeout=timeout, limits=limits, trust_env=False, verify=False)
--- a/src/stagewalk_standins/serving.py
+++ b/src/stagewalk_standins/serving.py
@@ -14,7 +14,7 @@
 from stagewalk_standins.web import Application
 
 GRACEFUL_TIMEOUT_SECONDS = 3.0
-KEEP_ALIVE_SECONDS = 75.0
+SERVER_KEEP_ALIVE_SECONDS = 75.0
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
@@ -34,7 +34,7 @@
     config.errorlog = None
     config.include_server_header = False
     config.graceful_timeout = GRACEFUL_TIMEOUT_SECONDS
-    config.keep_alive_timeout = KEEP_ALIVE_SECONDS
+    config.keep_alive_timeout = SERVER_KEEP_ALIVE_SECONDS
     await serve(application, config, shutdown_trigger=stop.wait)  # type: ignore[arg-type]
 
 
--- a/src/stagewalk_standins/trainer.py
+++ b/src/stagewalk_standins/trainer.py
@@ -12,7 +12,7 @@
 import httpx
 import msgspec
 
-from stagewalk.common.identities import SlotKey, TenantName, WeightVersion
+from stagewalk.common.identities import SampleSlotKey, TenantName, WeightVersion
 from stagewalk.history.answer_text import answer_length
 from stagewalk.history.observations import (
     SampleAccepted,
@@ -20,7 +20,7 @@
     StepStarted,
     VersionPublished,
 )
-from stagewalk.node.core.rollouts import slot_seed
+from stagewalk.node.core.rollouts import sample_seed
 from stagewalk_standins.event_log import log_event
 from stagewalk_standins.history_file import clock
 from stagewalk_standins.http_client import open_client
@@ -156,14 +156,14 @@
 
     def _observation(self, sample: PulledSample) -> SampleAccepted:
         options, state = self._options, self._state
-        slot = SlotKey(
+        slot = SampleSlotKey(
             TenantName(options.tenant),
             options.trainer,
             state.step,
             sample.prompt_id,
             sample.sample_index,
         )
-        seed = slot_seed(slot)
+        seed = sample_seed(slot)
         prompt = self._prompt(state.step, sample.prompt_id)
         return SampleAccepted(
             at=clock(),
--- a/src/stagewalk_standins/weight_server.py
+++ b/src/stagewalk_standins/weight_server.py
@@ -23,7 +23,7 @@
     problem_response,
 )
 
-PIECE_BYTES = 262_144
+CHUNK_BYTES = 262_144
 FETCH_RETRY_SECONDS = 1.0
 
 
@@ -93,7 +93,7 @@
         try:
             remaining = size_bytes
             while remaining > 0:
-                piece = min(PIECE_BYTES, remaining)
+                piece = min(CHUNK_BYTES, remaining)
                 await self._wait_for_rate(piece)
                 yield bytes(piece)
                 remaining -= piece
--- a/tests/common/http/test_asgi.py
+++ b/tests/common/http/test_asgi.py
@@ -10,7 +10,7 @@
 import testtools
 
 from stagewalk.common.http.asgi import (
-    POLICY_VIOLATION,
+    WEBSOCKET_POLICY_VIOLATION,
     BrokenResponseError,
     run_exchange,
     serve_connection,
@@ -55,7 +55,7 @@
                 SCOPE, self.receive, self.send, limits, BodyBudget(10), last=lambda: False
             )
             await run_exchange(
-                exchange, partial(handle, exchange), partial(exchange.begin, 500, ())
+                exchange, partial(handle, exchange), partial(exchange.start_response, 500, ())
             )
 
         anyio.run(main)
@@ -65,7 +65,7 @@
             self.fail("served as HTTP")
 
         anyio.run(serve_connection, {"type": "websocket"}, self.receive, self.send, unreached)
-        self.assertEqual([POLICY_VIOLATION], [message["code"] for message in self.sent])
+        self.assertEqual([WEBSOCKET_POLICY_VIOLATION], [message["code"] for message in self.sent])
 
     def test_a_crash_before_the_status_is_logged_and_answered(self) -> None:
         async def crash(_exchange: Exchange) -> None:
@@ -77,7 +77,7 @@
 
     def test_a_crash_after_the_status_is_only_logged(self) -> None:
         async def crash(exchange: Exchange) -> None:
-            await exchange.begin(200, ())
+            await exchange.start_response(200, ())
             raise ValueError("a fault of the code")
 
         self.run_handler(crash)
--- a/tests/common/logs/test_budget.py
+++ b/tests/common/logs/test_budget.py
@@ -9,7 +9,7 @@
     FAILURE_BURST_LINES,
     FAILURE_LINES_PER_SECOND,
     LINES_PER_SECOND,
-    MOST_KINDS,
+    MAXIMUM_EVENT_KINDS,
     LogBudget,
 )
 
@@ -23,8 +23,8 @@
         budget = LogBudget()
         most = int(BURST_LINES)
         self.assertEqual(most, written(budget, "a", most + 30, 0.0))
-        self.assertEqual({"a": 30}, budget.take_dropped())
-        self.assertEqual({}, budget.take_dropped())
+        self.assertEqual({"a": 30}, budget.pop_dropped_counts())
+        self.assertEqual({}, budget.pop_dropped_counts())
 
     def test_in_the_long_run_lines_are_bounded_by_the_second(self) -> None:
         budget = LogBudget()
@@ -50,10 +50,10 @@
 
     def test_kinds_without_end_take_no_memory_without_end(self) -> None:
         budget = LogBudget()
-        for number in range(10 * MOST_KINDS):
+        for number in range(10 * MAXIMUM_EVENT_KINDS):
             written(budget, f"kind-{number}", 1, 0.0)
-        expected = 9 * MOST_KINDS - int(BURST_LINES)
-        self.assertEqual({"other": expected}, budget.take_dropped())
+        expected = 9 * MAXIMUM_EVENT_KINDS - int(BURST_LINES)
+        self.assertEqual({"other": expected}, budget.pop_dropped_counts())
 
     def test_events_are_counted_whether_their_lines_are_written_or_not(self) -> None:
         budget = LogBudget()
--- a/tests/common/logs/test_lines.py
+++ b/tests/common/logs/test_lines.py
@@ -65,11 +65,11 @@
                 log_event("often")
             log_event("request_ended", "warning", request="r1")
         self.assertIn("event=request_ended node=n-1 request=r1", lines[-1])
-        self.assertEqual({"often": 7}, budget.take_dropped())
+        self.assertEqual({"often": 7}, budget.pop_dropped_counts())
 
     def test_a_line_without_room_is_counted(self) -> None:
         budget = LogBudget()
         self.addCleanup(configure_logs("info", lambda _line: False, budget=budget))
-        budget.take_dropped()
+        budget.pop_dropped_counts()
         log_event("unheard")
-        self.assertEqual({"unheard": 1}, budget.take_dropped())
+        self.assertEqual({"unheard": 1}, budget.pop_dropped_counts())
--- a/tests/common/logs/test_writer.py
+++ b/tests/common/logs/test_writer.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from stagewalk.common.logs.writer import MOST_WAITING_BYTES, WRITE_BYTES, LineWriter
+from stagewalk.common.logs.writer import MAXIMUM_BUFFERED_BYTES, MAXIMUM_WRITE_BYTES, LineWriter
 
 
 class LineWriterTests(testtools.TestCase):
@@ -52,13 +52,13 @@
         line = "x" * 999 + "\n"
         taken = sum(writer.write(line) for _ in range(3_000))
         self.assertLess(taken, 3_000)
-        self.assertLessEqual(writer.waiting_bytes, MOST_WAITING_BYTES)
+        self.assertLessEqual(writer.waiting_bytes, MAXIMUM_BUFFERED_BYTES)
         os.read(self.reader, 1 << 20)
         self.assertTrue(writer.write(line))
 
     def test_a_line_longer_than_a_pipe_takes_at_once_comes_whole(self) -> None:
         writer = LineWriter(self.descriptor)
-        line = "y" * (3 * WRITE_BYTES + 17) + "\n"
+        line = "y" * (3 * MAXIMUM_WRITE_BYTES + 17) + "\n"
         writer.write(line)
         self.assertEqual(0, writer.waiting_bytes)
         self.assertEqual(line, self.read_all())
--- a/tests/gateway/admission/benchmark.py
+++ b/tests/gateway/admission/benchmark.py
@@ -10,8 +10,8 @@
 import time
 from collections import deque
 
-from stagewalk.gateway.admission.decisions import Place, Queued
-from stagewalk.gateway.admission.fair_queue import QueuedRequest, Waiting
+from stagewalk.gateway.admission.decisions import Admitted, Queued
+from stagewalk.gateway.admission.fair_queue import AdmissionRequest, QueueEntry
 from stagewalk.gateway.admission.service_admission import ServiceAdmission, patience_ends_at
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.worker import Worker
@@ -56,12 +56,12 @@
     rng = random.Random(1)
     workers = [Worker(announcement(f"w{n}", slots=SLOTS), 0.0) for n in range(WORKERS)]
     for worker in workers:
-        worker.note_load(WorkerLoad(SLOTS, 0, SLOTS, 1.0), 0.0)
+        worker.record_load(WorkerLoad(SLOTS, 0, SLOTS, 1.0), 0.0)
     admission = ServiceAdmission(lambda: workers, rng)
-    admission.note_held("r", holding_seconds)
+    admission.note_holding_time("r", holding_seconds)
     offers, reviews, starts = _Clock(), _Clock(), _Clock()
     ends: deque[float] = deque()
-    patient: deque[Waiting] = deque()
+    patient: deque[QueueEntry] = deque()
     counts = {"at once": 0, "queued": 0, "rejected": 0}
     for n in range(REQUESTS):
         now = n / ARRIVALS_PER_SECOND
@@ -72,11 +72,11 @@
         while patient and patience_ends_at(patient[0].request) <= now:
             waiting = patient.popleft()
             if not waiting.started:
-                reviews.time(admission.review, waiting, now)
+                reviews.time(admission.recheck, waiting, now)
         tenant = f"t{min(rng.randrange(tenants), rng.randrange(tenants))}"
-        request = QueuedRequest("", "r", tenant, 5, now, now + 5.0, TARGET_SECONDS)
+        request = AdmissionRequest("", "r", tenant, 5, now, now + 5.0, TARGET_SECONDS)
         decision = offers.time(admission.offer, request, now)
-        if isinstance(decision, Place):
+        if isinstance(decision, Admitted):
             ends.append(now + holding_seconds)
             counts["at once"] += 1
         elif isinstance(decision, Queued):
--- a/tests/gateway/admission/play.py
+++ b/tests/gateway/admission/play.py
@@ -9,8 +9,8 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from stagewalk.gateway.admission.decisions import Place, Rejection
-from stagewalk.gateway.admission.fair_queue import QueuedRequest, Waiting
+from stagewalk.gateway.admission.decisions import Admitted, Rejection
+from stagewalk.gateway.admission.fair_queue import AdmissionRequest, QueueEntry
 from stagewalk.gateway.admission.service_admission import ServiceAdmission
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.worker import Worker
@@ -65,18 +65,18 @@
             for worker in play.workers
         }
         self.admission = ServiceAdmission(self.usable, rng)
-        self.starts: dict[Waiting, Callable[[], None]] = {}
+        self.starts: dict[QueueEntry, Callable[[], None]] = {}
 
     def usable(self) -> list[Worker]:
         return [self.views[worker.name] for worker in self.play.workers if not worker.lost]
 
     def ask(self, call: Call) -> None:
         now = call.tried_at = self.play.now
-        request = QueuedRequest(
+        request = AdmissionRequest(
             "", "r", call.tenant, call.urgency, now, call.deadline_at, call.target
         )
         decision = self.admission.offer(request, now)
-        if isinstance(decision, Place):
+        if isinstance(decision, Admitted):
             self.send(call, request, now)
         elif isinstance(decision, Rejection):
             self.refuse(call, request, decision.retry_after_seconds)
@@ -84,24 +84,24 @@
             self.starts[decision.waiting] = lambda: self.send(call, request, self.play.now)
             self.look(call, request, decision.waiting)
 
-    def look(self, call: Call, request: QueuedRequest, waiting: Waiting) -> None:
+    def look(self, call: Call, request: AdmissionRequest, waiting: QueueEntry) -> None:
         self.start_due()
         if waiting.started or waiting not in self.starts:
             return
         now = self.play.now
-        rejection = self.admission.review(waiting, now)
+        rejection = self.admission.recheck(waiting, now)
         if rejection is not None:
             del self.starts[waiting]
             self.refuse(call, request, rejection.retry_after_seconds)
             return
-        later = self.admission.seconds_until_turn(waiting, now)
+        later = self.admission.seconds_until_recheck(waiting, now)
         self.play.after(later, lambda: self.look(call, request, waiting))
 
     def start_due(self) -> None:
         for waiting in self.admission.start_due(self.play.now):
             self.starts.pop(waiting)()
 
-    def send(self, call: Call, request: QueuedRequest, since: float, tried: str = "") -> None:
+    def send(self, call: Call, request: AdmissionRequest, since: float, tried: str = "") -> None:
         """Send to the emptiest worker as this node sees it, once more after a refusal."""
         views = [view for view in self.usable() if view.announcement.worker != tried]
         view = min(views, key=lambda view: view.occupancy(self.play.now), default=None)
@@ -109,29 +109,29 @@
             self.end(call, request, since, ran=False)
             return
         worker = self.play.named[view.announcement.worker]
-        view.note_sent()
+        view.record_sent()
 
         def answered(seconds: float | None) -> None:
             now = self.play.now
-            view.note_ended()
-            view.note_load(worker.load, now)
+            view.record_ended()
+            view.record_load(worker.load, now)
             limit, in_flight = self.admission.limit, self.admission.in_flight
             if seconds is None:
-                limit.note_refused(in_flight, now)
+                limit.record_refused(in_flight, now)
                 if tried:
                     self.end(call, request, since, ran=False)
                 else:
                     self.send(call, request, since, view.announcement.worker)
                 return
-            limit.note_answered(seconds, worker.load.waiting / worker.slots, in_flight, now)
+            limit.record_answered(seconds, worker.load.waiting / worker.slots, in_flight, now)
             self.end(call, request, since, ran=True)
 
         self.play.arrive(worker, answered)
 
-    def end(self, call: Call, request: QueuedRequest, since: float, *, ran: bool) -> None:
+    def end(self, call: Call, request: AdmissionRequest, since: float, *, ran: bool) -> None:
         now = self.play.now
         if ran:
-            self.admission.note_held("r", now - since)
+            self.admission.note_holding_time("r", now - since)
             if now <= call.deadline_at:
                 call.served_at = now
         self.admission.release()
@@ -139,7 +139,7 @@
             self.refuse(call, request, self.admission.retry_after(request, now))
         self.start_due()
 
-    def refuse(self, call: Call, request: QueuedRequest, retry_after: float) -> None:
+    def refuse(self, call: Call, request: AdmissionRequest, retry_after: float) -> None:
         """Have the caller come back, to any node, as long as that helps."""
         now = self.play.now
         call.refused_waits.append(now - request.arrived_at)
--- a/tests/gateway/admission/test_fair_queue.py
+++ b/tests/gateway/admission/test_fair_queue.py
@@ -6,17 +6,17 @@
 
 import testtools
 
-from stagewalk.gateway.admission.fair_queue import FairQueue, QueuedRequest, Waiting
+from stagewalk.gateway.admission.fair_queue import AdmissionRequest, FairQueue, QueueEntry
 
 
 def waiting(
     tenant: str, number: int = 0, *, urgency: int = 5, due: float = 1.0, returning: bool = False
-) -> Waiting:
-    request = QueuedRequest(f"{tenant}{number}", "r", tenant, urgency, 0.0, 9.0, due)
-    return Waiting(request, 1.0, returning)
+) -> QueueEntry:
+    request = AdmissionRequest(f"{tenant}{number}", "r", tenant, urgency, 0.0, 9.0, due)
+    return QueueEntry(request, 1.0, returning)
 
 
-def filled(*entries: Waiting) -> FairQueue:
+def filled(*entries: QueueEntry) -> FairQueue:
     queue = FairQueue()
     for entry in entries:
         queue.push(entry, 0.0)
@@ -45,7 +45,7 @@
 
     def test_starts_without_waiting_count(self) -> None:
         queue = FairQueue()
-        queue.note_start(waiting("b"), 0.0)
+        queue.record_start(waiting("b"), 0.0)
         queue.push(waiting("b"), 0.1)
         queue.push(waiting("a"), 0.1)
         self.assertEqual(["a0", "b0"], order(queue))
@@ -55,7 +55,7 @@
         self.assertEqual(["a2", "a3", "a1"], order(queue))
 
     def test_a_costly_request_moves_its_tenant_further_back(self) -> None:
-        costly = [Waiting(waiting("a", n).request, 4.0, False) for n in range(2)]
+        costly = [QueueEntry(waiting("a", n).request, 4.0, False) for n in range(2)]
         queue = filled(*costly, *(waiting("b", n) for n in range(5)))
         self.assertEqual(["a0", "b0", "b1", "b2", "b3", "a1", "b4"], order(queue))
 
--- a/tests/gateway/admission/test_loads.py
+++ b/tests/gateway/admission/test_loads.py
@@ -21,7 +21,7 @@
 
 ROOM_PER_SECOND = 450.0
 TARGET_SECONDS = 0.4
-LONGEST_REFUSED_WAIT = TARGET_SECONDS / 8.0
+MAXIMUM_REFUSED_WAIT = TARGET_SECONDS / 8.0
 TENANTS = [f"t{n}" for n in range(72)]
 SHARE_PER_SECOND = ROOM_PER_SECOND / len(TENANTS)
 
@@ -74,7 +74,7 @@
     def test_who_is_refused_hears_of_it_within_an_eighth_of_the_target(self) -> None:
         for nodes in (1, 4):
             calls = twice_the_room(nodes)
-            self.assertLess(longest_refused_wait(calls), LONGEST_REFUSED_WAIT)
+            self.assertLess(longest_refused_wait(calls), MAXIMUM_REFUSED_WAIT)
 
     def test_most_of_the_room_goes_to_answers_within_their_target(self) -> None:
         calls = twice_the_room(4)
@@ -110,7 +110,7 @@
             meanwhile = [call for call in calls if 4.0 <= call.asked_at < 9.0]
             self.assertGreater(served_share(meanwhile), 1.0 / 3.0)
             self.assertLess(p99_of_served_tries(meanwhile), TARGET_SECONDS)
-            self.assertLess(longest_refused_wait(calls), LONGEST_REFUSED_WAIT)
+            self.assertLess(longest_refused_wait(calls), MAXIMUM_REFUSED_WAIT)
 
     def test_two_seconds_after_they_are_back_all_is_as_before(self) -> None:
         for nodes in (1, 4):
@@ -129,7 +129,7 @@
         others = [call for call in play.calls if call.urgency == 7]
         self.assertGreater(served_share(urgent), 0.99)
         self.assertGreater(served_share(others), 0.2)
-        self.assertLess(longest_refused_wait(play.calls), LONGEST_REFUSED_WAIT)
+        self.assertLess(longest_refused_wait(play.calls), MAXIMUM_REFUSED_WAIT)
 
 
 class FewRequestsTests(testtools.TestCase):
@@ -150,4 +150,4 @@
         self.assertLess(p99_of_served_tries(calls), TARGET_SECONDS)
 
     def test_who_is_refused_hears_of_it_within_an_eighth_of_the_target(self) -> None:
-        self.assertLess(longest_refused_wait(twice_the_room(59)), LONGEST_REFUSED_WAIT)
+        self.assertLess(longest_refused_wait(twice_the_room(59)), MAXIMUM_REFUSED_WAIT)
--- a/tests/gateway/admission/test_over_connections.py
+++ b/tests/gateway/admission/test_over_connections.py
@@ -126,7 +126,7 @@
 
     def test_a_planned_stop_answers_all_that_wait(self) -> None:
         async def scenario(site: Site) -> None:
-            with mock.patch("stagewalk.gateway.daemon.LEAVE_SECONDS", 0.1):
+            with mock.patch("stagewalk.gateway.daemon.DRAIN_DELAY_SECONDS", 0.1):
                 node = await start(site)
                 async with anyio.create_task_group() as tasks:
 
--- a/tests/gateway/admission/test_return_times.py
+++ b/tests/gateway/admission/test_return_times.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from stagewalk.gateway.admission.return_times import MOST_SHARE_OF_TIME_LEFT, ReturnTimes
+from stagewalk.gateway.admission.return_times import MAXIMUM_SHARE_OF_TIME_LEFT, ReturnTimes
 
 SECONDS_PER_START = 0.01
 
@@ -39,5 +39,5 @@
     def test_a_caller_keeps_time_to_be_served(self) -> None:
         times = ReturnTimes(random.Random(3))
         returns = [self.choose(times, left=0.9) for _ in range(200)]
-        self.assertLessEqual(max(returns), 0.9 * MOST_SHARE_OF_TIME_LEFT)
+        self.assertLessEqual(max(returns), 0.9 * MAXIMUM_SHARE_OF_TIME_LEFT)
         self.assertGreater(max(returns) - min(returns), 0.1)
--- a/tests/gateway/admission/test_service_admission.py
+++ b/tests/gateway/admission/test_service_admission.py
@@ -6,9 +6,9 @@
 
 import testtools
 
-from stagewalk.gateway.admission.decisions import Decision, Place, Queued, Rejection
+from stagewalk.gateway.admission.decisions import Admitted, Decision, Queued, Rejection
 from stagewalk.gateway.admission.decisions import RejectionReason as Reason
-from stagewalk.gateway.admission.fair_queue import QueuedRequest
+from stagewalk.gateway.admission.fair_queue import AdmissionRequest
 from stagewalk.gateway.admission.service_admission import ServiceAdmission
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.worker import Worker
@@ -24,7 +24,7 @@
     def __init__(self, holding_seconds: float = 0.1) -> None:
         self.workers = [Worker(announcement("w", slots=SLOTS), 0.0)]
         self.admission = ServiceAdmission(lambda: self.workers, random.Random(1))
-        self.admission.note_held("r", holding_seconds)
+        self.admission.note_holding_time("r", holding_seconds)
 
     def ask(
         self,
@@ -34,12 +34,12 @@
         allowed: float = 5.0,
         streamed: bool = False,
     ) -> Decision:
-        request = QueuedRequest("", "r", "t", 5, now, now + allowed, target, streamed)
+        request = AdmissionRequest("", "r", "t", 5, now, now + allowed, target, streamed)
         return self.admission.offer(request, now)
 
     def fill(self) -> None:
         for _ in range(PLACES):
-            assert isinstance(self.ask(), Place)
+            assert isinstance(self.ask(), Admitted)
 
 
 class ServiceAdmissionTests(testtools.TestCase):
@@ -71,7 +71,7 @@
         service.fill()
         queued = service.ask()
         service.workers.clear()
-        refused = service.admission.review(queued.waiting, 0.1)
+        refused = service.admission.recheck(queued.waiting, 0.1)
         self.assertEqual(Reason.NO_WORKER, refused.reason)
         self.assertEqual(Reason.NO_WORKER, service.ask(0.1).reason)
         self.assertEqual(0, service.admission.waiting)
@@ -81,10 +81,10 @@
         service.fill()
         queued = service.ask()
         service.admission.stop()
-        refused = service.admission.review(queued.waiting, 0.01)
+        refused = service.admission.recheck(queued.waiting, 0.01)
         self.assertEqual(Reason.STOPPING, refused.reason)
         service.admission.release()
-        self.assertIsInstance(service.ask(0.02), Place)
+        self.assertIsInstance(service.ask(0.02), Admitted)
 
     def test_a_caller_that_leaves_gives_back_its_turn_or_its_place(self) -> None:
         service = Service()
@@ -94,13 +94,13 @@
         service.admission.release()
         self.assertEqual([second.waiting], service.admission.start_due(0.01))
         service.admission.withdraw(second.waiting)
-        self.assertIsInstance(service.ask(0.02), Place)
+        self.assertIsInstance(service.ask(0.02), Admitted)
 
     def test_a_worker_that_says_it_is_half_empty_gets_more_than_the_bound(self) -> None:
         service = Service()
         service.fill()
-        service.workers[0].note_load(WorkerLoad(0, 0, SLOTS, 1.0), 0.1)
-        self.assertIsInstance(service.ask(0.2), Place)
+        service.workers[0].record_load(WorkerLoad(0, 0, SLOTS, 1.0), 0.1)
+        self.assertIsInstance(service.ask(0.2), Admitted)
 
     def test_a_hedge_needs_room_and_nobody_that_waits(self) -> None:
         service = Service()
--- a/tests/gateway/autoscaling/test_core.py
+++ b/tests/gateway/autoscaling/test_core.py
@@ -13,7 +13,7 @@
     Autoscaler,
     ScalingPolicy,
 )
-from stagewalk.gateway.autoscaling.demand import HOLD_SECONDS, Demand
+from stagewalk.gateway.autoscaling.demand import PEAK_RETENTION_SECONDS, Demand
 from stagewalk.gateway.ports.duties import DutyOutcome, WorkerGroup, WorkerOrder
 from stagewalk.gateway.routes.route import Scaling, Service
 from stagewalk.gateway.workers.worker import Worker
@@ -53,7 +53,7 @@
         outcome: DutyOutcome = DutyOutcome.DONE,
     ) -> dict[WorkerGroup, int]:
         for order in orders:
-            scaler.planned(order)
+            scaler.apply_planned_order(order)
             scaler.sent(order, outcome, now)
         return {order.group: order.count for order in orders}
 
@@ -119,24 +119,24 @@
         self.assertEqual({REGULAR["z2"]: 3}, self.take(scaler, orders, 16.0))
         grown = workers(z1=2, z2=3, z3=1)
         self.assertEqual([], self.decide(scaler, grown + spot, 5 * 8 + 24, 40.0))
-        orders = self.decide(scaler, grown, 0, 40.0 + 2.0 * HOLD_SECONDS)
+        orders = self.decide(scaler, grown, 0, 40.0 + 2.0 * PEAK_RETENTION_SECONDS)
         self.assertEqual(2, self.take(scaler, orders, 300.0)[REGULAR["z2"]])
 
     def test_a_new_holder_gives_nothing_back_before_it_has_seen_the_demand(self) -> None:
         scaler = Autoscaler(ScalingPolicy(True, 1.0, True))
         for zone, counts in (("z1", (2, 4)), ("z2", (2, 4)), ("z3", (1, 1))):
             for count in counts:
-                scaler.planned(WorkerOrder(REGULAR[zone], count))
+                scaler.apply_planned_order(WorkerOrder(REGULAR[zone], count))
         listed = workers(z1=4, z2=4, z3=1)
-        for now in (0.0, SETTLE_SECONDS, HOLD_SECONDS - 1.0):
+        for now in (0.0, SETTLE_SECONDS, PEAK_RETENTION_SECONDS - 1.0):
             self.assertEqual([], self.decide(scaler, listed, 0, now))
-        orders = self.decide(scaler, listed, 0, HOLD_SECONDS)
+        orders = self.decide(scaler, listed, 0, PEAK_RETENTION_SECONDS)
         self.assertEqual([WorkerOrder(REGULAR["z1"], 2), WorkerOrder(REGULAR["z2"], 2)], orders)
 
     def test_ordinary_workers_are_kept_beside_new_spot_ones(self) -> None:
         scaler = Autoscaler(ScalingPolicy(True, 1.0, True))
         for count in (2, 4):
-            scaler.planned(WorkerOrder(REGULAR["z1"], count))
+            scaler.apply_planned_order(WorkerOrder(REGULAR["z1"], count))
         listed = workers(z1=4)
         self.decide(scaler, listed, 0, 0.0)
         orders = self.decide(scaler, listed, 4 * 8 + 16, SETTLE_SECONDS)
@@ -157,7 +157,7 @@
     def test_a_successor_keeps_what_was_written_down(self) -> None:
         scaler = Autoscaler(ScalingPolicy(True, 0.0, True))
         for zone, count in (("z1", 2), ("z2", 2), ("z3", 1)):
-            scaler.planned(WorkerOrder(REGULAR[zone], count))
+            scaler.apply_planned_order(WorkerOrder(REGULAR[zone], count))
         listed = workers(z2=2, z3=1)
         self.decide(scaler, listed, 0, 0.0)
         self.assertEqual(
@@ -186,7 +186,7 @@
         for now, items in ((0.0, 5), (1.0, 9), (2.0, 3), (3.0, 4)):
             demand.record(items, now)
         self.assertEqual(9, demand.peak)
-        demand.record(2, 1.0 + HOLD_SECONDS + 0.1)
+        demand.record(2, 1.0 + PEAK_RETENTION_SECONDS + 0.1)
         self.assertEqual(4, demand.peak)
-        demand.record(1, 4.0 * HOLD_SECONDS)
+        demand.record(1, 4.0 * PEAK_RETENTION_SECONDS)
         self.assertEqual(1, demand.peak)
--- a/tests/gateway/batch_service/test_batches.py
+++ b/tests/gateway/batch_service/test_batches.py
@@ -8,7 +8,7 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.batch_store import CURRENT_SECONDS
+from stagewalk.gateway.batch_service.batch_store import MAXIMUM_CURRENT_VIEW_AGE_SECONDS
 from stagewalk.gateway.ports.workers import AttemptFault
 from tests.gateway.support import Site, run, until
 
@@ -79,7 +79,7 @@
             node = await site.start("n1")
             node.gateway.store.set_following(False)
             with mock.patch.object(node.gateway._roles, "update"):
-                await anyio.sleep(CURRENT_SECONDS)
+                await anyio.sleep(MAXIMUM_CURRENT_VIEW_AGE_SECONDS)
                 node.log.faults.silent = True
                 refused = await site.submit(node, "b1", "x")
                 self.assertEqual(503, refused.status_code)
--- a/tests/gateway/batch_service/test_dropped_history.py
+++ b/tests/gateway/batch_service/test_dropped_history.py
@@ -11,10 +11,10 @@
 import msgspec
 import testtools
 
-from stagewalk.gateway.batch_service.batch_store import PARTITIONS, TOPIC, BatchStore
+from stagewalk.gateway.batch_service.batch_store import BATCHES_TOPIC, PARTITIONS, BatchStore
 from stagewalk.gateway.batch_service.ledger_messages import ResultsCall
-from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
-from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
+from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.records import BatchRecord, ItemFinished, encode_record
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
 from tests.gateway.batches.support import item, submitted
@@ -22,7 +22,7 @@
 from tests.gateway.plain_dialect import PlainDialect
 from tests.gateway.support import Site, run, until
 
-ONLY = Partition(TOPIC, 0)
+ONLY = Partition(BATCHES_TOPIC, 0)
 ITEMS = tuple(f"x{n}" for n in range(20))
 RECORD_BYTES = 1_000_000
 BELIEVED_DEAD_SECONDS = 10.0
@@ -31,7 +31,7 @@
 
 def forget_the_past(site: Site) -> None:
     for number in range(PARTITIONS):
-        partition = Partition(TOPIC, number)
+        partition = Partition(BATCHES_TOPIC, number)
         site.log.drop_history(partition, site.log.kept(partition).end)
 
 
@@ -74,7 +74,7 @@
 
         async def scenario() -> None:
             store = BatchStore(log.client(), "p", RECORD_BYTES, RECORD_BYTES, 1)
-            reads = LedgerReads(store, PlainDialect(), OpenBatches(client))
+            reads = LedgerCallHandler(store, PlainDialect(), BatchIndex(client))
             await append(submitted(item("x"), item("y"), item("z"), batch="b"))
             await append(ItemFinished("b", "x", True, "t", (1,)))
             self.assertTrue(await store.catch_up("b"))
@@ -82,7 +82,7 @@
             log.drop_history(ONLY, log.kept(ONLY).end)
             await append(ItemFinished("b", "z", True, "t", (1,)))
             await store.catch_up("b")
-            answer = await reads.carry_out(ResultsCall("b", 0, 0.0))
+            answer = await reads.execute(ResultsCall("b", 0, 0.0))
             if answer.status == 200:
                 shown = [row[2] for row in msgspec.json.decode(answer.content)["results"]]
                 self.assertEqual(["x", "y", "z"][: len(shown)], shown)
@@ -94,13 +94,13 @@
         log = MemoryLog()
         client = log.client()
 
-        async def status(reads: LedgerReads, batch: str) -> int:
-            return (await reads.carry_out(ResultsCall(batch, 0, 0.0))).status
+        async def status(reads: LedgerCallHandler, batch: str) -> int:
+            return (await reads.execute(ResultsCall(batch, 0, 0.0))).status
 
         async def scenario() -> None:
-            places = OpenBatches(client)
+            places = BatchIndex(client)
             store = BatchStore(log.client(), "p", RECORD_BYTES, RECORD_BYTES, 1)
-            reads = LedgerReads(store, PlainDialect(), places)
+            reads = LedgerCallHandler(store, PlainDialect(), places)
             record = encode_record(submitted(item("x"), batch="b"))
             await client.append(ONLY, [record], ProducerSequence("p", 1, 1))
             await places.note("b", BatchPlace(0, 0, "n#1"))
--- a/tests/gateway/batch_service/test_ended_batches.py
+++ b/tests/gateway/batch_service/test_ended_batches.py
@@ -22,11 +22,14 @@
 import msgspec
 import testtools
 
-from stagewalk.gateway.assembly import NODES
-from stagewalk.gateway.batch_service.batch_store import CURRENT_SECONDS, TOPIC
-from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.assembly import NODES_PARTITION
+from stagewalk.gateway.batch_service.batch_store import (
+    BATCHES_TOPIC,
+    MAXIMUM_CURRENT_VIEW_AGE_SECONDS,
+)
+from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.records import BatchEnded, BatchHeader, decode_record, encode_record
-from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.batches.takeover import rendezvous_hash
 from stagewalk.gateway.ports.partitioned_log import Partition
 from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk.gateway.runners.runner_calls import RUNNER_PATH
@@ -69,7 +72,7 @@
     """Wait until a batch is not among the open ones any more."""
 
     async def ended() -> bool:
-        place = (await OpenBatches(site.log.client()).find(batch)).ok
+        place = (await BatchIndex(site.log.client()).find(batch)).ok
         return place is None or place.ended
 
     await until(ended)
@@ -113,7 +116,7 @@
 
     def test_a_batch_that_ended_is_not_run_again_where_it_is_handed_in_again(self) -> None:
         """The node without a replica finds none that answers, and is left to run it itself."""
-        self.patch("stagewalk.gateway.directory.node_table.ALIVE_SECONDS", NEVER)
+        self.patch("stagewalk.gateway.directory.node_table.FAILURE_TIMEOUT_SECONDS", NEVER)
         self.patch("stagewalk.gateway.directory.ledger_replicas.LEDGER_REPLICAS", 1)
 
         async def scenario(site: Site) -> None:
@@ -140,8 +143,8 @@
             node.scope.cancel()
             await node.ended.wait()
             site.workers.arrivals.clear()
-            self.patch("stagewalk.gateway.daemon.RESTART_SECONDS", NEVER)
-            self.patch("stagewalk.gateway.daemon.RESUME_SECONDS", NEVER)
+            self.patch("stagewalk.gateway.daemon.RESTART_LOG_RESERVE_SECONDS", NEVER)
+            self.patch("stagewalk.gateway.daemon.RESUME_LOG_RESERVE_SECONDS", NEVER)
             again = await site.start("n1")
             await started(site)
             self.assertFalse(again.gateway.store.following)
@@ -182,9 +185,9 @@
                 return store.following and store.read_whole("b1")
 
             await until(read)
-            place = Partition(TOPIC, store.partition("b1"))
+            place = Partition(BATCHES_TOPIC, store.partition("b1"))
             log.follow = anyio.Event()
-            await anyio.sleep(CURRENT_SECONDS + 0.4)
+            await anyio.sleep(MAXIMUM_CURRENT_VIEW_AGE_SECONDS + 0.4)
             record = submitted(
                 *(item(name) for name in MANY), batch="b1", runner=await identity(node), minimum=0
             )
@@ -227,7 +230,7 @@
             ended_at = anyio.current_time()
             await not_noted(site, "ended")
             await site.submit(node, other, "still open")
-            partition = Partition(TOPIC, number)
+            partition = Partition(BATCHES_TOPIC, number)
             first = next(r for r in map(decode_record, site.log.payloads(partition)) if r)
             again = msgspec.structs.replace(first, submission="again")
             await append(site.log, partition, [encode_record(again)])
@@ -254,7 +257,7 @@
             await write_history(site.log)
             slow_engines(site)
             trainer = BatchHeader("b1", "h.example", "/run/batch", 0, "m", 0, 0).trainer
-            first, second = sorted(("n1", "n2"), key=lambda name: affinity(trainer, name))
+            first, second = sorted(("n1", "n2"), key=lambda name: rendezvous_hash(trainer, name))
             usual = await site.start(first, log=SlowHistoryLog(site.log), peers=None)
             other = await site.start(second, peers=None)
 
@@ -299,7 +302,7 @@
             await not_noted(site, "b1")
             before.scope.cancel()
             await before.ended.wait()
-            site.log.drop_key(NODES, "n0")
+            site.log.drop_key(NODES_PARTITION, "n0")
             await write_history(site.log)
             logs = [SlowHistoryLog(site.log) for _ in range(2)]
             _, other = await replica_and_other(
--- a/tests/gateway/batch_service/test_ledger_calls.py
+++ b/tests/gateway/batch_service/test_ledger_calls.py
@@ -6,7 +6,7 @@
 import testtools
 
 from stagewalk.common.identities import Address, Placement
-from stagewalk.gateway.batch_service.ledger_calls import LedgerCalls
+from stagewalk.gateway.batch_service.ledger_calls import LedgerCallRouter
 from stagewalk.gateway.batch_service.ledger_messages import (
     LedgerAnswer,
     ResultsCall,
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self.calls = 0
 
-    async def carry_out(self, call: ResultsCall) -> LedgerAnswer:
+    async def execute(self, call: ResultsCall) -> LedgerAnswer:
         self.calls += 1
         return KNOWN
 
@@ -59,7 +59,7 @@
         may_hold: bool = True,
     ) -> LedgerAnswer:
         self.client, self.local = ScriptedClient(*answers), LocalReads()
-        calls = LedgerCalls(
+        calls = LedgerCallRouter(
             self.local,
             self.client,
             Proximity(Placement("r", "z"), {}),
@@ -87,7 +87,7 @@
         ]
         proximity = Proximity(Placement("r", "z"), {"z": "r", "z2": "r", "z9": "r9"})
         client = ScriptedClient(None, None)
-        calls = LedgerCalls(LocalReads(), client, proximity, lambda: nodes, lambda: False)
+        calls = LedgerCallRouter(LocalReads(), client, proximity, lambda: nodes, lambda: False)
         anyio.run(calls.call, CALL)
         self.assertEqual(["n2", "n1"], [peer.host for peer in client.asked])
 
--- a/tests/gateway/batch_service/test_ledger_reads.py
+++ b/tests/gateway/batch_service/test_ledger_reads.py
@@ -15,8 +15,8 @@
     decode_answer,
     encode_message,
 )
-from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
-from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
+from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.ledger import BatchLedger
 from stagewalk.gateway.batches.records import ItemFinished
 from tests.gateway.batches.support import item, submitted
@@ -27,7 +27,7 @@
 ITEMS_OF_A_GROUP = 8
 WANTED = 4
 DUE = 7.5
-NO_PLACES = OpenBatches(MemoryLog().client())
+NO_PLACES = BatchIndex(MemoryLog().client())
 
 
 class CutOffStore:
@@ -54,7 +54,9 @@
 
 
 def passed_on(store: CutOffStore, call: ResultsCall) -> LedgerAnswer:
-    content = anyio.run(LedgerReads(store, PlainDialect(), NO_PLACES).handle, encode_message(call))
+    content = anyio.run(
+        LedgerCallHandler(store, PlainDialect(), NO_PLACES).handle, encode_message(call)
+    )
     answer = decode_answer(content)
     assert answer is not None
     return answer
@@ -65,7 +67,9 @@
         """Found on the grown site: a position read elsewhere was empty at a replica cut off."""
         call = ResultsCall("b", 1, 0.0)
         self.assertTrue(passed_on(CutOffStore(1.5), call).unsure)
-        own = anyio.run(LedgerReads(CutOffStore(1.5), PlainDialect(), NO_PLACES).carry_out, call)
+        own = anyio.run(
+            LedgerCallHandler(CutOffStore(1.5), PlainDialect(), NO_PLACES).execute, call
+        )
         self.assertEqual(200, own.status)
 
     def test_a_fresh_replica_answers(self) -> None:
@@ -123,10 +127,10 @@
 class HeldReadTests(testtools.TestCase):
     """Reads of a step's last results wait until its trainer can go on."""
 
-    def play(self, scenario: Callable[[LedgerReads, GrowingStore], Awaitable[None]]) -> None:
+    def play(self, scenario: Callable[[LedgerCallHandler, GrowingStore], Awaitable[None]]) -> None:
         async def main() -> None:
             store = GrowingStore(GROUPS, ITEMS_OF_A_GROUP)
-            reads = LedgerReads(
+            reads = LedgerCallHandler(
                 store, PlainDialect(), NO_PLACES, lambda _batch: DUE, hold_results=True
             )
             await scenario(reads, store)
@@ -134,23 +138,23 @@
         anyio.run(main)
 
     def test_a_read_near_the_end_waits_for_the_groups_that_are_wanted(self) -> None:
-        async def scenario(reads: LedgerReads, store: GrowingStore) -> None:
+        async def scenario(reads: LedgerCallHandler, store: GrowingStore) -> None:
             store.finish(30)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(store.finish_later, 1, 0.1)
                 tasks.start_soon(store.finish_later, 1, 0.3)
-                answer = await reads.carry_out(ResultsCall("b", 29, 1.0))
+                answer = await reads.execute(ResultsCall("b", 29, 1.0))
             # Four groups are whole with the 32nd result.
             self.assertEqual(3, len(answer_items(answer)))
 
         self.play(scenario)
 
     def test_a_read_from_the_start_or_early_in_a_step_is_answered_at_once(self) -> None:
-        async def scenario(reads: LedgerReads, store: GrowingStore) -> None:
+        async def scenario(reads: LedgerCallHandler, store: GrowingStore) -> None:
             for done, position in ((10, 9), (31, 0)):
                 store.finish(done - len(store.batch.results))
                 with anyio.fail_after(0.1):
-                    answer = await reads.carry_out(ResultsCall("b", position, 1.0))
+                    answer = await reads.execute(ResultsCall("b", position, 1.0))
                 self.assertEqual(done - position, len(answer_items(answer)))
 
         self.play(scenario)
@@ -158,12 +162,12 @@
     def test_what_is_there_is_shown_when_the_offered_time_is_over_and_when_the_step_is_due(
         self,
     ) -> None:
-        async def scenario(reads: LedgerReads, store: GrowingStore) -> None:
+        async def scenario(reads: LedgerCallHandler, store: GrowingStore) -> None:
             store.finish(31)
             for wait, longest in ((0.2, 0.4), (1.0, 0.4)):
                 store.batch.seen_at = steady_seconds() - (DUE - 0.2 if wait == 1.0 else 0.0)
                 began = steady_seconds()
-                answer = await reads.carry_out(ResultsCall("b", 30, wait))
+                answer = await reads.execute(ResultsCall("b", 30, wait))
                 self.assertEqual(1, len(answer_items(answer)))
                 self.assertLess(steady_seconds() - began, longest)
 
--- a/tests/gateway/batch_service/test_open_batch_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -10,9 +10,9 @@
 from expression import Ok
 
 from stagewalk.gateway.batch_service.ledger_messages import EndCall, ItemCall, ResultsCall
-from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
 from stagewalk.gateway.batch_service.open_batch_views import MARGIN_RECORDS, OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.records import (
     BatchEnded,
@@ -21,7 +21,7 @@
     encode_record,
 )
 from stagewalk.gateway.nodes.identity import ProcessId
-from stagewalk.gateway.policy import ALL_ON
+from stagewalk.gateway.policy import DEFAULT_POLICY
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
 from stagewalk.gateway.runners.batch_assignments import BatchAssignments
 from stagewalk.gateway.runners.runner_messages import RunBatch
@@ -29,8 +29,8 @@
 from tests.gateway.memory_log import MemoryLog
 from tests.gateway.plain_dialect import PlainDialect
 
-TOPIC = "batches"
-PLACE = Partition(TOPIC, 0)
+BATCHES_TOPIC = "batches"
+PLACE = Partition(BATCHES_TOPIC, 0)
 
 
 def finished(batch: str, name: str) -> ItemFinished:
@@ -74,10 +74,10 @@
         super().setUp()
         self.log = MemoryLog()
         self.client = self.log.client()
-        self.places = OpenBatches(self.client)
-        self.early = OpenBatchViews(self.client, TOPIC, self.places)
+        self.places = BatchIndex(self.client)
+        self.early = OpenBatchViews(self.client, BATCHES_TOPIC, self.places)
         self.store = UnreadStore()
-        self.reads = LedgerReads(
+        self.reads = LedgerCallHandler(
             self.store, PlainDialect(), self.places, open_views=self.early, starting=lambda: True
         )
 
@@ -100,13 +100,13 @@
             offset = await self.append(submitted(item("x"), item("y"), batch="b"))
             await self.note("b", offset)
             await self.append(finished("b", "y"))
-            answer = await self.reads.carry_out(ResultsCall("b", 0, 0.0))
+            answer = await self.reads.execute(ResultsCall("b", 0, 0.0))
             self.assertEqual(200, answer.status)
             rows = msgspec.json.decode(answer.content)["results"]
             self.assertEqual(["y"], [row[2] for row in rows])
             self.assertLess(self.client.calls, MARGIN_RECORDS + 12)
-            self.assertEqual(200, (await self.reads.carry_out(ItemCall("b", "x"))).status)
-            self.assertEqual(200, (await self.reads.carry_out(EndCall("b"))).status)
+            self.assertEqual(200, (await self.reads.execute(ItemCall("b", "x"))).status)
+            self.assertEqual(200, (await self.reads.execute(EndCall("b"))).status)
             self.assertEqual(["b"], self.store.ended)
 
         anyio.run(scenario)
@@ -121,7 +121,7 @@
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(finish)
-                answer = await self.reads.carry_out(ResultsCall("b", 0, 1.0))
+                answer = await self.reads.execute(ResultsCall("b", 0, 1.0))
             self.assertEqual(1, len(msgspec.json.decode(answer.content)["results"]))
 
         anyio.run(scenario)
@@ -138,7 +138,7 @@
             await self.note("b", await self.append(first))
             await self.append(finished("b", "y"))
             self.assertIsNone(await self.early.find("b"))
-            answer = await self.reads.carry_out(ResultsCall("b", 0, 0.0))
+            answer = await self.reads.execute(ResultsCall("b", 0, 0.0))
             self.assertEqual(503, answer.status)
 
         anyio.run(scenario)
@@ -146,7 +146,7 @@
     def test_what_is_not_open_is_left_until_the_log_is_read(self) -> None:
         async def scenario() -> None:
             await self.append(submitted(item("x"), batch="old"), BatchEnded("old"))
-            answer = await self.reads.carry_out(ResultsCall("old", 0, 0.0))
+            answer = await self.reads.execute(ResultsCall("old", 0, 0.0))
             self.assertEqual(503, answer.status)
             self.assertIsNotNone(answer.retry_after_seconds)
 
@@ -179,7 +179,7 @@
                 runner=runner,
                 calls=mock.Mock(),
                 open_batches=self.places,
-                policy=ALL_ON,
+                policy=DEFAULT_POLICY,
             )
             await assignments.accept(RunBatch("b", 0, offset))
             runner.begin_ahead.assert_called_once()
--- a/tests/gateway/batch_service/test_open_batches.py
+++ b/tests/gateway/batch_service/test_open_batches.py
@@ -6,7 +6,11 @@
 import msgspec
 import testtools
 
-from stagewalk.gateway.batch_service.open_batches import OPEN_BATCHES, BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.open_batches import (
+    BATCH_INDEX_PARTITION,
+    BatchIndex,
+    BatchPlace,
+)
 from tests.gateway.memory_log import MemoryLog
 
 
@@ -15,7 +19,7 @@
         super().setUp()
         self.log = MemoryLog()
         self.client = self.log.client()
-        self.places = OpenBatches(self.client)
+        self.places = BatchIndex(self.client)
 
     def test_a_mark_of_an_end_is_repeated_until_it_is_certain(self) -> None:
         async def scenario() -> None:
@@ -58,7 +62,7 @@
     def test_places_of_an_earlier_release_are_read(self) -> None:
         async def scenario() -> None:
             before = msgspec.msgpack.encode((3, 12, "n#1"))
-            await self.client.append_keyed(OPEN_BATCHES, "b", before)
+            await self.client.append_keyed(BATCH_INDEX_PARTITION, "b", before)
             self.assertEqual(BatchPlace(3, 12, "n#1"), (await self.places.find("b")).ok)
 
         anyio.run(scenario)
--- a/tests/gateway/batch_service/test_second_submissions.py
+++ b/tests/gateway/batch_service/test_second_submissions.py
@@ -7,11 +7,11 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.batch_store import PARTITIONS, TOPIC, BatchStore
+from stagewalk.gateway.batch_service.batch_store import BATCHES_TOPIC, PARTITIONS, BatchStore
 from stagewalk.gateway.batch_service.ledger_messages import ResultsCall
-from stagewalk.gateway.batch_service.ledger_reads import LedgerReads
+from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.records import (
     BatchEnded,
     BatchHeader,
@@ -20,7 +20,7 @@
     decode_record,
     encode_record,
 )
-from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.batches.takeover import rendezvous_hash
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
 from tests.gateway.batch_service.test_ended_batches import (
     BOUND_SECONDS,
@@ -35,7 +35,7 @@
 from tests.gateway.support import Site, run, until
 
 LONGER_SECONDS = 4.0
-ONLY = Partition(TOPIC, 0)
+ONLY = Partition(BATCHES_TOPIC, 0)
 RECORD_BYTES = 1_000_000
 MORE_THAN_THE_MARGIN = 150
 FRESH_SECONDS = 1.0
@@ -69,7 +69,7 @@
             node.scope.cancel()
             await node.ended.wait()
             for number in range(PARTITIONS):
-                place = Partition(TOPIC, number)
+                place = Partition(BATCHES_TOPIC, number)
                 site.log.drop_history(place, site.log.kept(place).end)
             again = await site.start("n2")
             store = again.gateway.store
@@ -99,7 +99,7 @@
             store = node.gateway.store
             await site.submit(node, "b1", *MANY)
             await started(site)
-            partition = Partition(TOPIC, store.partition("b1"))
+            partition = Partition(BATCHES_TOPIC, store.partition("b1"))
             answer = await site.call(node, "DELETE", "/v1/batches/b1")
             self.assertEqual(200, answer.status_code)
             ended_at = anyio.current_time()
@@ -131,8 +131,8 @@
 
         async def scenario() -> None:
             store = BatchStore(log.client(), "p", RECORD_BYTES, RECORD_BYTES, 1)
-            reads = LedgerReads(store, PlainDialect(), OpenBatches(client))
-            places = OpenBatches(client)
+            reads = LedgerCallHandler(store, PlainDialect(), BatchIndex(client))
+            places = BatchIndex(client)
             items = (item("x"), item("y"))
             await places.note("b", BatchPlace(0, await put(submitted(*items, batch="b")), "n#1"))
             await put(ItemFinished("b", "x", True, "t", (1,)))
@@ -140,7 +140,7 @@
             log.drop_history(ONLY, await put(second))
             await put(ItemFinished("b", "y", True, "t", (1,)))
             await store.catch_up("b")
-            answer = await reads.carry_out(ResultsCall("b", 0, 0.0))
+            answer = await reads.execute(ResultsCall("b", 0, 0.0))
             if answer.status == 200:
                 shown = [row[2] for row in msgspec.json.decode(answer.content)["results"]]
                 self.assertEqual(["x", "y"][: len(shown)], shown)
@@ -157,15 +157,15 @@
 
         async def scenario() -> None:
             store = BatchStore(log.client(), "p", RECORD_BYTES, RECORD_BYTES, 1)
-            reads = LedgerReads(store, PlainDialect(), OpenBatches(client))
+            reads = LedgerCallHandler(store, PlainDialect(), BatchIndex(client))
             log.drop_history(ONLY, await put(BatchEnded("old")) + 1)
             place = BatchPlace(0, await put(submitted(item("x"), batch="b")), "n#1")
             await put(ItemFinished("b", "x", True, "t", (1,)))
             await store.catch_up("b")
-            unnoted = await reads.carry_out(ResultsCall("b", 0, 0.0))
+            unnoted = await reads.execute(ResultsCall("b", 0, 0.0))
             self.assertEqual(503, unnoted.status)
-            await OpenBatches(client).note("b", place)
-            answer = await reads.carry_out(ResultsCall("b", 0, 0.0))
+            await BatchIndex(client).note("b", place)
+            answer = await reads.execute(ResultsCall("b", 0, 0.0))
             shown = [row[2] for row in msgspec.json.decode(answer.content)["results"]]
             self.assertEqual(["x"], shown)
 
@@ -190,10 +190,10 @@
             await put(ItemFinished("b", "x", True, "t", (1,)))
             await put(*[ItemFinished("other", "z", True, "t", (1,))] * MORE_THAN_THE_MARGIN)
             second = msgspec.structs.replace(submitted(*items, batch="b"), submission="again")
-            places = OpenBatches(client)
+            places = BatchIndex(client)
             await places.note("b", BatchPlace(0, await put(second), "n#1"))
             await put(ItemFinished("b", "y", True, "t", (1,)))
-            batch = await OpenBatchViews(log.client(), TOPIC, places).find("b")
+            batch = await OpenBatchViews(log.client(), BATCHES_TOPIC, places).find("b")
             if batch is not None:
                 shown = [result.item for result in batch.results]
                 self.assertEqual(["x", "y"][: len(shown)], shown)
@@ -213,7 +213,7 @@
             await write_history(site.log)
             slow_engines(site)
             trainer = BatchHeader("b1", "h.example", "/run/batch", 0, "m", 0, 0).trainer
-            first, second = sorted(("n1", "n2"), key=lambda name: affinity(trainer, name))
+            first, second = sorted(("n1", "n2"), key=lambda name: rendezvous_hash(trainer, name))
             usual = await site.start(first, log=SlowHistoryLog(site.log), peers=None)
             other = await site.start(second, peers=None)
 
@@ -232,7 +232,7 @@
             await until(known)
             usual.log.faults.down = True
             await anyio.sleep(0.5)
-            partition = Partition(TOPIC, other.gateway.store.partition("b1"))
+            partition = Partition(BATCHES_TOPIC, other.gateway.store.partition("b1"))
             await append(site.log, partition, [encode_record(BatchEnded("old"))] * 5)
 
             async def all_read() -> bool:
@@ -241,7 +241,7 @@
             await anyio.sleep(FRESH_SECONDS)
             await until(all_read)
             for number in range(PARTITIONS):
-                place = Partition(TOPIC, number)
+                place = Partition(BATCHES_TOPIC, number)
                 site.log.drop_history(place, site.log.kept(place).end)
             usual.log.faults.down = False
             await anyio.sleep(RECOVERY_SECONDS)
--- a/tests/gateway/batches/bench_engine_memory.py
+++ b/tests/gateway/batches/bench_engine_memory.py
@@ -7,7 +7,7 @@
 
 from time import perf_counter
 
-from stagewalk.gateway.batches.attempts import Attempts
+from stagewalk.gateway.batches.attempts import RunningAttempts
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.engine_memory import EngineMemory
 from stagewalk.gateway.batches.engine_room import EngineRoom, UnknownRoom
@@ -42,7 +42,7 @@
             workers.announce(announcement(f"e{number}", slots=SLOTS), 0.0)
         self.engines = list(workers.all())
         run = BatchRun(RecordingLedger().open(submitted(item("x"))))
-        attempts = Attempts(workers)
+        attempts = RunningAttempts(workers)
         for number in range(ENGINES * RUNS_AT_AN_ENGINE):
             engine = self.engines[number % ENGINES]
             one = _item(number)
@@ -50,14 +50,14 @@
             one.running.begun = True
             one.events = ["text"] * (number % 17)
             attempts.add(number, run, one)
-            engine.note_sent()
+            engine.record_sent()
         for engine in self.engines:
-            engine.note_load(LOAD, 0.0)
+            engine.record_load(LOAD, 0.0)
         self.memory = EngineMemory(
             workers, attempts, LengthEstimate(), lambda name: Service(name, engine=limits)
         )
         for engine in self.engines:
-            self.memory.note_report(engine, LOAD, 0.0)
+            self.memory.record_report(engine, LOAD, 0.0)
 
 
 def _item(number: int) -> ItemRun:
--- a/tests/gateway/batches/engine_pool.py
+++ b/tests/gateway/batches/engine_pool.py
@@ -27,7 +27,7 @@
 from stagewalk.gateway.batches.prompt import Prompt, PromptPart
 from stagewalk.gateway.batches.records import BatchItem, ItemFinished
 from stagewalk.gateway.batches.scheduler import BatchScheduler
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 from stagewalk.gateway.ports.workers import StreamEvent, StreamHead, WorkerLoad
 from stagewalk.gateway.routes.route import EngineLimits, Service
 from stagewalk.gateway.workers.table import WorkerTable
@@ -89,7 +89,7 @@
 class EnginePool:
     """Engines, the trainers' schedulers and what they made of their steps."""
 
-    def __init__(self, shape: Shape, seed: int, policy: Policy = ALL_ON) -> None:
+    def __init__(self, shape: Shape, seed: int, policy: Policy = DEFAULT_POLICY) -> None:
         self.shape = shape
         self.now = 0.0
         self.random = random.Random(seed)
@@ -264,14 +264,14 @@
         self._pool.steps[name] = Step(self._pool.now, counts)
         batch = self._ledger.open(submitted(*items, batch=name))
         find = self._ledger.ledger.reusable_text
-        self._carry_out(self.scheduler.open(batch, find, self._pool.now))
+        self._execute(self.scheduler.open(batch, find, self._pool.now))
         self.handle(Tick())
 
     def handle(self, event: SchedulerEvent) -> None:
         """Give the scheduler an event."""
-        self._carry_out(self.scheduler.handle(event, self._pool.now))
+        self._execute(self.scheduler.handle(event, self._pool.now))
 
-    def _carry_out(self, instructions: Sequence[SchedulerInstruction]) -> None:
+    def _execute(self, instructions: Sequence[SchedulerInstruction]) -> None:
         for instruction in instructions:
             if isinstance(instruction, StartItem):
                 self._pool.start(self.number, instruction)
@@ -290,9 +290,9 @@
         step.groups[group] -= 1
         if step.groups[group] == 0:
             step.whole_at.append(self._pool.now)
-        self._carry_out(self.scheduler.listed(record.batch, record.item))
+        self._execute(self.scheduler.listed(record.batch, record.item))
         if step.left == 0:
-            self._carry_out(self.scheduler.close(record.batch, "ended"))
+            self._execute(self.scheduler.close(record.batch, "ended"))
 
     def _prompt_of(self, item: BatchItem) -> Prompt:
         shape = self._pool.shape
--- a/tests/gateway/batches/test_engine_memory.py
+++ b/tests/gateway/batches/test_engine_memory.py
@@ -7,7 +7,7 @@
 
 from stagewalk.gateway.batches.engine_memory import (
     MARGIN_SHARE,
-    MOST_WITHHELD_SECONDS,
+    MAXIMUM_WITHHELD_SECONDS,
     OTHERS_VALID_SECONDS,
     ExpectedRun,
     expected_peak,
@@ -103,9 +103,9 @@
         world.open_more(item("z", 600))
         fill(world)
         self.assertEqual({"x", "y"}, set(world.attempts))
-        world.tick(MOST_WITHHELD_SECONDS / 2)
+        world.tick(MAXIMUM_WITHHELD_SECONDS / 2)
         self.assertEqual({"x", "y"}, set(world.attempts))
-        world.tick(MOST_WITHHELD_SECONDS / 2)
+        world.tick(MAXIMUM_WITHHELD_SECONDS / 2)
         self.assertEqual(world.attempts["y"].worker, world.attempts["z"].worker)
 
     def test_an_item_larger_than_any_memory_goes_to_an_engine_that_runs_nothing(self) -> None:
@@ -146,7 +146,7 @@
 
     def test_what_an_item_may_make_at_most_bounds_the_guess(self) -> None:
         def bounded(_item: BatchItem) -> Prompt:
-            return Prompt((), most_made=100)
+            return Prompt((), maximum_output_tokens=100)
 
         world = bench("e1", prompt_of=bounded)
         world.open(item("x", 600), item("y", 600), item("z", 600))
@@ -206,7 +206,7 @@
             world.head("y")
             world.event("x", 1)
             world.event("y", 1)
-            slow.note_success(0.5, world.now)
-            fast.note_success(0.05, world.now)
+            slow.record_success(0.5, world.now)
+            fast.record_success(0.05, world.now)
             world.tick(0.1)
             self.assertEqual(moved, "faster elsewhere" in world.stopped.values())
--- a/tests/gateway/batches/test_ledger.py
+++ b/tests/gateway/batches/test_ledger.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.gateway.batches.batch import NOBODY
+from stagewalk.gateway.batches.batch import NO_RUNNER
 from stagewalk.gateway.batches.ledger import BatchLedger, LedgerChange
 from stagewalk.gateway.batches.record_parts import split_result, split_submission
 from stagewalk.gateway.batches.records import (
@@ -93,7 +93,7 @@
         self.ledger.apply(BatchReleased("b", "other#1"), 1.0)
         self.assertEqual("n#1", self.batch.runner)
         self.ledger.apply(BatchReleased("b", "n#1"), 1.0)
-        self.assertEqual(NOBODY, self.batch.runner)
+        self.assertEqual(NO_RUNNER, self.batch.runner)
 
     def test_the_longest_text_is_kept_until_the_whole_one(self) -> None:
         spec = self.batch.items["x"]
--- a/tests/gateway/batches/test_placement.py
+++ b/tests/gateway/batches/test_placement.py
@@ -6,7 +6,7 @@
 
 from stagewalk.gateway.batches.move_choice import faster_engine
 from stagewalk.gateway.batches.placement import choose_engine
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 from stagewalk.gateway.workers.worker import Worker
 from tests.gateway.eligibility.support import NEAR_Z1
 from tests.gateway.workers.support import announcement
@@ -19,12 +19,12 @@
 def engine(name: str, running: int = 0, zone: str = "z1") -> Worker:
     versions = {"m": 5}
     worker = Worker(announcement(name, zone=zone, versions=versions), 0.0, versions=versions)
-    worker.note_success(PACE, 0.0)
+    worker.record_success(PACE, 0.0)
     worker.in_flight = running
     return worker
 
 
-def chosen(engines: list[Worker], policy: Policy = ALL_ON) -> str:
+def chosen(engines: list[Worker], policy: Policy = DEFAULT_POLICY) -> str:
     found = choose_engine(
         engines, "m", 1.0, proximity=NEAR_Z1, siblings=("sibling",), avoid="", policy=policy
     )
@@ -36,9 +36,9 @@
     def test_each_preference_can_be_switched_off(self) -> None:
         slow = engine("slow")
         for _ in range(60):
-            slow.note_success(3 * PACE, 0.0)
+            slow.record_success(3 * PACE, 0.0)
         failed = engine("failed")
-        failed.note_failure(0.9)
+        failed.record_failure(0.9)
         cases = (
             ([slow, engine("fast", running=1)], "fast", "slow", Policy(pace=False)),
             ([failed, engine("sound", running=1)], "sound", "failed", Policy(suspicion=False)),
@@ -61,7 +61,7 @@
 
     def paced(self, name: str, factor: float, running: int = 0) -> Worker:
         worker = Worker(announcement(name, slots=8, versions={"m": 5}), 0.0, versions={"m": 5})
-        worker.note_success(factor * PACE, 0.0)
+        worker.record_success(factor * PACE, 0.0)
         worker.in_flight = running
         return worker
 
--- a/tests/gateway/batches/test_retry_rules.py
+++ b/tests/gateway/batches/test_retry_rules.py
@@ -7,12 +7,12 @@
 import testtools
 
 from stagewalk.gateway.batches.retry_rules import (
+    HTTP_OK,
     IMPOSSIBLE,
     RUN_FAILED,
-    SUCCESS,
     AttemptOutcome,
     is_overdue,
-    judge_answer,
+    judge_item_answer,
 )
 from tests.gateway.batches.support import batch_route
 
@@ -21,11 +21,11 @@
 
 class JudgeAnswerTests(testtools.TestCase):
     def judge(self, status: int, events: bool = True, failures: int = 0) -> AttemptOutcome:
-        return judge_answer(status, has_events=events, run_failures=failures, route=ROUTE)
+        return judge_item_answer(status, has_events=events, run_failures=failures, route=ROUTE)
 
     def test_a_success_is_whole_only_with_text(self) -> None:
-        self.assertIs(AttemptOutcome.TEXT_WHOLE, self.judge(SUCCESS))
-        self.assertIs(AttemptOutcome.RETRY, self.judge(SUCCESS, events=False))
+        self.assertIs(AttemptOutcome.TEXT_WHOLE, self.judge(HTTP_OK))
+        self.assertIs(AttemptOutcome.RETRY, self.judge(HTTP_OK, events=False))
 
     def test_only_failed_runs_count_and_the_last_one_allowed_fails_the_item(self) -> None:
         self.assertIs(AttemptOutcome.RETRY, self.judge(RUN_FAILED, failures=2))
@@ -36,7 +36,7 @@
         self.assertIs(AttemptOutcome.FAILED, self.judge(IMPOSSIBLE, events=False))
 
     def test_without_a_route_nothing_limits_retries(self) -> None:
-        outcome = judge_answer(RUN_FAILED, has_events=False, run_failures=99, route=None)
+        outcome = judge_item_answer(RUN_FAILED, has_events=False, run_failures=99, route=None)
         self.assertIs(AttemptOutcome.RETRY, outcome)
 
 
--- a/tests/gateway/batches/test_runner_liveness.py
+++ b/tests/gateway/batches/test_runner_liveness.py
@@ -5,8 +5,8 @@
 import testtools
 
 from stagewalk.gateway.batches.runner_liveness import (
-    EVIDENCE_SECONDS,
-    LEAST_SPAN_SECONDS,
+    MINIMUM_FAILING_SECONDS,
+    PROBE_VALID_SECONDS,
     RunnerLiveness,
 )
 
@@ -21,33 +21,33 @@
 
     def test_one_failure_or_several_at_once_are_not_enough(self) -> None:
         for _ in range(3):
-            self.liveness.note_failure("n#1", 5.0)
+            self.liveness.record_failure("n#1", 5.0)
         self.assertFalse(self.liveness.gone("n#1", 5.0))
 
     def test_failures_in_a_row_over_some_time_are(self) -> None:
-        self.liveness.note_failure("n#1", 5.0)
-        self.liveness.note_failure("n#1", 5.1 + LEAST_SPAN_SECONDS)
-        self.assertTrue(self.liveness.gone("n#1", 5.1 + LEAST_SPAN_SECONDS))
+        self.liveness.record_failure("n#1", 5.0)
+        self.liveness.record_failure("n#1", 5.1 + MINIMUM_FAILING_SECONDS)
+        self.assertTrue(self.liveness.gone("n#1", 5.1 + MINIMUM_FAILING_SECONDS))
 
     def test_an_answer_between_them_begins_anew(self) -> None:
-        self.liveness.note_failure("n#1", 5.0)
-        self.liveness.note_answer("n#1", "n#1", 5.2)
-        self.liveness.note_failure("n#1", 5.5)
+        self.liveness.record_failure("n#1", 5.0)
+        self.liveness.record_answer("n#1", "n#1", 5.2)
+        self.liveness.record_failure("n#1", 5.5)
         self.assertFalse(self.liveness.gone("n#1", 5.5))
 
     def test_old_failures_tell_nothing(self) -> None:
-        self.liveness.note_failure("n#1", 5.0)
-        late = 5.1 + EVIDENCE_SECONDS
-        self.liveness.note_failure("n#1", late)
+        self.liveness.record_failure("n#1", 5.0)
+        late = 5.1 + PROBE_VALID_SECONDS
+        self.liveness.record_failure("n#1", late)
         self.assertFalse(self.liveness.gone("n#1", late))
-        self.liveness.note_failure("n#1", late + 1.0)
+        self.liveness.record_failure("n#1", late + 1.0)
         self.assertTrue(self.liveness.gone("n#1", late + 1.0))
-        self.assertFalse(self.liveness.gone("n#1", late + 1.1 + EVIDENCE_SECONDS))
+        self.assertFalse(self.liveness.gone("n#1", late + 1.1 + PROBE_VALID_SECONDS))
 
     def test_another_process_in_its_place_is_told_apart(self) -> None:
-        self.liveness.note_answer("n#1", "n#2", 5.0)
+        self.liveness.record_answer("n#1", "n#2", 5.0)
         self.assertTrue(self.liveness.replaced("n#1", 5.1))
-        self.liveness.note_answer("n#1", "n#1", 5.2)
+        self.liveness.record_answer("n#1", "n#1", 5.2)
         self.assertFalse(self.liveness.replaced("n#1", 5.3))
         self.liveness.keep_only(set())
         self.assertFalse(self.liveness.gone("n#1", 5.3))
--- a/tests/gateway/batches/test_scheduler.py
+++ b/tests/gateway/batches/test_scheduler.py
@@ -4,23 +4,23 @@
 
 import testtools
 
-from stagewalk.gateway.batches.attempt_starter import RETURNED_PRIORITY
-from stagewalk.gateway.batches.engine_memory import ServiceNamed, unknown_service
+from stagewalk.gateway.batches.attempt_starter import RESUBMITTED_ITEM_PRIORITY
+from stagewalk.gateway.batches.engine_memory import ServiceLookup, unknown_service
 from stagewalk.gateway.batches.messages import (
-    AttemptBroken,
     AttemptEnded,
     AttemptEvent,
     AttemptHead,
-    ItemWithheld,
+    ItemAttemptFailed,
+    ItemAwaitingMemory,
     RecordItem,
     StartItem,
     StopItem,
     Tick,
 )
-from stagewalk.gateway.batches.prompt import PromptOf, unknown_prompt
+from stagewalk.gateway.batches.prompt import PromptReader, unknown_prompt
 from stagewalk.gateway.batches.records import BatchItem, ItemFinished, ItemProgress
 from stagewalk.gateway.batches.scheduler import BatchScheduler
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 from stagewalk.gateway.ports.workers import (
     AttemptFailure,
     AttemptFault,
@@ -36,7 +36,7 @@
 from tests.gateway.workers.support import announcement
 
 ENGINES = ("e1", "e2", "e3")
-SUCCESS = 200
+HTTP_OK = 200
 
 
 class Bench:
@@ -47,9 +47,9 @@
         single_version: bool = False,
         engines: tuple[str, ...] = ENGINES,
         *,
-        policy: Policy = ALL_ON,
-        service: ServiceNamed = unknown_service,
-        prompt_of: PromptOf = unknown_prompt,
+        policy: Policy = DEFAULT_POLICY,
+        service: ServiceLookup = unknown_service,
+        prompt_of: PromptReader = unknown_prompt,
     ) -> None:
         self.now = 0.0
         self.workers = WorkerTable()
@@ -73,7 +73,7 @@
         self.stopped: dict[int, str] = {}
         self.recorded: list[ItemFinished | ItemProgress] = []
         self.scoring: dict[str, SendScore] = {}
-        self.withheld: list[ItemWithheld] = []
+        self.withheld: list[ItemAwaitingMemory] = []
 
     def open(self, *items: BatchItem, minimum: int = 1) -> None:
         batch = self.ledger.open(submitted(*items, minimum=minimum))
@@ -95,7 +95,7 @@
             match instruction:
                 case StartItem():
                     self.attempts[instruction.item.item] = instruction
-                case ItemWithheld():
+                case ItemAwaitingMemory():
                     self.withheld.append(instruction)
                 case StopItem():
                     self.stopped[instruction.attempt] = instruction.reason
@@ -113,13 +113,13 @@
             self.event(name, number)
         self.end(name)
 
-    def score(self, name: str, status: int = SUCCESS, signature: str = "sig") -> None:
+    def score(self, name: str, status: int = HTTP_OK, signature: str = "sig") -> None:
         answer = WorkerAnswer(status, (), b"", signature, None, False)
         event = ScoreAnswered(self.scoring[name].attempt, answer)
         self.take(self.scheduler.handle(event, self.now))
 
     def head(self, name: str, version: int = 1, load: WorkerLoad | None = None) -> None:
-        head = StreamHead(SUCCESS, (), (version,), load)
+        head = StreamHead(HTTP_OK, (), (version,), load)
         self.take(self.scheduler.handle(AttemptHead(self.attempts[name].attempt, head), self.now))
 
     def event(self, name: str, number: int, version: int | None = None) -> None:
@@ -127,14 +127,14 @@
         attempt = self.attempts[name].attempt
         self.take(self.scheduler.handle(AttemptEvent(attempt, event), self.now))
 
-    def end(self, name: str, status: int = SUCCESS) -> None:
+    def end(self, name: str, status: int = HTTP_OK) -> None:
         attempt = self.attempts[name].attempt
         self.take(self.scheduler.handle(AttemptEnded(attempt, status), self.now))
 
     def break_off(self, name: str, fault: AttemptFault = AttemptFault.MAY_HAVE_RUN) -> None:
         failure = AttemptFailure(fault, "", WorkerLoad(0, 0, 4))
         attempt = self.attempts[name].attempt
-        self.take(self.scheduler.handle(AttemptBroken(attempt, failure), self.now))
+        self.take(self.scheduler.handle(ItemAttemptFailed(attempt, failure), self.now))
 
 
 class SchedulerTests(testtools.TestCase):
@@ -328,7 +328,7 @@
         bench.ledger.ledger.apply(made, 0.0)
         bench.open(*(item(f"i{n}", expected=9) for n in range(8)), item("back", 1), minimum=2)
         self.assertEqual("back", next(iter(bench.attempts)))
-        self.assertEqual(RETURNED_PRIORITY, bench.attempts["back"].priority)
+        self.assertEqual(RESUBMITTED_ITEM_PRIORITY, bench.attempts["back"].priority)
         self.assertEqual(
             {None}, {bench.attempts[n].priority for n in bench.attempts if n != "back"}
         )
@@ -391,11 +391,11 @@
         bench.open(item("x"))
         failed = bench.attempts["x"]
         other = next(w for w in bench.workers.all() if w.announcement.worker != failed.worker)
-        other.note_load(WorkerLoad(4, 4, 4), bench.now)
+        other.record_load(WorkerLoad(4, 4, 4), bench.now)
         bench.break_off("x", AttemptFault.NOT_SENT)
         bench.tick(0.2)
         self.assertEqual(failed.attempt, bench.attempts["x"].attempt)
-        other.note_load(WorkerLoad(1, 0, 4), bench.now)
+        other.record_load(WorkerLoad(1, 0, 4), bench.now)
         bench.tick(0.1)
         self.assertEqual(other.announcement.worker, bench.attempts["x"].worker)
 
--- a/tests/gateway/batches/test_takeover.py
+++ b/tests/gateway/batches/test_takeover.py
@@ -5,17 +5,17 @@
 import testtools
 
 from stagewalk.gateway.batches.takeover import (
+    CLAIM_DELAY_PER_RANK_SECONDS,
     CLAIM_REPEAT_SECONDS,
-    RANK_SECONDS,
-    RETURNED_SECONDS,
+    RESTARTED_RUNNER_DELAY_SECONDS,
     OpenBatch,
     RunnerState,
     Takeovers,
-    affinity,
+    rendezvous_hash,
 )
 
 NODES = ("n1", "n2", "n3")
-FIRST, SECOND, THIRD = sorted(NODES, key=lambda node: affinity("b", node))
+FIRST, SECOND, THIRD = sorted(NODES, key=lambda node: rendezvous_hash("b", node))
 
 
 class Node:
@@ -31,23 +31,23 @@
 
 class TakeoverTests(testtools.TestCase):
     def test_a_batch_that_is_run_is_left(self) -> None:
-        node = Node(FIRST, RunnerState.RUNS)
+        node = Node(FIRST, RunnerState.ALIVE)
         self.assertFalse(any(node.claims(0.1 * n) for n in range(100)))
 
     def test_a_restarted_runner_goes_on_at_once_whatever_its_place(self) -> None:
         for name in NODES:
-            self.assertTrue(Node(name, RunnerState.MINE_BEFORE).claims(5.0))
+            self.assertTrue(Node(name, RunnerState.PREVIOUS_PROCESS).claims(5.0))
 
     def test_others_leave_a_batch_to_the_restarted_runner_first(self) -> None:
-        node = Node(FIRST, RunnerState.RETURNED)
+        node = Node(FIRST, RunnerState.RESTARTED)
         self.assertFalse(node.claims(0.0))
-        self.assertFalse(node.claims(RETURNED_SECONDS - 0.01))
-        self.assertTrue(node.claims(RETURNED_SECONDS))
+        self.assertFalse(node.claims(RESTARTED_RUNNER_DELAY_SECONDS - 0.01))
+        self.assertTrue(node.claims(RESTARTED_RUNNER_DELAY_SECONDS))
 
     def test_of_a_gone_runner_nodes_take_over_in_turn(self) -> None:
         for place, name in enumerate((FIRST, SECOND, THIRD)):
             node = Node(name)
-            due = place * RANK_SECONDS
+            due = place * CLAIM_DELAY_PER_RANK_SECONDS
             self.assertEqual(place == 0, node.claims(0.0))
             if place:
                 self.assertFalse(node.claims(due - 0.01))
@@ -56,11 +56,11 @@
     def test_a_node_that_holds_no_replica_comes_last(self) -> None:
         node = Node("stranger")
         self.assertFalse(node.claims(0.0))
-        self.assertFalse(node.claims(len(NODES) * RANK_SECONDS - 0.01))
-        self.assertTrue(node.claims(len(NODES) * RANK_SECONDS))
+        self.assertFalse(node.claims(len(NODES) * CLAIM_DELAY_PER_RANK_SECONDS - 0.01))
+        self.assertTrue(node.claims(len(NODES) * CLAIM_DELAY_PER_RANK_SECONDS))
 
     def test_nothing_is_claimed_from_an_old_view_or_one_that_is_still_read(self) -> None:
-        node = Node(FIRST, RunnerState.MINE_BEFORE)
+        node = Node(FIRST, RunnerState.PREVIOUS_PROCESS)
         self.assertFalse(node.claims(0.0, view_age=3.1))
         self.assertFalse(node.claims(0.1, view_age=float("inf")))
         self.assertTrue(node.claims(0.2, view_age=0.1))
@@ -74,8 +74,8 @@
     def test_a_runner_that_comes_back_starts_the_wait_anew(self) -> None:
         node = Node(SECOND)
         self.assertFalse(node.claims(0.0))
-        node.state = RunnerState.RUNS
-        node.claims(RANK_SECONDS)
+        node.state = RunnerState.ALIVE
+        node.claims(CLAIM_DELAY_PER_RANK_SECONDS)
         node.state = RunnerState.GONE
-        self.assertFalse(node.claims(2 * RANK_SECONDS))
-        self.assertTrue(node.claims(3 * RANK_SECONDS))
+        self.assertFalse(node.claims(2 * CLAIM_DELAY_PER_RANK_SECONDS))
+        self.assertTrue(node.claims(3 * CLAIM_DELAY_PER_RANK_SECONDS))
--- a/tests/gateway/batches/test_uneven_engines.py
+++ b/tests/gateway/batches/test_uneven_engines.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from stagewalk.gateway.batches.evidence import REFUSAL_PAUSE_SECONDS, note_refusal
+from stagewalk.gateway.batches.evidence import ASSUMED_LOADING_SECONDS, record_refusal
 from stagewalk.gateway.batches.move_choice import faster_engine
 from stagewalk.gateway.batches.placement import choose_engine
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerLoad
@@ -28,15 +28,15 @@
     events = int(SPAN / EVENT)
     for n in range(events):
         now = NOW - SPAN + n * EVENT
-        worker.note_load(WorkerLoad(0, 0, SLOTS, 1.0), now)
-        worker.note_success(factor * EVENT, now)
-    worker.note_load(WorkerLoad(0, 0, SLOTS, pace), NOW)
+        worker.record_load(WorkerLoad(0, 0, SLOTS, 1.0), now)
+        worker.record_success(factor * EVENT, now)
+    worker.record_load(WorkerLoad(0, 0, SLOTS, pace), NOW)
     return worker
 
 
-def choose(engines: list[Worker], events: float, draws: Random | None = None) -> Worker | None:
+def choose(engines: list[Worker], events: float, rng: Random | None = None) -> Worker | None:
     return choose_engine(
-        engines, "m", NOW, proximity=NEAR_Z1, siblings=(), avoid="", events=events, draws=draws
+        engines, "m", NOW, proximity=NEAR_Z1, siblings=(), avoid="", events=events, rng=rng
     )
 
 
@@ -48,7 +48,7 @@
         for events in lengths:
             found = choose([slow, fast], events)
             assert found is not None
-            found.note_sent()
+            found.record_sent()
             if found is slow:
                 at_slow.append(events)
         self.assertTrue(at_slow)
@@ -57,14 +57,14 @@
     def test_a_slow_moment_keeps_short_items_away_and_no_long_ones(self) -> None:
         for events, expected in ((4.0, "usual"), (LONG, "slow for a moment")):
             usual, moment = engine("usual"), engine("slow for a moment", pace=2.5)
-            usual.note_sent()
+            usual.record_sent()
             found = choose([moment, usual], events)
             self.assertEqual(expected, found.announcement.worker)
 
     def test_a_long_item_waits_at_no_full_engine_while_one_is_free(self) -> None:
         full, free = engine("full"), engine("free", 1.3)
         for _ in range(SLOTS):
-            full.note_sent()
+            full.record_sent()
         self.assertIs(free, choose([full, free], LONG))
 
     def test_runners_with_the_same_reports_choose_apart(self) -> None:
@@ -76,7 +76,7 @@
 
     def test_of_like_engines_one_is_taken_to_which_a_connection_is_kept(self) -> None:
         engines = [engine(f"e{n}") for n in range(8)]
-        engines[5].note_connection(True, NOW)
+        engines[5].record_connection(True, NOW)
         for seed in range(20):
             self.assertIs(engines[5], choose(engines, LONG, Random(seed)))
             self.assertIs(engines[5], choose(engines, 2.0, Random(seed)))
@@ -84,7 +84,7 @@
     def test_a_connection_is_opened_rather_than_wait(self) -> None:
         full, free = engine("full"), engine("free")
         for _ in range(SLOTS):
-            full.note_sent()
+            full.record_sent()
         full.kept_connections, full.warm_until = 2 * SLOTS, NOW + 1.0
         self.assertIs(free, choose([full, free], LONG))
 
@@ -92,7 +92,7 @@
         made = announcement("new", slots=SLOTS, versions={"m": 5})
         new = Worker(made, 0.0, versions={"m": 5})
         known = engine("known")
-        known.note_sent()
+        known.record_sent()
         self.assertIs(new, choose([known, new], LONG))
 
 
@@ -105,8 +105,8 @@
         now = NOW
         while now < NOW + 0.4:
             now += 2.5 * EVENT
-            current.note_load(WorkerLoad(1, 0, SLOTS, 2.5), now)
-            current.note_success(2.5 * EVENT, now)
+            current.record_load(WorkerLoad(1, 0, SLOTS, 2.5), now)
+            current.record_success(2.5 * EVENT, now)
             self.assertIsNone(self.faster(current, [other], now))
 
     def test_nor_one_that_no_report_explains(self) -> None:
@@ -114,7 +114,7 @@
         now = NOW
         while now < NOW + 0.4:
             now += 2.5 * EVENT
-            current.note_success(2.5 * EVENT, now)
+            current.record_success(2.5 * EVENT, now)
             self.assertIsNone(self.faster(current, [other], now))
 
     def test_a_slow_machine_is_left(self) -> None:
@@ -125,8 +125,8 @@
         current = engine("current", 1.5)
         made = announcement("other", slots=SLOTS, versions={"m": 5})
         other = Worker(made, 0.0, versions={"m": 5})
-        other.note_load(WorkerLoad(0, 0, SLOTS, 1.0), NOW)
-        other.note_success(EVENT, NOW)
+        other.record_load(WorkerLoad(0, 0, SLOTS, 1.0), NOW)
+        other.record_success(EVENT, NOW)
         self.assertIsNone(self.faster(current, [other]))
 
 
@@ -134,10 +134,10 @@
     def loading_after(self, known: WorkerLoad | None, told: WorkerLoad | None) -> bool:
         made = announcement("e", slots=SLOTS, versions={"m": 5})
         worker = Worker(made, 0.0, versions={"m": 5})
-        worker.note_load(known, NOW)
+        worker.record_load(known, NOW)
         failure = AttemptFailure(AttemptFault.NOT_RUN, "status 503", told)
-        note_refusal(worker, "m", failure, NOW + 0.1)
-        return worker.loading("m", NOW + 0.1 + REFUSAL_PAUSE_SECONDS / 2)
+        record_refusal(worker, "m", failure, NOW + 0.1)
+        return worker.loading("m", NOW + 0.1 + ASSUMED_LOADING_SECONDS / 2)
 
     def test_a_full_engine_is_told_from_one_that_loads_weights(self) -> None:
         full, free = WorkerLoad(6, 18, SLOTS, 1.0), WorkerLoad(2, 0, SLOTS, 1.0)
--- a/tests/gateway/batches/test_uneven_load.py
+++ b/tests/gateway/batches/test_uneven_load.py
@@ -19,9 +19,9 @@
     Tick,
 )
 from stagewalk.gateway.batches.records import ItemFinished
-from stagewalk.gateway.batches.retry_rules import SUCCESS
+from stagewalk.gateway.batches.retry_rules import HTTP_OK
 from stagewalk.gateway.batches.scheduler import BatchScheduler
-from stagewalk.gateway.policy import ALL_ON, Policy
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 from stagewalk.gateway.ports.workers import StreamEvent, StreamHead, WorkerLoad
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.batches.support import RecordingLedger, batch_route, item, submitted
@@ -77,7 +77,7 @@
         self.now, self.runs, self.cut = 0.0, 0, 0
         self.begun: dict[str, float] = {}
         self.ended: dict[str, float] = {}
-        workers = WorkerTable(reads_pace=policy.reported_pace)
+        workers = WorkerTable(uses_reported_pace=policy.reported_pace)
         route = batch_route()
         spread = (SLOWEST - FASTEST) / (ENGINES - 1)
         self._engines = {}
@@ -124,7 +124,7 @@
         start, made = self._made[attempt]
         engine = self._engines[start.worker]
         if made == (start.resume_after or 0):
-            head = StreamHead(SUCCESS, (), (1,), engine.load(self.now))
+            head = StreamHead(HTTP_OK, (), (1,), engine.load(self.now))
             self._take(self._scheduler.handle(AttemptHead(attempt, head), self.now))
         made += 1
         self._made[attempt] = start, made
@@ -135,7 +135,7 @@
             return
         del self._made[attempt]
         engine.running.discard(attempt)
-        self._take(self._scheduler.handle(AttemptEnded(attempt, SUCCESS), self.now))
+        self._take(self._scheduler.handle(AttemptEnded(attempt, HTTP_OK), self.now))
 
     def _push(self, attempt: int, seconds: float) -> None:
         heapq.heappush(self._due, (self.now + seconds, next(self._order), attempt))
@@ -166,7 +166,7 @@
         return steps
 
 
-def play(seed: int, policy: Policy = ALL_ON) -> _Play:
+def play(seed: int, policy: Policy = DEFAULT_POLICY) -> _Play:
     played = _Play(seed, policy)
     played.run()
     return played
--- a/tests/gateway/cold_starts/senders.py
+++ b/tests/gateway/cold_starts/senders.py
@@ -26,7 +26,7 @@
 
 END = COLD_AT + 6.0
 LATEST_NEWS = 2.0
-LONGEST_CONNECT = 0.9
+MAXIMUM_CONNECT_SECONDS = 0.9
 TRY_SECONDS = 0.03
 
 
@@ -130,7 +130,7 @@
         if denial is None:
             reserved = self.cold.reserve(self.worker, SERVICE, now)
             late = self.random.random() < 0.3
-            connect = self.random.uniform(0.0, LONGEST_CONNECT) if late else 0.002
+            connect = self.random.uniform(0.0, MAXIMUM_CONNECT_SECONDS) if late else 0.002
             self.world.after(connect, lambda: self.confirm(reserved))
 
     def confirm(self, reserved: float | None) -> None:
--- a/tests/gateway/cold_starts/test_leases.py
+++ b/tests/gateway/cold_starts/test_leases.py
@@ -61,7 +61,7 @@
         self.assertFalse(self.first.may_send("w", 1.1))
 
     def test_records_that_were_not_read_may_have_given_it_to_anyone(self) -> None:
-        self.second.note_gap(10.0)
+        self.second.record_gap(10.0)
         self.assertFalse(self.second.due("w", 15.1))
         self.assertTrue(self.second.due("w", 15.3))
 
--- a/tests/gateway/cold_starts/test_senders.py
+++ b/tests/gateway/cold_starts/test_senders.py
@@ -66,12 +66,12 @@
             self.assertGreater(self.broken(), BOUND)
 
     def test_without_doubt_after_a_gap_a_node_that_starts_takes_it_for_warm(self) -> None:
-        with mock.patch.object(core, "UNKNOWN_SECONDS", 0.0):
+        with mock.patch.object(core, "VIEW_SETTLE_SECONDS", 0.0):
             self.assertGreater(self.broken(), BOUND)
 
     def test_without_doubt_after_an_evacuation_the_entry_comes_too_late(self) -> None:
         with (
             mock.patch.object(core.ColdStarts, "mark_cold", lambda *_: None),
-            mock.patch.object(core, "UNKNOWN_SECONDS", 0.0),
+            mock.patch.object(core, "VIEW_SETTLE_SECONDS", 0.0),
         ):
             self.assertGreater(self.broken(), BOUND)
--- a/tests/gateway/directory/test_caller_subset.py
+++ b/tests/gateway/directory/test_caller_subset.py
@@ -9,12 +9,12 @@
 
 from stagewalk.gateway.directory.caller_subset import (
     CALLS_PER_CAPACITY,
-    LEAST_LISTED,
+    MINIMUM_LISTED_NODES,
+    SMALL_REGION_NODES,
     SPARES_NAMED,
-    WHOLE_REGION_NODES,
-    CallerPlace,
-    directory_order,
-    wants_callers,
+    CallerLocation,
+    select_nodes_for_caller,
+    should_be_listed,
 )
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 
@@ -48,19 +48,19 @@
 
 
 def chosen(nodes: list[NodeAnnouncement], zone: str) -> list[NodeAnnouncement]:
-    return [n for n in nodes if n.zone == zone and wants_callers(n.node, nodes)]
+    return [n for n in nodes if n.zone == zone and should_be_listed(n.node, nodes)]
 
 
 class CallerSubsetTests(testtools.TestCase):
     def test_on_a_small_site_all_nodes_take_callers(self) -> None:
-        nodes = [node(n) for n in range(WHOLE_REGION_NODES)]
-        self.assertTrue(all(wants_callers(n.node, nodes) for n in nodes))
+        nodes = [node(n) for n in range(SMALL_REGION_NODES)]
+        self.assertTrue(all(should_be_listed(n.node, nodes) for n in nodes))
 
     def test_a_zone_has_as_many_whatever_its_size(self) -> None:
         for count in (84, 195, 420):
             nodes = [node(n) for n in range(count)]
             for zone in range(ZONES):
-                self.assertEqual(LEAST_LISTED, len(chosen(nodes, f"z{zone}")))
+                self.assertEqual(MINIMUM_LISTED_NODES, len(chosen(nodes, f"z{zone}")))
 
     def test_more_are_chosen_as_the_load_grows(self) -> None:
         busy = Changes(calls=2.0 * CALLS_PER_CAPACITY)
@@ -76,19 +76,19 @@
         before = chosen(nodes, "z2")
         after = chosen([n for n in nodes if n is not before[0]], "z2")
         self.assertEqual(1, len(set(after) - set(before)))
-        self.assertEqual(LEAST_LISTED, len(after))
+        self.assertEqual(MINIMUM_LISTED_NODES, len(after))
 
 
 class DirectoryOrderTests(testtools.TestCase):
     def order(self, nodes: list[NodeAnnouncement], zone: str) -> list[str]:
-        return [n.node for n in directory_order(nodes, CallerPlace("r1", zone), MOST)]
+        return [n.node for n in select_nodes_for_caller(nodes, CallerLocation("r1", zone), MOST)]
 
     def test_a_caller_is_told_the_listed_nodes_of_its_zone_and_a_few_of_others(self) -> None:
         """A zone lost at once leaves its callers an address that answers."""
         nodes = [node(n, Changes(listed=n < 20)) for n in range(195)]
         named = self.order(nodes, "z0")
-        self.assertEqual(["n0", "n10", "n15", "n5"], sorted(named[:LEAST_LISTED]))
-        spares = [n for n in nodes if n.node in named[LEAST_LISTED:]]
+        self.assertEqual(["n0", "n10", "n15", "n5"], sorted(named[:MINIMUM_LISTED_NODES]))
+        spares = [n for n in nodes if n.node in named[MINIMUM_LISTED_NODES:]]
         self.assertEqual(SPARES_NAMED, len(spares))
         self.assertEqual(SPARES_NAMED, len({n.zone for n in spares} - {"z0"}))
         self.assertTrue(all(n.listed for n in spares))
@@ -96,28 +96,31 @@
     def test_an_evacuated_zone_is_left_to_its_nodes_only_if_there_are_no_others(self) -> None:
         nodes = [node(n, Changes(listed=n < 20)) for n in range(195)]
         zones = {n.node: n.zone for n in nodes}
-        away = CallerPlace("r1", "z0", frozenset({"z0"}))
-        named = [n.node for n in directory_order(nodes, away, MOST)]
+        away = CallerLocation("r1", "z0", frozenset({"z0"}))
+        named = [n.node for n in select_nodes_for_caller(nodes, away, MOST)]
         self.assertNotIn("z0", {zones[name] for name in named})
-        all_zones = CallerPlace("r1", "z0", frozenset(zones.values()))
-        named = [n.node for n in directory_order(nodes, all_zones, MOST)]
+        all_zones = CallerLocation("r1", "z0", frozenset(zones.values()))
+        named = [n.node for n in select_nodes_for_caller(nodes, all_zones, MOST)]
         self.assertEqual("z0", zones[named[0]])
 
     def test_a_small_region_is_named_whole_and_no_other(self) -> None:
         """Regions lie 12 ms apart: callers that choose at random must not be led across."""
         here = [node(n) for n in range(20)]
         beyond = [msgspec.structs.replace(node(n), region="r2") for n in range(20, 61)]
-        named = [n.region for n in directory_order(here + beyond, CallerPlace("r1", "z0"), MOST)]
+        named = [
+            n.region
+            for n in select_nodes_for_caller(here + beyond, CallerLocation("r1", "z0"), MOST)
+        ]
         self.assertEqual(["r1"] * 20, named)
-        lone = directory_order(here[:1] + beyond, CallerPlace("r1", "z0"), MOST)
+        lone = select_nodes_for_caller(here[:1] + beyond, CallerLocation("r1", "z0"), MOST)
         self.assertEqual(("r1", "r2"), (lone[0].region, lone[1].region))
 
     def test_callers_are_led_to_the_homes_of_their_host(self) -> None:
         """A caller elsewhere may stay at its own region's nodes, which send on what they may."""
         nodes = [msgspec.structs.replace(node(n), region=f"r{n % 3}") for n in range(60)]
         for region, expected in (("r0", {"r0"}), ("r1", {"r1"}), ("r9", {"r0"})):
-            caller = CallerPlace(region, "z9", homes=frozenset({"r0"}))
-            named = {n.region for n in directory_order(nodes, caller, MOST)}
+            caller = CallerLocation(region, "z9", homes=frozenset({"r0"}))
+            named = {n.region for n in select_nodes_for_caller(nodes, caller, MOST)}
             self.assertEqual(expected, named)
 
     def test_with_a_zone_gone_those_of_other_zones_are_named(self) -> None:
--- a/tests/gateway/directory/test_ledger_replicas.py
+++ b/tests/gateway/directory/test_ledger_replicas.py
@@ -9,7 +9,7 @@
     LINGER_SECONDS,
     ReplicaRole,
     rank_for_replicas,
-    wants_replica,
+    should_hold_replica,
 )
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 
@@ -22,7 +22,7 @@
 
 
 def holders(nodes: list[NodeAnnouncement]) -> set[str]:
-    return {n.node for n in nodes if wants_replica(n.node, nodes)}
+    return {n.node for n in nodes if should_hold_replica(n.node, nodes)}
 
 
 class ReplicaRankTests(testtools.TestCase):
--- a/tests/gateway/directory/test_node_table.py
+++ b/tests/gateway/directory/test_node_table.py
@@ -7,10 +7,10 @@
 from msgspec.structs import replace
 
 from stagewalk.common.identities import NodeName
-from stagewalk.gateway.directory.caller_subset import CallerPlace, directory_order
+from stagewalk.gateway.directory.caller_subset import CallerLocation, select_nodes_for_caller
 from stagewalk.gateway.directory.node_table import (
-    ALIVE_SECONDS,
-    MISSED_RENEWALS,
+    FAILURE_TIMEOUT_RENEWALS,
+    FAILURE_TIMEOUT_SECONDS,
     NodeAnnouncement,
     NodeTable,
     decode_announcement,
@@ -79,8 +79,8 @@
         return [announcement.node for announcement in self.table.alive(view_at)]
 
     def test_a_node_that_falls_silent_is_dead_as_of_the_view(self) -> None:
-        self.assertEqual(["a"], self.alive(ALIVE_SECONDS - 0.1))
-        self.assertEqual([], self.alive(ALIVE_SECONDS + 0.1))
+        self.assertEqual(["a"], self.alive(FAILURE_TIMEOUT_SECONDS - 0.1))
+        self.assertEqual([], self.alive(FAILURE_TIMEOUT_SECONDS + 0.1))
 
     def test_an_outage_kills_nobody(self) -> None:
         self.table.restart_timeouts(60.0, view_at=1.0)
@@ -113,7 +113,7 @@
 
     def test_nearest_first_and_only_who_serves(self) -> None:
         nodes = [node("far", zone="z2"), node("left", serving=False), node("near")]
-        order = [n.node for n in directory_order(nodes, CallerPlace("r1", "z1"), 64)]
+        order = [n.node for n in select_nodes_for_caller(nodes, CallerLocation("r1", "z1"), 64)]
         self.assertEqual(["near", "far"], order)
 
     def test_announcements_survive_their_encoding(self) -> None:
@@ -133,5 +133,5 @@
 
     def test_a_node_that_renews_seldom_is_given_as_long(self) -> None:
         self.table.announce(replace(node("b"), renewal_seconds=8.0), 0.0)
-        self.assertEqual(["b"], self.alive(ALIVE_SECONDS + 0.1))
-        self.assertEqual([], self.alive(MISSED_RENEWALS * 8.0 + 0.1))
+        self.assertEqual(["b"], self.alive(FAILURE_TIMEOUT_SECONDS + 0.1))
+        self.assertEqual([], self.alive(FAILURE_TIMEOUT_RENEWALS * 8.0 + 0.1))
--- a/tests/gateway/directory/test_renewals.py
+++ b/tests/gateway/directory/test_renewals.py
@@ -4,11 +4,11 @@
 
 import testtools
 
-from stagewalk.gateway.directory.node_table import ALIVE_SECONDS, NodeAnnouncement
+from stagewalk.gateway.directory.node_table import FAILURE_TIMEOUT_SECONDS, NodeAnnouncement
 from stagewalk.gateway.directory.renewals import (
     IDLE_RENEWALS_PER_SECOND,
-    LONGEST_RENEWAL_SECONDS,
-    RENEWAL_SECONDS,
+    MAXIMUM_RENEWAL_INTERVAL_SECONDS,
+    RENEWAL_INTERVAL_SECONDS,
     renewal_seconds,
 )
 
@@ -37,10 +37,10 @@
 class RenewalTests(testtools.TestCase):
     def test_a_node_with_a_role_renews_often_however_many_there_are(self) -> None:
         for nodes in (1, 13, 195, 420, 5_000):
-            self.assertEqual(RENEWAL_SECONDS, renewal_seconds(True, nodes))
+            self.assertEqual(RENEWAL_INTERVAL_SECONDS, renewal_seconds(True, nodes))
 
     def test_on_a_small_site_all_renew_as_often(self) -> None:
-        self.assertEqual(RENEWAL_SECONDS, renewal_seconds(False, 13))
+        self.assertEqual(RENEWAL_INTERVAL_SECONDS, renewal_seconds(False, 13))
 
     def test_what_the_others_write_does_not_grow_with_them(self) -> None:
         for nodes in (84, 195, 420):
@@ -51,13 +51,15 @@
         self,
     ) -> None:
         rest = renewal_seconds(False, TARGET_NODES)
-        records = ROLES_AT_TARGET / RENEWAL_SECONDS + TARGET_NODES / rest
+        records = ROLES_AT_TARGET / RENEWAL_INTERVAL_SECONDS + TARGET_NODES / rest
         read = records * len(announcement(rest).encode())
         self.assertLess(read, READ_BYTES_PER_SECOND)
 
     def test_nobody_is_silent_for_longer_than_an_announcement_may_say(self) -> None:
-        self.assertEqual(LONGEST_RENEWAL_SECONDS, renewal_seconds(False, 100_000))
+        self.assertEqual(MAXIMUM_RENEWAL_INTERVAL_SECONDS, renewal_seconds(False, 100_000))
 
     def test_a_node_is_given_as_long_as_it_said(self) -> None:
-        self.assertEqual(ALIVE_SECONDS, announcement(RENEWAL_SECONDS).alive_seconds)
+        self.assertEqual(
+            FAILURE_TIMEOUT_SECONDS, announcement(RENEWAL_INTERVAL_SECONDS).alive_seconds
+        )
         self.assertLess(2 * 21.0, announcement(21.0).alive_seconds)
--- a/tests/gateway/duties/test_duties.py
+++ b/tests/gateway/duties/test_duties.py
@@ -12,7 +12,7 @@
 from stagewalk.gateway.routes.route import Scaling, Service
 from stagewalk.gateway.settings import Autoscaling, DutySettings
 from stagewalk.gateway.tenants.tenant import Tenant
-from stagewalk.gateway.usage.reporting import GATHER_SECONDS
+from stagewalk.gateway.usage.reporting import SUM_DELAY_SECONDS
 from tests.gateway.support import Running, Site, key_headers, run, until
 from tests.gateway.workers.support import announcement
 
@@ -86,7 +86,7 @@
             await until(several)
             windows = sorted(site.duties.reports)
             self.assertEqual(list(range(windows[0], windows[0] + len(windows))), windows)
-            self.assertLessEqual(windows[-1] + 1, (time.time() - GATHER_SECONDS) / WINDOW)
+            self.assertLessEqual(windows[-1] + 1, (time.time() - SUM_DELAY_SECONDS) / WINDOW)
 
         run(scenario)
 
--- a/tests/gateway/duties/test_usage_views.py
+++ b/tests/gateway/duties/test_usage_views.py
@@ -7,14 +7,14 @@
 import anyio
 import testtools
 
-from stagewalk.gateway.duties.duty_lease import DUTIES_PARTITION, TOPIC, DutyLease
-from stagewalk.gateway.duties.usage_service import PLAN_PREFIX, USAGE, UsageService
+from stagewalk.gateway.duties.duty_lease import DUTIES_PARTITION, LEASES_TOPIC, DutyLease
+from stagewalk.gateway.duties.usage_service import PLAN_PREFIX, USAGE_PARTITION, UsageService
 from stagewalk.gateway.leases.log_lease import (
     NO_FENCE,
     LeaseRecord,
     LogLease,
     PlanRecord,
-    new_holder,
+    new_holder_id,
 )
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.ports.partitioned_log import Partition
@@ -24,8 +24,8 @@
 from tests.gateway.memory_log import MemoryLog
 from tests.gateway.support import until
 
-OLD = new_holder("n1", "old")
-LEASES = Partition(TOPIC, DUTIES_PARTITION)
+OLD = new_holder_id("n1", "old")
+LEASES = Partition(LEASES_TOPIC, DUTIES_PARTITION)
 CALL_BYTES = 100_000
 WINDOW_SECONDS = 0.5
 DUE_SECONDS = 4.0
@@ -45,7 +45,7 @@
         """Run the service in a new process of the machine that held the lease, until it reports."""
         lease = DutyLease(
             log=self.log.client(),
-            lease=LogLease(new_holder("n1", "new"), 0.0, 0.0),
+            lease=LogLease(new_holder_id("n1", "new"), 0.0, 0.0),
             producer="new",
             call_bytes=CALL_BYTES,
         )
@@ -79,7 +79,7 @@
             await self.append(LEASES, LeaseRecord(OLD, NO_FENCE).encode())
             plan = PlanRecord(0, f"{PLAN_PREFIX}/{window - 1}", encode_counts({"a": 1}))
             await self.append(LEASES, plan.encode())
-            await self.append(USAGE, UsageCounted("n2", window, {"a": 3}).encode())
+            await self.append(USAGE_PARTITION, UsageCounted("n2", window, {"a": 3}).encode())
             await self.report(duties, window)
 
         anyio.run(scenario)
@@ -95,7 +95,7 @@
             await self.append(LEASES, LeaseRecord(OLD, 0).encode())
             plan = PlanRecord(0, f"{PLAN_PREFIX}/{window}", encode_counts({"a": 3}))
             await self.append(LEASES, plan.encode())
-            await self.append(USAGE, UsageCounted("n2", window, {"a": 4}).encode())
+            await self.append(USAGE_PARTITION, UsageCounted("n2", window, {"a": 4}).encode())
             self.log.drop_history(LEASES, 1)
             await self.report(duties, window)
 
--- a/tests/gateway/eligibility/support.py
+++ b/tests/gateway/eligibility/support.py
@@ -11,7 +11,7 @@
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.ports.send_permits import SendPermit, WorkerTarget
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import CrashSuspects
+from stagewalk.gateway.quarantine.core import CrashHistory
 from stagewalk.gateway.routes.route import CallerLimits, Route, RouteConfiguration, Service
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.tenants.tenant import Tenant
@@ -43,7 +43,7 @@
         workers.listen(RecordingListener(self.cold.mark_cold))
         self.denials: list[Denial] = []
         proximity = Proximity(Placement("r1", "z1"), zones)
-        self.suspects = CrashSuspects("own")
+        self.suspects = CrashHistory("own")
         self.unix_seconds = 0.0
         self.eligibility = Eligibility(
             workers,
--- a/tests/gateway/eligibility/test_core.py
+++ b/tests/gateway/eligibility/test_core.py
@@ -9,7 +9,10 @@
 import testtools
 
 from stagewalk.gateway.eligibility.core import RequestScope
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_DENIAL, retry_after_seconds
+from stagewalk.gateway.eligibility.retry_after import (
+    RETRY_AFTER_SECONDS_BY_DENIAL,
+    retry_after_seconds,
+)
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.quarantine.records import CrashRecord
@@ -185,7 +188,7 @@
     def test_the_soonest_change_counts(self) -> None:
         both = {Denial.ZONE_EVACUATED, Denial.COLD_RATE_REACHED}
         self.assertEqual(
-            RETRY_AFTER_DENIAL[Denial.COLD_RATE_REACHED], retry_after_seconds(both, 9.0)
+            RETRY_AFTER_SECONDS_BY_DENIAL[Denial.COLD_RATE_REACHED], retry_after_seconds(both, 9.0)
         )
         self.assertEqual(0.25, retry_after_seconds((), 0.25))
         leaving = {Denial.WORKER_LEAVING, Denial.ZONE_EVACUATED}
--- a/tests/gateway/entry/test_slow_readers.py
+++ b/tests/gateway/entry/test_slow_readers.py
@@ -14,7 +14,7 @@
 from stagewalk.common.http.server import open_listener
 from stagewalk.common.identities import Address
 from stagewalk.gateway.held_memory.budget import MemoryBudget
-from stagewalk.gateway.held_memory.reader_choice import SLOW_SECONDS
+from stagewalk.gateway.held_memory.reader_choice import SLOW_READER_SECONDS
 from stagewalk.gateway.ports.workers import AttemptFault
 from stagewalk.gateway.settings import Memory
 from tests.gateway.support import HOST, Running, Site, run, until
@@ -221,7 +221,7 @@
             caller = await self.open(node, "/ask/x", "q1", body)
             await until(lambda: soon(budget.held_bytes > 2 * len(body) - 200_000))
             budget.add(budget.maximum_bytes - budget.held_bytes)
-            await anyio.sleep(SLOW_SECONDS)
+            await anyio.sleep(SLOW_READER_SECONDS)
             answer = await site.call(node, "POST", "/ask/x", b"small")
             self.assertEqual(200, answer.status_code)
             cut_off = self.events("reader_cut_off")
--- a/tests/gateway/entry/test_slow_senders.py
+++ b/tests/gateway/entry/test_slow_senders.py
@@ -38,7 +38,7 @@
             self.assertEqual(0, site.workers.arrivals["q1"])
             answer = await site.call(node, "POST", "/once/x", b"small", stagewalk_request_id="q2")
             self.assertEqual(200, answer.status_code)
-            budget.give_back(int(budget.maximum_bytes * LARGE_BODIES_SHARE))
+            budget.release_bytes(int(budget.maximum_bytes * LARGE_BODIES_SHARE))
             answer = await site.call(node, "POST", "/once/x", LARGE, stagewalk_request_id="q3")
             self.assertEqual(200, answer.status_code)
             await until(lambda: soon(budget.held_bytes == 0))
--- a/tests/gateway/explain/test_steps.py
+++ b/tests/gateway/explain/test_steps.py
@@ -12,7 +12,7 @@
 
 from stagewalk.cli.main import run
 from stagewalk.gateway.explain.log_line import parse_lines
-from stagewalk.gateway.explain.steps import account_steps, find_recoveries
+from stagewalk.gateway.explain.steps import find_recoveries, summarize_steps
 from tests.gateway.explain.test_story import line
 
 STEP = (
@@ -32,7 +32,7 @@
 
 class StepTests(testtools.TestCase):
     def test_a_step_is_taken_apart_by_its_last_items(self) -> None:
-        (step,) = account_steps(parse_lines(STEP, "file"))
+        (step,) = summarize_steps(parse_lines(STEP, "file"))
         self.assertEqual((3, 2, 2, 1), (step.step, step.items, step.listed, step.runners))
         self.assertAlmostEqual(0.1, step.opened)
         self.assertAlmostEqual(4.0, step.ended)
