--- a/tests/gateway/explain/test_story.py
+++ b/tests/gateway/explain/test_story.py
@@ -15,7 +15,7 @@
 from stagewalk.cli.main import run
 from stagewalk.common.logs.lines import format_line
 from stagewalk.gateway.explain.log_line import parse_line, parse_lines
-from stagewalk.gateway.explain.story import Kind, Story, find_story
+from stagewalk.gateway.explain.story import Kind, Timeline, find_timeline
 
 
 def line(second: float, node: str, event: str, level: str = "info", **fields: str) -> str:
@@ -23,8 +23,8 @@
     return format_line(message, node)
 
 
-def story(identity: str, *lines: str) -> Story:
-    found = find_story(identity, parse_lines(lines, "file"))
+def timeline(identity: str, *lines: str) -> Timeline:
+    found = find_timeline(identity, parse_lines(lines, "file"))
     assert found is not None
     return found
 
@@ -136,16 +136,16 @@
 
 class StoryTests(testtools.TestCase):
     def test_a_content_tells_of_all_tries_of_a_request(self) -> None:
-        found = story("c0ffee", *CRASHING)
+        found = timeline("c0ffee", *CRASHING)
         self.assertEqual(Kind.CONTENT, found.kind)
         self.assertEqual(4, len(found.own))
         assert found.ending is not None
         self.assertEqual("request_held_back", found.ending.event)
-        self.assertEqual(Kind.REQUEST, story("r7", *CRASHING).kind)
+        self.assertEqual(Kind.REQUEST, timeline("r7", *CRASHING).kind)
 
     def test_a_request_that_no_worker_might_get(self) -> None:
         """Why: the zone that its node knew to be evacuated, and the worker that was cold."""
-        found = story("r5", *EVACUATED)
+        found = timeline("r5", *EVACUATED)
         self.assertEqual(
             [("n1", "zone_evacuated"), ("n1", "worker_cold")],
             [(x.node, x.event) for x in found.around],
@@ -154,7 +154,7 @@
         self.assertEqual("zone_evacuated:4", found.ending.get("denied"))
 
     def test_a_refused_request_with_its_attempts_and_what_its_worker_went_through(self) -> None:
-        found = story("r1", *REFUSED)
+        found = timeline("r1", *REFUSED)
         self.assertEqual(Kind.REQUEST, found.kind)
         self.assertEqual(["attempt_failed", "request_ended"], [x.event for x in found.own])
         self.assertEqual([("n1", "worker_changed")], [(x.node, x.event) for x in found.around])
@@ -183,7 +183,7 @@
             line(5.0, "n3", "score_call_ended", item="i1", batch="b1", call="c1", worker="s2"),
             ITEM[8],
         )
-        found = story("i1", *scored)
+        found = timeline("i1", *scored)
         events = [x.event for x in found.own]
         self.assertEqual(2, events.count("score_call_ended"))
         self.assertLess(events.index("text_whole"), events.index("item_finished"))
@@ -195,14 +195,14 @@
         named = [line(3.0, node, "version_named", model="m", version="4") for node in ("n1", "n3")]
         self.assertEqual(
             ["n1"],
-            [x.node for x in story("i1", *ITEM, *named).around if x.event == "version_named"],
+            [x.node for x in timeline("i1", *ITEM, *named).around if x.event == "version_named"],
         )
 
     def test_a_request_that_went_well_has_no_failure(self) -> None:
-        self.assertIsNone(story("r2", *REFUSED).first_failure)
+        self.assertIsNone(timeline("r2", *REFUSED).first_failure)
 
     def test_an_item_over_two_nodes_with_its_own_attempts_only(self) -> None:
-        found = story("i1", *ITEM)
+        found = timeline("i1", *ITEM)
         self.assertEqual(Kind.ITEM, found.kind)
         stopped = [x for x in found.own if x.event == "item_stopped"]
         self.assertEqual(["silent"], [x.get("reason") for x in stopped])
@@ -214,25 +214,26 @@
 
     def test_a_node_whose_log_is_missing_is_named(self) -> None:
         self.assertEqual(
-            ("no log of node n4 was given, which ran the batch",), story("i1", *ITEM).unknown
+            ("no log of node n4 was given, which ran the batch",), timeline("i1", *ITEM).unknown
         )
 
     def test_a_story_without_an_end_says_what_the_logs_leave_open(self) -> None:
         started = line(1.0, "n1", "attempt_failed", "warning", request="r1", worker="w1")
-        (sentence,) = story("r1", started).unknown
+        (sentence,) = timeline("r1", started).unknown
         self.assertIn("no line tells how the request ended", sentence)
         again = line(3.5, "n1", "gateway_started")
-        (sentence,) = story("r1", started, again).unknown
+        (sentence,) = timeline("r1", started, again).unknown
         self.assertIn("node n1 started anew 2.5 s after", sentence)
 
     def test_dropped_lines_are_said(self) -> None:
         dropped = line(10.2, "n1", "log_lines_dropped", "warning", kind="attempt_failed", count="9")
         self.assertEqual(
-            ("node n1 dropped 9 lines of attempt_failed",), story("r1", *REFUSED, dropped).unknown
+            ("node n1 dropped 9 lines of attempt_failed",),
+            timeline("r1", *REFUSED, dropped).unknown,
         )
 
     def test_an_id_that_no_line_names_has_no_story(self) -> None:
-        self.assertIsNone(find_story("r7", parse_lines(REFUSED, "file")))
+        self.assertIsNone(find_timeline("r7", parse_lines(REFUSED, "file")))
 
 
 class ExplainCommandTests(testtools.TestCase):
@@ -263,25 +264,25 @@
         self.assertIn("/nowhere/n.log", output)
 
     def test_why_a_request_waited_and_was_refused_is_said(self) -> None:
-        text = "\n".join(render_story(story("r9", *QUEUED)))
+        text = "\n".join(render_story(timeline("r9", *QUEUED)))
         self.assertIn("queued at app: 4 before it, 3 waiting of t1", text)
         self.assertIn("refused after 0.04 s, since it would have started too late", text)
 
     def test_lines_of_others_stand_in_brackets(self) -> None:
-        text = "\n".join(render_story(story("r1", *REFUSED)))
+        text = "\n".join(render_story(timeline("r1", *REFUSED)))
         self.assertIn("(n1)  worker_changed", text)
 
 
 class DutyStoryTests(testtools.TestCase):
     def test_a_caller_that_was_turned_away_and_why_the_view_was_old(self) -> None:
-        found = story("r3", *DENIED)
+        found = timeline("r3", *DENIED)
         self.assertEqual(Kind.REQUEST, found.kind)
         self.assertEqual("caller_denied", found.ending.event)
         self.assertIn("dependency_lost", [line.event for line in found.around])
         self.assertEqual((), found.unknown)
 
     def test_a_window_of_usage_over_its_holders(self) -> None:
-        found = story("77", *WINDOW)
+        found = timeline("77", *WINDOW)
         self.assertEqual(Kind.WINDOW, found.kind)
         self.assertEqual(["n1", "n1", "n2"], [line.node for line in found.own])
         self.assertEqual("done", found.ending.get("outcome"))
--- a/tests/gateway/forwarding/test_policy.py
+++ b/tests/gateway/forwarding/test_policy.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_DENIAL
+from stagewalk.gateway.eligibility.retry_after import RETRY_AFTER_SECONDS_BY_DENIAL
 from stagewalk.gateway.forwarding.policy import Ending, Evidence, ForwardedRequest
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer
@@ -15,7 +15,7 @@
 
 def request(kind: RouteKind = RouteKind.REPEATABLE, attempts: int = 2) -> ForwardedRequest:
     route = Route("r", "h", "/", kind, (BackEnd("s", 1.0),), 1.0, 0.2, attempts)
-    return ForwardedRequest(route, deadline_at=1.0, began_at=0.0)
+    return ForwardedRequest(route, deadline_at=1.0, started_at=0.0)
 
 
 def failure(fault: AttemptFault) -> AttemptFailure:
@@ -60,7 +60,9 @@
         state.withheld = Denial.CRASHES_WORKERS
         self.assertIs(Ending.NOT_RUN, state.ending(0.1))
         told = state.unanswered(Ending.NOT_RUN)
-        self.assertEqual(RETRY_AFTER_DENIAL[Denial.CRASHES_WORKERS], told.retry_after_seconds)
+        self.assertEqual(
+            RETRY_AFTER_SECONDS_BY_DENIAL[Denial.CRASHES_WORKERS], told.retry_after_seconds
+        )
         ran = self.after(state, AttemptFault.MAY_HAVE_RUN)
         self.assertIs(Ending.UNKNOWN, ran.ending(0.1))
         self.assertIsNone(ran.unanswered(Ending.UNKNOWN).retry_after_seconds)
@@ -72,12 +74,12 @@
     def test_a_request_under_way_at_its_deadline_may_have_run(self) -> None:
         state = request()
         state.started("w", EVIDENCE)
-        self.assertEqual(Ending.OUT_OF_TIME, state.ending(1.0))
+        self.assertEqual(Ending.DEADLINE_EXCEEDED, state.ending(1.0))
 
     def test_a_request_whose_worker_had_all_its_time_is_out_of_time(self) -> None:
         state = self.after(request(RouteKind.ONCE), AttemptFault.MAY_HAVE_RUN)
         self.assertEqual(Ending.UNKNOWN, state.ending(0.9))
-        self.assertEqual(Ending.OUT_OF_TIME, state.ending(0.985))
+        self.assertEqual(Ending.DEADLINE_EXCEEDED, state.ending(0.985))
 
     def test_a_workers_own_failure_is_final_once_no_attempt_is_left(self) -> None:
         answer = WorkerAnswer(500, (), b"", signature="s", load=None, leaving=False)
--- a/tests/gateway/held_memory/test_budget.py
+++ b/tests/gateway/held_memory/test_budget.py
@@ -6,34 +6,43 @@
 
 import testtools
 
-from stagewalk.gateway.held_memory.bodies import LARGE_BODY_BYTES, HeldBody
+from stagewalk.gateway.held_memory.bodies import LARGE_BODY_BYTES, BodyReservation
 from stagewalk.gateway.held_memory.budget import MEGABYTE, MemoryBudget
-from stagewalk.gateway.held_memory.reader_choice import READER_SHARE, SLOW_SECONDS, readers_to_cut
-from stagewalk.gateway.held_memory.readers import CutOff, CutOffReason, Readers, WaitingReader
-
-
-def reader(name: str, since: float = 0.0, size: int = 0, resumable: bool = False) -> WaitingReader:
-    made = WaitingReader(name, resumable, lambda: None)
+from stagewalk.gateway.held_memory.reader_choice import (
+    READER_SHARE,
+    SLOW_READER_SECONDS,
+    readers_to_cut,
+)
+from stagewalk.gateway.held_memory.readers import (
+    CutOff,
+    CutOffReason,
+    ReaderBacklog,
+    ResponseReaders,
+)
+
+
+def reader(name: str, since: float = 0.0, size: int = 0, resumable: bool = False) -> ReaderBacklog:
+    made = ReaderBacklog(name, resumable, lambda: None)
     if size:
         made.parts.append((since, size))
         made.held_bytes = size
     return made
 
 
-def names(readers: list[WaitingReader]) -> list[str]:
+def names(readers: list[ReaderBacklog]) -> list[str]:
     return [chosen.request_id for chosen in readers]
 
 
 class BudgetTests(testtools.TestCase):
     def test_a_share_of_the_nodes_memory(self) -> None:
-        self.assertEqual(40 * MEGABYTE, MemoryBudget.of_node(200.0).maximum_bytes)
+        self.assertEqual(40 * MEGABYTE, MemoryBudget.for_node(200.0).maximum_bytes)
 
     def test_what_is_taken_is_counted_until_it_is_given_back(self) -> None:
         budget = MemoryBudget(100)
-        self.assertTrue(budget.take(60))
-        self.assertFalse(budget.take(41))
-        self.assertTrue(budget.take(40))
-        budget.give_back(60)
+        self.assertTrue(budget.reserve_bytes(60))
+        self.assertFalse(budget.reserve_bytes(41))
+        self.assertTrue(budget.reserve_bytes(40))
+        budget.release_bytes(60)
         self.assertEqual((40, 100), (budget.held_bytes, budget.peak_bytes))
 
     def test_a_taker_that_finds_too_few_has_others_make_room(self) -> None:
@@ -43,30 +52,30 @@
 
         def give(missing: int) -> None:
             asked.append(missing)
-            budget.give_back(missing)
+            budget.release_bytes(missing)
 
-        budget.reclaim_by(give)
-        self.assertTrue(budget.take(30))
+        budget.set_reclaimer(give)
+        self.assertTrue(budget.reserve_bytes(30))
         self.assertEqual(([20], 100), (asked, budget.held_bytes))
 
 
 class BodyTests(testtools.TestCase):
     def test_large_bodies_are_refused_while_small_ones_go_on(self) -> None:
         budget = MemoryBudget(10 * LARGE_BODY_BYTES)
-        first = HeldBody(budget)
-        self.assertTrue(first.take(5 * LARGE_BODY_BYTES))
-        second = HeldBody(budget)
+        first = BodyReservation(budget)
+        self.assertTrue(first.reserve_bytes(5 * LARGE_BODY_BYTES))
+        second = BodyReservation(budget)
         self.assertFalse(second.admits(LARGE_BODY_BYTES + 1))
         self.assertTrue(second.admits(LARGE_BODY_BYTES))
-        self.assertFalse(second.take(LARGE_BODY_BYTES + 1))
-        self.assertTrue(second.take(LARGE_BODY_BYTES))
-        self.assertFalse(second.take(1))
+        self.assertFalse(second.reserve_bytes(LARGE_BODY_BYTES + 1))
+        self.assertTrue(second.reserve_bytes(LARGE_BODY_BYTES))
+        self.assertFalse(second.reserve_bytes(1))
 
     def test_a_body_is_held_until_its_request_ends(self) -> None:
         budget = MemoryBudget(100)
-        body = HeldBody(budget)
-        body.take(30)
-        body.give_back(30)
+        body = BodyReservation(budget)
+        body.reserve_bytes(30)
+        body.release_bytes(30)
         self.assertEqual(30, budget.held_bytes)
         body.close()
         body.close()
@@ -85,7 +94,7 @@
 
     def test_callers_that_hold_nothing_or_keep_up_are_spared(self) -> None:
         readers = [reader("idle"), reader("up", 9.5, 50)]
-        self.assertEqual([], readers_to_cut(readers, 50, 10.0, SLOW_SECONDS))
+        self.assertEqual([], readers_to_cut(readers, 50, 10.0, SLOW_READER_SECONDS))
 
     def test_all_go_if_even_they_are_too_few(self) -> None:
         readers = [reader("a", 1.0, 10), reader("b", 2.0, 10)]
@@ -97,18 +106,18 @@
         super().setUp()
         self.budget = MemoryBudget(1_600)
         self.told: list[CutOff] = []
-        self.readers = Readers(self.budget, self.told.append)
+        self.readers = ResponseReaders(self.budget, self.told.append)
         self.cut: list[str] = []
 
-    def add(self, name: str, resumable: bool = False) -> WaitingReader:
-        added = WaitingReader(name, resumable, lambda: self.cut.append(name))
+    def add(self, name: str, resumable: bool = False) -> ReaderBacklog:
+        added = ReaderBacklog(name, resumable, lambda: self.cut.append(name))
         self.readers.add(added)
         return added
 
     def test_parts_are_given_back_in_the_order_they_came(self) -> None:
         caller = self.add("a")
         for at in (1.0, 2.0, 3.0):
-            self.readers.hold_part(caller, 30, at)
+            self.readers.buffer_part(caller, 30, at)
         self.readers.release(caller, 40)
         self.assertEqual((50, 2.0), (caller.held_bytes, caller.behind_since))
         self.readers.remove(caller)
@@ -117,10 +126,10 @@
     def test_a_caller_is_cut_off_at_its_own_bound(self) -> None:
         caller, other = self.add("a"), self.add("b")
         own = int(self.budget.maximum_bytes * READER_SHARE)
-        self.readers.hold_part(other, own, 1.0)
-        self.readers.hold_part(caller, own, 1.0)
+        self.readers.buffer_part(other, own, 1.0)
+        self.readers.buffer_part(caller, own, 1.0)
         self.assertEqual([], self.cut)
-        self.readers.hold_part(caller, 1, 5.0)
+        self.readers.buffer_part(caller, 1, 5.0)
         self.assertEqual((["a"], own), (self.cut, self.budget.held_bytes))
         self.assertEqual(
             [CutOff("a", CutOffReason.READER_LIMIT, own + 1, 4.0, False, own * 2 + 1)], self.told
@@ -128,8 +137,8 @@
 
     def test_a_caller_that_was_cut_off_holds_nothing_more(self) -> None:
         caller = self.add("a")
-        self.readers.hold_part(caller, 200, 1.0)
-        self.readers.hold_part(caller, 50, 1.0)
+        self.readers.buffer_part(caller, 200, 1.0)
+        self.readers.buffer_part(caller, 50, 1.0)
         self.readers.release(caller, 200)
         self.readers.remove(caller)
         self.assertEqual((0, ["a"]), (self.budget.held_bytes, self.cut))
@@ -137,50 +146,50 @@
     def test_at_the_nodes_bound_the_slowest_makes_room(self) -> None:
         callers = [self.add(str(number)) for number in range(17)]
         for number, caller in enumerate(callers):
-            self.readers.hold_part(caller, 95, float(number))
+            self.readers.buffer_part(caller, 95, float(number))
         self.assertEqual(["0"], self.cut)
         self.assertLessEqual(self.budget.held_bytes, self.budget.maximum_bytes)
         self.assertEqual([CutOffReason.NODE_LIMIT], [told.reason for told in self.told])
 
     def test_a_stream_ends_if_others_than_readers_hold_everything(self) -> None:
         self.budget.add(1_600)
-        self.readers.hold_part(self.add("a"), 10, 1.0)
+        self.readers.buffer_part(self.add("a"), 10, 1.0)
         self.assertEqual(["a"], self.cut)
         self.assertEqual(1_600, self.budget.held_bytes)
 
     def test_a_request_gets_room_from_slow_callers_only(self) -> None:
-        self.budget.reclaim_by(lambda missing: self.readers.make_room(missing, 10.0))
+        self.budget.set_reclaimer(lambda missing: self.readers.make_room(missing, 10.0))
         slow, prompt = self.add("slow"), self.add("prompt")
-        self.readers.hold_part(slow, 100, 1.0)
-        self.readers.hold_part(prompt, 100, 9.9)
+        self.readers.buffer_part(slow, 100, 1.0)
+        self.readers.buffer_part(prompt, 100, 9.9)
         self.budget.add(1_400)
-        self.assertFalse(self.budget.take(150))
+        self.assertFalse(self.budget.reserve_bytes(150))
         self.assertEqual(["slow"], self.cut)
-        self.assertTrue(self.budget.take(100))
+        self.assertTrue(self.budget.reserve_bytes(100))
         self.assertEqual(["slow"], self.cut)
 
     def test_a_whole_answer_is_held_though_it_is_larger_than_a_streams_bound(self) -> None:
         caller = self.add("a")
-        self.readers.hold_answer(caller, 1_000, 1.0)
+        self.readers.buffer_answer(caller, 1_000, 1.0)
         self.readers.release(caller, 400)
         self.assertEqual((600, [], 600), (caller.held_bytes, self.cut, self.budget.held_bytes))
 
 
 class CostTests(testtools.TestCase):
     def test_prints_the_cost_of_a_part_and_of_a_choice_among_600_callers(self) -> None:
-        readers = Readers(MemoryBudget(1_000_000_000))
-        callers = [WaitingReader(str(n), n % 2 == 0, lambda: None) for n in range(600)]
+        readers = ResponseReaders(MemoryBudget(1_000_000_000))
+        callers = [ReaderBacklog(str(n), n % 2 == 0, lambda: None) for n in range(600)]
         for caller in callers:
             readers.add(caller)
-            readers.hold_part(caller, 100, 1.0)
+            readers.buffer_part(caller, 100, 1.0)
         rounds = 200
         began = time.perf_counter()
         for _ in range(rounds):
-            chosen = readers_to_cut(callers, 1_000, 5.0, SLOW_SECONDS)
+            chosen = readers_to_cut(callers, 1_000, 5.0, SLOW_READER_SECONDS)
         choice = (time.perf_counter() - began) / rounds
         began = time.perf_counter()
         for caller in callers:
-            readers.hold_part(caller, 100, 2.0)
+            readers.buffer_part(caller, 100, 2.0)
             readers.release(caller, 100)
         part = (time.perf_counter() - began) / len(callers)
         self.assertEqual(10, len(chosen))
--- a/tests/gateway/hindered_logs.py
+++ b/tests/gateway/hindered_logs.py
@@ -5,7 +5,7 @@
 import anyio
 from expression import Ok, Result
 
-from stagewalk.gateway.batch_service.batch_store import PARTITIONS, TOPIC
+from stagewalk.gateway.batch_service.batch_store import BATCHES_TOPIC, PARTITIONS
 from stagewalk.gateway.batches.records import BatchEnded, encode_record
 from stagewalk.gateway.ports.partitioned_log import (
     LogFailure,
@@ -30,7 +30,9 @@
     """Fill the partitions of batches with records that tell nothing."""
     for number in range(PARTITIONS):
         await append(
-            log, Partition(TOPIC, number), [encode_record(BatchEnded("old"))] * HISTORY_RECORDS
+            log,
+            Partition(BATCHES_TOPIC, number),
+            [encode_record(BatchEnded("old"))] * HISTORY_RECORDS,
         )
 
 
@@ -49,7 +51,7 @@
     ) -> Result[RecordPage, LogFailure]:
         """Read records from an offset on, one of the oldest at a time."""
         answer = await super().read(partition, offset, wait_seconds)
-        if partition.topic != TOPIC or offset >= SLOW_RECORDS or answer.is_error():
+        if partition.topic != BATCHES_TOPIC or offset >= SLOW_RECORDS or answer.is_error():
             return answer
         await anyio.sleep(RECORD_SECONDS)
         page = answer.ok
@@ -81,7 +83,7 @@
         self, partition: Partition, offset: int, wait_seconds: float
     ) -> Result[RecordPage, LogFailure]:
         """Read records from an offset on."""
-        if partition.topic != TOPIC:
+        if partition.topic != BATCHES_TOPIC:
             return await super().read(partition, offset, wait_seconds)
         if wait_seconds > 0.0:
             await self.follow.wait()
--- a/tests/gateway/log_relay/test_both_ways.py
+++ b/tests/gateway/log_relay/test_both_ways.py
@@ -11,7 +11,7 @@
 from stagewalk.common.identities import Address
 from stagewalk.gateway.log_relay.relayed_log import RelayedLog, RelayPeers
 from stagewalk.gateway.log_relay.server import LogRelay
-from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
+from stagewalk.gateway.partitioned_log.appender import AppendFailure, PartitionAppender
 from stagewalk.gateway.partitioned_log.follower import PartitionFollower
 from stagewalk.gateway.peer_calls.client import PeerClient, PeerFault
 from stagewalk.gateway.ports.partitioned_log import LogFault, Partition, ProducerSequence
@@ -73,7 +73,7 @@
                 own.faults.down = False
                 await anyio.sleep(2 * APPEND_SECONDS)
                 tasks.cancel_scope.cancel()
-            self.assertIs(AppendOutcome.NOT_APPENDED, outcome.error)
+            self.assertIs(AppendFailure.NOT_APPENDED, outcome.error)
             self.assertEqual([], memory.payloads(PLACE))
 
         anyio.run(scenario)
--- a/tests/gateway/log_relay/test_lost_answers.py
+++ b/tests/gateway/log_relay/test_lost_answers.py
@@ -15,7 +15,7 @@
 from stagewalk.common.identities import Address
 from stagewalk.gateway.log_relay.relayed_log import RelayedLog, RelayPeers
 from stagewalk.gateway.log_relay.server import LogRelay
-from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
+from stagewalk.gateway.partitioned_log.appender import AppendFailure, PartitionAppender
 from stagewalk.gateway.peer_calls.client import PeerFault
 from stagewalk.gateway.ports.partitioned_log import LogFault, Partition, ProducerSequence
 from tests.gateway.memory_log import MemoryLog, MemoryLogClient
@@ -70,7 +70,7 @@
                 outcome = await appender.append([b"1"], APPEND_SECONDS)
                 tasks.cancel_scope.cancel()
             self.assertEqual([b"1"], self.memory.payloads(PLACE))
-            self.assertIs(AppendOutcome.UNKNOWN, outcome.error)
+            self.assertIs(AppendFailure.UNKNOWN, outcome.error)
 
         self.play(scenario)
 
--- a/tests/gateway/log_relay/test_path_choice.py
+++ b/tests/gateway/log_relay/test_path_choice.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.gateway.log_relay.path_choice import PROBE_SECONDS, PathChoice
+from stagewalk.gateway.log_relay.path_choice import PROBE_INTERVAL_SECONDS, PathChoice
 from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault
 
 CUT = LogFailure(LogFault.UNKNOWN, "no answer")
@@ -26,7 +26,7 @@
         self.assertFalse(choice.direct_first(1.3))
         choice.record_direct(CUT, 1.4)
         self.assertTrue(choice.relaying)
-        self.assertTrue(choice.direct_first(1.3 + PROBE_SECONDS))
+        self.assertTrue(choice.direct_first(1.3 + PROBE_INTERVAL_SECONDS))
         choice.record_direct(None, 2.5)
         self.assertTrue(choice.direct_first(2.6))
         self.assertFalse(choice.relaying)
--- a/tests/gateway/log_relay/test_relayed_log.py
+++ b/tests/gateway/log_relay/test_relayed_log.py
@@ -11,8 +11,8 @@
 
 from stagewalk.common.identities import Address
 from stagewalk.gateway.log_relay.messages import LogAnswer, encode_message
-from stagewalk.gateway.log_relay.relayed_log import SILENCE_SECONDS, RelayedLog, RelayPeers
-from stagewalk.gateway.log_relay.server import CUT_OFF, LogRelay
+from stagewalk.gateway.log_relay.relayed_log import HEDGE_DELAY_SECONDS, RelayedLog, RelayPeers
+from stagewalk.gateway.log_relay.server import RELAY_CUT_OFF, LogRelay
 from stagewalk.gateway.ports.partitioned_log import Partition
 from tests.gateway.memory_log import MemoryLog
 
@@ -52,14 +52,14 @@
 
 
 class RelayedLogTests(testtools.TestCase):
-    def play(self, cut_off: list[bool], scenario) -> None:
+    def play(self, direct_path_failing: list[bool], scenario) -> None:
         async def main() -> None:
             memory = MemoryLog()
             memory.put_key(PLACE, "k", b"v")
             own = SilentLog(memory.client())
             nodes = {
                 address(n): LogRelay(memory.client(), lambda cut=cut: cut)
-                for n, cut in enumerate(cut_off)
+                for n, cut in enumerate(direct_path_failing)
             }
             peers = Peers(nodes)
             await scenario(RelayedLog(own, lambda: RelayPeers(list(nodes)), peers), own, peers)
@@ -72,8 +72,8 @@
             page = await log.read_keyed(PLACE, 0, 0.1)
             self.assertEqual(["k"], [record.key for record in page.ok.records])
             self.assertLess(time.monotonic() - began, TIMEOUT_SECONDS)
-            self.assertGreaterEqual(time.monotonic() - began, SILENCE_SECONDS)
-            self.assertTrue(log.cut_off)
+            self.assertGreaterEqual(time.monotonic() - began, HEDGE_DELAY_SECONDS)
+            self.assertTrue(log.direct_path_failing)
 
         self.play([False], scenario)
 
@@ -83,7 +83,7 @@
             began = time.monotonic()
             for _ in range(3):
                 self.assertTrue((await log.read_keyed(PLACE, 0, 0.0)).is_ok())
-            self.assertLess(time.monotonic() - began, SILENCE_SECONDS)
+            self.assertLess(time.monotonic() - began, HEDGE_DELAY_SECONDS)
             self.assertEqual(2, own.calls)
 
         self.play([False], scenario)
@@ -94,7 +94,7 @@
             own.silent = False
             peers.nodes.clear()
             await log.read_keyed(PLACE, 0, 0.0)
-            self.assertFalse(log.cut_off)
+            self.assertFalse(log.direct_path_failing)
 
         self.play([False], scenario)
 
@@ -107,5 +107,7 @@
         self.play([True, True, False], scenario)
 
     def test_the_refusal_is_told_from_one_of_the_log(self) -> None:
-        decoded = msgspec.msgpack.decode(encode_message(LogAnswer(failure=CUT_OFF)), type=LogAnswer)
-        self.assertEqual(CUT_OFF, decoded.failure)
+        decoded = msgspec.msgpack.decode(
+            encode_message(LogAnswer(failure=RELAY_CUT_OFF)), type=LogAnswer
+        )
+        self.assertEqual(RELAY_CUT_OFF, decoded.failure)
--- a/tests/gateway/memory_duties.py
+++ b/tests/gateway/memory_duties.py
@@ -48,7 +48,7 @@
                 self.conflicting.add(report.window)
         return outcome
 
-    async def order_workers(self, holder: DutyHolder, order: WorkerOrder) -> DutyOutcome:
+    async def request_worker_count(self, holder: DutyHolder, order: WorkerOrder) -> DutyOutcome:
         """Record an order."""
         outcome = await self._begin(holder)
         if outcome is DutyOutcome.DONE and order.group.zone in self.none_left:
--- a/tests/gateway/memory_workers.py
+++ b/tests/gateway/memory_workers.py
@@ -27,13 +27,13 @@
     WorkerReport,
 )
 
-SUCCESS = 200
+HTTP_OK = 200
 CRASH_SECONDS = 0.02
 """How long a worker works on a request that crashes it."""
 
 _CONNECTION_REFUSED = AttemptFailure(AttemptFault.NOT_SENT, "connection refused")
 _NO_ANSWER = AttemptFailure(
-    AttemptFault.MAY_HAVE_RUN, "no answer in time", contact_loss=ContactLoss.SILENT
+    AttemptFault.MAY_HAVE_RUN, "no answer in time", contact_loss=ContactLoss.TIMED_OUT
 )
 _CONNECTION_CLOSED = AttemptFailure(
     AttemptFault.MAY_HAVE_RUN, "connection closed", contact_loss=ContactLoss.CLOSED
@@ -160,7 +160,7 @@
             return Error(_scripted(worker))
         headers = (("x-worker", target.worker),)
         body = request.target.encode() + b" " + request.body
-        status = worker.statuses.pop(0) if worker.statuses else SUCCESS
+        status = worker.statuses.pop(0) if worker.statuses else HTTP_OK
         signature = f"{target.worker}/{request.request_id}"
         return Ok(WorkerAnswer(status, headers, body, signature, worker.load, False))
 
@@ -183,7 +183,7 @@
         if fault is not None and fault.proves_not_run:
             return Error(AttemptFailure(fault, "scripted", worker.load))
         version = max(worker.versions.values(), default=1)
-        await deliver(StreamHead(SUCCESS, (), (version,), worker.load))
+        await deliver(StreamHead(HTTP_OK, (), (version,), worker.load))
         for number in range((request.resume_after or 0) + 1, worker.events + 1):
             await self._work(permit.target.worker, request, worker.event_seconds)
             if worker.ended.is_set():
@@ -192,7 +192,7 @@
             await deliver(StreamEvent(number, data, None, data.encode()))
             if fault is not None:
                 return Error(AttemptFailure(fault, "scripted", worker.load))
-        return Ok(StreamEnd(SUCCESS))
+        return Ok(StreamEnd(HTTP_OK))
 
     async def _work(self, name: str, request: OutboundRequest, seconds: float) -> None:
         """Work for a time, less if the worker crashes meanwhile, which the request may cause."""
@@ -219,7 +219,9 @@
         worker = self.workers[target.worker]
         return Ok(WorkerReport(dict(worker.versions), False, len(worker.orders), 0, 0))
 
-    async def order_version(self, target: WorkerTarget, order: VersionOrder) -> OrderOutcome:
+    async def request_version_change(
+        self, target: WorkerTarget, order: VersionOrder
+    ) -> OrderOutcome:
         """Carry out an order at once, unless a higher fence was seen."""
         worker = self.workers[target.worker]
         if worker.orders and order.fence < worker.orders[-1].fence:
--- a/tests/gateway/nodes/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -8,11 +8,11 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.nodes.crash_watch import MOST_UNAPPENDED, CrashWatch
+from stagewalk.gateway.nodes.crash_watch import MAXIMUM_UNAPPENDED, CrashWatch
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, ContactLoss
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import MOST_CRASHES, CrashSuspects
+from stagewalk.gateway.quarantine.core import MAXIMUM_CRASH_RECORDS, CrashHistory
 from stagewalk.gateway.quarantine.crash_reports import SentRequest
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.memory_log import MemoryLog
@@ -29,7 +29,7 @@
         self.log = MemoryLog()
         self.client = self.log.client()
         self.table = WorkerTable()
-        self.suspects = CrashSuspects("n1")
+        self.suspects = CrashHistory("n1")
         self.watch = CrashWatch(
             log=self.client,
             partition=NODES,
@@ -96,15 +96,15 @@
 
     def test_what_waits_is_bounded_however_many_contents_there_are(self) -> None:
         async def scenario() -> None:
-            for n in range(MOST_CRASHES + 300):
+            for n in range(MAXIMUM_CRASH_RECORDS + 300):
                 content = RequestContent("POST", "h", "/x", str(n).encode())
                 await self.end(f"w{n % 7}", content)
                 if n % 2:
                     self.watch.publish(content)
             self.watch.step(steady_seconds())
-            self.assertLessEqual(len(self.watch._unpublished), MOST_CRASHES)
-            self.assertLessEqual(len(self.watch._unappended), MOST_UNAPPENDED)
-            self.assertLessEqual(self.watch.suspects, MOST_CRASHES)
+            self.assertLessEqual(len(self.watch._unpublished), MAXIMUM_CRASH_RECORDS)
+            self.assertLessEqual(len(self.watch._unappended), MAXIMUM_UNAPPENDED)
+            self.assertLessEqual(self.watch.suspects, MAXIMUM_CRASH_RECORDS)
 
         anyio.run(scenario)
 
--- a/tests/gateway/nodes/test_crashing_requests.py
+++ b/tests/gateway/nodes/test_crashing_requests.py
@@ -86,7 +86,7 @@
 
     async def known() -> bool:
         return all(
-            digest in {held.content for held in node.gateway._crashes.held_contents()}
+            digest in {held.content for held in node.gateway._crashes.quarantined_contents()}
             for node in nodes
         )
 
--- a/tests/gateway/nodes/test_node_service.py
+++ b/tests/gateway/nodes/test_node_service.py
@@ -11,11 +11,11 @@
 
 from stagewalk.common.identities import Address, Placement
 from stagewalk.gateway.directory.node_table import NodeAnnouncement, decode_announcement
-from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS
+from stagewalk.gateway.directory.renewals import RENEWAL_INTERVAL_SECONDS
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
 from stagewalk.gateway.nodes.own_node import OwnNode
-from stagewalk.gateway.policy import ALL_ON
+from stagewalk.gateway.policy import DEFAULT_POLICY
 from stagewalk.gateway.ports.partitioned_log import Partition
 from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 from tests.gateway.place_shares.support import ALPHA, BETA, claims, demand
@@ -62,7 +62,7 @@
             placement=Placement("r1", "z1"),
             capacity=0.5,
         ),
-        policy=ALL_ON,
+        policy=DEFAULT_POLICY,
         batch_regions=lambda: regions,
         worker_ends=mock.Mock(owns=lambda _record: False),
     )
@@ -72,7 +72,7 @@
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
             nodes.start(tasks)
-            await nodes.settle()
+            await nodes.wait_until_settled()
             await scenario()
             tasks.cancel_scope.cancel()
 
@@ -97,7 +97,9 @@
                 self.assertEqual(replica, nodes.target_roles().replica)
                 self.assertEqual(replica, nodes.may_hold_batches)
                 peers = nodes.peers()
-                self.assertEqual(hosts, {peer.host for peer in (*peers.near, *peers.beyond)})
+                self.assertEqual(
+                    hosts, {peer.host for peer in (*peers.same_region, *peers.other_regions)}
+                )
                 held = {node.region for node in nodes.replicas()}
                 self.assertEqual({"r1", "r2", "r3"} if replica else {"r2"}, held)
 
@@ -158,7 +160,7 @@
                 own = self.announced()
                 return own is not None and own.serving
 
-            with anyio.fail_after(3 * RENEWAL_SECONDS):
+            with anyio.fail_after(3 * RENEWAL_INTERVAL_SECONDS):
                 await until(told)
 
         run(nodes, scenario)
@@ -207,14 +209,14 @@
                 return own is not None and own.claims == ()
 
             await until(announced)
-            await anyio.sleep(RENEWAL_SECONDS)
+            await anyio.sleep(RENEWAL_INTERVAL_SECONDS)
             began = self.announced().beat
             nodes.set_claims(claims(demand(ALPHA, 50)))
 
             async def told() -> bool:
                 return self.announced().claims == claims(demand(ALPHA, 50))
 
-            with anyio.fail_after(RENEWAL_SECONDS / 2):
+            with anyio.fail_after(RENEWAL_INTERVAL_SECONDS / 2):
                 await until(told)
             for items in (100, 200, 400):
                 nodes.set_claims(claims(demand(ALPHA, items)))
@@ -253,7 +255,7 @@
                 return own is not None and own.listed
 
             await until(told)
-            self.assertEqual(RENEWAL_SECONDS, self.announced().renewal_seconds)
+            self.assertEqual(RENEWAL_INTERVAL_SECONDS, self.announced().renewal_seconds)
 
         run(nodes, scenario)
 
--- a/tests/gateway/nodes/test_runner_state.py
+++ b/tests/gateway/nodes/test_runner_state.py
@@ -5,9 +5,13 @@
 import testtools
 
 from stagewalk.common.identities import NodeName
-from stagewalk.gateway.batches.runner_liveness import FAILURES, RunnerLiveness
+from stagewalk.gateway.batches.runner_liveness import PROBE_FAILURES_UNTIL_GONE, RunnerLiveness
 from stagewalk.gateway.batches.takeover import RunnerState
-from stagewalk.gateway.directory.node_table import ALIVE_SECONDS, NodeAnnouncement, NodeTable
+from stagewalk.gateway.directory.node_table import (
+    FAILURE_TIMEOUT_SECONDS,
+    NodeAnnouncement,
+    NodeTable,
+)
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.runner_state import judge_runner
 
@@ -31,12 +35,12 @@
         return judge_runner(process, OWN, self.table, self.liveness, view_at=NOW, now=NOW)
 
     def test_this_node_is_judged_by_its_incarnation(self) -> None:
-        self.assertEqual(RunnerState.RUNS, self.judge("own#7"))
-        self.assertEqual(RunnerState.MINE_BEFORE, self.judge("own#6"))
+        self.assertEqual(RunnerState.ALIVE, self.judge("own#7"))
+        self.assertEqual(RunnerState.PREVIOUS_PROCESS, self.judge("own#6"))
 
     def test_a_process_runs_while_its_node_counts_as_alive(self) -> None:
         self.announce()
-        self.assertEqual(RunnerState.RUNS, self.judge("other#1"))
+        self.assertEqual(RunnerState.ALIVE, self.judge("other#1"))
 
     def test_unknown_processes_and_nodes_are_gone(self) -> None:
         self.assertEqual(RunnerState.GONE, self.judge("no identity"))
@@ -47,17 +51,17 @@
         self.assertEqual(RunnerState.GONE, self.judge("other#1"))
 
     def test_a_node_that_announces_nothing_is_gone(self) -> None:
-        self.announce(at=NOW - ALIVE_SECONDS)
+        self.announce(at=NOW - FAILURE_TIMEOUT_SECONDS)
         self.assertEqual(RunnerState.GONE, self.judge("other#1"))
 
     def test_a_later_start_of_its_node_has_returned(self) -> None:
         self.announce(incarnation=2)
-        self.assertEqual(RunnerState.RETURNED, self.judge("other#1"))
+        self.assertEqual(RunnerState.RESTARTED, self.judge("other#1"))
 
     def test_probes_count_before_the_table(self) -> None:
         self.announce()
-        self.liveness.note_answer("other#1", "other#2", NOW)
-        self.assertEqual(RunnerState.RETURNED, self.judge("other#1"))
-        for n in range(FAILURES):
-            self.liveness.note_failure("other#1", NOW - 1.0 + n)
+        self.liveness.record_answer("other#1", "other#2", NOW)
+        self.assertEqual(RunnerState.RESTARTED, self.judge("other#1"))
+        for n in range(PROBE_FAILURES_UNTIL_GONE):
+            self.liveness.record_failure("other#1", NOW - 1.0 + n)
         self.assertEqual(RunnerState.GONE, self.judge("other#1"))
--- a/tests/gateway/partitioned_log/test_appender.py
+++ b/tests/gateway/partitioned_log/test_appender.py
@@ -7,7 +7,7 @@
 import anyio
 import testtools
 
-from stagewalk.gateway.partitioned_log.appender import AppendOutcome, PartitionAppender
+from stagewalk.gateway.partitioned_log.appender import AppendFailure, PartitionAppender
 from stagewalk.gateway.ports.partitioned_log import Partition
 from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
@@ -55,9 +55,9 @@
         async def scenario(log, client, appender) -> None:
             client.faults.silent = True
             stuck = appender.append([b"a"], SHORT)
-            self.assertEqual(AppendOutcome.UNKNOWN, (await stuck).error)
+            self.assertEqual(AppendFailure.UNKNOWN, (await stuck).error)
             behind = await appender.append([b"b"], SHORT)
-            self.assertEqual(AppendOutcome.NOT_APPENDED, behind.error)
+            self.assertEqual(AppendFailure.NOT_APPENDED, behind.error)
             client.faults.silent = False
             await appender.append([b"c"], LONG)
             self.assertEqual([b"a", b"c"], log.payloads(PLACE))
@@ -68,7 +68,7 @@
         async def scenario(log, client, appender) -> None:
             client.faults.down = True
             refused = await appender.append([b"a"], SHORT)
-            self.assertEqual(AppendOutcome.NOT_APPENDED, refused.error)
+            self.assertEqual(AppendFailure.NOT_APPENDED, refused.error)
             client.faults.down = False
             await appender.append([b"b"], LONG)
             self.assertEqual([b"b"], log.payloads(PLACE))
--- a/tests/gateway/place_shares/benchmark_shares.py
+++ b/tests/gateway/place_shares/benchmark_shares.py
@@ -17,7 +17,7 @@
 from stagewalk.gateway.batches.start_order import StepBounds, WaitingItem, order_scarce
 from stagewalk.gateway.place_shares.claims import build_claims
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand
-from stagewalk.gateway.place_shares.limits import OtherNodes, ShareLimits
+from stagewalk.gateway.place_shares.limits import PeerClaims, ShareLimits
 from stagewalk.gateway.place_shares.places import EnginePlaces
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.batches.support import batch_route, header, item
@@ -43,7 +43,7 @@
     all_of_them = [Claimant(f"tenant-{n}", "h/m") for n in range(claimants)]
     demands = [PlaceDemand(claimant, SERVICE, items // 3, items) for claimant in all_of_them]
     nodes = [demands[n::RUNNERS] for n in range(RUNNERS)]
-    others = OtherNodes(0.0, [build_claims(node) for node in nodes[1:]])
+    others = PeerClaims(0.0, [build_claims(node) for node in nodes[1:]])
     limits = ShareLimits()
 
     def update() -> None:
--- a/tests/gateway/place_shares/support.py
+++ b/tests/gateway/place_shares/support.py
@@ -6,7 +6,7 @@
 
 from stagewalk.gateway.place_shares.claims import ServiceClaims, build_claims
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand
-from stagewalk.gateway.place_shares.limits import OtherNodes, ShareLimits
+from stagewalk.gateway.place_shares.limits import PeerClaims, ShareLimits
 
 SERVICE = "engines"
 ALPHA, BETA, GAMMA = (Claimant(None, f"h.example/{name}") for name in ("alpha", "beta", "gamma"))
@@ -48,7 +48,7 @@
         if name != node
     ]
     limits = ShareLimits()
-    limits.update(own, OtherNodes(view_at, others), {SERVICE: places})
+    limits.update(own, PeerClaims(view_at, others), {SERVICE: places})
     return limits
 
 
--- a/tests/gateway/place_shares/test_claims.py
+++ b/tests/gateway/place_shares/test_claims.py
@@ -5,13 +5,13 @@
 import msgspec
 import testtools
 
-from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS
+from stagewalk.gateway.directory.renewals import RENEWAL_INTERVAL_SECONDS
 from stagewalk.gateway.place_shares.claims import (
-    MOST_CLAIMS,
+    MAXIMUM_ANNOUNCED_CLAIMS,
     ServiceClaims,
     build_claims,
     claimant_key,
-    rises_markedly,
+    has_significant_increase,
 )
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand
 from tests.gateway.place_shares.support import ALPHA, BETA, claims, demand
@@ -40,24 +40,24 @@
     def test_of_a_thousand_tenants_the_largest_are_named_and_the_rest_is_summed(self) -> None:
         demands = [demand(Claimant(f"t{n}", "h/m"), n) for n in range(1, TENANTS + 1)]
         (found,) = claims(*demands)
-        self.assertEqual(MOST_CLAIMS, len(found.claims))
-        self.assertEqual(TENANTS - MOST_CLAIMS, found.others)
+        self.assertEqual(MAXIMUM_ANNOUNCED_CLAIMS, len(found.claims))
+        self.assertEqual(TENANTS - MAXIMUM_ANNOUNCED_CLAIMS, found.others)
         self.assertEqual(sum(d.items for d in demands), found.items)
-        largest = {claimant_key(d.claimant) for d in demands[-MOST_CLAIMS:]}
+        largest = {claimant_key(d.claimant) for d in demands[-MAXIMUM_ANNOUNCED_CLAIMS:]}
         self.assertEqual(largest, {claim.claimant for claim in found.claims})
 
     def test_a_step_that_begins_is_announced_at_once_and_little_things_are_not(self) -> None:
         small, grown = claims(demand(ALPHA, 100)), claims(demand(ALPHA, 140))
-        self.assertTrue(rises_markedly((), small))
-        self.assertTrue(rises_markedly(small, grown))
-        self.assertFalse(rises_markedly(grown, small))
-        self.assertFalse(rises_markedly(small, claims(demand(ALPHA, 110))))
-        self.assertFalse(rises_markedly((), claims(demand(ALPHA, 3))))
+        self.assertTrue(has_significant_increase((), small))
+        self.assertTrue(has_significant_increase(small, grown))
+        self.assertFalse(has_significant_increase(grown, small))
+        self.assertFalse(has_significant_increase(small, claims(demand(ALPHA, 110))))
+        self.assertFalse(has_significant_increase((), claims(demand(ALPHA, 3))))
 
     def test_six_trainers_claims_take_a_tenth_of_what_a_node_may_use_for_control(self) -> None:
         each = PlaceDemand(
             Claimant("tenant-000000000071", "h/m"), "a-service-of-24-letters", 800, 3000
         )
         size = len(msgspec.msgpack.encode(build_claims([each])))
-        read = RUNNERS * size / RENEWAL_SECONDS
+        read = RUNNERS * size / RENEWAL_INTERVAL_SECONDS
         self.assertLess(read, CONTROL_BYTES_PER_SECOND / 10)
--- a/tests/gateway/place_shares/test_explained_wait.py
+++ b/tests/gateway/place_shares/test_explained_wait.py
@@ -6,7 +6,7 @@
 
 from stagewalk.common.logs.lines import format_line
 from stagewalk.gateway.explain.log_line import parse_lines
-from stagewalk.gateway.explain.story import find_story
+from stagewalk.gateway.explain.story import find_timeline
 
 
 def line(second: float, event: str, **fields: object) -> str:
@@ -25,8 +25,8 @@
 
 class ExplainedWaitTests(testtools.TestCase):
     def test_its_own_batch_and_the_shares_are_told(self) -> None:
-        story = find_story("x", parse_lines(LINES, "file"))
-        assert story is not None
-        waits = [found.get("batch") for found in story.own if found.event == "starts_withheld"]
+        timeline = find_timeline("x", parse_lines(LINES, "file"))
+        assert timeline is not None
+        waits = [found.get("batch") for found in timeline.own if found.event == "starts_withheld"]
         self.assertEqual(["b1"], waits)
-        self.assertIn("place_shares_changed", [found.event for found in story.around])
+        self.assertIn("place_shares_changed", [found.event for found in timeline.around])
--- a/tests/gateway/place_shares/test_limits.py
+++ b/tests/gateway/place_shares/test_limits.py
@@ -7,17 +7,17 @@
 
 import testtools
 
-from stagewalk.gateway.directory.node_table import ALIVE_SECONDS
-from stagewalk.gateway.directory.renewals import RENEWAL_SECONDS
+from stagewalk.gateway.directory.node_table import FAILURE_TIMEOUT_SECONDS
+from stagewalk.gateway.directory.renewals import RENEWAL_INTERVAL_SECONDS
 from stagewalk.gateway.place_shares.demand import Claimant
 from stagewalk.gateway.place_shares.limits import (
-    LEAST_PLACES,
+    MINIMUM_PLACES,
     VIEW_SECONDS,
-    OtherNodes,
+    PeerClaims,
     ShareLimits,
 )
 from stagewalk.gateway.place_shares.places import EnginePlaces
-from stagewalk.gateway.place_shares.shares import HEADROOM
+from stagewalk.gateway.place_shares.shares import OVERCOMMIT_FACTOR
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.place_shares.support import (
     ALPHA,
@@ -33,7 +33,7 @@
 from tests.gateway.workers.support import announcement
 
 PLACES = 120.0
-FULL = PLACES * HEADROOM
+FULL = PLACES * OVERCOMMIT_FACTOR
 LATER = VIEW_SECONDS + 0.1
 HARD: dict[str, Demands] = {"n1": {ALPHA: 400}, "n2": {BETA: 300}, "n3": {GAMMA: 200}}
 
@@ -66,12 +66,12 @@
     def test_each_of_more_claimants_than_places_goes_on(self) -> None:
         many = [Claimant(f"t{n}", "h/m") for n in range(300)]
         limits = limits_at("n1", {"n1": dict.fromkeys(many, 4), "n2": {BETA: 9}}, PLACES)
-        self.assertEqual({LEAST_PLACES}, {limits.most(c, SERVICE, 0.0) for c in many})
+        self.assertEqual({MINIMUM_PLACES}, {limits.most(c, SERVICE, 0.0) for c in many})
 
 
 class MixedBuildsTests(testtools.TestCase):
     def update(self, *others: tuple | None) -> float:
-        self.limits.update([demand(ALPHA, 400)], OtherNodes(0.0, others), {SERVICE: PLACES})
+        self.limits.update([demand(ALPHA, 400)], PeerClaims(0.0, others), {SERVICE: PLACES})
         return self.limits.most(ALPHA, SERVICE, 0.0)
 
     def setUp(self) -> None:
@@ -94,7 +94,7 @@
     """Each test states by how much places may be overfilled, and holds it."""
 
     def test_views_that_differ_overfill_by_the_growth_that_others_have_not_seen(self) -> None:
-        """And by `LEAST_PLACES` for each claimant at each node."""
+        """And by `MINIMUM_PLACES` for each claimant at each node."""
         numbers = random.Random(11)
         for _ in range(400):
             names = [f"n{n}" for n in range(numbers.randint(2, 6))]
@@ -112,7 +112,9 @@
                 for claimant, items in after[name].items()
             )
             pairs = sum(len(after[name]) for name in names)
-            self.assertLessEqual(total, places * HEADROOM + growth + LEAST_PLACES * pairs)
+            self.assertLessEqual(
+                total, places * OVERCOMMIT_FACTOR + growth + MINIMUM_PLACES * pairs
+            )
 
     @staticmethod
     def _draw(numbers: random.Random, claimants: list[Claimant]) -> Demands:
@@ -125,7 +127,7 @@
         self.assertLessEqual(new + rest, FULL + FULL / 3)
 
     def test_a_runner_that_is_cut_off_keeps_its_share_no_longer_than_others_count_it(self) -> None:
-        self.assertLess(VIEW_SECONDS, ALIVE_SECONDS - RENEWAL_SECONDS)
+        self.assertLess(VIEW_SECONDS, FAILURE_TIMEOUT_SECONDS - RENEWAL_INTERVAL_SECONDS)
 
     def test_a_runner_that_is_cut_off_overfills_by_its_floor(self) -> None:
         cut = granted(limits_at("n1", HARD, PLACES), HARD["n1"], LATER)
@@ -180,7 +182,7 @@
     def _assert_shared(self, places: int) -> None:
         """The shares of all nodes fill so many places, and overfill them by the headroom alone."""
         total = sum(granted(limits_at(name, HARD, places), HARD[name]) for name in HARD)
-        self.assertLessEqual(total, places * HEADROOM)
+        self.assertLessEqual(total, places * OVERCOMMIT_FACTOR)
         self.assertGreater(total, 0.95 * places)
 
     def test_with_notice_they_count_no_more_at_once(self) -> None:
@@ -197,10 +199,10 @@
         for number in range(0, 30, 3):
             engine = self.workers.worker(f"e{number}")
             assert engine is not None
-            engine.note_failure(0.8)
+            engine.record_failure(0.8)
         self.assertEqual(80, self._places())
         self._assert_shared(80)
 
     def test_with_no_engine_left_each_claimant_keeps_one_place_to_wait_for(self) -> None:
         limits = limits_at("n1", HARD, 0)
-        self.assertEqual(LEAST_PLACES, limits.most(ALPHA, SERVICE, 0.0))
+        self.assertEqual(MINIMUM_PLACES, limits.most(ALPHA, SERVICE, 0.0))
--- a/tests/gateway/place_shares/test_places.py
+++ b/tests/gateway/place_shares/test_places.py
@@ -4,7 +4,11 @@
 
 import testtools
 
-from stagewalk.gateway.place_shares.places import LEAST_WEIGHT, MOST_WEIGHT, EnginePlaces
+from stagewalk.gateway.place_shares.places import (
+    MAXIMUM_SLOT_WEIGHT,
+    MINIMUM_SLOT_WEIGHT,
+    EnginePlaces,
+)
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.worker import Worker
 from tests.gateway.workers.support import announcement
@@ -19,8 +23,8 @@
     worker = Worker(announcement(name, slots=SLOTS), NOW)
     for n in range(100):
         now = NOW - (100 - n) * EVENT_SECONDS
-        worker.note_load(WorkerLoad(0, 0, SLOTS, pace), now)
-        worker.note_success(factor * EVENT_SECONDS, now)
+        worker.record_load(WorkerLoad(0, 0, SLOTS, pace), now)
+        worker.record_success(factor * EVENT_SECONDS, now)
     return worker
 
 
@@ -34,7 +38,7 @@
 
     def test_one_estimate_far_off_counts_within_bounds(self) -> None:
         usual = [engine(f"e{n}", 1.0) for n in range(3)]
-        for factor, weight in ((0.01, MOST_WEIGHT), (100.0, LEAST_WEIGHT)):
+        for factor, weight in ((0.01, MAXIMUM_SLOT_WEIGHT), (100.0, MINIMUM_SLOT_WEIGHT)):
             odd = engine("odd", factor)
             self.assertEqual(weight, EnginePlaces([odd, *usual], NOW).weight(odd))
 
--- a/tests/gateway/place_shares/test_shares.py
+++ b/tests/gateway/place_shares/test_shares.py
@@ -9,7 +9,7 @@
 
 from stagewalk.gateway.place_shares.claims import claimant_key
 from stagewalk.gateway.place_shares.demand import Claimant
-from stagewalk.gateway.place_shares.shares import HEADROOM, fair_level, share_places
+from stagewalk.gateway.place_shares.shares import OVERCOMMIT_FACTOR, fair_level, share_places
 from tests.gateway.place_shares.support import ALPHA, BETA, GAMMA, demand, service_claims
 
 
@@ -51,7 +51,7 @@
         others = [service_claims(demand(ALPHA, 90)), service_claims(demand(BETA, 100))]
         shares = share_places(100.0, service_claims(demand(ALPHA, 30)), others)
         self.assertEqual(120, shares.totals[claimant_key(ALPHA)])
-        self.assertAlmostEqual(100.0 * HEADROOM / 2, shares.level)
+        self.assertAlmostEqual(100.0 * OVERCOMMIT_FACTOR / 2, shares.level)
 
     def test_each_has_its_floor_whatever_the_others_ask(self) -> None:
         for items in (10, 1_000, 100_000):
@@ -67,9 +67,11 @@
         nodes = [tenants[n::6] for n in range(6)]
         announced = [service_claims(*(demand(t, asked[t]) for t in node)) for node in nodes]
         shares = share_places(4_800.0, announced[0], announced[1:])
-        exact = fair_level(4_800.0 * HEADROOM, [(1, float(items)) for items in asked.values()])
+        exact = fair_level(
+            4_800.0 * OVERCOMMIT_FACTOR, [(1, float(items)) for items in asked.values()]
+        )
         self.assertEqual(1_000, shares.claimants)
         self.assertEqual(sum(asked.values()), shares.items)
         given = sum(min(items, shares.level) for items in asked.values())
-        self.assertLessEqual(given, 4_800.0 * HEADROOM)
+        self.assertLessEqual(given, 4_800.0 * OVERCOMMIT_FACTOR)
         self.assertLess(shares.level, exact)
--- a/tests/gateway/place_shares/test_start_order.py
+++ b/tests/gateway/place_shares/test_start_order.py
@@ -34,7 +34,7 @@
 from tests.gateway.eligibility.support import unrestricted
 from tests.gateway.workers.support import announcement
 
-SUCCESS = 200
+HTTP_OK = 200
 DUE_SECONDS = 7.5
 EVENT_SECONDS = 0.1
 
@@ -146,9 +146,9 @@
 
     def end(self, name: str, now: float = 0.1) -> list[str]:
         attempt = next(start.attempt for start in self.started if start.item.item == name)
-        self.scheduler.handle(AttemptHead(attempt, StreamHead(SUCCESS, (), (1,), None)), now)
+        self.scheduler.handle(AttemptHead(attempt, StreamHead(HTTP_OK, (), (1,), None)), now)
         self.scheduler.handle(AttemptEvent(attempt, StreamEvent(1, "d", None, b"")), now)
-        self.scheduler.handle(AttemptEnded(attempt, SUCCESS), now)
+        self.scheduler.handle(AttemptEnded(attempt, HTTP_OK), now)
         return self.tick(now)
 
     def _take(self, instructions) -> list[str]:
--- a/tests/gateway/place_shares/test_whole_gateways.py
+++ b/tests/gateway/place_shares/test_whole_gateways.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 from prometheus_client.parser import text_string_to_metric_families
 
-from stagewalk.gateway.assembly import NODES
+from stagewalk.gateway.assembly import NODES_PARTITION
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.tenants.tenant import Tenant
@@ -89,11 +89,11 @@
                 return len(found) == 2 and all(math.isinf(most) for most in found.values())
 
             await until(limited)
-            site.log.put_key(NODES, "n7", EARLIER_NODE.encode())
+            site.log.put_key(NODES_PARTITION, "n7", EARLIER_NODE.encode())
             with anyio.fail_after(2.0):
                 await until(unlimited)
             gone = replace(EARLIER_NODE, beat=2, ledger_replica=False)
-            site.log.put_key(NODES, "n7", gone.encode())
+            site.log.put_key(NODES_PARTITION, "n7", gone.encode())
             with anyio.fail_after(2.0):
                 await until(limited)
 
--- a/tests/gateway/plain_dialect.py
+++ b/tests/gateway/plain_dialect.py
@@ -5,7 +5,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
 from stagewalk.gateway.batches.prompt import UNKNOWN_PROMPT, Prompt
 from stagewalk.gateway.batches.records import BatchHeader, BatchItem, ItemFinished
 from stagewalk.gateway.dialect import (
@@ -67,7 +67,7 @@
         """Return where workers announce themselves."""
         return Partition("workers", 0)
 
-    def operator_record(self, record: KeyedRecord) -> OperatorRecord | None:
+    def decode_operator_record(self, record: KeyedRecord) -> OperatorRecord | None:
         """Decode a configuration, a named version or an evacuation."""
         if record.key.startswith(EVACUATION_PREFIX):
             zone = record.key.removeprefix(EVACUATION_PREFIX)
@@ -79,7 +79,7 @@
         except msgspec.DecodeError:
             return None
 
-    def worker_announcement(self, record: KeyedRecord) -> WorkerAnnouncement | None:
+    def decode_worker_announcement(self, record: KeyedRecord) -> WorkerAnnouncement | None:
         """Decode a worker's entry."""
         try:
             return msgspec.json.decode(record.value or b"", type=WorkerAnnouncement)
@@ -94,7 +94,9 @@
             decoded = msgspec.json.decode(body, type=SubmittedBatch)
         except msgspec.DecodeError as error:
             return Error(
-                StagewalkError(ErrorKind.INVALID_REQUEST, Step.VALIDATION, "caller", str(error))
+                StagewalkError(
+                    ErrorKind.INVALID_REQUEST, ErrorStep.VALIDATION, "caller", str(error)
+                )
             )
         header = BatchHeader(
             batch,
--- a/tests/gateway/quarantine/loads.py
+++ b/tests/gateway/quarantine/loads.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import CrashSuspects
-from stagewalk.gateway.quarantine.hold_rule import count_after
+from stagewalk.gateway.quarantine.core import CrashHistory
+from stagewalk.gateway.quarantine.hold_rule import next_crash_count
 from stagewalk.gateway.quarantine.records import CrashRecord
 
 NODES = 10
@@ -105,7 +105,7 @@
         self.outcome = Outcome()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
-        self._views = [CrashSuspects(f"n{n}") for n in range(NODES)]
+        self._views = [CrashHistory(f"n{n}") for n in range(NODES)]
         self._workers: dict[int, Start | None] = {w: Start(f"w{w}.0") for w in range(WORKERS)}
         self._log: list[tuple[str, CrashRecord | None]] = []
         self._unpublished: list[tuple[int, CrashRecord]] = []
@@ -206,7 +206,11 @@
         self.at(back, lambda: self._workers.update({worker: Start(f"w{worker}.{back}")}))
         for attempt, known in start.running:
             view = self._views[attempt.node]
-            level = count_after(known) if self.way.in_a_row else count_after(self._ends(attempt))
+            level = (
+                next_crash_count(known)
+                if self.way.in_a_row
+                else next_crash_count(self._ends(attempt))
+            )
             crash = CrashRecord(
                 attempt.content.digest,
                 start.name,
--- a/tests/gateway/quarantine/test_core.py
+++ b/tests/gateway/quarantine/test_core.py
@@ -7,18 +7,18 @@
 import testtools
 
 from stagewalk.gateway.quarantine.content import RequestContent
-from stagewalk.gateway.quarantine.core import MOST_CRASHES, CrashSuspects
+from stagewalk.gateway.quarantine.core import MAXIMUM_CRASH_RECORDS, CrashHistory
 from stagewalk.gateway.quarantine.hold_rule import (
+    CRASHES_REMEMBERED_SECONDS,
     FIRST_HOLD_SECONDS,
     HELD_AFTER_CRASHES_AT_ONE_ADDRESS,
     HELD_AFTER_CRASHES_OF_ITEM,
     HOLD_JITTER,
     LATER_HOLD_SECONDS,
-    SUSPECT_SECONDS,
-    count_after,
     hold_seconds,
+    next_crash_count,
 )
-from stagewalk.gateway.quarantine.records import KEY_PREFIX, CrashRecord, decode_crash_record
+from stagewalk.gateway.quarantine.records import CRASH_KEY_PREFIX, CrashRecord, decode_crash_record
 
 CONTENT = RequestContent("POST", "h.example", "/ask/x?q=1", b"body")
 NUMBERS = itertools.count()
@@ -51,7 +51,7 @@
     def test_a_record_comes_back_as_it_was(self) -> None:
         told = crash(2)
         self.assertEqual(told, decode_crash_record(told.encode()))
-        self.assertTrue(told.key.startswith(KEY_PREFIX))
+        self.assertTrue(told.key.startswith(CRASH_KEY_PREFIX))
 
     def test_what_is_no_strike_is_none(self) -> None:
         for value in (b"", b"{}", b"\xff" * 40, crash(1).encode()[:-1]):
@@ -67,7 +67,7 @@
 class CrashSuspectsTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.suspects = CrashSuspects("n1")
+        self.suspects = CrashHistory("n1")
 
     def held(self, at: float = 0.0, *, item: bool = False) -> bool:
         return self.suspects.held(CONTENT, at, item=item)
@@ -127,7 +127,7 @@
         tried_at = FIRST_HOLD_SECONDS * (1.0 + HOLD_JITTER)
         self.assertFalse(self.held(tried_at))
         self.suspects.add(
-            crash(count_after(self.suspects.consecutive_crashes(CONTENT)), at=tried_at)
+            crash(next_crash_count(self.suspects.consecutive_crashes(CONTENT)), at=tried_at)
         )
         self.assertTrue(self.held(tried_at + LATER_HOLD_SECONDS - 0.1))
         self.assertFalse(self.held(tried_at + LATER_HOLD_SECONDS * (1.0 + HOLD_JITTER)))
@@ -136,9 +136,9 @@
         told = [crash(level) for level in (1, 2, 3)]
         left = set()
         for node in range(20):
-            suspects = CrashSuspects(f"n{node}")
+            suspects = CrashHistory(f"n{node}")
             suspects.replace(told)
-            (held,) = suspects.held_contents(0.0)
+            (held,) = suspects.quarantined_contents(0.0)
             left.add(held.seconds_left)
         self.assertEqual(20, len(left))
         self.assertGreaterEqual(min(left), FIRST_HOLD_SECONDS)
@@ -151,8 +151,8 @@
 
     def test_suspicion_fades(self) -> None:
         self.suspects.add(crash(2, at=100.0))
-        self.assertEqual([], self.suspects.expired(100.0 + SUSPECT_SECONDS - 1.0))
-        end = 100.0 + SUSPECT_SECONDS * (1.0 + HOLD_JITTER) + 1.0
+        self.assertEqual([], self.suspects.expired(100.0 + CRASHES_REMEMBERED_SECONDS - 1.0))
+        end = 100.0 + CRASHES_REMEMBERED_SECONDS * (1.0 + HOLD_JITTER) + 1.0
         self.assertEqual(1, len(self.suspects.expired(end)))
         self.assertEqual(0, self.suspects.consecutive_crashes(CONTENT))
 
@@ -160,13 +160,13 @@
         told = crash(1, at=0.0)
         forgetting = []
         for node in range(40):
-            suspects = CrashSuspects(f"n{node}")
+            suspects = CrashHistory(f"n{node}")
             suspects.add(told)
-            at = SUSPECT_SECONDS
+            at = CRASHES_REMEMBERED_SECONDS
             while not suspects.expired(at):
                 at += 1.0
             forgetting.append(at)
-        self.assertGreater(max(forgetting) - min(forgetting), 0.3 * SUSPECT_SECONDS)
+        self.assertGreater(max(forgetting) - min(forgetting), 0.3 * CRASHES_REMEMBERED_SECONDS)
 
     def test_what_is_held_back_is_remembered_for_longer_than_it_is_held(self) -> None:
         for level in (1, 2, 3, 4):
@@ -178,10 +178,12 @@
     def test_many_different_requests_push_out_old_suspects_and_not_what_is_held_back(self) -> None:
         for level in (1, 2, 3):
             self.suspects.add(crash(level))
-        for n in range(2 * MOST_CRASHES):
+        for n in range(2 * MAXIMUM_CRASH_RECORDS):
             other = RequestContent("POST", "h.example", "/ask/x", str(n).encode())
             self.suspects.add(crash(1, content=other, at=n))
-            self.assertLessEqual(self.suspects.count, MOST_CRASHES)
+            self.assertLessEqual(self.suspects.count, MAXIMUM_CRASH_RECORDS)
         self.assertTrue(self.held())
-        newest = RequestContent("POST", "h.example", "/ask/x", str(2 * MOST_CRASHES - 1).encode())
+        newest = RequestContent(
+            "POST", "h.example", "/ask/x", str(2 * MAXIMUM_CRASH_RECORDS - 1).encode()
+        )
         self.assertEqual(1, self.suspects.consecutive_crashes(newest))
--- a/tests/gateway/quarantine/test_losses.py
+++ b/tests/gateway/quarantine/test_losses.py
@@ -8,18 +8,20 @@
 
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.quarantine.losses import (
-    EVIDENCE_SECONDS,
-    MOST_PENDING,
-    Loss,
-    LossWatch,
-    WorkerStart,
+    LOSS_EVIDENCE_SECONDS,
+    MAXIMUM_PENDING_LOSSES,
+    LostConnection,
+    PendingLosses,
+    WorkerIncarnation,
 )
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.workers.support import announcement
 
 
-def loss(content: str = "c", worker: str = "a", at: float = 10.0) -> Loss:
-    return Loss("q", content, WorkerStart(worker, "10.0.0.1:80"), "ask", 0, at - 0.1, at, at)
+def loss(content: str = "c", worker: str = "a", at: float = 10.0) -> LostConnection:
+    return LostConnection(
+        "q", content, WorkerIncarnation(worker, "10.0.0.1:80"), "ask", 0, at - 0.1, at, at
+    )
 
 
 class LossWatchTests(testtools.TestCase):
@@ -27,7 +29,7 @@
         super().setUp()
         self.table = WorkerTable()
         self.table.announce(announcement("a"), 0.0)
-        self.watch = LossWatch()
+        self.watch = PendingLosses()
         self.watch.add(loss())
 
     def test_a_worker_whose_entry_is_gone_has_ended(self) -> None:
@@ -39,7 +41,7 @@
     def test_a_worker_that_answers_has_not_ended(self) -> None:
         worker = self.table.worker("a")
         assert worker is not None
-        worker.note_load(WorkerLoad(0, 0, 4), 10.5)
+        worker.record_load(WorkerLoad(0, 0, 4), 10.5)
         self.watch.due(self.table, 10.6)
         self.table.remove("a", 12.0, disturbed_at=0.0)
         self.assertEqual([], self.watch.due(self.table, 12.0))
@@ -53,7 +55,7 @@
         self.assertEqual([], self.watch.due(self.table, 12.0))
 
     def test_an_end_long_after_has_another_cause(self) -> None:
-        late = 10.0 + EVIDENCE_SECONDS + 0.1
+        late = 10.0 + LOSS_EVIDENCE_SECONDS + 0.1
         self.watch.due(self.table, late)
         self.table.remove("a", late, disturbed_at=0.0)
         self.assertEqual([], self.watch.due(self.table, late))
@@ -69,6 +71,6 @@
         self.assertEqual([], self.watch.ended("a"))
 
     def test_only_so_many_losses_wait(self) -> None:
-        for n in range(2 * MOST_PENDING):
+        for n in range(2 * MAXIMUM_PENDING_LOSSES):
             self.watch.add(loss(f"c{n}"))
-        self.assertEqual(MOST_PENDING, len(self.watch))
+        self.assertEqual(MAXIMUM_PENDING_LOSSES, len(self.watch))
--- a/tests/gateway/routes/test_regions.py
+++ b/tests/gateway/routes/test_regions.py
@@ -39,6 +39,6 @@
 
     def test_callers_are_led_home_only_where_all_routes_of_their_host_have_homes(self) -> None:
         homes = table(bound(batch_route(), "r1"), bound(LOOK_UP, "r2"))
-        self.assertEqual({"r1", "r2"}, homes.homes_of("H.example"))
-        self.assertIsNone(table(bound(batch_route(), "r1"), LOOK_UP).homes_of("h.example"))
-        self.assertIsNone(homes.homes_of("unknown.example"))
+        self.assertEqual({"r1", "r2"}, homes.regions_of_host("H.example"))
+        self.assertIsNone(table(bound(batch_route(), "r1"), LOOK_UP).regions_of_host("h.example"))
+        self.assertIsNone(homes.regions_of_host("unknown.example"))
--- a/tests/gateway/runners/test_batch_assignments.py
+++ b/tests/gateway/runners/test_batch_assignments.py
@@ -8,12 +8,12 @@
 import testtools
 
 from stagewalk.common.identities import Address
-from stagewalk.gateway.batch_service.open_batches import BatchPlace, OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.records import BatchHeader
 from stagewalk.gateway.nodes.identity import ProcessId
-from stagewalk.gateway.policy import ALL_ON
+from stagewalk.gateway.policy import DEFAULT_POLICY
 from stagewalk.gateway.runners.batch_assignments import BatchAssignments
-from stagewalk.gateway.runners.runner_calls import RunnerCalls
+from stagewalk.gateway.runners.runner_calls import RunnerClient
 from stagewalk.gateway.runners.runner_messages import (
     RunBatch,
     RunnerAnswer,
@@ -51,16 +51,16 @@
 
     def setUp_places(self) -> None:
         self.client = MemoryLog().client()
-        self.places = OpenBatches(self.client)
+        self.places = BatchIndex(self.client)
         self.peers = ToldRunners()
         self.assignments = BatchAssignments(
             identity=ProcessId("own", 1),
-            nodes=mock.Mock(peer_of=lambda _process: Address("10.0.0.1", 1)),
+            nodes=mock.Mock(peer_address_of=lambda _process: Address("10.0.0.1", 1)),
             store=mock.Mock(partition=lambda _batch: 2),
             runner=mock.Mock(stopping=False),
-            calls=RunnerCalls(self.peers),  # type: ignore[arg-type]
+            calls=RunnerClient(self.peers),  # type: ignore[arg-type]
             open_batches=self.places,
-            policy=ALL_ON,
+            policy=DEFAULT_POLICY,
         )
 
     async def submit(self, offset: int) -> None:
--- a/tests/gateway/runners/test_batch_views.py
+++ b/tests/gateway/runners/test_batch_views.py
@@ -11,10 +11,10 @@
 
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
-from stagewalk.gateway.batches.evidence import note_refusal
+from stagewalk.gateway.batches.evidence import record_refusal
 from stagewalk.gateway.batches.messages import StartItem
 from stagewalk.gateway.batches.records import BatchEnded, encode_record
-from stagewalk.gateway.batches.view_lease import longest_view_age
+from stagewalk.gateway.batches.view_lease import maximum_view_age
 from stagewalk.gateway.eligibility.core import RequestScope
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.ports.partitioned_log import (
@@ -39,7 +39,7 @@
 
 PLACE = Partition("batches", 0)
 BOUND = 3.0
-LEASE = longest_view_age(BOUND)
+LEASE = maximum_view_age(BOUND)
 
 
 class FakeStore:
@@ -226,7 +226,7 @@
         async def scenario() -> None:
             async with anyio.create_task_group() as tasks:
                 loop.start(tasks)
-                loop.carry_out([instruction])
+                loop.execute([instruction])
                 self.views.recent = False
                 await anyio.sleep(0.05)
                 tasks.cancel_scope.cancel()
@@ -259,6 +259,6 @@
     def test_the_worker_is_not_to_blame(self) -> None:
         worker = self.workers.worker("e1")
         withheld = AttemptFailure(AttemptFault.WITHHELD, "")
-        with mock.patch.object(type(worker), "note_failure") as blamed:
-            note_refusal(worker, "m", withheld, 0.0)
+        with mock.patch.object(type(worker), "record_failure") as blamed:
+            record_refusal(worker, "m", withheld, 0.0)
         blamed.assert_not_called()
--- a/tests/gateway/runners/test_lease_views.py
+++ b/tests/gateway/runners/test_lease_views.py
@@ -10,12 +10,12 @@
 from expression import Error, Result
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.duties.duty_lease import DUTIES_PARTITION, TOPIC, DutyLease
-from stagewalk.gateway.leases.log_lease import LEASE_SECONDS, LogLease, new_holder
+from stagewalk.gateway.duties.duty_lease import DUTIES_PARTITION, LEASES_TOPIC, DutyLease
+from stagewalk.gateway.leases.log_lease import LEASE_SECONDS, LogLease, new_holder_id
 from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault, Partition, RecordPage
 from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
-LEASES = Partition(TOPIC, DUTIES_PARTITION)
+LEASES = Partition(LEASES_TOPIC, DUTIES_PARTITION)
 QUIET_SECONDS = 0.3
 CALL_BYTES = 100_000
 PATIENCE_SECONDS = 10.0
@@ -60,7 +60,7 @@
         self.log = MemoryLog()
 
     def start(self, tasks: anyio.abc.TaskGroup, name: str, client: MemoryLogClient) -> DutyLease:
-        lease = LogLease(new_holder(name, f"{name}-1"), QUIET_SECONDS, 0.0)
+        lease = LogLease(new_holder_id(name, f"{name}-1"), QUIET_SECONDS, 0.0)
         duties = DutyLease(log=client, lease=lease, producer=f"{name}-1", call_bytes=CALL_BYTES)
         duties.start(tasks)
         duties.set_following(True)
--- a/tests/gateway/runners/test_place_sharing.py
+++ b/tests/gateway/runners/test_place_sharing.py
@@ -7,10 +7,10 @@
 
 import testtools
 
-from stagewalk.gateway.batches.place_demand import ClaimantPlaces, WithheldStarts
+from stagewalk.gateway.batches.place_demand import ClaimantPlaces, ShareLimitedBatch
 from stagewalk.gateway.place_shares.claims import ServiceClaims
-from stagewalk.gateway.place_shares.limits import OtherNodes, ShareLimits
-from stagewalk.gateway.place_shares.shares import HEADROOM
+from stagewalk.gateway.place_shares.limits import PeerClaims, ShareLimits
+from stagewalk.gateway.place_shares.shares import OVERCOMMIT_FACTOR
 from stagewalk.gateway.runners.place_sharing import LOG_SECONDS, PlaceSharing
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.place_shares.support import ALPHA, BETA, SERVICE, claims, demand
@@ -46,7 +46,7 @@
             self.limits,
             nodes=mock.Mock(
                 set_claims=self.announced.append,
-                claims_of_others=lambda: OtherNodes(self.now, self.others),
+                claims_of_others=lambda: PeerClaims(self.now, self.others),
             ),
             scheduler=self.scheduler,
             workers=self.workers,
@@ -67,7 +67,7 @@
         return [fields for name, fields in self.events if name == event]
 
     def test_its_demand_is_announced_and_its_share_in_force(self) -> None:
-        self.assertAlmostEqual(PLACES * HEADROOM / 2, self.most())
+        self.assertAlmostEqual(PLACES * OVERCOMMIT_FACTOR / 2, self.most())
         self.assertEqual([claims(demand(ALPHA, 200))], self.announced)
 
     def test_a_node_that_runs_nothing_announces_that(self) -> None:
@@ -79,7 +79,7 @@
         self.most()
         for n in range(0, ENGINES, 2):
             self.announce(n, draining=True)
-        self.assertAlmostEqual(PLACES / 2 * HEADROOM / 2, self.most())
+        self.assertAlmostEqual(PLACES / 2 * OVERCOMMIT_FACTOR / 2, self.most())
         self.evacuations.zones = frozenset({"z1"})
         self.assertEqual(1.0, self.most())
 
@@ -119,7 +119,7 @@
 
     def test_a_batch_whose_items_wait_for_the_share_is_named_once_a_second(self) -> None:
         places = ClaimantPlaces(ALPHA, SERVICE, 21, 179, 21.0)
-        self.scheduler.withheld.return_value = [WithheldStarts("b1", 179, places)]
+        self.scheduler.withheld.return_value = [ShareLimitedBatch("b1", 179, places)]
         for _ in range(4):
             self.sharing.update()
             self.now += LOG_SECONDS / 2
--- a/tests/gateway/runners/test_runner_choice.py
+++ b/tests/gateway/runners/test_runner_choice.py
@@ -9,11 +9,11 @@
 
 from stagewalk.common.identities import Address
 from stagewalk.gateway.batches.records import BatchHeader
-from stagewalk.gateway.batches.takeover import affinity
+from stagewalk.gateway.batches.takeover import rendezvous_hash
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.nodes.identity import ProcessId
-from stagewalk.gateway.policy import ALL_ON, Policy
-from stagewalk.gateway.runners.runner_calls import RunnerCalls
+from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
+from stagewalk.gateway.runners.runner_calls import RunnerClient
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.runners.runner_messages import (
     AskRunner,
@@ -31,7 +31,7 @@
 
 
 REPLICAS = sorted(
-    [replica(n) for n in range(6)], key=lambda node: affinity(TRAINER.trainer, node.node)
+    [replica(n) for n in range(6)], key=lambda node: rendezvous_hash(TRAINER.trainer, node.node)
 )
 USUAL, NEXT = REPLICAS[0], REPLICAS[1]
 
@@ -58,7 +58,7 @@
 
 def choose(
     peers: FakePeers,
-    policy: Policy = ALL_ON,
+    policy: Policy = DEFAULT_POLICY,
     *,
     may_hold: bool = True,
     replicas: list[NodeAnnouncement] = REPLICAS,
@@ -67,7 +67,7 @@
         identity=ProcessId("own", 1),
         nodes=mock.Mock(replicas=lambda: list(replicas), may_hold_batches=may_hold),
         runner=mock.Mock(stopping=False),
-        calls=RunnerCalls(peers),  # type: ignore[arg-type]
+        calls=RunnerClient(peers),  # type: ignore[arg-type]
         policy=policy,
     )
     return anyio.run(choice.choose, TRAINER)
--- a/tests/gateway/runners/test_takeover.py
+++ b/tests/gateway/runners/test_takeover.py
@@ -7,7 +7,7 @@
 import anyio
 import testtools
 
-from stagewalk.gateway.batch_service.open_batches import OpenBatches
+from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from tests.gateway.support import Running, Site, run, until
 
 NEVER = 1_000.0
@@ -36,7 +36,7 @@
         self.addCleanup(patched.stop)
 
     def test_a_batch_is_not_given_to_a_node_that_is_gone_but_listed(self) -> None:
-        self.patch("stagewalk.gateway.directory.node_table.ALIVE_SECONDS", NEVER)
+        self.patch("stagewalk.gateway.directory.node_table.FAILURE_TIMEOUT_SECONDS", NEVER)
 
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
@@ -55,7 +55,7 @@
         run(scenario)
 
     def test_a_runner_that_answers_no_more_is_replaced_before_the_list_tells(self) -> None:
-        self.patch("stagewalk.gateway.directory.node_table.ALIVE_SECONDS", NEVER)
+        self.patch("stagewalk.gateway.directory.node_table.FAILURE_TIMEOUT_SECONDS", NEVER)
 
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
@@ -77,14 +77,14 @@
             runner = await runner_of(site, nodes, "b1")
 
             async def noted() -> bool:
-                return "b1" in (await OpenBatches(nodes["n1"].log).list()).ok
+                return "b1" in (await BatchIndex(nodes["n1"].log).list()).ok
 
             await until(noted)
             for node in nodes.values():
                 node.scope.cancel()
             make_slow(site, seconds=0.01)
             before = site.workers.arrivals["x"]
-            with mock.patch("stagewalk.gateway.daemon.RESUME_SECONDS", NEVER):
+            with mock.patch("stagewalk.gateway.daemon.RESUME_LOG_RESERVE_SECONDS", NEVER):
                 again = await site.start(runner)
 
                 async def went_on() -> bool:
--- a/tests/gateway/scoring/test_core.py
+++ b/tests/gateway/scoring/test_core.py
@@ -9,9 +9,17 @@
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerAnswer, WorkerLoad
 from stagewalk.gateway.routes.route import BackEnd, Route, RouteKind
 from stagewalk.gateway.scoring.core import ScoreCalls, ScoreOutcome, ScoreResult
-from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreBroken, SendScore, StopScore
+from stagewalk.gateway.scoring.messages import (
+    ScoreAnswered,
+    ScoreAttemptFailed,
+    SendScore,
+    StopScore,
+)
 from stagewalk.gateway.scoring.records import ScoreCall
-from stagewalk.gateway.scoring.retry_rules import LONGEST_ATTEMPT_SECONDS, MOST_AT_ONCE
+from stagewalk.gateway.scoring.retry_rules import (
+    MAXIMUM_ATTEMPT_SECONDS,
+    MAXIMUM_CONCURRENT_ATTEMPTS,
+)
 from stagewalk.gateway.workers.table import WorkerTable
 from tests.gateway.eligibility.support import unrestricted
 from tests.gateway.workers.support import announcement
@@ -72,7 +80,7 @@
 
     def break_off(self, send: SendScore, fault: AttemptFault) -> None:
         self.calls.broken(
-            ScoreBroken(send.attempt, AttemptFailure(fault, "scripted", LOAD)), self.now
+            ScoreAttemptFailed(send.attempt, AttemptFailure(fault, "scripted", LOAD)), self.now
         )
 
 
@@ -96,7 +104,7 @@
     def test_a_deadline_leaves_time_for_others(self) -> None:
         bench = Bench()
         bench.begin()
-        self.assertEqual(LONGEST_ATTEMPT_SECONDS, bench.sent[0].deadline_seconds)
+        self.assertEqual(MAXIMUM_ATTEMPT_SECONDS, bench.sent[0].deadline_seconds)
 
     def test_a_late_service_gets_another_one_beside_it_up_to_a_bound(self) -> None:
         bench = Bench()
@@ -105,8 +113,8 @@
         self.assertEqual(1, len(bench.sent))
         for _ in range(6):
             bench.wait(0.2)
-        self.assertEqual(MOST_AT_ONCE, len(bench.sent))
-        self.assertEqual(MOST_AT_ONCE, len({send.worker for send in bench.sent}))
+        self.assertEqual(MAXIMUM_CONCURRENT_ATTEMPTS, len(bench.sent))
+        self.assertEqual(MAXIMUM_CONCURRENT_ATTEMPTS, len({send.worker for send in bench.sent}))
 
     def test_the_first_score_counts_and_the_others_are_stopped(self) -> None:
         bench = Bench()
--- a/tests/gateway/scoring/test_retry_rules.py
+++ b/tests/gateway/scoring/test_retry_rules.py
@@ -5,8 +5,8 @@
 import testtools
 
 from stagewalk.gateway.scoring.retry_rules import (
-    LONGEST_PAUSE_SECONDS,
-    MOST_AT_ONCE,
+    MAXIMUM_CONCURRENT_ATTEMPTS,
+    MAXIMUM_SCORE_RETRY_DELAY_SECONDS,
     AnswerMeaning,
     judge_answer,
     most_attempts,
@@ -23,9 +23,9 @@
 
     def test_pauses_double_up_to_the_longest(self) -> None:
         self.assertEqual([0.05, 0.1, 0.2], [pause_seconds(n) for n in (1, 2, 3)])
-        self.assertEqual(LONGEST_PAUSE_SECONDS, pause_seconds(99))
+        self.assertEqual(MAXIMUM_SCORE_RETRY_DELAY_SECONDS, pause_seconds(99))
 
     def test_no_more_attempts_run_than_may_all_fail(self) -> None:
-        self.assertEqual(MOST_AT_ONCE, most_attempts(5, 0, hedges=True))
+        self.assertEqual(MAXIMUM_CONCURRENT_ATTEMPTS, most_attempts(5, 0, hedges=True))
         self.assertEqual(1, most_attempts(5, 0, hedges=False))
         self.assertEqual(1, most_attempts(3, 2, hedges=True))
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -160,7 +160,9 @@
         """Start a gateway, with a client of the log of its own if one is given."""
         settings = replace(gateway_settings(name), **changes)
         log = log or self.log.client()
-        memory = None if settings.memory is None else MemoryBudget.of_node(settings.memory.limit_mb)
+        memory = (
+            None if settings.memory is None else MemoryBudget.for_node(settings.memory.limit_mb)
+        )
         dependencies = Dependencies(log, self.workers, self.dialect, self.duties, memory)
         gateway = Gateway(settings, dependencies)
         running = Running(gateway, log, f"http://{settings.front}", str(settings.front))
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -6,7 +6,7 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.cold_lease_service import COLD_STARTS
+from stagewalk.gateway.cold_lease_service import COLD_STARTS_PARTITION
 from stagewalk.gateway.routes.route import Service
 from tests.gateway.memory_workers import Arrival
 from tests.gateway.support import Running, Site, run, until
@@ -95,6 +95,6 @@
                 site.log.drop_key(site.dialect.workers, name)
             node = await site.start("n1")
             self.assertEqual(200, await ask(site, node, "q"))
-            self.assertEqual([], site.log.payloads(COLD_STARTS))
+            self.assertEqual([], site.log.payloads(COLD_STARTS_PARTITION))
 
         run(scenario)
--- a/tests/gateway/test_connections_log.py
+++ b/tests/gateway/test_connections_log.py
@@ -10,7 +10,7 @@
 from stagewalk.gateway.connections_log import LOG_SECONDS, ConnectionsLog
 from stagewalk.gateway.ports.workers import ConnectionReason, SendPurpose
 
-ITEM = (SendPurpose.ITEM, ConnectionReason.SURGE)
+ITEM = (SendPurpose.ITEM, ConnectionReason.ALL_BUSY)
 SCORE = (SendPurpose.SCORE, ConnectionReason.FIRST)
 
 
--- a/tests/gateway/test_deferred_imports.py
+++ b/tests/gateway/test_deferred_imports.py
@@ -11,8 +11,8 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 LEFT_OUT = """
-from stagewalk.gateway.deferred_imports import defer_unused_parts
-defer_unused_parts()
+from stagewalk.gateway.deferred_imports import defer_unused_imports
+defer_unused_imports()
 import sys
 import stagewalk.gateway.daemon
 unwanted = {"h2.connection", "wsproto", "click", "pygments", "ctypes"} & set(sys.modules)
@@ -20,8 +20,8 @@
 """
 
 ASKED_FOR = """
-from stagewalk.gateway.deferred_imports import defer_unused_parts
-defer_unused_parts()
+from stagewalk.gateway.deferred_imports import defer_unused_imports
+defer_unused_imports()
 import hypercorn.protocol, hypercorn.config
 from unittest import mock
 protocol = hypercorn.protocol.H2Protocol(
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -21,7 +21,7 @@
         """Seen on rahguzar-lhr-grown trouble-1: three processes outlived their grace."""
 
         async def scenario(site: Site) -> None:
-            with mock.patch("stagewalk.gateway.daemon.LEAVE_SECONDS", 0.1):
+            with mock.patch("stagewalk.gateway.daemon.DRAIN_DELAY_SECONDS", 0.1):
                 node = await site.start("n1")
                 node.gateway._live_settings = _with_grace(node)
                 for worker in site.workers.workers.values():
@@ -39,7 +39,7 @@
 
     def test_a_log_that_comes_back_within_the_grace_gets_what_was_to_be_kept(self) -> None:
         async def scenario(site: Site) -> None:
-            with mock.patch("stagewalk.gateway.daemon.LEAVE_SECONDS", 0.1):
+            with mock.patch("stagewalk.gateway.daemon.DRAIN_DELAY_SECONDS", 0.1):
                 node = await site.start("n1")
                 node.gateway._live_settings = _with_grace(node)
                 node.log.faults.down = True
--- a/tests/gateway/usage/test_reporting.py
+++ b/tests/gateway/usage/test_reporting.py
@@ -22,9 +22,9 @@
 from stagewalk.gateway.usage.account import UsageAccount
 from stagewalk.gateway.usage.records import UsageCounted, decode_counts, encode_counts
 from stagewalk.gateway.usage.reporting import (
-    GATHER_SECONDS,
     POSTED_SECONDS,
     RESERVE_SECONDS,
+    SUM_DELAY_SECONDS,
     SendReport,
     UsageReporting,
     WriteReport,
@@ -51,21 +51,21 @@
         return self.reporting.decide(self.account, wall, after_end, wall - seen)
 
     def test_a_window_is_summed_once_its_counts_are_there(self) -> None:
-        self.assertEqual([], self.decide(GATHER_SECONDS - 0.1))
-        self.assertEqual([WriteReport(200_000, {"a": 3})], self.decide(GATHER_SECONDS))
+        self.assertEqual([], self.decide(SUM_DELAY_SECONDS - 0.1))
+        self.assertEqual([WriteReport(200_000, {"a": 3})], self.decide(SUM_DELAY_SECONDS))
 
     def test_a_view_that_lags_is_waited_for_until_the_report_is_nearly_due(self) -> None:
-        lag = GATHER_SECONDS - POSTED_SECONDS + 0.1
-        self.assertEqual([], self.decide(GATHER_SECONDS, lag))
+        lag = SUM_DELAY_SECONDS - POSTED_SECONDS + 0.1
+        self.assertEqual([], self.decide(SUM_DELAY_SECONDS, lag))
         nearly_due = DUE - RESERVE_SECONDS
         self.assertIn(WriteReport(200_000, {"a": 3}), self.decide(nearly_due, 60.0))
 
     def test_what_was_written_is_sent_again_until_it_is_taken(self) -> None:
-        self.reporting.written(200_000, {"a": 2})
-        self.reporting.written(200_000, {"a": 3})
+        self.reporting.apply_written_report(200_000, {"a": 2})
+        self.reporting.apply_written_report(200_000, {"a": 3})
         send = SendReport(200_000, {"a": 2})
         self.assertEqual([send], self.decide(4.0))
-        self.reporting.sending(200_000)
+        self.reporting.mark_sending(200_000)
         self.assertEqual([], self.decide(4.1))
         self.reporting.sent(200_000, DutyOutcome.UNKNOWN, 4.2)
         self.assertEqual([], self.decide(4.3))
@@ -74,8 +74,8 @@
         self.assertNotIn(send, self.decide(7.0))
 
     def test_windows_without_requests_are_reported_too(self) -> None:
-        self.reporting.written(200_000, {"a": 3})
-        self.assertIn(WriteReport(200_001, {}), self.decide(WINDOW + GATHER_SECONDS))
+        self.reporting.apply_written_report(200_000, {"a": 3})
+        self.assertIn(WriteReport(200_001, {}), self.decide(WINDOW + SUM_DELAY_SECONDS))
 
     def test_counts_are_kept_exactly(self) -> None:
         counts = {"b": 2, "a": 1}
@@ -199,7 +199,7 @@
                 valid = record.fence == process.lease.fence or self.mutations.ignore_fences
                 if valid and not self.mutations.sum_again:
                     window = int(record.subject.partition("/")[2])
-                    process.reporting.written(window, decode_counts(record.content))
+                    process.reporting.apply_written_report(window, decode_counts(record.content))
         process.read_to = len(self.records)
 
     def _keep_lease(self, process: Process) -> None:
@@ -222,14 +222,14 @@
                 case WriteReport():
                     self._write(process, step, fence)
                 case SendReport():
-                    process.reporting.sending(step.window)
+                    process.reporting.mark_sending(step.window)
                     self._send(process, step, fence)
 
     def _write(self, process: Process, step: WriteReport, fence: int) -> None:
         record = PlanRecord(fence, f"usage/{step.window}", encode_counts(step.counts))
         self.records.append(record.encode())
         if self.mutations.sum_again or self.mutations.send_before_writing:
-            process.reporting.written(step.window, step.counts)
+            process.reporting.apply_written_report(step.window, step.counts)
         if self.mutations.send_before_writing:
             self.records.pop()
 
--- a/tests/gateway/version_rollouts/test_engine_sets.py
+++ b/tests/gateway/version_rollouts/test_engine_sets.py
@@ -39,8 +39,8 @@
         loads = 0
         for version in versions:
             for model in MODELS:
-                rollouts.name_version(model, version)
-                rollouts.note_minimum(model, version - 1)
+                rollouts.record_named_version(model, version)
+                rollouts.record_minimum_version(model, version - 1)
             now = 10.0 * version
             while orders := rollouts.decide(now):
                 for order in orders:
@@ -86,13 +86,13 @@
     def test_sets_are_as_large_as_their_models_part_of_the_open_items(self) -> None:
         rollouts = VersionRollouts(self.workers, SETS)
         for model in MODELS:
-            rollouts.name_version(model, 2)
-            rollouts.note_minimum(model, 1)
+            rollouts.record_named_version(model, 2)
+            rollouts.record_minimum_version(model, 1)
         for step in range(100):
-            rollouts.note_open_items({"m": 10, "n": 40, "o": 50}, float(step))
+            rollouts.record_open_items({"m": 10, "n": 40, "o": 50}, float(step))
         sizes = Counter(rollouts._sets(list(MODELS)).values())
         self.assertEqual([3, 9, 11], [sizes[model] for model in MODELS])
-        rollouts.note_open_items({"m": 14, "n": 40, "o": 46}, 103.0)
+        rollouts.record_open_items({"m": 14, "n": 40, "o": 46}, 103.0)
         self.assertEqual(sizes, Counter(rollouts._sets(list(MODELS)).values()))
 
     def test_engines_that_hold_other_models_are_shared_out_among_those(self) -> None:
@@ -100,9 +100,9 @@
             self.workers.announce(announcement(f"other{number}", versions={"p": 1}), 0.0)
         rollouts = VersionRollouts(self.workers, SETS)
         for model in (*MODELS, "p"):
-            rollouts.name_version(model, 2)
-            rollouts.note_minimum(model, 1)
-        rollouts.note_open_items({"m": 90, "n": 90, "o": 90, "p": 1}, 0.0)
+            rollouts.record_named_version(model, 2)
+            rollouts.record_minimum_version(model, 1)
+        rollouts.record_open_items({"m": 90, "n": 90, "o": 90, "p": 1}, 0.0)
         sets = rollouts._sets([*MODELS, "p"])
         self.assertEqual(27, len(sets))
         self.assertEqual({"p"}, {sets[f"other{n}"] for n in range(4)})
@@ -115,7 +115,7 @@
             self.workers.announce(replace(known.announcement, zone="z9"), 0.0)
         zones: set[str] = {"z9"}
         rollouts = VersionRollouts(self.workers, SETS, lambda: zones)
-        rollouts.name_version("m", 9)
+        rollouts.record_named_version("m", 9)
         ordered = {order.worker for order in rollouts.decide(1.0)}
         self.assertTrue(ordered)
         self.assertEqual(set(), ordered & away)
--- a/tests/gateway/workers/choice_cost.py
+++ b/tests/gateway/workers/choice_cost.py
@@ -27,8 +27,8 @@
     for n in range(WORKERS):
         worker = Worker(announcement(f"w{n}", zone=f"z{n % 3 + 1}", slots=8), 0.0)
         for step in range(20):
-            worker.note_load(WorkerLoad(n % 7, 0, 8, pace), NOW - 2.0 + 0.1 * step)
-            worker.note_success(0.04 + 0.0001 * (n % 50), NOW - 2.0 + 0.1 * step)
+            worker.record_load(WorkerLoad(n % 7, 0, 8, pace), NOW - 2.0 + 0.1 * step)
+            worker.record_success(0.04 + 0.0001 * (n % 50), NOW - 2.0 + 0.1 * step)
         made.append(worker)
     return made
 
@@ -41,15 +41,15 @@
 
 
 def main() -> None:
-    draws = Random("node")
+    rng = Random("node")
     for label, pace in (("no pace", None), ("pace", 1.1)):
         pool = workers(pace)
         costs = {
             "worker for a request": lambda pool=pool: choose_worker(
-                pool, NOW, NEAR_Z1, prefer_warm=True, draws=draws
+                pool, NOW, NEAR_Z1, prefer_warm=True, rng=rng
             ),
             "engine for an item": lambda pool=pool: choose_engine(
-                pool, "m", NOW, proximity=NEAR_Z1, siblings=(), avoid="", events=50, draws=draws
+                pool, "m", NOW, proximity=NEAR_Z1, siblings=(), avoid="", events=50, rng=rng
             ),
             "faster engine": lambda pool=pool: faster_engine(
                 pool[0], pool, "m", NOW, left=50.0, urgent=True
@@ -61,8 +61,8 @@
 
 
 def note(worker: Worker, pace: float | None) -> None:
-    worker.note_load(WorkerLoad(3, 0, 8, pace), NOW)
-    worker.note_success(0.04, NOW)
+    worker.record_load(WorkerLoad(3, 0, 8, pace), NOW)
+    worker.record_success(0.04, NOW)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/workers/support.py
+++ b/tests/gateway/workers/support.py
@@ -6,7 +6,7 @@
 
 from stagewalk.common.identities import Address
 from stagewalk.gateway.workers.table import WorkerChange
-from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement, start_identity
+from stagewalk.gateway.workers.worker import Worker, WorkerAnnouncement, incarnation_id
 
 
 class RecordingListener:
@@ -36,7 +36,7 @@
     born: int | None = None,
 ) -> WorkerAnnouncement:
     return WorkerAnnouncement(
-        start_identity(worker, born),
+        incarnation_id(worker, born),
         service,
         Address("10.0.0.1", 80),
         zone,
--- a/tests/gateway/workers/test_selection.py
+++ b/tests/gateway/workers/test_selection.py
@@ -19,8 +19,8 @@
 
 def reporting(name: str, load: WorkerLoad, zone: str = "z1", seconds: float = 0.04) -> Worker:
     worker = Worker(announcement(name, zone=zone, slots=load.slots), 0.0)
-    worker.note_load(load, NOW)
-    worker.note_success(seconds * (load.pace or 1.0), NOW)
+    worker.record_load(load, NOW)
+    worker.record_success(seconds * (load.pace or 1.0), NOW)
     return worker
 
 
@@ -29,7 +29,7 @@
     chosen: Counter[str] = Counter()
     for node in range(NODES):
         workers = [reporting(f"w{n}", load) for n, load in enumerate(loads)]
-        found = choose_worker(workers, NOW, NEAR_Z1, draws=Random(f"node-{node}"))
+        found = choose_worker(workers, NOW, NEAR_Z1, rng=Random(f"node-{node}"))
         assert found is not None
         chosen[found.announcement.worker] += 1
     return chosen
@@ -57,7 +57,7 @@
         load = WorkerLoad(1, 0, 6, 1.0)
         workers = [reporting("far", load, "z2"), reporting("near", load)]
         for node in range(NODES):
-            found = choose_worker(workers, NOW, NEAR_Z1, draws=Random(node))
+            found = choose_worker(workers, NOW, NEAR_Z1, rng=Random(node))
             self.assertEqual("near", found.announcement.worker)
 
     def test_without_a_pace_the_first_of_the_best_is_taken(self) -> None:
@@ -66,9 +66,9 @@
 
     def test_own_requests_since_the_report_move_the_next_ones_elsewhere(self) -> None:
         workers = [reporting(f"w{n}", WorkerLoad(0, 0, 6, 1.0)) for n in range(3)]
-        draws = Random("node")
+        rng = Random("node")
         for _ in range(9):
-            found = choose_worker(workers, NOW, NEAR_Z1, draws=draws)
+            found = choose_worker(workers, NOW, NEAR_Z1, rng=rng)
             assert found is not None
-            found.note_sent()
+            found.record_sent()
         self.assertLessEqual(max(w.in_flight for w in workers), 4)
--- a/tests/gateway/workers/test_speed.py
+++ b/tests/gateway/workers/test_speed.py
@@ -10,7 +10,7 @@
 from stagewalk.gateway.batches.move_choice import FASTER_SHARE
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.speed import (
-    LARGEST_PACE,
+    MAXIMUM_PACE,
     OWN_SPEED_SECONDS,
     PACE_VALID_SECONDS,
 )
@@ -47,11 +47,11 @@
     while now < 110.0:
         pace = swinging_pace(now + phase, slow_span)
         if now - reported_at >= report_every:
-            machine.note_load(WorkerLoad(3, 0, 6, pace), now)
+            machine.record_load(WorkerLoad(3, 0, 6, pace), now)
             reported_at = now
         seconds = event * pace
         now += seconds
-        machine.note_success(seconds, now)
+        machine.record_success(seconds, now)
         yield now
 
 
@@ -81,30 +81,30 @@
         for slow, least, most in ((3.0, 2.0, 4.0), (1.0, 0.5, 1.5)):
             for n in range(20):
                 now = started + n * 0.1
-                machine.note_load(WorkerLoad(3, 0, 6, slow), now)
-                machine.note_success(slow * EVENT, now)
+                machine.record_load(WorkerLoad(3, 0, 6, slow), now)
+                machine.record_success(slow * EVENT, now)
             latency = machine.recent_latency(now) or 0.0
             self.assertTrue(least * usual < latency < most * usual, f"{slow}: {latency / usual}")
             started = now + 0.1
 
     def test_an_absurd_pace_makes_no_machine_look_fast(self) -> None:
         machine = worker()
-        machine.note_load(WorkerLoad(3, 0, 6, 9_999_999.0), 100.0)
-        machine.note_success(EVENT, 100.0)
-        self.assertGreaterEqual(machine.recent_latency(100.0) or 0.0, EVENT / LARGEST_PACE)
+        machine.record_load(WorkerLoad(3, 0, 6, 9_999_999.0), 100.0)
+        machine.record_success(EVENT, 100.0)
+        self.assertGreaterEqual(machine.recent_latency(100.0) or 0.0, EVENT / MAXIMUM_PACE)
 
     def test_without_a_pace_the_latency_is_as_before(self) -> None:
         machine = worker()
-        machine.note_load(WorkerLoad(3, 0, 6), 0.0)
-        machine.note_success(0.1, 0.0)
-        machine.note_success(0.2, 0.1)
+        machine.record_load(WorkerLoad(3, 0, 6), 0.0)
+        machine.record_success(0.1, 0.0)
+        machine.record_success(0.2, 0.1)
         self.assertAlmostEqual(0.1 + 0.1 * LATENCY_SMOOTHING, machine.recent_latency(0.1))
         self.assertEqual(0.5, machine.expected_seconds(0.5, 0.1))
 
     def test_where_the_pace_is_switched_off_it_is_no_part_of_a_report(self) -> None:
-        machine = Worker(announcement("w"), 0.0, reads_pace=False)
-        machine.note_load(WorkerLoad(3, 0, 6, 2.5), 0.0)
-        self.assertFalse(machine.paced)
+        machine = Worker(announcement("w"), 0.0, uses_reported_pace=False)
+        machine.record_load(WorkerLoad(3, 0, 6, 2.5), 0.0)
+        self.assertFalse(machine.reports_pace)
         self.assertIsNone(machine.recent_pace(0.0))
 
 
@@ -112,7 +112,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.machine = worker()
-        self.machine.note_load(WorkerLoad(3, 0, 6, SLOW), 10.0)
+        self.machine.record_load(WorkerLoad(3, 0, 6, SLOW), 10.0)
 
     def test_a_short_request_takes_as_long_as_the_moment_says(self) -> None:
         self.assertAlmostEqual(0.1, self.machine.expected_seconds(0.04, 10.0))
@@ -132,15 +132,15 @@
         table = WorkerTable()
         for name in ("silent", "old", "three", "four"):
             table.announce(announcement(name), 0.0)
-        table.worker("old").note_load(WorkerLoad(1, 0, 4, 1.0), 5.0)
-        table.worker("three").note_load(WorkerLoad(1, 0, 4), 10.0)
-        table.worker("four").note_load(WorkerLoad(1, 0, 4, 1.0), 10.0)
+        table.worker("old").record_load(WorkerLoad(1, 0, 4, 1.0), 5.0)
+        table.worker("three").record_load(WorkerLoad(1, 0, 4), 10.0)
+        table.worker("four").record_load(WorkerLoad(1, 0, 4, 1.0), 10.0)
         self.assertEqual(dict.fromkeys(ReportKind, 1), table.report_kinds(10.1))
 
     def test_none_three_figures_four_and_old_ones_are_told_apart(self) -> None:
         silent, three, four = worker(), worker(), worker()
-        three.note_load(WorkerLoad(4, 2, 6), 10.0)
-        four.note_load(WorkerLoad(4, 2, 6, 1.2), 10.0)
+        three.record_load(WorkerLoad(4, 2, 6), 10.0)
+        four.record_load(WorkerLoad(4, 2, 6, 1.2), 10.0)
         self.assertEqual((None, None), (silent.recent_load(10.0), silent.recent_pace(10.0)))
         self.assertEqual((1.0, None), (three.occupancy(10.1), three.recent_pace(10.1)))
         self.assertEqual((1.0, 1.2), (four.occupancy(10.1), four.recent_pace(10.1)))
@@ -148,14 +148,14 @@
         self.assertEqual((1.0, None), (four.occupancy(later), four.recent_pace(later)))
         old = 10.1 + LOAD_VALID_SECONDS
         self.assertEqual((0.0, None), (four.occupancy(old), four.recent_load(old)))
-        self.assertTrue(four.paced)
+        self.assertTrue(four.reports_pace)
 
     def test_own_requests_since_the_report_are_added_and_taken_off(self) -> None:
         machine = worker()
-        machine.note_sent()
-        machine.note_load(WorkerLoad(3, 0, 6, 1.0), 10.0)
-        machine.note_sent()
+        machine.record_sent()
+        machine.record_load(WorkerLoad(3, 0, 6, 1.0), 10.0)
+        machine.record_sent()
         self.assertEqual(4 / 6, machine.occupancy(10.1))
-        machine.note_ended()
-        machine.note_ended()
+        machine.record_ended()
+        machine.record_ended()
         self.assertEqual(2 / 6, machine.occupancy(10.1))
--- a/tests/gateway/workers/test_table.py
+++ b/tests/gateway/workers/test_table.py
@@ -9,7 +9,7 @@
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.table import EARLIER_START_SECONDS, STALE_SECONDS, WorkerTable
-from stagewalk.gateway.workers.worker import WARM_SECONDS, Worker
+from stagewalk.gateway.workers.worker import CONNECTION_REUSE_SECONDS, Worker
 from tests.gateway.eligibility.support import NEAR_Z1
 from tests.gateway.workers.support import RecordingListener, announcement
 
@@ -42,8 +42,8 @@
         self.table.announce(announcement("c", born=1_000, versions={"m": 7}), 1.0)
         before = self.table.worker("c@1000")
         assert before is not None
-        before.note_sent()
-        before.note_failure(2.0)
+        before.record_sent()
+        before.record_failure(2.0)
         before.loading_until["m"] = 99.0
         self.table.announce(announcement("c", born=5_000, versions={"m": 1}), 5.0)
         after = self.table.worker("c@5000")
@@ -160,22 +160,22 @@
         self.assertEqual("near", self.choose())
 
     def test_the_emptier_one_by_the_load_it_told(self) -> None:
-        self.table.worker("near").note_load(WorkerLoad(4, 2, 4), 0.0)
+        self.table.worker("near").record_load(WorkerLoad(4, 2, 4), 0.0)
         self.assertEqual("far", self.choose())
 
     def test_an_old_load_counts_no_more(self) -> None:
-        self.table.worker("near").note_load(WorkerLoad(4, 2, 4), 0.0)
+        self.table.worker("near").record_load(WorkerLoad(4, 2, 4), 0.0)
         self.assertEqual("near", self.choose(now=60.0))
 
     def test_one_that_failed_lately_comes_last_and_a_tried_one_never(self) -> None:
-        self.table.worker("near").note_failure(0.0)
+        self.table.worker("near").record_failure(0.0)
         self.assertEqual("far", self.choose())
         self.assertEqual("near", self.choose(tried=("far",)))
         self.assertEqual("", self.choose(tried=("far", "near")))
 
     def test_a_slow_one_is_left_to_the_fast_one(self) -> None:
-        self.table.worker("near").note_success(0.2, 0.0)
-        self.table.worker("far").note_success(0.05, 0.0)
+        self.table.worker("near").record_success(0.2, 0.0)
+        self.table.worker("far").record_success(0.05, 0.0)
         self.assertEqual("far", self.choose())
 
     def test_a_kept_connection_outweighs_the_way_but_not_a_load(self) -> None:
@@ -184,7 +184,7 @@
         usable = self.table.usable("s")
         self.assertIs(far, choose_worker(usable, 0.1, NEAR_Z1, prefer_warm=True))
         self.assertEqual("near", self.choose(0.1))
-        far.note_load(WorkerLoad(2, 0, 4), 0.1)
+        far.record_load(WorkerLoad(2, 0, 4), 0.1)
         self.assertEqual(
             "near", choose_worker(usable, 0.1, NEAR_Z1, prefer_warm=True).announcement.worker
         )
@@ -192,21 +192,21 @@
     def test_connections_that_are_in_use_are_not_counted_on(self) -> None:
         far = self.table.worker("far")
         self.warm_up(far)
-        far.note_sent()
+        far.record_sent()
         self.assertFalse(far.warm(0.1))
 
     def test_a_connection_is_kept_for_a_while_only(self) -> None:
         far = self.table.worker("far")
         self.warm_up(far)
-        self.assertTrue(far.warm(WARM_SECONDS - 0.1))
-        self.assertFalse(far.warm(WARM_SECONDS))
+        self.assertTrue(far.warm(CONNECTION_REUSE_SECONDS - 0.1))
+        self.assertFalse(far.warm(CONNECTION_REUSE_SECONDS))
 
     def test_a_worker_that_closes_its_connection_is_cold(self) -> None:
         near = self.table.worker("near")
-        near.note_connection(False, 0.0)
+        near.record_connection(False, 0.0)
         self.assertFalse(near.warm(0.1))
 
     def warm_up(self, worker: Worker) -> None:
-        worker.note_sent()
-        worker.note_ended()
-        worker.note_connection(True, 0.0)
+        worker.record_sent()
+        worker.record_ended()
+        worker.record_connection(True, 0.0)
--- a/tests/gateway/zones/test_regions.py
+++ b/tests/gateway/zones/test_regions.py
@@ -17,7 +17,9 @@
 class ProximityTests(testtools.TestCase):
     def test_zone_region_beyond(self) -> None:
         distances = [NEAR_Z1.distance(zone) for zone in ("z1", "z2", "z3")]
-        self.assertEqual([Distance.SAME_ZONE, Distance.SAME_REGION, Distance.BEYOND], distances)
+        self.assertEqual(
+            [Distance.SAME_ZONE, Distance.SAME_REGION, Distance.OTHER_REGION], distances
+        )
         workers = [Worker(announcement("w", zone=zone), 0.0) for zone in ("z1", "z2", "z3")]
         costs = [distance_cost(NEAR_Z1, worker) for worker in workers]
         self.assertEqual(sorted(DISTANCE_COST.values()), costs)
--- a/tests/history/test_answer_text.py
+++ b/tests/history/test_answer_text.py
@@ -9,7 +9,7 @@
     answer_length,
     content_key,
     render_chunk,
-    true_spans,
+    spans_from_text,
     wholeness_fault,
 )
 from stagewalk.node.core.completions import VersionSpan
@@ -39,7 +39,7 @@
     def test_spans_name_each_version_once_per_run_of_tokens(self) -> None:
         text = chunk(0, 4, 1) + chunk(4, 6, 1) + chunk(6, 9, 2)
         expected = (VersionSpan(WeightVersion(1), 6), VersionSpan(WeightVersion(2), 3))
-        self.assertEqual(expected, true_spans(text))
+        self.assertEqual(expected, spans_from_text(text))
 
     def test_lengths_are_deterministic_heavy_tailed_and_bounded(self) -> None:
         lengths = sorted(answer_length(f"p{i}", 1, 4096) for i in range(2000))
--- a/tests/node/admission/test_admission.py
+++ b/tests/node/admission/test_admission.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stagewalk.common.errors import ErrorKind, Ran
+from stagewalk.common.errors import ErrorKind, ExecutionStatus
 from stagewalk.common.identities import NodeName, RequestId, RequestKey, TenantName
 from stagewalk.node.admission.config import AdmissionConfig, LimiterConfig
-from stagewalk.node.admission.controller import Admission, AdmissionController
+from stagewalk.node.admission.controller import AdmissionController, AdmissionDecision
 from stagewalk.node.admission.limiter import AdaptiveLimiter
 from stagewalk.node.admission.pool import PoolCapacity
 from stagewalk.node.admission.shares import guaranteed
@@ -44,7 +44,7 @@
         asked = request(key.request_id, tenant=key.tenant, priority=priority, deadline=deadline)
         outcome = self.controller.admit(key, asked, 0.0)
         if outcome.is_ok():
-            (self.running if outcome.ok is Admission.ADMITTED else self.waiting).append(key)
+            (self.running if outcome.ok is AdmissionDecision.ADMITTED else self.waiting).append(key)
         return outcome
 
     def end(self, index: int) -> list[RequestKey]:
@@ -83,9 +83,9 @@
                 case "admit":
                     outcome = desk.admit(name, priority)
                     if within_share and free and none_waits:
-                        self.assertEqual(Admission.ADMITTED, outcome.ok)
+                        self.assertEqual(AdmissionDecision.ADMITTED, outcome.ok)
                     if outcome.is_error():
-                        self.assertEqual(Ran.NO, outcome.error.ran)
+                        self.assertEqual(ExecutionStatus.NO, outcome.error.ran)
                         self.assertGreater(outcome.error.retry_after_seconds, 0.0)
                 case "end":
                     desk.end(index)
@@ -106,7 +106,7 @@
         while desk.admit("a").is_ok() and not desk.waiting:
             pass
         self.assertEqual(9, desk.used("a"), "20% of the others' 5 slots stay free")
-        self.assertEqual(Admission.ADMITTED, desk.admit("b").ok)
+        self.assertEqual(AdmissionDecision.ADMITTED, desk.admit("b").ok)
 
     def test_lent_slots_go_back_with_the_first_completions(self) -> None:
         desk = Desk()
@@ -123,26 +123,28 @@
         while not desk.waiting:
             desk.admit("a", ROLLOUT)
         late = desk.admit("a", INTERACTIVE)
-        self.assertEqual(Admission.WAITING, late.ok)
+        self.assertEqual(AdmissionDecision.WAITING, late.ok)
         self.assertEqual([desk.waiting[-1]], desk.end(0))
 
     def test_rollouts_leave_a_part_of_the_pool_to_interactive(self) -> None:
         desk = Desk()
-        desk.controller.set_pool(MODEL, PoolCapacity(slots=100, load=101))
-        self.assertEqual(Admission.WAITING, desk.admit("a", ROLLOUT).ok)
-        self.assertEqual(Admission.ADMITTED, desk.admit("a", INTERACTIVE).ok)
+        desk.controller.set_pool_capacity(MODEL, PoolCapacity(slots=100, load=101))
+        self.assertEqual(AdmissionDecision.WAITING, desk.admit("a", ROLLOUT).ok)
+        self.assertEqual(AdmissionDecision.ADMITTED, desk.admit("a", INTERACTIVE).ok)
 
     def test_full_pool_admits_nothing(self) -> None:
         desk = Desk()
-        desk.controller.set_pool(MODEL, PoolCapacity(slots=100, load=110))
-        self.assertEqual(Admission.WAITING, desk.admit("a").ok)
+        desk.controller.set_pool_capacity(MODEL, PoolCapacity(slots=100, load=110))
+        self.assertEqual(AdmissionDecision.WAITING, desk.admit("a").ok)
 
     def test_hopeless_deadline_is_refused_before_it_waits(self) -> None:
         desk = Desk()
         while not desk.waiting:
             desk.admit("a")
         refused = desk.admit("a", deadline=0.5)
-        self.assertEqual((ErrorKind.OVERLOADED, Ran.NO), (refused.error.kind, refused.error.ran))
+        self.assertEqual(
+            (ErrorKind.OVERLOADED, ExecutionStatus.NO), (refused.error.kind, refused.error.ran)
+        )
 
     def test_new_shares_hold_at_once(self) -> None:
         desk = Desk()
@@ -160,24 +162,24 @@
 class LimiterTest(testtools.TestCase):
     def test_falls_at_refusals_once_in_an_interval_and_grows_back(self) -> None:
         limiter = AdaptiveLimiter(LimiterConfig(initial_limit=8.0))
-        limiter.note_completed(3)
+        limiter.record_completed(3)
         self.assertEqual(8.0, limiter.limit, "it was not in use")
-        limiter.note_completed(8)
-        limiter.note_completed(8)
+        limiter.record_completed(8)
+        limiter.record_completed(8)
         self.assertEqual(10.0, limiter.limit)
         for _ in range(5):
-            limiter.note_refused(1.0)
+            limiter.record_refused(1.0)
         self.assertEqual(8.0, limiter.limit)
         for _ in range(20):
-            limiter.note_completed(8)
+            limiter.record_completed(8)
         self.assertEqual(13.0, limiter.limit, "a quarter each after the first refusal")
 
     def test_late_first_tokens_lower_it(self) -> None:
         limiter = AdaptiveLimiter(LimiterConfig(initial_limit=10.0))
-        limiter.note_first_token(0.1, 0.0)
-        limiter.note_first_token(0.4, 1.0)
+        limiter.record_first_token(0.1, 0.0)
+        limiter.record_first_token(0.4, 1.0)
         self.assertEqual(10.0, limiter.limit)
-        limiter.note_first_token(5.0, 2.0)
+        limiter.record_first_token(5.0, 2.0)
         self.assertEqual(9.5, limiter.limit)
 
 
@@ -187,7 +189,9 @@
         desk = Desk(AdmissionConfig(limiter=limiter, pool_overcommit=1.0, share_reserve=0.0))
         in_flight = []
         for _ in range(3):
-            desk.controller.set_pool(MODEL, PoolCapacity(slots=100, load=len(desk.running)))
+            desk.controller.set_pool_capacity(
+                MODEL, PoolCapacity(slots=100, load=len(desk.running))
+            )
             desk.release()
             while desk.admit("a").is_ok() and not desk.waiting:
                 pass
--- a/tests/node/claims/network.py
+++ b/tests/node/claims/network.py
@@ -17,10 +17,10 @@
 )
 from stagewalk.node.claims.placement import (
     GroupChange,
+    GroupHistory,
     MemberRecord,
-    PartitionChain,
     PlacementChange,
-    PlacementFold,
+    PlacementStateMachine,
     encode_record,
 )
 from stagewalk.node.claims.types import Peer
@@ -47,7 +47,7 @@
         self.down: set[str] = set()
         self.cut: set[frozenset[str]] = set()
         self.log: list[bytes] = []
-        self.folds: dict[str, PlacementFold] = {}
+        self.folds: dict[str, PlacementStateMachine] = {}
         self.folded: dict[str, int] = {}
         self.log_blocked: set[str] = set()
         self.decided: dict[str, set[bytes]] = {}
@@ -69,7 +69,7 @@
             Placement("r", name),
         )
         self.cores[name] = ClaimCore(identity, self.config, random.Random(self.random.random()))
-        self.folds[name] = PlacementFold(1)
+        self.folds[name] = PlacementStateMachine(1)
         self.folded[name] = 0
 
     def append(
@@ -85,9 +85,9 @@
         change = GroupChange(partition=0, base_epoch=base_epoch, members=members, forgets=forgets)
         self.log.append(encode_record(PlacementChange(fence=1, changes=(change,))))
 
-    def chain(self) -> PartitionChain:
+    def chain(self) -> GroupHistory:
         """Return the partition's groups as of the log's end."""
-        fold = PlacementFold(1)
+        fold = PlacementStateMachine(1)
         for offset, payload in enumerate(self.log):
             fold.apply(LogRecord(offset, RecordId(str(offset)), payload))
         return fold.placement.partitions[0]
@@ -152,7 +152,7 @@
         fold = self.folds[name]
         fold.apply(LogRecord(offset, RecordId(str(offset)), self.log[offset]))
         self.folded[name] = offset + 1
-        core.set_groups(fold.placement)
+        core.set_placement(fold.placement)
 
     def _take(self, name: str, outputs: list[ClaimOutput]) -> None:
         for output in outputs:
--- a/tests/node/claims/test_placement.py
+++ b/tests/node/claims/test_placement.py
@@ -10,12 +10,16 @@
     GroupChange,
     MemberRecord,
     PlacementChange,
-    PlacementFold,
     PlacementRecord,
+    PlacementStateMachine,
     RecoveryAbandoned,
     encode_record,
 )
-from stagewalk.node.claims.planner import PlacementCandidate, PlacementPlanner, PlannerConfig
+from stagewalk.node.claims.planner import (
+    PlacementCandidate,
+    PlacementPlanner,
+    PlacementPlannerConfig,
+)
 from stagewalk.node.core.platform import LogRecord
 
 
@@ -32,8 +36,8 @@
 
 
 class FoldTest(testtools.TestCase):
-    def fold(self, *records: PlacementRecord) -> tuple[PlacementFold, list[bool]]:
-        fold = PlacementFold(1)
+    def fold(self, *records: PlacementRecord) -> tuple[PlacementStateMachine, list[bool]]:
+        fold = PlacementStateMachine(1)
         outcomes = [
             fold.apply(LogRecord(offset, RecordId(str(offset)), encode_record(record))).changed
             for offset, record in enumerate(records)
@@ -74,8 +78,8 @@
 class PlannerTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.fold = PlacementFold(8)
-        self.planner = PlacementPlanner(PlannerConfig())
+        self.fold = PlacementStateMachine(8)
+        self.planner = PlacementPlanner(PlacementPlannerConfig())
         self.offset = 0
 
     def members(self, names: str, incarnation: int = 1) -> dict[NodeName, PlacementCandidate]:
--- a/tests/node/configuration/cluster.py
+++ b/tests/node/configuration/cluster.py
@@ -7,12 +7,12 @@
 from stagewalk.common.identities import Address, Incarnation, NodeName, Placement
 from stagewalk.node.configuration.follower import (
     ConfigurationFollower,
-    FollowerConfig,
-    FollowerOutput,
+    ConfigurationFollowerConfig,
+    ConfigurationOutput,
 )
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.records import AnyChange, encode_change
-from stagewalk.node.core.instructions import LogEvent, SendPeerMessage, Transport
+from stagewalk.node.core.instructions import SendPeerMessage, Transport, WriteLogLine
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.node_core import NodeIdentity
 from tests.node.configuration.records import log_record
@@ -23,8 +23,10 @@
 class Cluster:
     """Followers that exchange messages at once, losing some datagrams."""
 
-    def __init__(self, size: int, config: FollowerConfig | None = None, loss: float = 0.0) -> None:
-        self.config = config or FollowerConfig()
+    def __init__(
+        self, size: int, config: ConfigurationFollowerConfig | None = None, loss: float = 0.0
+    ) -> None:
+        self.config = config or ConfigurationFollowerConfig()
         self.random = random.Random(7)
         self.loss = loss
         self.now = 0.0
@@ -40,7 +42,7 @@
         self.in_force: dict[int, list[float]] = {}
         self.appended_at: list[float] = []
         self.changes: dict[NodeName, list[ConfigurationChanged]] = {n: [] for n in self.followers}
-        self.events: list[LogEvent] = []
+        self.events: list[WriteLogLine] = []
         self.bytes_sent = 0
         self.largest_datagram = 0
 
@@ -54,11 +56,11 @@
         self.followers[name] = self._start(name)
         self.changes[name] = []
 
-    def carry_out(self, name: NodeName, output: list[FollowerOutput]) -> None:
+    def execute(self, name: NodeName, output: list[ConfigurationOutput]) -> None:
         for item in output:
             if isinstance(item, ConfigurationChanged):
-                self._note_change(name, item)
-            elif isinstance(item, LogEvent):
+                self._record_change(name, item)
+            elif isinstance(item, WriteLogLine):
                 self.events.append(item)
             else:
                 self._send(name, self.names[item.address], item)
@@ -75,9 +77,9 @@
         follower = self.followers[receiver]
         message = item.envelope.configuration
         output = follower.handle_message(self.addresses[sender], sender, message, self.now)
-        self.carry_out(receiver, output)
+        self.execute(receiver, output)
 
-    def _note_change(self, name: NodeName, changed: ConfigurationChanged) -> None:
+    def _record_change(self, name: NodeName, changed: ConfigurationChanged) -> None:
         seen = self.changes[name]
         reached = seen[-1].offset if seen else 0
         for offset in range(reached, min(changed.offset, len(self.appended_at))):
@@ -89,7 +91,7 @@
         self.appended_at.append(self.now)
 
     def read(self, name: NodeName, records: tuple[LogRecord, ...], head: int) -> None:
-        self.carry_out(name, self.followers[name].handle_records(records, self.now, head))
+        self.execute(name, self.followers[name].handle_records(records, self.now, head))
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK_SECONDS)):
@@ -97,7 +99,7 @@
             for name, follower in self.followers.items():
                 if name not in self.without_log:
                     self._read_log(name, follower)
-                self.carry_out(name, follower.tick(self.now))
+                self.execute(name, follower.tick(self.now))
 
     def _read_log(self, name: NodeName, follower: ConfigurationFollower) -> None:
         fresh = tuple(self.log[follower.offset : follower.offset + 5])
--- a/tests/node/configuration/records.py
+++ b/tests/node/configuration/records.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from stagewalk.common.identities import ModelName, RecordId
-from stagewalk.node.configuration.fold import ConfigurationFold
-from stagewalk.node.configuration.outcomes import FoldOutcome
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
+from stagewalk.node.configuration.outcomes import ChangeOutcome
 from stagewalk.node.configuration.parameters import TenantParameters
 from stagewalk.node.configuration.records import AnyChange, encode_change
 from stagewalk.node.core.platform import LogRecord
@@ -55,6 +55,6 @@
 
 
 def publish(
-    fold: ConfigurationFold, published: AnyChange, record_id: str | None = None
-) -> FoldOutcome:
+    fold: ConfigurationStateMachine, published: AnyChange, record_id: str | None = None
+) -> ChangeOutcome:
     return fold.apply(log_record(fold.offset, encode_change(published), record_id))
--- a/tests/node/configuration/test_fold.py
+++ b/tests/node/configuration/test_fold.py
@@ -7,12 +7,16 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import ModelName, TenantName, WeightVersion
-from stagewalk.node.configuration.fold import HISTORY_LIMIT, REVISION_LIMIT, ConfigurationFold
+from stagewalk.node.configuration.fold import (
+    MAXIMUM_HISTORY_ENTRIES,
+    MAXIMUM_KEPT_REVISIONS,
+    ConfigurationStateMachine,
+)
 from stagewalk.node.configuration.outcomes import (
     ChangeAccepted,
+    ChangeOutcome,
     ChangeRejected,
     ChangeRepeated,
-    FoldOutcome,
     RejectionReason,
 )
 from stagewalk.node.configuration.parameters import TenantParameters
@@ -58,7 +62,7 @@
     ]
 
 
-def rejection(outcome: FoldOutcome) -> tuple[RejectionReason, str | None]:
+def rejection(outcome: ChangeOutcome) -> tuple[RejectionReason, str | None]:
     assert isinstance(outcome, ChangeRejected), outcome
     return outcome.reason, outcome.field
 
@@ -66,9 +70,9 @@
 class FoldRulesTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.fold = ConfigurationFold()
+        self.fold = ConfigurationStateMachine()
 
-    def apply(self, *published: AnyChange) -> FoldOutcome:
+    def apply(self, *published: AnyChange) -> ChangeOutcome:
         outcomes = [publish(self.fold, each) for each in published]
         return outcomes[-1]
 
@@ -90,8 +94,8 @@
         self.assertEqual((3, 1), (tenant.revision, tenant.parameters.staleness_bound_versions))
 
     def test_rollback_needs_a_revision_that_is_kept(self) -> None:
-        self.apply(create(), *(change(base) for base in range(1, REVISION_LIMIT + 1)))
-        outcome = self.apply(roll_back(REVISION_LIMIT + 1, 1))
+        self.apply(create(), *(change(base) for base in range(1, MAXIMUM_KEPT_REVISIONS + 1)))
+        outcome = self.apply(roll_back(MAXIMUM_KEPT_REVISIONS + 1, 1))
         self.assertEqual((RejectionReason.UNKNOWN_REVISION, "to_revision"), rejection(outcome))
 
     def test_of_two_raced_changes_the_first_in_the_log_wins(self) -> None:
@@ -155,8 +159,8 @@
         self.assertEqual(expected, rejection(outcome))
 
     def test_history_is_bounded_and_holds_rejections(self) -> None:
-        self.apply(*(delete(0) for _ in range(HISTORY_LIMIT + 5)))
-        self.assertEqual(HISTORY_LIMIT, len(self.fold.history))
+        self.apply(*(delete(0) for _ in range(MAXIMUM_HISTORY_ENTRIES + 5)))
+        self.assertEqual(MAXIMUM_HISTORY_ENTRIES, len(self.fold.history))
         reason = rejection(self.fold.history[-1].outcome)[0]
         self.assertEqual(RejectionReason.UNKNOWN_TENANT, reason)
 
@@ -169,7 +173,7 @@
     def test_same_prefix_same_digest_and_revisions_only_grow(
         self, prefix: list[tuple[str, bytes]]
     ) -> None:
-        one, other = ConfigurationFold(), ConfigurationFold()
+        one, other = ConfigurationStateMachine(), ConfigurationStateMachine()
         largest: dict[TenantName, int] = {}
         for record in records_of(prefix):
             self.assertEqual(one.apply(record), other.apply(record))
@@ -185,7 +189,7 @@
     def test_a_restored_snapshot_goes_on_like_the_original(
         self, prefix: list[tuple[str, bytes]], cut: int
     ) -> None:
-        original, restored = ConfigurationFold(), ConfigurationFold()
+        original, restored = ConfigurationStateMachine(), ConfigurationStateMachine()
         records = records_of(prefix)
         for record in records[:cut]:
             original.apply(record)
@@ -197,7 +201,7 @@
 
     @given(st.binary(max_size=200))
     def test_no_payload_raises(self, payload: bytes) -> None:
-        fold = ConfigurationFold()
+        fold = ConfigurationStateMachine()
         self.assertEqual(
             RejectionReason.MALFORMED, rejection(fold.apply(log_record(0, payload)))[0]
         )
@@ -209,16 +213,16 @@
         payload = bytearray(encode_change(data.draw(changes)))
         for _ in range(data.draw(st.integers(1, 4))):
             payload[data.draw(st.integers(0, len(payload) - 1))] = data.draw(st.integers(0, 255))
-        fold = ConfigurationFold()
+        fold = ConfigurationStateMachine()
         fold.apply(log_record(0, bytes(payload)))
         self.assertEqual(1, fold.offset)
-        self.assertTrue(ConfigurationFold().restore(fold.snapshot()))
+        self.assertTrue(ConfigurationStateMachine().restore(fold.snapshot()))
 
     def test_an_older_or_damaged_snapshot_is_not_taken(self) -> None:
-        fold = ConfigurationFold()
+        fold = ConfigurationStateMachine()
         publish(fold, create())
         old = fold.snapshot()
         publish(fold, change(1))
         self.assertFalse(fold.restore(old))
-        self.assertFalse(ConfigurationFold().restore(old.replace(b"0.5", b"0.4")))
+        self.assertFalse(ConfigurationStateMachine().restore(old.replace(b"0.5", b"0.4")))
         self.assertEqual(2, fold.tenants[CATALOGUE].revision)
--- a/tests/node/configuration/test_follower.py
+++ b/tests/node/configuration/test_follower.py
@@ -5,7 +5,7 @@
 import testtools
 
 from stagewalk.common.identities import NodeName
-from stagewalk.node.configuration.follower import FollowerConfig
+from stagewalk.node.configuration.follower import ConfigurationFollowerConfig
 from stagewalk.node.configuration.progress import ProgressTable
 from stagewalk.node.configuration.records import AnyChange, encode_change
 from stagewalk.node.core.instructions import MAXIMUM_DATAGRAM_BYTES
@@ -39,7 +39,7 @@
             self.assertEqual(30, offsets[-1])
 
     def test_a_node_behind_the_kept_records_gets_a_snapshot(self) -> None:
-        cluster = Cluster(3, FollowerConfig(relay_records=4))
+        cluster = Cluster(3, ConfigurationFollowerConfig(relay_records=4))
         cluster.read(FIRST, LOG, 30)
         cluster.run(8.0)
         self.assertEqual([30, 30], [cluster.changes[n][-1].offset for n in (FIRST, SECOND)])
--- a/tests/node/echo_core.py
+++ b/tests/node/echo_core.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import (
     Address,
     AttemptId,
     CallId,
     EngineName,
-    SlotKey,
+    SampleSlotKey,
     WeightVersion,
 )
 from stagewalk.node.core.completions import (
@@ -27,7 +27,6 @@
     VersionSpan,
 )
 from stagewalk.node.core.events import (
-    AnswerRequested,
     AttemptChunk,
     AttemptFailed,
     AttemptFinished,
@@ -37,7 +36,8 @@
     Event,
     LotSubmitted,
     PeerMessageReceived,
-    SamplesPulled,
+    RetainedAnswerRequested,
+    SamplesRequested,
     StopRequested,
     Tick,
 )
@@ -48,11 +48,11 @@
     FailCall,
     FinishCall,
     Instruction,
-    LogEvent,
     SendChunk,
     StartAttempt,
+    WriteLogLine,
 )
-from stagewalk.node.core.rollouts import Sample, SampleBatch
+from stagewalk.node.core.rollouts import Sample, SamplePage
 from stagewalk.node.node_core import NodeIdentity, NodeStatus
 
 VERSION = WeightVersion(3)
@@ -69,10 +69,10 @@
     return [TokenChunk(i, i, 1, word, VERSION) for i, word in enumerate(text.split(" "))]
 
 
-def failure(ran: Ran = Ran.NO) -> StagewalkError:
-    kind = ErrorKind.OVERLOADED if ran is Ran.NO else ErrorKind.ENGINE_FAILED
-    retry = 2.0 if ran is Ran.NO else None
-    return StagewalkError(kind, Step.ROUTING, "engine-1", "scripted", ran, None, retry)
+def failure(ran: ExecutionStatus = ExecutionStatus.NO) -> StagewalkError:
+    kind = ErrorKind.OVERLOADED if ran is ExecutionStatus.NO else ErrorKind.ENGINE_FAILED
+    retry = 2.0 if ran is ExecutionStatus.NO else None
+    return StagewalkError(kind, ErrorStep.ROUTING, "engine-1", "scripted", ran, None, retry)
 
 
 class EchoCore:
@@ -91,14 +91,18 @@
         self._handlers: dict[type, Callable[[Any], list[Instruction]]] = {
             Tick: self._tick,
             CompletionRequested: self._complete,
-            AnswerRequested: lambda e: [FinishCall(e.call, whole(f"answer of {e.request_id}"))],
+            RetainedAnswerRequested: lambda e: [
+                FinishCall(e.call, whole(f"answer of {e.request_id}"))
+            ],
             CallAbandoned: self._abandon,
             LotSubmitted: lambda e: [AcceptLot(e.call, e.lot)],
-            SamplesPulled: self._pull,
+            SamplesRequested: self._pull,
             AttemptChunk: lambda e: [SendChunk(self.attempts[e.attempt], e.chunk)],
             AttemptFinished: self._attempt_finished,
-            AttemptRefused: lambda e: [self._fail(self.attempts[e.attempt], Ran.NO)],
-            AttemptFailed: lambda e: [self._fail(self.attempts[e.attempt], Ran.UNKNOWN)],
+            AttemptRefused: lambda e: [self._fail(self.attempts[e.attempt], ExecutionStatus.NO)],
+            AttemptFailed: lambda e: [
+                self._fail(self.attempts[e.attempt], ExecutionStatus.UNKNOWN)
+            ],
             StopRequested: self._stop,
         }
 
@@ -131,7 +135,7 @@
     def _complete(self, event: CompletionRequested) -> list[Instruction]:
         call, request = event.call, event.request
         if self.stopping:
-            error = StagewalkError(ErrorKind.STOPPING, Step.ADMISSION, "node-1", "stopping",
+            error = StagewalkError(ErrorKind.STOPPING, ErrorStep.ADMISSION, "node-1", "stopping",
                                    retry_after_seconds=1.0)  # fmt: skip
             return [FailCall(call, error)]
         self.open.add(call)
@@ -145,12 +149,15 @@
         if request.prompt == "engine":
             return [self._start_attempt(call, request)]
         if request.prompt == "fail":
-            return [self._fail(call, Ran.NO)]
+            return [self._fail(call, ExecutionStatus.NO)]
         if request.prompt == "fail late":
-            return [SendChunk(call, word_chunks("begun")[0]), self._fail(call, Ran.UNKNOWN)]
+            return [
+                SendChunk(call, word_chunks("begun")[0]),
+                self._fail(call, ExecutionStatus.UNKNOWN),
+            ]
         self.open.discard(call)
         chunks = [SendChunk(call, chunk) for chunk in word_chunks(request.prompt)]
-        log = LogEvent("request_finished", {"request_id": request.request_id})
+        log = WriteLogLine("request_finished", {"request_id": request.request_id})
         text = request.prompt.replace(" ", "")
         return [*chunks, FinishCall(call, CompletionResult(
             text, len(chunks), (VersionSpan(VERSION, len(chunks)),), "stop")), log]  # fmt: skip
@@ -170,7 +177,7 @@
         result = CompletionResult(text, event.token_count, spans, event.finish_reason)
         return [FinishCall(call, result)]
 
-    def _fail(self, call: CallId, ran: Ran) -> FailCall:
+    def _fail(self, call: CallId, ran: ExecutionStatus) -> FailCall:
         self.open.discard(call)
         return FailCall(call, failure(ran))
 
@@ -179,14 +186,16 @@
         self.floods.pop(event.call, None)
         return []
 
-    def _pull(self, event: SamplesPulled) -> list[Instruction]:
+    def _pull(self, event: SamplesRequested) -> list[Instruction]:
         pull = event.pull
         if pull.trainer == "unknown":
-            error = StagewalkError(ErrorKind.UNKNOWN_LOT, Step.DELIVERY, "node-1", "submit again")
+            error = StagewalkError(
+                ErrorKind.UNKNOWN_LOT, ErrorStep.DELIVERY, "node-1", "submit again"
+            )
             return [FailCall(event.call, error)]
-        slot = SlotKey(pull.tenant, pull.trainer, pull.step, "p1", 0)
+        slot = SampleSlotKey(pull.tenant, pull.trainer, pull.step, "p1", 0)
         sample = Sample(slot, "s1", "text", 2, (VersionSpan(VERSION, 2),), 0.5, 0.0)
-        return [DeliverSamples(event.call, SampleBatch((sample,), pull.cursor + "1", True, 0))]
+        return [DeliverSamples(event.call, SamplePage((sample,), pull.cursor + "1", True, 0))]
 
     def _stop(self, event: StopRequested) -> list[Instruction]:
         self.stopping = True
--- a/tests/node/leases/test_lease_gap.py
+++ b/tests/node/leases/test_lease_gap.py
@@ -20,7 +20,7 @@
 class GapTests(testtools.TestCase):
     def assert_quiet_after_a_gap(self, lease: LogLease) -> None:
         """Another's win and renewals were dropped unread, the last of them just before."""
-        lease.note_gap(GAP_AT)
+        lease.record_gap(GAP_AT)
         now = GAP_AT
         while not isinstance(lease.decide(now, current=True), Acquire):
             now += 0.1
--- a/tests/node/leases/test_leases.py
+++ b/tests/node/leases/test_leases.py
@@ -11,8 +11,8 @@
 from stagewalk.common.identities import Epoch, Incarnation, NodeName, RecordId
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.leases.config import LeaseConfig
-from stagewalk.node.leases.core import Candidate, LeaseCore, LiveMember
-from stagewalk.node.leases.fold import Acquire, LeaseFold, Release, encode_record
+from stagewalk.node.leases.core import LeaseCandidate, LeaseCore, LiveMember
+from stagewalk.node.leases.fold import Acquire, LeaseStateMachine, Release, encode_record
 from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost, LeaseOutput
 from stagewalk.node.log_client.notifications import AppendToStream
 
@@ -43,7 +43,7 @@
         self.incarnations[name] = self.incarnations.get(name, 0) + 1
         self.dead.discard(name)
         self.paused.discard(name)
-        identity = Candidate(NodeName(name), Incarnation(self.incarnations[name]))
+        identity = LeaseCandidate(NodeName(name), Incarnation(self.incarnations[name]))
         generator = random.Random(self.random.random())
         self.cores[name] = LeaseCore(identity, LeaseConfig(), generator)
         self.cores[name].set_duties(DUTIES)
@@ -74,7 +74,7 @@
             record = LogRecord(offset, RecordId(str(offset)), self.log[offset])
             self.folded[name] += 1
             self.take(name, core.fold(record))
-        self.take(name, core.note_caught_up(self.now))
+        self.take(name, core.record_caught_up(self.now))
 
     def take(self, name: str, outputs: list[LeaseOutput]) -> None:
         for output in outputs:
@@ -214,12 +214,12 @@
 
 
 class FoldTest(testtools.TestCase):
-    def apply(self, fold: LeaseFold, record: Acquire | Release) -> bool:
+    def apply(self, fold: LeaseStateMachine, record: Acquire | Release) -> bool:
         payload = encode_record(record)
         return fold.apply(LogRecord(0, RecordId("r"), payload)).lease is not None
 
     def test_only_the_next_epoch_is_taken_and_only_the_holder_releases(self) -> None:
-        fold = LeaseFold()
+        fold = LeaseStateMachine()
         first = Acquire(duty="d", holder="a", incarnation=1, epoch=1)
         self.assertTrue(self.apply(fold, first))
         for record in (
--- a/tests/node/log_client/model.py
+++ b/tests/node/log_client/model.py
@@ -17,7 +17,7 @@
 
 TICK_SECONDS = 0.1
 POLL_SECONDS = 2.0
-READ_LIMIT = 5
+MAXIMUM_RECORDS_PER_READ = 5
 LANDS_LATE_SECONDS = 4.0
 
 
@@ -61,7 +61,7 @@
 
     def append(self, stream: str, payload: bytes = b"") -> RecordId:
         queued = self.client.append(stream, payload, self.now).ok
-        self._carry_out(queued.output)
+        self._execute(queued.output)
         return queued.record_id
 
     def run(self, seconds: float) -> None:
@@ -70,10 +70,10 @@
             self.now += TICK_SECONDS
             while self._scheduled and self._scheduled[0][0] <= self.now:
                 heapq.heappop(self._scheduled)[2]()
-            self._carry_out(self.client.tick(self.now))
+            self._execute(self.client.tick(self.now))
 
     def feed(self, event: LogClientEvent) -> None:
-        self._carry_out(self.client.handle(event, self.now))
+        self._execute(self.client.handle(event, self.now))
 
     def _after(self, seconds: float, action: Callable[[], None]) -> None:
         self._sequence += 1
@@ -85,7 +85,7 @@
     def _delay(self) -> float:
         return self.random.uniform(0.0, self.faults.longest_delay)
 
-    def _carry_out(self, output: list[LogClientOutput]) -> None:
+    def _execute(self, output: list[LogClientOutput]) -> None:
         for item in output:
             match item:
                 case ReadLog():
@@ -111,7 +111,7 @@
 
     def _poll(self, item: ReadLog, until: float) -> None:
         records = self.streams.setdefault(item.stream, [])
-        found = tuple(records[item.offset : item.offset + READ_LIMIT])
+        found = tuple(records[item.offset : item.offset + MAXIMUM_RECORDS_PER_READ])
         if item.stream in self.down:
             self._answer_read(LogReadFailed(item.stream, "503"))
         elif found or self.now >= until:
--- a/tests/node/log_client/test_core.py
+++ b/tests/node/log_client/test_core.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stagewalk.common.errors import ErrorKind, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep
 from stagewalk.common.identities import RecordId
 from stagewalk.node.core.events import AppendConfirmed, LogRead
 from stagewalk.node.core.instructions import ReadLog
@@ -182,7 +182,7 @@
         log.append("s")
         log.append("s")
         error = log.client.append("s", b"", 0.0).error
-        self.assertEqual((ErrorKind.OVERLOADED, Step.LOG_APPEND), (error.kind, error.step))
+        self.assertEqual((ErrorKind.OVERLOADED, ErrorStep.LOG_APPEND), (error.kind, error.step))
         self.assertTrue(log.client.append("other", b"", 0.0).is_ok())
 
     def test_answers_that_never_come_count_as_lost(self) -> None:
--- a/tests/node/requests/test_request_core.py
+++ b/tests/node/requests/test_request_core.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import RequestId, RequestKey
 from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.events import AttemptFailed, AttemptRefused
@@ -14,7 +14,7 @@
 from tests.node.requests.support import TENANT, Driver, chunk, finished
 
 
-def outcomes(driver: Driver) -> list[tuple[ErrorKind, Ran]]:
+def outcomes(driver: Driver) -> list[tuple[ErrorKind, ExecutionStatus]]:
     return [(error.kind, error.ran) for error in driver.errors()]
 
 
@@ -52,7 +52,7 @@
                 break
             driver.handle(AttemptRefused(driver.last_start().attempt, "full", 0.1))
             driver.advance(0.5)
-        self.assertEqual([Ran.NO], [error.ran for error in driver.errors()])
+        self.assertEqual([ExecutionStatus.NO], [error.ran for error in driver.errors()])
 
 
 class NotRepeatableRequestTest(testtools.TestCase):
@@ -66,15 +66,17 @@
         driver.submit(repeatable=False)
         driver.advance(5.0)
         self.assertEqual(start, driver.last_start())
-        self.assertEqual([(ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)] * 2, outcomes(driver))
+        self.assertEqual(
+            [(ErrorKind.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)] * 2, outcomes(driver)
+        )
 
     def test_undecided_claim_fails_at_once_and_is_never_sent_when_it_wins_late(self) -> None:
         driver = Driver()
         driver.submit(repeatable=False)
-        error = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "n2,n3", "no majority")
+        error = StagewalkError(ErrorKind.TIMEOUT, ErrorStep.CLAIM, "n2,n3", "no majority")
         wanted = driver.of(ProposeClaim)[0]
         driver.take(driver.core.claim_undecided(wanted.key, error, driver.now))
-        self.assertEqual([(ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)], outcomes(driver))
+        self.assertEqual([(ErrorKind.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)], outcomes(driver))
         driver.decide(won=True)
         driver.advance(5.0)
         self.assertEqual([], driver.of(StartAttempt))
@@ -83,7 +85,7 @@
         """Its value may have been chosen: another one would lose to it, and never run."""
         driver = Driver()
         driver.submit(repeatable=False)
-        error = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "n2,n3", "no majority")
+        error = StagewalkError(ErrorKind.TIMEOUT, ErrorStep.CLAIM, "n2,n3", "no majority")
         first = driver.of(ProposeClaim)[0]
         driver.take(driver.core.claim_undecided(first.key, error, driver.now))
         driver.submit(repeatable=False)
@@ -214,7 +216,9 @@
         driver.submit()
         said = driver.handle(AttemptRefused(driver.last_start().attempt, "full", 2.0))
         self.assertEqual([RequestFailed], [type(output) for output in said])
-        self.assertEqual((Ran.NO, 2.0), (said[0].error.ran, said[0].error.retry_after_seconds))
+        self.assertEqual(
+            (ExecutionStatus.NO, 2.0), (said[0].error.ran, said[0].error.retry_after_seconds)
+        )
 
     def test_lost_final_frame_of_an_answer_at_full_length(self) -> None:
         driver = Driver()
@@ -261,11 +265,11 @@
         driver.submit(resent=True)
         driver.submit(tenant="nobody", resent=True)
         ran = [output.error.ran for output in driver.outputs]
-        self.assertEqual([Ran.UNKNOWN] * 2, ran)
+        self.assertEqual([ExecutionStatus.UNKNOWN] * 2, ran)
 
     def test_claim_proves_that_a_resent_request_did_not_run(self) -> None:
         driver = Driver(RequestConfig(retry=RetryConfig(maximum_attempts=1)))
         driver.submit(repeatable=False, resent=True)
         driver.decide()
         driver.handle(AttemptRefused(driver.last_start().attempt, "full", 1.0))
-        self.assertEqual([Ran.NO], [error.ran for error in driver.errors()])
+        self.assertEqual([ExecutionStatus.NO], [error.ran for error in driver.errors()])
--- a/tests/node/requests/test_request_machine.py
+++ b/tests/node/requests/test_request_machine.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import (
     AttemptId,
     Incarnation,
@@ -23,7 +23,12 @@
     RequestKey,
     WeightVersion,
 )
-from stagewalk.history.answer_text import content_key, render_chunk, true_spans, wholeness_fault
+from stagewalk.history.answer_text import (
+    content_key,
+    render_chunk,
+    spans_from_text,
+    wholeness_fault,
+)
 from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import TokenChunk
 from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
@@ -156,7 +161,7 @@
         fault = wholeness_fault(result.text, self.prompt(output.key.request_id), 5, ANSWER_TOKENS)
         assert fault is None, fault
         assert result.token_count == ANSWER_TOKENS
-        assert result.spans == true_spans(result.text), "versions are not the true ones"
+        assert result.spans == spans_from_text(result.text), "versions are not the true ones"
         for call in self.open_calls(node, output.key.request_id):
             assert not call.stream or call.text == result.text, "a stream lacks a part"
         self.end_calls(node, output.key.request_id)
@@ -167,7 +172,7 @@
             for attempt in self.attempts.values()
             if attempt.start.request.request_id == request_id
         )
-        if error.ran is Ran.NO and request_id.startswith("once"):
+        if error.ran is ExecutionStatus.NO and request_id.startswith("once"):
             assert not ran, f"{request_id} ran, but the caller was told that it did not"
 
     def judge_executions(self) -> None:
@@ -219,7 +224,7 @@
             self.decide(node, wanted)
             return
         self.answered.append((node, wanted))
-        error = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "n9", "no majority")
+        error = StagewalkError(ErrorKind.TIMEOUT, ErrorStep.CLAIM, "n9", "no majority")
         core = self.nodes[node].core
         self.take(node, core.claim_undecided(wanted.key, error, self.now))
 
--- a/tests/node/requests/test_request_states.py
+++ b/tests/node/requests/test_request_states.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from stagewalk.common.errors import ErrorKind, Ran, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.node.admission.config import AdmissionConfig, LimiterConfig
 from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import CompletionResult
@@ -79,7 +79,7 @@
 
 
 def undecided(driver: Driver) -> None:
-    error = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "n2,n3", "no majority")
+    error = StagewalkError(ErrorKind.TIMEOUT, ErrorStep.CLAIM, "n2,n3", "no majority")
     for wanted in driver.of(ProposeClaim):
         driver.take(driver.core.claim_undecided(wanted.key, error, driver.now))
 
@@ -124,7 +124,7 @@
 }
 
 
-def judged(driver: Driver) -> tuple[ErrorKind, Ran]:
+def judged(driver: Driver) -> tuple[ErrorKind, ExecutionStatus]:
     error = driver.errors()[0]
     return error.kind, error.ran
 
@@ -155,7 +155,7 @@
         self.assertTrue(least <= finals <= 1, f"{name}: {finals} answers")
         self.assertNotIn(KEY, driver.core._store.records, name)
         for error in driver.errors():
-            if error.ran is Ran.NO:
+            if error.ran is ExecutionStatus.NO:
                 self.assertEqual(set(), may_have_run, name)
 
     def walk(self, state: str, repeatable: bool, event: str, twice: str) -> None:
@@ -206,17 +206,17 @@
         slow_owner.submit(repeatable=False, deadline=3.0)
         slow_owner.decide(False, OTHERS_CLAIM)
         slow_owner.advance(4.0)
-        self.assertEqual(Ran.UNKNOWN, slow_owner.errors()[0].ran)
+        self.assertEqual(ExecutionStatus.UNKNOWN, slow_owner.errors()[0].ran)
 
         paused = reach("routing", repeatable=True)
         paused.now += 60.0
         paused.take(paused.core.tick(paused.now))
-        self.assertEqual((ErrorKind.DEADLINE, Ran.NO), judged(paused))
+        self.assertEqual((ErrorKind.DEADLINE, ExecutionStatus.NO), judged(paused))
 
         once = Driver(RequestConfig(retry=RetryConfig(maximum_attempts=1)))
         once.submit()
         fail(sent=True)(once)
-        self.assertEqual((ErrorKind.ENGINE_FAILED, Ran.UNKNOWN), judged(once))
+        self.assertEqual((ErrorKind.ENGINE_FAILED, ExecutionStatus.UNKNOWN), judged(once))
 
         waiting = reach("waiting", repeatable=True)
         for attempt in list(waiting.core._store.by_attempt):
@@ -230,7 +230,7 @@
         if not repeatable:
             driver.decide()
         error = driver.errors()[0]
-        self.assertEqual((Step.ADMISSION, Ran.NO), (error.step, error.ran))
+        self.assertEqual((ErrorStep.ADMISSION, ExecutionStatus.NO), (error.step, error.ran))
         self.assertIsNotNone(error.retry_after_seconds)
 
     def test_document_shows_the_table(self) -> None:
--- a/tests/node/routing/test_engine_table.py
+++ b/tests/node/routing/test_engine_table.py
@@ -69,7 +69,7 @@
         """A report lags by up to a second: an older one still says that the engine serves."""
         table = table_of("e1")
         table.handle_report(E1, report("e1", 0.0), 0.0)
-        table.note_refused(E1, 0.1, 1.0)
+        table.record_refused(E1, 0.1, 1.0)
         table.handle_report(E1, report("e1", 0.9), 1.5)
         self.assertEqual([], eligible(table, 1.9))
         table.handle_report(E1, report("e1", 1.8), 1.9)
@@ -91,14 +91,14 @@
     def test_new_incarnation_resets_and_the_old_one_is_dropped(self) -> None:
         table = table_of("e1")
         table.handle_report(E1, report("e1", 0.0), 0.0)
-        table.note_started(E1, AttemptId("a1"), 100.0, 0.1)
-        table.note_refused(E1, None, 0.2)
+        table.record_started(E1, AttemptId("a1"), 100.0, 0.1)
+        table.record_refused(E1, None, 0.2)
         restarted = report("e1", 0.3, incarnation=Incarnation(2))
         table.handle_report(E1, restarted, 0.3)
         self.assertEqual(["e1"], eligible(table, 0.3))
         record = table.record(E1)
         self.assertEqual(0, record.added_sequences)
-        table.note_ended(AttemptId("a1"), 0.4)
+        table.record_ended(AttemptId("a1"), 0.4)
         self.assertEqual(0, record.added_sequences)
         table.handle_report(E1, report("e1", 0.5, state=EngineState.LEAVING), 0.5)
         self.assertEqual(restarted, record.report)
@@ -121,12 +121,12 @@
     def test_report_is_corrected_for_what_it_can_not_know(self) -> None:
         table = table_of("e1")
         for attempt, at in (("a1", 0.2), ("a2", 0.8)):
-            table.note_started(E1, AttemptId(attempt), 50.0, at)
+            table.record_started(E1, AttemptId(attempt), 50.0, at)
         table.handle_report(E1, report("e1", 0.5, running=1), 0.5)
         table.handle_report(E1, report("e1", 0.5, running=1), 1.0)
         record = table.record(E1)
         self.assertEqual(1, record.added_sequences, "a2 began after the report was made")
-        table.note_ended(AttemptId("a1"), 1.1)
+        table.record_ended(AttemptId("a1"), 1.1)
         self.assertEqual(0, record.added_sequences, "the report still counts a1")
         table.handle_report(E1, report("e1", 1.2, running=1), 1.2)
         self.assertEqual(0, record.added_sequences)
@@ -134,7 +134,7 @@
     def test_pool_view_counts_them(self) -> None:
         table = table_of("e1")
         table.handle_report(E1, report("e1", 0.0, running=3, waiting=2), 0.0)
-        table.note_started(E1, AttemptId("a1"), 50.0, 0.1)
+        table.record_started(E1, AttemptId("a1"), 50.0, 0.1)
         view = table.pool_view(MODEL, 0.1)
         self.assertEqual((1, 8, 6), (view.engines, view.slots, view.load))
 
@@ -142,7 +142,7 @@
 class PollTest(testtools.TestCase):
     def test_a_poll_in_flight_is_not_doubled(self) -> None:
         table = table_of("e1")
-        table.note_demand(0.0)
+        table.record_demand(0.0)
         sent = [len(table.tick(tenth / 10)) for tenth in range(14)]
         self.assertEqual(1, sum(sent))
         self.assertEqual(1, sum(len(table.tick(1.4 + tenth / 10)) for tenth in range(6)))
@@ -158,7 +158,7 @@
         table = table_of(*(f"e{number}" for number in range(600)), config=config)
         polled = []
         for tenth in range(100):
-            table.note_demand(tenth / 10)
+            table.record_demand(tenth / 10)
             for poll in table.tick(tenth / 10):
                 polled.append(poll.engine)
                 table.handle_report(poll.engine, report(poll.engine, tenth / 10), tenth / 10)
--- a/tests/node/routing/test_router.py
+++ b/tests/node/routing/test_router.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from stagewalk.common.errors import ErrorKind, Ran
+from stagewalk.common.errors import ErrorKind, ExecutionStatus
 from stagewalk.common.identities import AttemptId, EngineName, Incarnation, Placement
 from stagewalk.node.routing.config import (
     EngineTableConfig,
@@ -50,7 +50,7 @@
 
     def start(self, engine: str, attempt: str, **changes: object) -> None:
         started = request(**changes)  # type: ignore[arg-type]
-        self.router.note_started(EngineName(engine), AttemptId(attempt), started, self.now)
+        self.router.record_started(EngineName(engine), AttemptId(attempt), started, self.now)
 
 
 class RouterTest(testtools.TestCase):
@@ -72,7 +72,7 @@
         site.report("e2", active_version=3)
         self.assertEqual("e2", site.choose(minimum_version=2, maximum_version=3))
         refused = site.router.choose(request(minimum_version=4), frozenset(), 0.0).error
-        self.assertEqual((ErrorKind.NO_ENGINE, Ran.NO), (refused.kind, refused.ran))
+        self.assertEqual((ErrorKind.NO_ENGINE, ExecutionStatus.NO), (refused.kind, refused.ran))
 
     def test_excluded_engines_are_not_chosen(self) -> None:
         self.assertEqual("e3", Site().choose(excluded=("e1", "e2")))
@@ -80,7 +80,7 @@
     def test_cached_prefix_attracts_until_the_engine_restarts(self) -> None:
         site = Site()
         site.start("e2", "a1", prompt=LONG_PROMPT)
-        site.router.note_finished(EngineName("e2"), AttemptId("a1"), 0.0)
+        site.router.record_finished(EngineName("e2"), AttemptId("a1"), 0.0)
         self.assertEqual("e2", site.choose(prompt=LONG_PROMPT + "and what follows"))
         site.report("e2", incarnation=Incarnation(2))
         self.assertNotEqual("e2", site.choose(prompt=LONG_PROMPT))
@@ -101,7 +101,7 @@
         for name in ("e1", "e2", "e3"):
             for number in range(2):
                 site.start(name, f"{name}{number}")
-                site.router.note_failed(EngineName(name), AttemptId(f"{name}{number}"), 0.0)
+                site.router.record_failed(EngineName(name), AttemptId(f"{name}{number}"), 0.0)
             if name == "e1":
                 chosen = {site.choose() for _ in range(10)}
                 self.assertNotIn("e1", chosen)
@@ -141,7 +141,7 @@
         index = PrefixIndex(config)
         engine = EngineRecord(machine("e1"))
         for start in ("old ", "new "):
-            index.note_sent(engine, hash_blocks(start + "abcdefgh", config))
+            index.record_sent(engine, hash_blocks(start + "abcdefgh", config))
         self.assertEqual(3.0, index.matched_tokens(engine, hash_blocks("new abcdefgh", config)))
         self.assertEqual(1.0, index.matched_tokens(engine, hash_blocks("old abcdefgh", config)))
 
@@ -149,6 +149,6 @@
         config = PrefixIndexConfig(block_characters=4)
         index = PrefixIndex(config)
         engine = EngineRecord(machine("e1"))
-        index.note_sent(engine, hash_blocks("one same", config))
+        index.record_sent(engine, hash_blocks("one same", config))
         other = hash_blocks("two same", config)
         self.assertEqual(0.0, index.matched_tokens(engine, other))
--- a/tests/node/samples/test_exactly_once.py
+++ b/tests/node/samples/test_exactly_once.py
@@ -20,8 +20,8 @@
     rule,
 )
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
-from stagewalk.common.identities import CallId, RequestId, SlotKey, WeightVersion
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
+from stagewalk.common.identities import CallId, RequestId, SampleSlotKey, WeightVersion
 from stagewalk.node.claims.notifications import ProposeClaim, ReadClaim
 from stagewalk.node.core.completions import CompletionResult, VersionSpan
 from stagewalk.node.core.events import SampleScored, SampleScoringFailed
@@ -31,7 +31,7 @@
     ReadVersions,
     ScoreSample,
 )
-from stagewalk.node.core.rollouts import SampleBatch
+from stagewalk.node.core.rollouts import SamplePage
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.core import LotCore
 from stagewalk.node.samples.notifications import CancelRollout, StartRollout
@@ -50,8 +50,8 @@
 SLOTS = 6
 NODES = ("a", "b")
 MOST_WORK_AT_ONCE = 60
-FAILURE = StagewalkError(ErrorKind.ENGINE_FAILED, Step.EXECUTION, "engine", "failed")
-NO_MAJORITY = StagewalkError(ErrorKind.TIMEOUT, Step.CLAIM, "replicas", "no majority")
+FAILURE = StagewalkError(ErrorKind.ENGINE_FAILED, ErrorStep.EXECUTION, "engine", "failed")
+NO_MAJORITY = StagewalkError(ErrorKind.TIMEOUT, ErrorStep.CLAIM, "replicas", "no majority")
 
 
 @dataclass
@@ -65,7 +65,7 @@
 @dataclass
 class Answer:
     call: CallId
-    batch: SampleBatch | None
+    batch: SamplePage | None
     sent_at: float
     version: int
 
@@ -89,7 +89,7 @@
         self.step = 1
         self.cursor = ""
         self.version = 3
-        self.accepted: dict[SlotKey, int] = {}
+        self.accepted: dict[SampleSlotKey, int] = {}
         self.steps_done = 0
 
     def _start(self, name: str) -> LotCore:
@@ -281,7 +281,7 @@
                 version = max(1, self.engine_version - behind)
                 minimum = request.minimum_version or 1
                 if version < minimum and behind == 0:
-                    error = StagewalkError(ErrorKind.NO_ENGINE, Step.ROUTING, "n", "none")
+                    error = StagewalkError(ErrorKind.NO_ENGINE, ErrorStep.ROUTING, "n", "none")
                     output = core.request_failed(request.request_id, error, self.now)
                     self._take(name, output)
                     return
@@ -314,7 +314,7 @@
                     if self.store_up:
                         newest = WeightVersion(max(self.published))
                         core = self.nodes[name].core
-                        self._take(name, core.versions_known(MODEL, newest, self.now))
+                        self._take(name, core.record_published_version(MODEL, newest, self.now))
                 case CancelRollout(request_id=request_id):
                     self.work = [item for item in self.work if _request_id(item[1]) != request_id]
                 case StartRollout() | ScoreSample() | ProposeClaim() | ReadClaim():
--- a/tests/node/samples/test_ledger.py
+++ b/tests/node/samples/test_ledger.py
@@ -4,18 +4,18 @@
 
 import testtools
 
-from stagewalk.common.errors import ErrorKind, StagewalkError, Step
+from stagewalk.common.errors import ErrorKind, ErrorStep, StagewalkError
 from stagewalk.common.identities import CallId, RequestId, WeightVersion
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult
 from stagewalk.node.core.instructions import AcceptLot, ReadVersions
-from stagewalk.node.core.rollouts import slot_seed
+from stagewalk.node.core.rollouts import sample_seed
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.lengths import prompt_family
 from tests.node.samples.world import MODEL, World, answer, make_core, make_lot, make_pull
 
-NO_ROOM = StagewalkError(ErrorKind.OVERLOADED, Step.ADMISSION, "node", "the queue is full")
-NO_ENGINE = StagewalkError(ErrorKind.NO_ENGINE, Step.ROUTING, "node", "none is eligible")
-FAILED = StagewalkError(ErrorKind.ENGINE_FAILED, Step.EXECUTION, "engine", "crashed")
+NO_ROOM = StagewalkError(ErrorKind.OVERLOADED, ErrorStep.ADMISSION, "node", "the queue is full")
+NO_ENGINE = StagewalkError(ErrorKind.NO_ENGINE, ErrorStep.ROUTING, "node", "none is eligible")
+FAILED = StagewalkError(ErrorKind.ENGINE_FAILED, ErrorStep.EXECUTION, "engine", "crashed")
 
 
 def never(_: CompletionRequest) -> CompletionResult | None:
@@ -67,16 +67,16 @@
         world.started.clear()
         world.submit(make_lot(step=2, version=3))
         self.assertEqual([], world.started)
-        world.take(world.core.version_seen(MODEL, WeightVersion(4), 5.0), 5.0)
+        world.take(world.core.record_served_version(MODEL, WeightVersion(4), 5.0), 5.0)
         self.assertEqual(6, len(world.started))
 
     def test_pull_is_no_evidence_of_a_sample_s_age(self) -> None:
         world = World(make_core(staleness_bound_versions=9, staleness_bound_seconds=60.0))
-        world.take(world.core.versions_known(MODEL, WeightVersion(3), 0.0), 0.0)
+        world.take(world.core.record_published_version(MODEL, WeightVersion(3), 0.0), 0.0)
         world.submit(make_lot(version=3))
         call = world.pull(make_pull(version=3, wait_until=101.0), 100.0)
         self.assertNotIn(call, world.batches)
-        world.take(world.core.versions_known(MODEL, WeightVersion(3), 100.5), 100.5)
+        world.take(world.core.record_published_version(MODEL, WeightVersion(3), 100.5), 100.5)
         world.tick(100.6)
         self.assertEqual(6, len(world.batches[call].batch.samples))
 
@@ -190,7 +190,7 @@
         world = World(make_core())
         world.submit(make_lot())
         batch = world.batches[world.pull(make_pull())].batch
-        seeds = {slot_seed(sample.slot) for sample in batch.samples}
+        seeds = {sample_seed(sample.slot) for sample in batch.samples}
         self.assertEqual(seeds, {request.seed for request in world.started})
         self.assertEqual(6, len({request.request_id for request in world.started}))
 
@@ -253,11 +253,11 @@
         world = World(make_core(staleness_bound_versions=1, idle_weight=0.8))
         world.engine = never
         for version in (3, 3, 3, 4):
-            world.take(world.core.version_seen(MODEL, WeightVersion(version), 0.0), 0.0)
+            world.take(world.core.record_served_version(MODEL, WeightVersion(version), 0.0), 0.0)
         world.submit(make_lot(version=5, prompts=128, samples=2))
         self.assertEqual(64, len(world.running))
         for _ in range(4):
-            world.take(world.core.version_seen(MODEL, WeightVersion(4), 2.0), 2.0)
+            world.take(world.core.record_served_version(MODEL, WeightVersion(4), 2.0), 2.0)
         self.assertEqual(256, len(world.running))
 
     def test_lot_of_a_silent_trainer_is_paused_then_forgotten(self) -> None:
--- a/tests/node/samples/world.py
+++ b/tests/node/samples/world.py
@@ -19,7 +19,7 @@
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, VersionSpan
 from stagewalk.node.core.events import SampleScored
-from stagewalk.node.core.instructions import DeliverSamples, FailCall, LogEvent, ScoreSample
+from stagewalk.node.core.instructions import DeliverSamples, FailCall, ScoreSample, WriteLogLine
 from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, SamplePull
 from stagewalk.node.node_core import NodeIdentity
 from stagewalk.node.samples.config import LotConfig
@@ -82,7 +82,7 @@
         self.undecided: list[ProposeClaim] = []
         self.batches: dict[CallId, DeliverSamples] = {}
         self.failures: dict[CallId, FailCall] = {}
-        self.events: list[LogEvent] = []
+        self.events: list[WriteLogLine] = []
         self.calls = 0
 
     def submit(self, lot: RolloutLot, now: float = 0.0) -> CallId:
@@ -123,7 +123,7 @@
                     self.batches[call] = item
                 case FailCall(call=call):
                     self.failures[call] = item
-                case LogEvent():
+                case WriteLogLine():
                     self.events.append(item)
 
     def _run(self, request: CompletionRequest, now: float) -> None:
--- a/tests/node/settings/test_node_settings.py
+++ b/tests/node/settings/test_node_settings.py
@@ -10,7 +10,7 @@
 import testtools
 
 from stagewalk.cli.main import run
-from stagewalk.common.errors import StagewalkError, Step
+from stagewalk.common.errors import ErrorStep, StagewalkError
 from stagewalk.common.identities import Address
 from stagewalk.node.settings import load_node_settings
 
@@ -79,7 +79,7 @@
         ]
         for old, new, field in cases:
             error = self.error_of(old, new)
-            self.assertEqual((field, Step.SETTINGS), (error.field, error.step), new)
+            self.assertEqual((field, ErrorStep.SETTINGS), (error.field, error.step), new)
 
     def test_command_prints_one_line_and_exits_with_2(self) -> None:
         for arguments in (["--listen=somewhere:80", f"--settings={EXAMPLE}"],
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -10,7 +10,7 @@
     CallAbandoned,
     CompletionRequested,
     LotSubmitted,
-    SamplesPulled,
+    SamplesRequested,
 )
 from tests.node.running_node import RunningNode, eventually, on_node
 
@@ -220,7 +220,7 @@
         self.assertEqual(("abc1", True), (answer["cursor"], answer["complete"]))
         self.assertEqual([{"version": 3, "token_count": 2}], answer["samples"][0]["versions"])
         (event,) = node.core.seen
-        assert isinstance(event, SamplesPulled)
+        assert isinstance(event, SamplesRequested)
         self.assertEqual(2, event.pull.trainer_version)
 
     @on_node()
--- a/tests/node/test_engine_stream.py
+++ b/tests/node/test_engine_stream.py
@@ -26,12 +26,12 @@
 )
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.node.adapters import engine_stream
-from stagewalk.node.adapters.engine_stream import RECONNECTIONS
+from stagewalk.node.adapters.engine_stream import MAXIMUM_RECONNECTIONS
 from stagewalk.node.adapters.http_engines import HttpEngineClient
 from stagewalk.node.core.completions import CompletionRequest, Priority
 from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
-from stagewalk.node.core.instructions import CancelAttempt, OrderEngine, StartAttempt
-from stagewalk.node.core.platform import EngineOrder, OrderKind, OrderOutcome
+from stagewalk.node.core.instructions import CancelAttempt, SendEngineOrder, StartAttempt
+from stagewalk.node.core.platform import EngineOrder, EngineOrderOutcome, OrderKind
 from stagewalk.node.ports.engines import AttemptEvent
 from tests.node.running_node import free_address, serving
 
@@ -169,7 +169,7 @@
         engine = ScriptedEngine(200, [sse(FRAMES[0])], lost=lambda offset: [])
         final = attempt_at(engine)[-1]
         self.assertIsInstance(final, AttemptFailed)
-        self.assertEqual(1 + RECONNECTIONS, len(engine.paths))
+        self.assertEqual(1 + MAXIMUM_RECONNECTIONS, len(engine.paths))
 
     def test_done_without_final_frame_is_a_failed_attempt(self) -> None:
         final = attempt_at(ScriptedEngine(200, [sse(*FRAMES), b"data: [DONE]\n\n"]))[-1]
@@ -199,16 +199,16 @@
 class ControlTest(testtools.TestCase):
     def test_orders(self) -> None:
         cases = [
-            (200, b'{"outcome": "accepted"}', OrderOutcome.ACCEPTED),
-            (409, b'{"outcome": "stale_epoch", "epoch": 9}', OrderOutcome.STALE_EPOCH),
-            (422, b'{"outcome": "refused", "detail": "no"}', OrderOutcome.REFUSED),
-            (500, b"oops", OrderOutcome.UNKNOWN),
+            (200, b'{"outcome": "accepted"}', EngineOrderOutcome.ACCEPTED),
+            (409, b'{"outcome": "stale_epoch", "epoch": 9}', EngineOrderOutcome.STALE_EPOCH),
+            (422, b'{"outcome": "refused", "detail": "no"}', EngineOrderOutcome.REFUSED),
+            (500, b"oops", EngineOrderOutcome.UNKNOWN),
         ]
         order = EngineOrder("o1", Epoch(4), OrderKind.STAGE, ModelName("qari"), WeightVersion(7))
 
-        async def run(engine: ScriptedEngine) -> OrderOutcome:
+        async def run(engine: ScriptedEngine) -> EngineOrderOutcome:
             async with serving(engine) as address, engine_client() as engines:
-                return (await engines.order(OrderEngine(ENGINE, address, order))).outcome
+                return (await engines.order(SendEngineOrder(ENGINE, address, order))).outcome
 
         for status, body, outcome in cases:
             engine = ScriptedEngine(status, [body])
--- a/tests/node/test_kept_records.py
+++ b/tests/node/test_kept_records.py
@@ -12,7 +12,7 @@
 import msgspec
 import testtools
 
-from stagewalk.common.identities import SlotKey, TenantName
+from stagewalk.common.identities import SampleSlotKey, TenantName
 from stagewalk.node.claims import placement
 from stagewalk.node.configuration.records import decode_change, encode_change
 from stagewalk.node.configuration.state import decode_snapshot, encode_snapshot
@@ -22,7 +22,7 @@
 
 KEPT = json.loads(Path(__file__).with_name("kept_records.json").read_text())
 
-SLOT = SlotKey(TenantName("thornfield"), "trainer", 1, "p-0", 0)
+SLOT = SampleSlotKey(TenantName("thornfield"), "trainer", 1, "p-0", 0)
 
 CODECS = {
     "change": (lambda payload: decode_change(payload).ok, encode_change),
--- a/tests/node/test_open_calls.py
+++ b/tests/node/test_open_calls.py
@@ -9,7 +9,7 @@
 from stagewalk.common.identities import CallId, WeightVersion
 from stagewalk.node.core.completions import TokenChunk
 from stagewalk.node.core.instructions import FinishCall, SendChunk
-from stagewalk.node.open_calls import AnswerPiece, OpenCall, OpenCalls
+from stagewalk.node.open_calls import OpenCall, OpenCalls, TextDelta
 from tests.node.echo_core import whole
 
 
@@ -31,7 +31,7 @@
             self.calls.send_chunk(chunk(call.id, text))
         last = FinishCall(call.id, whole("abc"))
         self.calls.end(last)
-        self.assertEqual(AnswerPiece("abc"), anyio.run(call.next_answer))
+        self.assertEqual(TextDelta("abc"), anyio.run(call.next_answer))
         self.assertEqual(last, anyio.run(call.next_answer))
 
     def test_overflow_cuts_the_call_once_and_drops_the_rest(self) -> None:
--- a/tests/node/test_platform_clients.py
+++ b/tests/node/test_platform_clients.py
@@ -10,7 +10,7 @@
 import msgspec
 import testtools
 
-from stagewalk.common.errors import Ran, Step
+from stagewalk.common.errors import ErrorStep, ExecutionStatus
 from stagewalk.common.identities import Address, ModelName, RecordId
 from stagewalk.node.adapters.http_platform import (
     HttpLogService,
@@ -61,21 +61,23 @@
 
             return handler
 
-        cases: list[tuple[Handler, Ran]] = [
-            (answering(500, {}), Ran.UNKNOWN),
-            (answering(200, {"offsets": []}), Ran.UNKNOWN),
-            (answering(200, {"nonsense": 1}), Ran.UNKNOWN),
-            (raising(httpx.ReadTimeout), Ran.UNKNOWN),
-            (raising(httpx.RemoteProtocolError), Ran.UNKNOWN),
-            (raising(httpx.ConnectError), Ran.NO),
-            (raising(httpx.ConnectTimeout), Ran.NO),
-            (answering(400, {}), Ran.NO),
-            (answering(408, {}), Ran.UNKNOWN),
+        cases: list[tuple[Handler, ExecutionStatus]] = [
+            (answering(500, {}), ExecutionStatus.UNKNOWN),
+            (answering(200, {"offsets": []}), ExecutionStatus.UNKNOWN),
+            (answering(200, {"nonsense": 1}), ExecutionStatus.UNKNOWN),
+            (raising(httpx.ReadTimeout), ExecutionStatus.UNKNOWN),
+            (raising(httpx.RemoteProtocolError), ExecutionStatus.UNKNOWN),
+            (raising(httpx.ConnectError), ExecutionStatus.NO),
+            (raising(httpx.ConnectTimeout), ExecutionStatus.NO),
+            (answering(400, {}), ExecutionStatus.NO),
+            (answering(408, {}), ExecutionStatus.UNKNOWN),
         ]
         for handler, ran in cases:
             log = HttpLogService(client(handler), URL)
             error = anyio.run(log.append, "s", RecordId("id"), b"p").error
-            self.assertEqual((ran, Step.LOG_APPEND, "log"), (error.ran, error.step, error.peer))
+            self.assertEqual(
+                (ran, ErrorStep.LOG_APPEND, "log"), (error.ran, error.step, error.peer)
+            )
 
 
 class OtherServicesTest(testtools.TestCase):
--- a/tests/node/weights/test_faults.py
+++ b/tests/node/weights/test_faults.py
@@ -8,7 +8,7 @@
 
 from stagewalk.common.identities import EngineName, Epoch, WeightVersion
 from stagewalk.node.core.platform import OrderKind
-from stagewalk.node.weights.config import RolloutConfig
+from stagewalk.node.weights.config import WeightRolloutConfig
 from stagewalk.node.weights.targets import assign_targets, pool_targets
 from tests.node.weights.world import POOL, Pool, by_name, make_core, tenant
 
@@ -182,4 +182,4 @@
 
     def test_settings_are_checked(self) -> None:
         for wrong in ({"base_loading_fraction": 0.0}, {"staged_quorum": 1.5}):
-            self.assertRaises(ValueError, RolloutConfig, **wrong)
+            self.assertRaises(ValueError, WeightRolloutConfig, **wrong)
--- a/tests/node/weights/world.py
+++ b/tests/node/weights/world.py
@@ -19,25 +19,25 @@
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.instructions import (
     Instruction,
-    LogEvent,
-    OrderEngine,
     PollEngine,
     ReadVersions,
+    SendEngineOrder,
+    WriteLogLine,
 )
 from stagewalk.node.core.platform import (
     EngineOrder,
+    EngineOrderOutcome,
     EngineReport,
     EngineState,
     Machine,
     MachineKind,
     MachineState,
     OrderKind,
-    OrderOutcome,
     PublishedVersion,
 )
 from stagewalk.node.node_core import NodeIdentity
-from stagewalk.node.weights.config import RolloutConfig
-from stagewalk.node.weights.core import RolloutCore
+from stagewalk.node.weights.config import WeightRolloutConfig
+from stagewalk.node.weights.core import WeightRolloutCore
 
 POOL = ModelName("rollout-lm")
 PLACEMENT = Placement("r", "z")
@@ -54,9 +54,9 @@
     return {item.name: item for item in tenants}
 
 
-def make_core(name: str = "holder", config: RolloutConfig | None = None) -> RolloutCore:
+def make_core(name: str = "holder", config: WeightRolloutConfig | None = None) -> WeightRolloutCore:
     identity = NodeIdentity(NodeName(name), Incarnation(1), Address("127.0.0.1", 1), PLACEMENT)
-    core = RolloutCore(identity, config or RolloutConfig())
+    core = WeightRolloutCore(identity, config or WeightRolloutConfig())
     core.set_tenants(by_name(tenant()))
     return core
 
@@ -107,9 +107,9 @@
         self.fetch_seconds = fetch_seconds
         self.load_seconds = load_seconds
         self.published: list[int] = [1]
-        self.cores: list[RolloutCore] = []
-        self.orders: list[tuple[float, OrderEngine]] = []
-        self.log: list[LogEvent] = []
+        self.cores: list[WeightRolloutCore] = []
+        self.orders: list[tuple[float, SendEngineOrder]] = []
+        self.log: list[WriteLogLine] = []
         self.polls = 0
         self.most_fetching = 0
         self.most_loading = 0
@@ -129,7 +129,7 @@
             for name in self.engines
         )
 
-    def add_holder(self, core: RolloutCore, epoch: int) -> RolloutCore:
+    def add_holder(self, core: WeightRolloutCore, epoch: int) -> WeightRolloutCore:
         core.handle_machines(self.machines(), self.now)
         core.set_lease(POOL, Epoch(epoch))
         self.cores.append(core)
@@ -142,7 +142,7 @@
             self.now = round(self.now + TICK, 6)
             self._step_engines()
             for core in self.cores:
-                self._carry_out(core, core.tick(self.now))
+                self._execute(core, core.tick(self.now))
         return self.now - began
 
     def all_on(self, version: int) -> bool:
@@ -159,18 +159,18 @@
             if engine.activation is not None and engine.activation[0] <= self.now:
                 engine.active = self.misload(engine.name, engine.activation[1])
                 engine.activation = None
-            self._note_report(engine)
+            self._record_report(engine)
         engines = self.engines.values()
         self.most_fetching = max(self.most_fetching, sum(1 for e in engines if e.fetch))
         self.most_loading = max(self.most_loading, sum(1 for e in engines if e.activation))
 
-    def _note_report(self, engine: Engine) -> None:
+    def _record_report(self, engine: Engine) -> None:
         """Have an engine's report change once a lag, as its clients see it."""
         reports = engine.reports
         if not reports or self.now - reports[-1].generated_at >= REPORT_LAG_SECONDS - TICK / 2:
             reports.append(engine.report(self.now))
 
-    def _carry_out(self, core: RolloutCore, instructions: Iterable[Instruction]) -> None:
+    def _execute(self, core: WeightRolloutCore, instructions: Iterable[Instruction]) -> None:
         for item in instructions:
             match item:
                 case PollEngine(engine=name):
@@ -181,37 +181,37 @@
                         for version in self.published
                     )
                     core.handle_versions(model, published)
-                case OrderEngine():
+                case SendEngineOrder():
                     self.orders.append((self.now, item))
                     outcome = self._obey(self.engines[item.engine], item.order)
                     answered = core.handle_order_answer(
                         item.engine,
                         item.order.order_id,
-                        OrderOutcome.UNKNOWN if self.lose_answers else outcome,
+                        EngineOrderOutcome.UNKNOWN if self.lose_answers else outcome,
                         self.now,
                     )
-                    self._carry_out(core, answered)
-                case LogEvent():
+                    self._execute(core, answered)
+                case WriteLogLine():
                     self.log.append(item)
 
-    def _poll(self, core: RolloutCore, engine: Engine) -> None:
+    def _poll(self, core: WeightRolloutCore, engine: Engine) -> None:
         self.polls += 1
         if not engine.alive:
             return
-        self._carry_out(core, core.handle_report(engine.reports[-1], self.now))
+        self._execute(core, core.handle_report(engine.reports[-1], self.now))
 
-    def _obey(self, engine: Engine, order: EngineOrder) -> OrderOutcome:
+    def _obey(self, engine: Engine, order: EngineOrder) -> EngineOrderOutcome:
         if not engine.alive:
-            return OrderOutcome.UNKNOWN
+            return EngineOrderOutcome.UNKNOWN
         if order.epoch < engine.epoch:
-            return OrderOutcome.STALE_EPOCH
+            return EngineOrderOutcome.STALE_EPOCH
         engine.epoch = order.epoch
         if order.kind is OrderKind.STAGE:
             if order.version == engine.active or order.version in engine.staged:
-                return OrderOutcome.ACCEPTED
+                return EngineOrderOutcome.ACCEPTED
             engine.fetch = (self.now + self.fetch_seconds, order.version)
-            return OrderOutcome.ACCEPTED
+            return EngineOrderOutcome.ACCEPTED
         if order.version not in engine.staged or engine.activation is not None:
-            return OrderOutcome.REFUSED
+            return EngineOrderOutcome.REFUSED
         engine.activation = (self.now + self.load_seconds, order.version)
-        return OrderOutcome.ACCEPTED
+        return EngineOrderOutcome.ACCEPTED
--- a/tests/platform_adapter/test_connection_counts.py
+++ b/tests/platform_adapter/test_connection_counts.py
@@ -6,8 +6,12 @@
 import testtools
 
 from stagewalk.gateway.ports.workers import ConnectionReason, SendPurpose, StreamPart
-from stagewalk_platform.bodies import MOST_REFUSAL_BYTES
-from stagewalk_platform.connection_counts import MAXIMUM_PEERS, ConnectionCounts, ConnectionEnd
+from stagewalk_platform.bodies import MAXIMUM_REFUSAL_BYTES
+from stagewalk_platform.connection_counts import (
+    MAXIMUM_TRACKED_WORKERS,
+    ConnectionCounts,
+    ConnectionEnd,
+)
 from stagewalk_platform.workers import PlatformWorkers
 from tests.gateway.eligibility.support import granted
 from tests.platform_adapter.scripted_server import Scripted, ScriptedServer, chunked, play, respond
@@ -16,7 +20,7 @@
 GOOD = Scripted(respond("200 OK", b"ok", **SIGNED))
 REFUSED = Scripted(respond("503 Busy", b"busy", **SIGNED, x_not_executed="1"))
 LONG_REFUSAL = Scripted(
-    respond("503 Busy", bytes(MOST_REFUSAL_BYTES + 1), **SIGNED, x_not_executed="1")
+    respond("503 Busy", bytes(MAXIMUM_REFUSAL_BYTES + 1), **SIGNED, x_not_executed="1")
 )
 CLOSING = Scripted(respond("200 OK", b"ok", **SIGNED, connection="close"), close=True)
 CUT_SHORT = Scripted(respond("200 OK", b"whole", **SIGNED)[:-2], close=True)
@@ -74,7 +78,7 @@
         slow = Scripted(GOOD.content, after_seconds=0.2)
         play([slow, slow], scenario)
         self.assertEqual(
-            {ConnectionReason.FIRST: 1, ConnectionReason.SURGE: 1},
+            {ConnectionReason.FIRST: 1, ConnectionReason.ALL_BUSY: 1},
             {reason: n for (_, reason), n in counts.opened().items()},
         )
 
@@ -91,7 +95,7 @@
 
             with anyio.CancelScope() as scope:
                 await client.stream(granted(target(server)), item, leave)
-            await client.order_version(target(server), ORDER)
+            await client.request_version_change(target(server), ORDER)
 
         play([Scripted(chunked(EVENTS, **SIGNED)), Scripted(respond("202 Accepted"))], scenario)
         self.assertEqual(
@@ -106,14 +110,14 @@
 class RememberedTests(testtools.TestCase):
     def test_workers_unused_longest_are_forgotten(self) -> None:
         counts = ConnectionCounts()
-        for number in range(MAXIMUM_PEERS + 1):
+        for number in range(MAXIMUM_TRACKED_WORKERS + 1):
             counts.count_opened(f"i-{number}", SendPurpose.ITEM)
-            counts.note_end(f"i-{number}", ConnectionEnd.LOST)
+            counts.record_end(f"i-{number}", ConnectionEnd.LOST)
         counts.count_opened("i-0", SendPurpose.ITEM)
-        counts.count_opened(f"i-{MAXIMUM_PEERS}", SendPurpose.ITEM)
+        counts.count_opened(f"i-{MAXIMUM_TRACKED_WORKERS}", SendPurpose.ITEM)
         self.assertEqual(
             {
-                (SendPurpose.ITEM, ConnectionReason.FIRST): MAXIMUM_PEERS + 2,
+                (SendPurpose.ITEM, ConnectionReason.FIRST): MAXIMUM_TRACKED_WORKERS + 2,
                 (SendPurpose.ITEM, ConnectionReason.LOST): 1,
             },
             counts.opened(),
--- a/tests/platform_adapter/test_dialect.py
+++ b/tests/platform_adapter/test_dialect.py
@@ -70,14 +70,14 @@
 
         route = {"name": "r", "host": "h", "path_prefix": "/r/", "type": "new", "timeout_ms": 1.0}
         with mock.patch("stagewalk_platform.configuration.log_event", note):
-            decoded = self.dialect.operator_record(
+            decoded = self.dialect.decode_operator_record(
                 record("config", {"version": 8, "routes": [route]})
             )
         self.assertEqual((), decoded.routes)
         self.assertEqual([("route_unusable", {"route": "r", "kind": "new"})], events)
 
     def test_a_configuration_with_split_and_plain_routes(self) -> None:
-        decoded = self.dialect.operator_record(record("config", CONFIGURATION))
+        decoded = self.dialect.decode_operator_record(record("config", CONFIGURATION))
         safe, batch = decoded.routes
         self.assertEqual((BackEnd("s1", 90), BackEnd("s2", 10)), safe.back_ends)
         self.assertEqual(RouteKind.REPEATABLE, safe.kind)
@@ -91,32 +91,32 @@
         unused = {"max_connections": 7, "engine": {"models": ["m"]}}
         times = {"header_timeout_ms": 1.0, "idle_timeout_ms": 2.0}
         service = {"name": "s", **unused}
-        kept = self.dialect.operator_record(
+        kept = self.dialect.decode_operator_record(
             record("config", {**CONFIGURATION, "services": [service], "limits": times})
         )
         self.assertEqual(["s"], [service.name for service in kept.services])
         for limits in ({"header_timeout_ms": "soon"}, {"idle_timeout_ms": None}):
             published = {**CONFIGURATION, "limits": limits}
-            self.assertIsNone(self.dialect.operator_record(record("config", published)))
+            self.assertIsNone(self.dialect.decode_operator_record(record("config", published)))
         for field in ({"max_connections": "many"}, {"max_connections": 1.5}):
             published = {**CONFIGURATION, "services": [{"name": "s", **field}]}
-            self.assertIsNone(self.dialect.operator_record(record("config", published)))
+            self.assertIsNone(self.dialect.decode_operator_record(record("config", published)))
 
     def test_tenants_with_their_keys_and_public_routes(self) -> None:
         tenants = [{"name": "huka270", "api_keys": ["k1", "k2"], "priority": 1}, {"name": "empty"}]
         routes = [{**CONFIGURATION["routes"][0], "public": True}, CONFIGURATION["routes"][1]]
         published = {**CONFIGURATION, "routes": routes, "tenants": tenants}
-        decoded = self.dialect.operator_record(record("config", published))
+        decoded = self.dialect.decode_operator_record(record("config", published))
         self.assertEqual((Tenant("huka270", ("k1", "k2"), 1), Tenant("empty", ())), decoded.tenants)
         self.assertEqual([True, False], [route.public for route in decoded.routes])
-        without = self.dialect.operator_record(record("config", CONFIGURATION))
+        without = self.dialect.decode_operator_record(record("config", CONFIGURATION))
         self.assertIsNone(without.tenants)
 
     def test_an_evacuation_and_its_end(self) -> None:
         key = "evacuate/hall-north"
-        given = self.dialect.operator_record(KeyedRecord(key, b"{}", 3))
+        given = self.dialect.decode_operator_record(KeyedRecord(key, b"{}", 3))
         self.assertEqual(ZoneEvacuation("hall-north", in_force=True), given)
-        taken_back = self.dialect.operator_record(KeyedRecord(key, None, 4))
+        taken_back = self.dialect.decode_operator_record(KeyedRecord(key, None, 4))
         self.assertEqual(ZoneEvacuation("hall-north", in_force=False), taken_back)
 
     def test_homes_and_cold_starts(self) -> None:
@@ -124,24 +124,26 @@
         service = {"name": "s1", "cold_start_s": 3.0, "cold_per_s": 11.0}
         tenants = [{"name": "t", "allowed_regions": ["r1"]}, {"name": "u", "allowed_regions": None}]
         value = {"version": 8, "routes": [route], "services": [service], "tenants": tenants}
-        decoded = self.dialect.operator_record(record("config", value))
+        decoded = self.dialect.decode_operator_record(record("config", value))
         self.assertEqual({"r1", "r2"}, decoded.routes[0].allowed_regions)
         (cold,) = decoded.services
         self.assertEqual((3.0, 11.0), (cold.cold_seconds, cold.cold_rate))
         self.assertEqual([{"r1"}, set()], [tenant.allowed_regions for tenant in decoded.tenants])
-        plain = self.dialect.operator_record(record("config", CONFIGURATION))
+        plain = self.dialect.decode_operator_record(record("config", CONFIGURATION))
         self.assertEqual({0.0}, {service.cold_rate for service in plain.services})
         self.assertEqual({frozenset()}, {route.allowed_regions for route in plain.routes})
 
     def test_a_named_version(self) -> None:
-        decoded = self.dialect.operator_record(record("version/m", {"model": "m", "version": 8}))
+        decoded = self.dialect.decode_operator_record(
+            record("version/m", {"model": "m", "version": 8})
+        )
         self.assertEqual(NamedVersion("m", 8), decoded)
 
     def test_what_cannot_be_read_is_none(self) -> None:
-        self.assertIsNone(self.dialect.operator_record(KeyedRecord("config", b"{", 1)))
-        self.assertIsNone(self.dialect.operator_record(record("other", {})))
-        self.assertIsNone(self.dialect.worker_announcement(record("i-1", {"service": "s"})))
-        self.assertIsNone(self.dialect.worker_announcement(KeyedRecord("i-1", None, 1)))
+        self.assertIsNone(self.dialect.decode_operator_record(KeyedRecord("config", b"{", 1)))
+        self.assertIsNone(self.dialect.decode_operator_record(record("other", {})))
+        self.assertIsNone(self.dialect.decode_worker_announcement(record("i-1", {"service": "s"})))
+        self.assertIsNone(self.dialect.decode_worker_announcement(KeyedRecord("i-1", None, 1)))
 
     def test_a_workers_entry(self) -> None:
         entry = {
@@ -155,7 +157,7 @@
             "models": [{"name": "m", "version": 3, "adapters": []}],
             "cold_remaining_ms": 1500,
         }
-        decoded = self.dialect.worker_announcement(record("i-1", entry))
+        decoded = self.dialect.decode_worker_announcement(record("i-1", entry))
         self.assertEqual(1.5, decoded.cold_seconds)
         self.assertEqual(Address("10.0.0.9", 8080), decoded.address)
         self.assertTrue(decoded.draining)
--- a/tests/platform_adapter/test_foreign_records.py
+++ b/tests/platform_adapter/test_foreign_records.py
@@ -48,7 +48,7 @@
 
 def announced(entry: object, key: str = "i-1"):
     value = entry if isinstance(entry, bytes) else json.dumps(entry).encode()
-    return DIALECT.worker_announcement(KeyedRecord(key, value, 1))
+    return DIALECT.decode_worker_announcement(KeyedRecord(key, value, 1))
 
 
 class WorkerEntryTests(testtools.TestCase):
@@ -115,7 +115,7 @@
     @settings(max_examples=GENERATED)
     @given(st.sampled_from(["config", "version/m", "evacuate/z1", "x", ""]), RECORDS)
     def test_what_operators_publish(self, key: str, value: bytes) -> None:
-        DIALECT.operator_record(KeyedRecord(key, value, 1))
+        DIALECT.decode_operator_record(KeyedRecord(key, value, 1))
 
     @settings(max_examples=GENERATED)
     @given(RECORDS)
--- a/tests/platform_adapter/test_load_header.py
+++ b/tests/platform_adapter/test_load_header.py
@@ -55,16 +55,16 @@
         self.assertIsNone(self.read("w@2", "x" * 500))
         self.assertEqual(2, self.logged.call_count)
         stated = self.logged.call_args.kwargs["stated"]
-        self.assertEqual(load_header.MOST_LOGGED_CHARACTERS, len(stated))
+        self.assertEqual(load_header.MAXIMUM_LOGGED_CHARACTERS, len(stated))
 
     def test_a_sound_one_after_it_counts(self) -> None:
         self.read("w@1", "3,2")
         self.assertEqual(WorkerLoad(3, 2, 6, 1.2), self.read("w@1", "3,2,6,120"))
 
     def test_memory_of_those_told_is_bounded(self) -> None:
-        for n in range(load_header.MOST_MALFORMED_WORKERS + 1):
+        for n in range(load_header.MAXIMUM_MALFORMED_WORKERS + 1):
             self.read(f"w@{n}", "?")
-        self.read(f"w@{load_header.MOST_MALFORMED_WORKERS}", "?")
-        self.assertEqual(load_header.MOST_MALFORMED_WORKERS + 1, self.logged.call_count)
+        self.read(f"w@{load_header.MAXIMUM_MALFORMED_WORKERS}", "?")
+        self.assertEqual(load_header.MAXIMUM_MALFORMED_WORKERS + 1, self.logged.call_count)
         self.read("w@0", "?")
-        self.assertEqual(load_header.MOST_MALFORMED_WORKERS + 2, self.logged.call_count)
+        self.assertEqual(load_header.MAXIMUM_MALFORMED_WORKERS + 2, self.logged.call_count)
--- a/tests/platform_adapter/test_prompts.py
+++ b/tests/platform_adapter/test_prompts.py
@@ -29,7 +29,7 @@
     def test_parts_and_the_most_that_comes_out(self) -> None:
         prompt = prompt_of(x_token_count="540,400", x_prefix_hash="9c2e41:300,5d07b8:240")
         self.assertEqual((PromptPart("9c2e41", 300), PromptPart("5d07b8", 240)), prompt.parts)
-        self.assertEqual((540, 400), (prompt.tokens, prompt.most_made))
+        self.assertEqual((540, 400), (prompt.tokens, prompt.maximum_output_tokens))
 
     def test_names_of_headers_are_compared_without_case(self) -> None:
         prompt = PlatformDialect().prompt(
@@ -44,7 +44,7 @@
         self.assertEqual(Prompt(), prompt_of())
         for value in ("", "many", "-5,3", "5.5,x", ",", "\u0665,\u0667"):
             self.assertEqual((), prompt_of(x_token_count=value).parts, value)
-            self.assertIn(prompt_of(x_token_count=value).most_made, (None, 3))
+            self.assertIn(prompt_of(x_token_count=value).maximum_output_tokens, (None, 3))
         for value in ("9c:", "9c", "9c:30,5d:x", ":", "9c:-1"):
             self.assertEqual((), prompt_of(x_prefix_hash=value).parts, value)
 
@@ -52,7 +52,7 @@
 class EngineLimitsTests(testtools.TestCase):
     def _service(self, service: dict[str, object]) -> Service | None:
         value = json.dumps({"version": 8, "routes": [], "services": [service]}).encode()
-        decoded = PlatformDialect().operator_record(KeyedRecord("config", value, 3))
+        decoded = PlatformDialect().decode_operator_record(KeyedRecord("config", value, 3))
         return decoded.services[0]
 
     def test_memory_and_the_tokens_of_an_event(self) -> None:
--- a/tests/platform_adapter/test_slow_workers.py
+++ b/tests/platform_adapter/test_slow_workers.py
@@ -17,7 +17,12 @@
 from stagewalk.gateway.held_memory.budget import MemoryBudget
 from stagewalk.gateway.ports.send_permits import WorkerTarget
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, StreamPart
-from stagewalk_platform.bodies import PIECE_BYTES, STALL_SECONDS, STALL_SHARE, stall_seconds
+from stagewalk_platform.bodies import (
+    CHUNK_BYTES,
+    WRITE_STALL_FRACTION,
+    WRITE_STALL_TIMEOUT_SECONDS,
+    write_stall_timeout,
+)
 from stagewalk_platform.workers import PlatformWorkers
 from tests.gateway.eligibility.support import granted
 from tests.platform_adapter.scripted_server import Scripted, ScriptedServer, chunked, play, respond
@@ -105,7 +110,7 @@
         answers = []
 
         async def scenario(worker: WorkerTarget) -> None:
-            body = LARGE[: 40 * PIECE_BYTES]
+            body = LARGE[: 40 * CHUNK_BYTES]
             answers.append(
                 await PlatformWorkers().send(
                     granted(worker), request(body=body, deadline_seconds=20.0)
@@ -113,17 +118,17 @@
             )
 
         worker = SlowWorker(0.01, reads_on=True)
-        with mock.patch("stagewalk_platform.bodies.STALL_SECONDS", 0.5):
+        with mock.patch("stagewalk_platform.bodies.WRITE_STALL_TIMEOUT_SECONDS", 0.5):
             began = time.perf_counter()
             with_worker(worker, scenario)
             self.assertGreater(time.perf_counter() - began, 0.5)
         self.assertEqual(b"ok", answers[0].ok.body)
-        self.assertEqual(LARGE[: 40 * PIECE_BYTES], bytes(worker.got))
+        self.assertEqual(LARGE[: 40 * CHUNK_BYTES], bytes(worker.got))
 
     def test_a_short_deadline_leaves_time_for_another_worker(self) -> None:
-        self.assertEqual(STALL_SECONDS, stall_seconds(None))
-        self.assertEqual(STALL_SECONDS, stall_seconds(60.0))
-        self.assertEqual(0.8 * STALL_SHARE, stall_seconds(0.8))
+        self.assertEqual(WRITE_STALL_TIMEOUT_SECONDS, write_stall_timeout(None))
+        self.assertEqual(WRITE_STALL_TIMEOUT_SECONDS, write_stall_timeout(60.0))
+        self.assertEqual(0.8 * WRITE_STALL_FRACTION, write_stall_timeout(0.8))
 
 
 class LargeAnswerTests(testtools.TestCase):
@@ -143,7 +148,7 @@
         head = respond("500 Error", b"x" * 101, **SIGNED)[:-101]
         for result in self.answer(head, budget):
             self.assertIs(AttemptFault.MAY_HAVE_RUN, result.error.fault)
-            self.assertTrue(result.error.own_limit)
+            self.assertTrue(result.error.local_limit)
             self.assertIsNone(result.error.contact_loss)
         self.assertEqual((0, 0), (budget.held_bytes, budget.peak_bytes))
 
@@ -151,7 +156,7 @@
         budget = MemoryBudget(100)
         content = chunked([b"y" * 60, b"y" * 60], **SIGNED)
         result, _ = self.answer(content, budget)
-        self.assertTrue(result.error.own_limit)
+        self.assertTrue(result.error.local_limit)
         self.assertEqual(0, budget.held_bytes)
         self.assertLessEqual(budget.peak_bytes, 100)
 
--- a/tests/platform_adapter/test_workers.py
+++ b/tests/platform_adapter/test_workers.py
@@ -66,7 +66,7 @@
     def test_a_whole_answer_with_what_goes_back(self) -> None:
         result, server = self.send(Scripted(respond("200 OK", b"ok", **SIGNED)))
         answer = result.ok
-        self.assertEqual((200, b"ok", True), (answer.status, answer.body, answer.genuine))
+        self.assertEqual((200, b"ok", True), (answer.status, answer.body, answer.is_signed))
         self.assertEqual(WorkerLoad(3, 1, 8), answer.load)
         sent = server.requests[0].lower()
         self.assertTrue(sent.startswith(b"post /a/b?c=1 http/1.1\r\n"))
@@ -130,7 +130,7 @@
             (Scripted(b"", close=True), ContactLoss.CLOSED),
             (Scripted(b"", reset=True), ContactLoss.CLOSED),
             (Scripted(respond("200 OK", b"whole", **SIGNED)[:-2], close=True), ContactLoss.CLOSED),
-            (Scripted(b"", after_seconds=0.5), ContactLoss.SILENT),
+            (Scripted(b"", after_seconds=0.5), ContactLoss.TIMED_OUT),
             (Scripted(respond("421 Misdirected")), None),
             (Scripted(respond("200 OK", b"ok", **{**SIGNED, "x_request_id": "q0"})), None),
         )
@@ -253,7 +253,7 @@
                 tasks.cancel_scope.cancel()
             outcome.append(len(server.requests))
 
-        with mock.patch("stagewalk_platform.workers.WORKER_CONNECTIONS", 1):
+        with mock.patch("stagewalk_platform.workers.MAXIMUM_CONNECTIONS_PER_WORKER", 1):
             play([Scripted(b"", after_seconds=10.0)], scenario)
         result, requests = outcome
         self.assertIs(AttemptFault.NOT_SENT, result.error.fault)
@@ -312,7 +312,7 @@
         outcome = []
 
         async def scenario(server: ScriptedServer) -> None:
-            outcome.append(await PlatformWorkers().order_version(target(server), ORDER))
+            outcome.append(await PlatformWorkers().request_version_change(target(server), ORDER))
             outcome.append(server.requests[0])
 
         play([Scripted(content, **kinds)], scenario)
