--- a/tests/process/layout.py
+++ b/tests/process/layout.py
@@ -15,7 +15,7 @@
     HTTP_PORT,
     PEER_PORT,
     Host,
-    NodeHost,
+    NodeProcess,
     Topology,
     preferring,
     standin,
@@ -133,7 +133,7 @@
             *self.plan.engine_flags,
         )
 
-    def _node(self, index: int) -> NodeHost:
+    def _node(self, index: int) -> NodeProcess:
         host = self._host(f"node-{index + 1}", index)
         log = self._link(f"log-{host.name}", f"{self.services['log'].address}:{HTTP_PORT}")
         path = self.directory / f"{host.name}.toml"
@@ -152,9 +152,9 @@
         )
         command = (sys.executable, "-m", "stagewalk", "node", f"--settings={path}")
         specification = ProcessSpecification(host.name, command)
-        return NodeHost(host, specification, front)
+        return NodeProcess(host, specification, front)
 
-    def _caller(self, index: int, nodes: list[NodeHost]) -> ProcessSpecification:
+    def _caller(self, index: int, nodes: list[NodeProcess]) -> ProcessSpecification:
         name = f"caller-{index + 1}"
         return standin(
             name,
@@ -171,7 +171,7 @@
             *self.plan.caller_flags,
         )
 
-    def _trainer(self, nodes: list[NodeHost]) -> ProcessSpecification:
+    def _trainer(self, nodes: list[NodeProcess]) -> ProcessSpecification:
         """Return a trainer that prefers the last node, whose callers are none."""
         ordered = [*nodes[::-1]]
         edges = ",".join(
--- a/tests/process/stage.py
+++ b/tests/process/stage.py
@@ -182,14 +182,14 @@
     @asynccontextmanager
     async def paused(self, name: str) -> AsyncIterator[None]:
         """Stop a process's time."""
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         self.group.send_signal(name, signal.SIGSTOP)
         try:
             yield
         finally:
             self.group.send_signal(name, signal.SIGCONT)
             self.operator.observe(
-                FaultInjected(at=began_at, kind="pause", target=name, until=time.monotonic())
+                FaultInjected(at=started_at, kind="pause", target=name, until=time.monotonic())
             )
 
     async def finish(self) -> None:
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -13,7 +13,7 @@
 
 from stagewalk.common.identities import Address
 from stagewalk.gateway.ports.partitioned_log import Partition
-from stagewalk_standins.forwarder import Forwarder, ForwarderLinks, StreamLink
+from stagewalk_standins.forwarder import ForwarderLinks, LinkForwarder, StreamLink
 from stagewalk_standins.forwarder_faults import LinkFaults
 from tests.gateway.memory_log import MemoryLog
 from tests.soak.asgi import application, serve
@@ -164,7 +164,7 @@
             StreamLink(w.link, str(w.address), str(self._targets[w.link]))
             for w in self.linked_workers
         ]
-        self.forwarder = Forwarder(ForwarderLinks(tuple(links)), seed)
+        self.forwarder = LinkForwarder(ForwarderLinks(tuple(links)), seed)
         self.client = httpx.AsyncClient(
             trust_env=False, timeout=6.0, limits=httpx.Limits(max_keepalive_connections=0)
         )
--- a/tests/standins/engines.py
+++ b/tests/standins/engines.py
@@ -17,14 +17,14 @@
 )
 from stagewalk.node.core.platform import EngineOrder, OrderKind
 from stagewalk.simulation.engine_messages import EngineOutput, EngineRequest
-from stagewalk.simulation.engine_model import EngineModel
+from stagewalk.simulation.engine_model import SimulatedEngine
 from stagewalk.simulation.platform_settings import EngineSettings
 
 MODEL = ModelName("m")
 
 
-def engine(started_at: float = 0.0, seed: int = 0, **settings: Any) -> EngineModel:
-    return EngineModel(
+def engine(started_at: float = 0.0, seed: int = 0, **settings: Any) -> SimulatedEngine:
+    return SimulatedEngine(
         EngineSettings(**settings),
         engine=EngineName("e"),
         incarnation=Incarnation(1),
@@ -53,7 +53,7 @@
     return EngineOrder(order_id, Epoch(epoch), kind, MODEL, WeightVersion(version))
 
 
-def run_to_idle(model: EngineModel, most_wakeups: int = 20_000) -> list[EngineOutput]:
+def run_to_idle(model: SimulatedEngine, most_wakeups: int = 20_000) -> list[EngineOutput]:
     outputs: list[EngineOutput] = []
     for _ in range(most_wakeups):
         wakeup = model.next_wakeup()
--- a/tests/standins/fake_node.py
+++ b/tests/standins/fake_node.py
@@ -8,9 +8,9 @@
 import httpx
 import msgspec
 
-from stagewalk.common.identities import SlotKey, TenantName, WeightVersion
+from stagewalk.common.identities import SampleSlotKey, TenantName, WeightVersion
 from stagewalk.history.answer_text import answer_length, content_key, render_chunk
-from stagewalk.node.core.rollouts import slot_seed
+from stagewalk.node.core.rollouts import sample_seed
 from stagewalk_standins.web import (
     EVENT_STREAM,
     Answer,
@@ -77,9 +77,9 @@
 
     def _sample(self, lot: dict[str, Any], prompt: dict[str, Any], index: int) -> dict[str, Any]:
         tenant = TenantName(lot["tenant"])
-        slot = SlotKey(tenant, lot["trainer"], lot["step"], prompt["prompt_id"], index)
+        slot = SampleSlotKey(tenant, lot["trainer"], lot["step"], prompt["prompt_id"], index)
         text, length = answer_text(
-            prompt["prompt"], slot_seed(slot), prompt["max_tokens"], lot["version"]
+            prompt["prompt"], sample_seed(slot), prompt["max_tokens"], lot["version"]
         )
         return {
             "prompt_id": prompt["prompt_id"],
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -8,7 +8,7 @@
 import testtools
 
 from stagewalk.cli.config_files import load_desired_tenant
-from stagewalk.node.configuration.fold import ConfigurationFold
+from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted
 from stagewalk_standins.demo.deployment import Deployment, load_deployment
 from tests.node.configuration.records import create, publish
@@ -34,7 +34,7 @@
 class DeploymentTest(testtools.TestCase):
     def test_tenants_of_each_deployment_are_accepted_together(self) -> None:
         for name in ("amman", "thornfield", "both", "two_year"):
-            fold = ConfigurationFold()
+            fold = ConfigurationStateMachine()
             for file in load(name).tenant_files:
                 path = (ROOT / name / file).resolve()
                 desired = load_desired_tenant(path, None).ok
--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -10,7 +10,7 @@
 
 from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
 from stagewalk.history.answer_text import answer_length, wholeness_fault
-from stagewalk.node.core.platform import EngineState, OrderKind, OrderOutcome
+from stagewalk.node.core.platform import EngineOrderOutcome, EngineState, OrderKind
 from stagewalk.simulation.engine_messages import (
     Accepted,
     ActivationEnded,
@@ -22,10 +22,10 @@
     EngineOutput,
     EngineRequest,
     Refused,
-    StageBegan,
+    StagingStarted,
     WorkOutcome,
 )
-from stagewalk.simulation.engine_model import EngineModel
+from stagewalk.simulation.engine_model import SimulatedEngine
 from tests.standins.engines import engine, order, request, run_to_idle
 
 LONG_PROMPT = "map sheet 12, names along the wadi. " * 60
@@ -43,14 +43,14 @@
     return {each.attempt: each for each in outputs if isinstance(each, AttemptDone)}
 
 
-def finish_time(model: EngineModel, attempt: str) -> float:
+def finish_time(model: SimulatedEngine, attempt: str) -> float:
     while (wakeup := model.next_wakeup()) is not None:
         if attempt in finished(model.advance(wakeup)):
             return wakeup
     raise AssertionError(f"{attempt} never finished")
 
 
-def stage(model: EngineModel, version: int, now: float, epoch: int = 1) -> None:
+def stage(model: SimulatedEngine, version: int, now: float, epoch: int = 1) -> None:
     model.order(order(OrderKind.STAGE, version, epoch), now)
     model.stage_ended(WeightVersion(version), True, now)
 
@@ -177,7 +177,7 @@
         model.submit(asked, 0.0)
         stage(model, 2, 0.5)
         self.assertEqual(
-            OrderOutcome.ACCEPTED, model.order(order(OrderKind.ACTIVATE, 2), 0.5).outcome
+            EngineOrderOutcome.ACCEPTED, model.order(order(OrderKind.ACTIVATE, 2), 0.5).outcome
         )
         self.assertEqual(EngineState.LOADING, model.state)
         self.assertIsInstance(model.submit(request("b"), 0.6), Refused)
@@ -204,19 +204,20 @@
     def test_older_epoch_is_refused_whatever_was_seen_before(self) -> None:
         model = engine()
         self.assertEqual(
-            OrderOutcome.REFUSED, model.order(order(OrderKind.ACTIVATE, 9, epoch=5), 0.0).outcome
+            EngineOrderOutcome.REFUSED,
+            model.order(order(OrderKind.ACTIVATE, 9, epoch=5), 0.0).outcome,
         )
         answer = model.order(order(OrderKind.DRAIN, epoch=4), 0.0)
-        self.assertEqual((OrderOutcome.STALE_EPOCH, 5), (answer.outcome, answer.epoch))
+        self.assertEqual((EngineOrderOutcome.STALE_EPOCH, 5), (answer.outcome, answer.epoch))
         self.assertEqual(EngineState.SERVING, model.state)
 
     def test_same_order_is_obeyed_once(self) -> None:
         model = engine()
         for _ in range(2):
             answer = model.order(order(OrderKind.STAGE, 2), 0.0)
-            self.assertEqual(OrderOutcome.ACCEPTED, answer.outcome)
+            self.assertEqual(EngineOrderOutcome.ACCEPTED, answer.outcome)
         outputs = model.advance(0.0)
-        self.assertEqual(1, sum(isinstance(each, StageBegan) for each in outputs))
+        self.assertEqual(1, sum(isinstance(each, StagingStarted) for each in outputs))
 
     def test_draining_and_leaving_finish_what_runs(self) -> None:
         model = engine()
@@ -227,7 +228,7 @@
         self.assertIsInstance(model.submit(request("more"), 0.4), Accepted)
         model.leave(0.5)
         self.assertEqual(
-            OrderOutcome.REFUSED, model.order(order(OrderKind.SERVE, epoch=3), 0.6).outcome
+            EngineOrderOutcome.REFUSED, model.order(order(OrderKind.SERVE, epoch=3), 0.6).outcome
         )
         self.assertEqual({"running", "more"}, set(finished(run_to_idle(model))))
         self.assertTrue(model.idle)
@@ -262,7 +263,7 @@
 class RandomDriver:
     """Does to an engine what it is told and remembers what was accepted."""
 
-    def __init__(self, model: EngineModel) -> None:
+    def __init__(self, model: SimulatedEngine) -> None:
         self.model = model
         self.accepted: dict[AttemptId, EngineRequest] = {}
         self.outputs: list[EngineOutput] = []
