--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -26,9 +26,9 @@
     WeightVersion,
 )
 from stagewalk.node.claims.notifications import ProposeClaim
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.configuration.records import ChangeParameters, CreateTenant, encode_change
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 from stagewalk.node.core.completions import (
     CompletionRequest,
     CompletionResult,
--- a/src/stagewalk/cli/config_log.py
+++ b/src/stagewalk/cli/config_log.py
@@ -18,7 +18,6 @@
 
 from stagewalk.common.errors import ErrorKind, ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import RecordId
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted, ChangeRejected
 from stagewalk.node.configuration.records import (
     CONFIGURATION_SNAPSHOT_STREAM,
@@ -26,6 +25,7 @@
     AnyChange,
     encode_change,
 )
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 from stagewalk.node.core.events import AppendConfirmed, AppendFailed, LogRead, LogReadFailed
 from stagewalk.node.core.instructions import AppendRecord, ReadLog
 from stagewalk.node.core.platform import LogRecord
--- a/src/stagewalk/cli/config_publish.py
+++ b/src/stagewalk/cli/config_publish.py
@@ -24,7 +24,6 @@
     progress_text,
 )
 from stagewalk.common.identities import TenantName
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted
 from stagewalk.node.configuration.records import (
     AnyChange,
@@ -33,6 +32,7 @@
     DeleteTenant,
     RollBack,
 )
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 
 
 def validate(arguments: argparse.Namespace) -> int:
--- a/src/stagewalk/cli/config_show.py
+++ b/src/stagewalk/cli/config_show.py
@@ -22,7 +22,7 @@
     print_error,
     progress_text,
 )
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 
 
 def status(arguments: argparse.Namespace) -> int:
--- a/src/stagewalk/cli/explain.py
+++ b/src/stagewalk/cli/explain.py
@@ -1,7 +1,7 @@
 """`stagewalk explain`: print from logs what became of a request, a batch or an item.
 
-Owns the text that is printed; relies on `gateway.explain.story` for events and first failure, and
-on `gateway.explain.waits` for what a request waited for.
+Owns the text that is printed; relies on `gateway.explain.timeline` for events and first failure,
+and on `gateway.explain.waits` for what a request waited for.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from datetime import UTC, datetime
 
 from stagewalk.cli.log_files import add_log_arguments, read_logs
-from stagewalk.gateway.explain.story import Timeline, find_timeline
+from stagewalk.gateway.explain.timeline import Timeline, find_timeline
 from stagewalk.gateway.explain.waits import describe_waits
 
 EXIT_FOUND = 0
--- a/src/stagewalk/gateway/batch_service/batch_lookup.py
+++ b/src/stagewalk/gateway/batch_service/batch_lookup.py
@@ -13,10 +13,10 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_index import BatchIndex
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.ledger_messages import LedgerAnswer, LedgerCall, refusal
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 
--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -18,7 +18,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.open_batches import BatchPlace
+from stagewalk.gateway.batch_service.batch_index import BatchPlace
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.ledger import (
--- a/src/stagewalk/gateway/batch_service/ledger_reads.py
+++ b/src/stagewalk/gateway/batch_service/ledger_call_handler.py
@@ -11,6 +11,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_index import BatchIndex
 from stagewalk.gateway.batch_service.batch_lookup import BatchLookup
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.batch_service.ledger_messages import (
@@ -24,7 +25,6 @@
     refusal,
 )
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batch_service.read_rules import (
     MAXIMUM_RELAYED_AGE_SECONDS,
     MAXIMUM_VIEW_AGE_SECONDS,
--- a/src/stagewalk/gateway/batch_service/ledger_calls.py
+++ b/src/stagewalk/gateway/batch_service/ledger_calls.py
@@ -1,7 +1,7 @@
 """Sends calls about batches to where a replica of the ledger is: here, or at another node.
 
 Owns which replicas to avoid for a while. Relies on the list of nodes for the replicas, on
-`peer_calls` for the way there, and on `ledger_reads` where this node answers itself.
+`peer_calls` for the way there, and on `ledger_call_handler` where this node answers itself.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.ledger_call_handler import END_SECONDS, LedgerCallHandler
 from stagewalk.gateway.batch_service.ledger_messages import (
     LedgerAnswer,
     LedgerCall,
@@ -19,7 +20,6 @@
     encode_message,
     refusal,
 )
-from stagewalk.gateway.batch_service.ledger_reads import END_SECONDS, LedgerCallHandler
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 from stagewalk.gateway.peer_calls.client import PeerClient
--- a/src/stagewalk/gateway/batch_service/open_batch_views.py
+++ b/src/stagewalk/gateway/batch_service/open_batch_views.py
@@ -2,7 +2,7 @@
 
 After a restart of all nodes, every node reads the whole log at once, which takes seconds (six
 replicas: 7 s, `daemon.RESTART_LOG_RESERVE_SECONDS`). An open batch needs only that batch's records.
-Owns partial ledgers by partition. Relies on `open_batches` for the places, and on the log.
+Owns partial ledgers by partition. Relies on `batch_index` for the places, and on the log.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
+from stagewalk.gateway.batch_service.batch_index import BatchIndex, BatchPlace
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog
--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -11,11 +11,11 @@
 
 import anyio.abc
 
+from stagewalk.gateway.batch_service.batch_index import BatchIndex
 from stagewalk.gateway.batch_service.batch_store import BATCHES_TOPIC, BatchStore
+from stagewalk.gateway.batch_service.ledger_call_handler import LedgerCallHandler
 from stagewalk.gateway.batch_service.ledger_calls import LEDGER_PATH, LedgerCallRouter
-from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.entry.batch_calls import BatchEndpoints
--- a/src/stagewalk/gateway/batches/attempt_events.py
+++ b/src/stagewalk/gateway/batches/attempt_events.py
@@ -1,7 +1,8 @@
 """Applies what attempts bring to their items: heads, events, ends and breaks.
 
 Owns no state: items, attempts and workers are the scheduler's. Relies on `version_rules` and
-`retry_rules` for what an event or an end means, and on `evidence` for what it says of the worker.
+`retry_rules` for what an event or an end means, and on `engine_observations` for what it says of
+the worker.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 from stagewalk.gateway.batches.attempt_starter import AttemptStarter
 from stagewalk.gateway.batches.attempts import RunningAttempts, RunningItem
 from stagewalk.gateway.batches.engine_memory import EngineMemory
-from stagewalk.gateway.batches.evidence import record_pace, record_refusal
+from stagewalk.gateway.batches.engine_observations import record_pace, record_refusal
 from stagewalk.gateway.batches.item_scores import ItemScores
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
 from stagewalk.gateway.batches.messages import (
--- a/src/stagewalk/gateway/batches/attempt_starter.py
+++ b/src/stagewalk/gateway/batches/attempt_starter.py
@@ -14,9 +14,9 @@
 from stagewalk.gateway.batches.attempt_watch import AttemptWatch
 from stagewalk.gateway.batches.attempts import RunningAttempts
 from stagewalk.gateway.batches.batch_run import BatchRun
-from stagewalk.gateway.batches.engine_room import EngineRoom
 from stagewalk.gateway.batches.item_run import ItemRun, RunningAttempt
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.memory_fit import EngineRoom
 from stagewalk.gateway.batches.messages import StartItem
 from stagewalk.gateway.batches.place_demand import (
     ClaimantPlaces,
--- a/src/stagewalk/gateway/batches/attempt_watch.py
+++ b/src/stagewalk/gateway/batches/attempt_watch.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 
 from stagewalk.gateway.batches.batch import Batch
-from stagewalk.gateway.batches.engine_room import EngineRoom
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.memory_fit import EngineRoom
 from stagewalk.gateway.batches.move_choice import faster_engine, has_room_elsewhere
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
 from stagewalk.gateway.scoring.core import RouteLookup
--- a/src/stagewalk/gateway/batches/engine_memory.py
+++ b/src/stagewalk/gateway/batches/engine_memory.py
@@ -16,9 +16,9 @@
 from statistics import fmean
 
 from stagewalk.gateway.batches.attempts import RunningAttempts, RunningItem
-from stagewalk.gateway.batches.engine_room import RoomSearch
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.memory_fit import RoomSearch
 from stagewalk.gateway.batches.messages import ItemAwaitingMemory
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.routes.route import EngineLimits, Service
--- a/src/stagewalk/gateway/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -20,11 +20,11 @@
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.engine_memory import EngineMemory, ServiceLookup, unknown_service
-from stagewalk.gateway.batches.engine_room import UnknownRoom
 from stagewalk.gateway.batches.item_moves import ItemMoves
 from stagewalk.gateway.batches.item_run import ItemRun
 from stagewalk.gateway.batches.item_scores import ItemScores
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.memory_fit import UnknownRoom
 from stagewalk.gateway.batches.messages import (
     AttemptEnded,
     AttemptEvent,
--- a/src/stagewalk/gateway/directory/caller_subset.py
+++ b/src/stagewalk/gateway/directory/caller_subset.py
@@ -15,7 +15,7 @@
 
 from stagewalk.gateway.directory.ledger_replicas import FAST_SHARE
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
-from stagewalk.gateway.zones.homes import AllowedRegions, allows
+from stagewalk.gateway.zones.allowed_regions import AllowedRegions, allows
 
 SMALL_REGION_NODES = 20
 """In a region of at most so many nodes all are named: connections are warm anyway, and the loss of
--- a/src/stagewalk/gateway/eligibility/core.py
+++ b/src/stagewalk/gateway/eligibility/core.py
@@ -25,9 +25,9 @@
 from stagewalk.gateway.routes.table import RouteTable
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
+from stagewalk.gateway.zones.allowed_regions import AllowedRegions, allows
 from stagewalk.gateway.zones.distance import Proximity
 from stagewalk.gateway.zones.evacuations import Evacuations
-from stagewalk.gateway.zones.homes import AllowedRegions, allows
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/stagewalk/gateway/nodes/crash_watch.py
+++ b/src/stagewalk/gateway/nodes/crash_watch.py
@@ -23,7 +23,11 @@
 from stagewalk.gateway.quarantine.core import CrashHistory, QuarantinedContent
 from stagewalk.gateway.quarantine.crash_reports import SentRequest
 from stagewalk.gateway.quarantine.hold_rule import next_crash_count
-from stagewalk.gateway.quarantine.losses import LostConnection, PendingLosses, WorkerIncarnation
+from stagewalk.gateway.quarantine.lost_connections import (
+    LostConnection,
+    PendingLosses,
+    WorkerIncarnation,
+)
 from stagewalk.gateway.quarantine.records import CRASH_KEY_PREFIX, CrashRecord, decode_crash_record
 from stagewalk.gateway.workers.table import WorkerTable
 from stagewalk.gateway.workers.worker import Worker
--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -26,7 +26,7 @@
 )
 from stagewalk.gateway.directory.ledger_replicas import should_hold_replica
 from stagewalk.gateway.directory.node_table import NodeAnnouncement, NodeTable, decode_announcement
-from stagewalk.gateway.directory.read_pace import (
+from stagewalk.gateway.directory.poll_intervals import (
     LISTED_POLL_INTERVALS,
     OLDEST_VIEW_SECONDS,
     REFRESH_TIMEOUT_SECONDS,
@@ -43,7 +43,7 @@
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.ports.keyed_records import KeyedRecordHandler
 from stagewalk.gateway.ports.partitioned_log import KeyedRecord, Partition, PartitionedLog
-from stagewalk.gateway.zones.homes import AllowedRegions, allows
+from stagewalk.gateway.zones.allowed_regions import AllowedRegions, allows
 
 READ_WAIT_SECONDS = 1.0
 """How long a read waits for a first announcement."""
--- a/src/stagewalk/gateway/nodes/relay_choice.py
+++ b/src/stagewalk/gateway/nodes/relay_choice.py
@@ -11,7 +11,7 @@
 from stagewalk.common.identities import Address
 from stagewalk.gateway.directory.node_table import NodeAnnouncement
 from stagewalk.gateway.log_relay.relayed_log import RelayPeers
-from stagewalk.gateway.zones.homes import AllowedRegions, allows
+from stagewalk.gateway.zones.allowed_regions import AllowedRegions, allows
 
 
 def choose_relay_peers(
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -16,7 +16,7 @@
 from stagewalk.gateway.cold_starts.core import OLDEST_VIEW_SECONDS as OLDEST_WARM_VIEW_SECONDS
 from stagewalk.gateway.cold_starts.core import ColdStarts
 from stagewalk.gateway.dialect import Dialect, NamedVersion, OperatorRecord, ZoneEvacuation
-from stagewalk.gateway.directory.read_pace import (
+from stagewalk.gateway.directory.poll_intervals import (
     IDLE_POLL_INTERVALS,
     LISTED_POLL_INTERVALS,
     OLDEST_VIEW_SECONDS,
--- a/src/stagewalk/gateway/role_controller.py
+++ b/src/stagewalk/gateway/role_controller.py
@@ -12,7 +12,7 @@
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.batch_store import BatchStore
 from stagewalk.gateway.directory.ledger_replicas import ReplicaRole
-from stagewalk.gateway.directory.read_pace import (
+from stagewalk.gateway.directory.poll_intervals import (
     LISTED_POLL_INTERVALS,
     PollIntervals,
     poll_intervals,
--- a/src/stagewalk/gateway/routes/table.py
+++ b/src/stagewalk/gateway/routes/table.py
@@ -1,7 +1,7 @@
 """The routes in force: look-up by host and longest prefix, and shares of back ends. Pure.
 
-Owns the configuration in force and the turns of split routes. Relies on `zones.homes` to combine
-the regions that routes and tenants allow.
+Owns the configuration in force and the turns of split routes. Relies on `zones.allowed_regions` to
+combine the regions that routes and tenants allow.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from stagewalk.gateway.routes.route import BackEnd, Route, RouteConfiguration, RouteKind, Service
 from stagewalk.gateway.tenants.key_table import KeyTable
-from stagewalk.gateway.zones.homes import AllowedRegions, allowed_regions
+from stagewalk.gateway.zones.allowed_regions import AllowedRegions, allowed_regions
 
 MAXIMUM_TURNS_SKIPPED = 211
 """A node begins a split route at one of so many turns of its cycle, so that nodes don't all send
--- a/src/stagewalk/gateway/runners/batch_assignments.py
+++ b/src/stagewalk/gateway/runners/batch_assignments.py
@@ -1,7 +1,7 @@
 """Hands a batch that is in the log to the process that is to run it, and accepts such batches.
 
 Owns which place of a batch's records is noted, and by whom. Relies on `runner_calls` to notify the
-runner, on `open_batches` for the places, and on the batch store and the runner for batches accepted
+runner, on `batch_index` for the places, and on the batch store and the runner for batches accepted
 here.
 """
 
@@ -15,8 +15,8 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_index import BatchIndex, BatchPlace
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.records import BatchEnded, BatchHeader
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.nodes.node_service import NodeService
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -11,8 +11,8 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_index import BatchIndex
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.ledger import LedgerChange
--- a/src/stagewalk/gateway/runners/runner_service.py
+++ b/src/stagewalk/gateway/runners/runner_service.py
@@ -12,8 +12,8 @@
 
 import anyio.abc
 
+from stagewalk.gateway.batch_service.batch_index import BatchIndex
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.prompt import PromptReader
 from stagewalk.gateway.batches.scheduler import BatchScheduler
 from stagewalk.gateway.eligibility_services import EligibilityServices
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -13,8 +13,8 @@
 from stagewalk.common.identities import Address
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_index import BatchIndex, BatchPlace
 from stagewalk.gateway.batch_service.batch_store import BatchStore
-from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.batch import NO_RUNNER, Batch
 from stagewalk.gateway.batches.records import BatchClaimed
 from stagewalk.gateway.batches.takeover import OpenBatch, RunnerState, Takeovers
--- a/src/stagewalk/history/checker_oracle.py
+++ b/src/stagewalk/history/checker_oracle.py
@@ -1,15 +1,15 @@
 """The product's own fold as the checker's oracle of what is accepted.
 
-Owns no rule of its own; relies on `node.configuration.fold`.
+Owns no rule of its own; relies on `node.configuration.state_machine`.
 """
 
 from __future__ import annotations
 
 from stagewalk.common.identities import RecordId
 from stagewalk.history.observations import RecordAppended
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted
 from stagewalk.node.configuration.parameters import TenantParameters
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 from stagewalk.node.core.platform import LogRecord
 
 
--- a/src/stagewalk/node/configuration/follower.py
+++ b/src/stagewalk/node/configuration/follower.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 
 from stagewalk.common.identities import Address, NodeName, ProcessIdentity
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.outcomes import ChangeRejected
 from stagewalk.node.configuration.progress import ProgressTable
 from stagewalk.node.configuration.relay import RelayCache, relayed_records
 from stagewalk.node.configuration.state import snapshot_offset
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 from stagewalk.node.core.instructions import LogLineFields, SendPeerMessage, Transport, WriteLogLine
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.wire.configuration_pb2 import ConfigurationMessage
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -27,8 +27,8 @@
 from stagewalk.node.core.instructions import LogLineFields, WriteLogLine
 from stagewalk.node.core.platform import LogRecord, Machine, MachineKind, MachineState
 from stagewalk.node.leases.core import LeaseCandidate, LeaseCore, LiveMember
-from stagewalk.node.leases.fold import LEASE_STREAM
 from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost
+from stagewalk.node.leases.state_machine import LEASE_STREAM
 from stagewalk.node.log_client.core import LogClientCore
 from stagewalk.node.log_client.notifications import AppendAbandoned, AppendToStream, RecordsRead
 from stagewalk.node.membership.core import MembershipCore
--- a/src/stagewalk/node/leases/core.py
+++ b/src/stagewalk/node/leases/core.py
@@ -16,7 +16,8 @@
 from stagewalk.common.identities import Epoch, Incarnation, NodeName
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.leases.config import LeaseConfig
-from stagewalk.node.leases.fold import (
+from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost, LeaseOutput
+from stagewalk.node.leases.state_machine import (
     LEASE_STREAM,
     Acquire,
     Lease,
@@ -24,7 +25,6 @@
     Release,
     encode_record,
 )
-from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost, LeaseOutput
 from stagewalk.node.log_client.notifications import AppendToStream
 
 
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -57,8 +57,8 @@
     WriteLogLine,
 )
 from stagewalk.node.data_plane import DataPlane
-from stagewalk.node.leases.fold import LEASE_STREAM
 from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost
+from stagewalk.node.leases.state_machine import LEASE_STREAM
 from stagewalk.node.log_client.notifications import (
     AppendAbandoned,
     AppendSettled,
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -15,7 +15,7 @@
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
 from stagewalk.node.core.events import AttemptChunk, AttemptFailed, AttemptFinished, AttemptRefused
 from stagewalk.node.core.instructions import CancelAttempt, StartAttempt
-from stagewalk.node.requests import attempt_rules, faults
+from stagewalk.node.requests import attempt_rules, errors
 from stagewalk.node.requests.answer import AnswerAssembly
 from stagewalk.node.requests.config import RequestConfig
 from stagewalk.node.requests.delays import DelayWindow
@@ -66,7 +66,7 @@
     def dispatch(self, record: RequestRecord, now: float) -> None:
         """Start an attempt of a record in `ROUTING`, or look again later, or give up."""
         if now >= record.request.deadline:
-            error = faults.deadline_passed(record, self._identity.name, ErrorStep.ROUTING)
+            error = errors.deadline_passed(record, self._identity.name, ErrorStep.ROUTING)
             self._fail(record, Cause.DEADLINE, error, now)
             return
         request = attempt_rules.pinned_request(record)
@@ -299,7 +299,7 @@
         self, record: RequestRecord, outcome: AttemptClass, error: StagewalkError, now: float
     ) -> None:
         if attempt_rules.outcome_is_unknown(record):
-            unknown = faults.outcome_unknown(ErrorStep.EXECUTION, error.peer, error.detail)
+            unknown = errors.outcome_unknown(ErrorStep.EXECUTION, error.peer, error.detail)
             self._fail(record, Cause.OUTCOME_UNKNOWN, unknown, now)
             return
         retry = self._config.retry
@@ -349,11 +349,11 @@
     ) -> StagewalkError:
         match outcome:
             case AttemptClass.NOT_SENT:
-                return faults.attempt_unsent(record, engine, detail)
+                return errors.attempt_unsent(record, engine, detail)
             case AttemptClass.REFUSED:
-                return faults.attempt_refused(record, engine, detail, retry_after_seconds)
+                return errors.attempt_refused(record, engine, detail, retry_after_seconds)
             case AttemptClass.MAY_HAVE_RUN:
-                return faults.attempt_failed(record, engine, detail)
+                return errors.attempt_failed(record, engine, detail)
 
     def _cancel(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
         self._store.output(CancelAttempt(attempt.attempt, attempt.engine, attempt.address))
--- a/src/stagewalk/node/requests/claim_gate.py
+++ b/src/stagewalk/node/requests/claim_gate.py
@@ -15,7 +15,7 @@
 from stagewalk.common.identities import ProcessIdentity, RequestKey
 from stagewalk.node.claims.notifications import ProposeClaim
 from stagewalk.node.core.completions import CompletionResult
-from stagewalk.node.requests import faults
+from stagewalk.node.requests import errors
 from stagewalk.node.requests.claim_value import (
     ClaimValue,
     decode_claim,
@@ -150,7 +150,7 @@
     def fail_unknown(self, record: RequestRecord, cause: Cause, detail: str, now: float) -> None:
         """Fail a request that another submission may have run."""
         peer = str(self._identity.name) if record.owner is None else str(record.owner)
-        self._store.fail(record, cause, faults.outcome_unknown(ErrorStep.CLAIM, peer, detail), now)
+        self._store.fail(record, cause, errors.outcome_unknown(ErrorStep.CLAIM, peer, detail), now)
 
     def _lost(self, record: RequestRecord, chosen: ClaimValue | None, now: float) -> None:
         """Fail a request that another submission owns, or ask that one's node for the answer."""
@@ -160,7 +160,7 @@
             return
         record.owner = chosen.node
         if chosen.fingerprint != record.fingerprint:
-            error = faults.duplicate(self._identity.name, ExecutionStatus.UNKNOWN)
+            error = errors.duplicate(self._identity.name, ExecutionStatus.UNKNOWN)
             self._store.fail(record, Cause.OUTCOME_UNKNOWN, error, now)
             return
         if chosen.node == self._identity.name:
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -25,7 +25,7 @@
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.core.completions import CompletionRequest, CompletionResult, TokenChunk
 from stagewalk.node.core.events import AttemptChunk
-from stagewalk.node.requests import faults
+from stagewalk.node.requests import errors
 from stagewalk.node.requests.attempts import AttemptEvent, AttemptRunner
 from stagewalk.node.requests.claim_gate import ClaimGate
 from stagewalk.node.requests.config import RequestConfig
@@ -201,7 +201,7 @@
 
     def _join(self, record: RequestRecord, request: CompletionRequest, fingerprint: str) -> None:
         if fingerprint != record.fingerprint:
-            self._reject(record.key, faults.duplicate(self._identity.name, record.ran))
+            self._reject(record.key, errors.duplicate(self._identity.name, record.ran))
             return
         record.stream = record.stream or request.stream
         held = None
@@ -228,13 +228,13 @@
         """Answer from a retained outcome; return False if the request is to be run."""
         match resubmission(outcome, fingerprint):
             case Resubmission.OTHER_REQUEST:
-                self._reject(key, faults.duplicate(self._identity.name, ran_before(outcome)))
+                self._reject(key, errors.duplicate(self._identity.name, ran_before(outcome)))
             case Resubmission.ANSWER:
                 assert outcome.result is not None
                 self._store.answer_again(key, outcome.result, request.stream)
             case Resubmission.ERROR:
                 detail = "it was sent before, and may not be sent again"
-                error = faults.outcome_unknown(
+                error = errors.outcome_unknown(
                     ErrorStep.EXECUTION, str(self._identity.name), detail
                 )
                 self._reject(key, outcome.error or error)
@@ -335,14 +335,14 @@
         self._gate.forget(record)
         self._runner.cancel_all(record, now)
         self._admission.withdraw(record.key)
-        error = faults.deadline_passed(record, self._identity.name, step)
+        error = errors.deadline_passed(record, self._identity.name, step)
         self._store.fail(record, Cause.DEADLINE, error, now)
 
     def _shed(self, record: RequestRecord, now: float) -> None:
         """Fail a waiting request as soon as it can't be answered in time any more."""
         wait = self._admission.expected_wait_seconds(record.request.model, record.request.priority)
         self._admission.withdraw(record.key)
-        error = faults.shed(self._identity.name, record.ran, wait)
+        error = errors.shed(self._identity.name, record.ran, wait)
         self._store.fail(record, Cause.SHED, error, now)
 
     def _refresh_pools(self, now: float) -> None:
--- a/src/stagewalk/node/requests/submission_rules.py
+++ b/src/stagewalk/node/requests/submission_rules.py
@@ -11,7 +11,7 @@
 
 from stagewalk.common.errors import ErrorStep, ExecutionStatus, StagewalkError
 from stagewalk.common.identities import NodeName
-from stagewalk.node.requests import faults
+from stagewalk.node.requests import errors
 from stagewalk.node.requests.config import MemoryConfig
 from stagewalk.node.requests.record import RequestRecord
 from stagewalk.node.requests.retained import RetainedOutcome
@@ -53,15 +53,15 @@
 ) -> StagewalkError | None:
     """Return why a new request is refused before anything is done for it; None if it isn't."""
     if load.stopping:
-        return faults.stopping(node, record.ran)
+        return errors.stopping(node, record.ran)
     if now >= record.request.deadline:
-        return faults.deadline_passed(record, node, ErrorStep.VALIDATION)
+        return errors.deadline_passed(record, node, ErrorStep.VALIDATION)
     if load.requests >= memory.maximum_requests:
-        return faults.too_many(node, record.ran, "too many requests are in progress")
+        return errors.too_many(node, record.ran, "too many requests are in progress")
     if load.held_characters >= memory.maximum_held_characters:
-        return faults.too_many(node, record.ran, "too much text is held")
+        return errors.too_many(node, record.ran, "too much text is held")
     if not record.request.repeatable and load.claiming >= memory.maximum_claiming:
-        return faults.too_many(node, record.ran, "too many claims are being decided")
+        return errors.too_many(node, record.ran, "too many claims are being decided")
     return None
 
 
--- a/src/stagewalk/node/samples/core.py
+++ b/src/stagewalk/node/samples/core.py
@@ -28,8 +28,8 @@
 from stagewalk.node.samples.config import LotConfig
 from stagewalk.node.samples.cursor import decode_cursor
 from stagewalk.node.samples.delivery import Delivery, OpenPull
-from stagewalk.node.samples.housekeeping import LotMaintenance
 from stagewalk.node.samples.lots import Lot, LotKey, lot_digest, lot_key, make_lot
+from stagewalk.node.samples.maintenance import LotMaintenance
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.settlement import LotOutput, SampleSettlement
 from stagewalk.node.samples.store import LotStore
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -17,12 +17,12 @@
 from stagewalk.common.identities import AttemptId, ModelName, WeightVersion
 from stagewalk.history.checker_verdict import Promise
 from stagewalk.node.claims.notifications import ProposeClaim
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.notifications import ConfigurationChanged
 from stagewalk.node.configuration.outcomes import ChangeRejected, RejectionReason
 from stagewalk.node.configuration.parameters import Tenant
 from stagewalk.node.configuration.records import CONFIGURATION_STREAM, AnyChange
 from stagewalk.node.configuration.state import TenantRecord
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 from stagewalk.node.core.events import (
     AttemptChunk,
     AttemptFailed,
--- a/src/stagewalk/simulation/operators.py
+++ b/src/stagewalk/simulation/operators.py
@@ -18,7 +18,6 @@
 
 from stagewalk.common.identities import RecordId, TenantName
 from stagewalk.history.observations import PublishAnswered
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted
 from stagewalk.node.configuration.parameters import TenantParameters
 from stagewalk.node.configuration.records import (
@@ -28,6 +27,7 @@
     CreateTenant,
     encode_change,
 )
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 from stagewalk.simulation.layout import Endpoint, Layout, TenantSite
 from stagewalk.simulation.log_service import LogPage, LogService
 from stagewalk.simulation.virtual_time import Scheduler, Steps
--- a/tests/gateway/batch_service/test_open_batches.py
+++ b/tests/gateway/batch_service/test_batch_index.py
@@ -6,7 +6,7 @@
 import msgspec
 import testtools
 
-from stagewalk.gateway.batch_service.open_batches import (
+from stagewalk.gateway.batch_service.batch_index import (
     BATCH_INDEX_PARTITION,
     BatchIndex,
     BatchPlace,
--- a/tests/gateway/batch_service/test_dropped_history.py
+++ b/tests/gateway/batch_service/test_dropped_history.py
@@ -11,10 +11,10 @@
 import msgspec
 import testtools
 
+from stagewalk.gateway.batch_service.batch_index import BatchIndex, BatchPlace
 from stagewalk.gateway.batch_service.batch_store import BATCHES_TOPIC, PARTITIONS, BatchStore
+from stagewalk.gateway.batch_service.ledger_call_handler import LedgerCallHandler
 from stagewalk.gateway.batch_service.ledger_messages import ResultsCall
-from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
-from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.records import BatchRecord, ItemFinished, encode_record
 from stagewalk.gateway.ports.partitioned_log import Partition, ProducerSequence
 from tests.gateway.batches.support import item, submitted
--- a/tests/gateway/batch_service/test_ended_batches.py
+++ b/tests/gateway/batch_service/test_ended_batches.py
@@ -23,11 +23,11 @@
 import testtools
 
 from stagewalk.gateway.assembly import NODES_PARTITION
+from stagewalk.gateway.batch_service.batch_index import BatchIndex
 from stagewalk.gateway.batch_service.batch_store import (
     BATCHES_TOPIC,
     MAXIMUM_CURRENT_VIEW_AGE_SECONDS,
 )
-from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.records import BatchEnded, BatchHeader, decode_record, encode_record
 from stagewalk.gateway.batches.takeover import rendezvous_hash
 from stagewalk.gateway.ports.partitioned_log import Partition
--- a/tests/gateway/batch_service/test_ledger_reads.py
+++ b/tests/gateway/batch_service/test_ledger_call_handler.py
@@ -9,14 +9,14 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_index import BatchIndex
+from stagewalk.gateway.batch_service.ledger_call_handler import LedgerCallHandler
 from stagewalk.gateway.batch_service.ledger_messages import (
     LedgerAnswer,
     ResultsCall,
     decode_answer,
     encode_message,
 )
-from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
-from stagewalk.gateway.batch_service.open_batches import BatchIndex
 from stagewalk.gateway.batches.ledger import BatchLedger
 from stagewalk.gateway.batches.records import ItemFinished
 from tests.gateway.batches.support import item, submitted
--- a/tests/gateway/batch_service/test_open_batch_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -9,10 +9,10 @@
 import testtools
 from expression import Ok
 
+from stagewalk.gateway.batch_service.batch_index import BatchIndex, BatchPlace
+from stagewalk.gateway.batch_service.ledger_call_handler import LedgerCallHandler
 from stagewalk.gateway.batch_service.ledger_messages import EndCall, ItemCall, ResultsCall
-from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
 from stagewalk.gateway.batch_service.open_batch_views import MARGIN_RECORDS, OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
 from stagewalk.gateway.batches.records import (
     BatchEnded,
--- a/tests/gateway/batch_service/test_second_submissions.py
+++ b/tests/gateway/batch_service/test_second_submissions.py
@@ -7,11 +7,11 @@
 import testtools
 
 from stagewalk.common.steady_clock import steady_seconds
+from stagewalk.gateway.batch_service.batch_index import BatchIndex, BatchPlace
 from stagewalk.gateway.batch_service.batch_store import BATCHES_TOPIC, PARTITIONS, BatchStore
+from stagewalk.gateway.batch_service.ledger_call_handler import LedgerCallHandler
 from stagewalk.gateway.batch_service.ledger_messages import ResultsCall
-from stagewalk.gateway.batch_service.ledger_reads import LedgerCallHandler
 from stagewalk.gateway.batch_service.open_batch_views import OpenBatchViews
-from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.records import (
     BatchEnded,
     BatchHeader,
--- a/tests/gateway/batches/bench_engine_memory.py
+++ b/tests/gateway/batches/bench_engine_memory.py
@@ -10,9 +10,9 @@
 from stagewalk.gateway.batches.attempts import RunningAttempts
 from stagewalk.gateway.batches.batch_run import BatchRun
 from stagewalk.gateway.batches.engine_memory import EngineMemory
-from stagewalk.gateway.batches.engine_room import EngineRoom, UnknownRoom
 from stagewalk.gateway.batches.item_run import ItemRun, RunningAttempt
 from stagewalk.gateway.batches.length_estimate import LengthEstimate
+from stagewalk.gateway.batches.memory_fit import EngineRoom, UnknownRoom
 from stagewalk.gateway.batches.placement import choose_engine
 from stagewalk.gateway.batches.prompt import Prompt, PromptPart
 from stagewalk.gateway.ports.workers import WorkerLoad
--- a/tests/gateway/batches/test_uneven_engines.py
+++ b/tests/gateway/batches/test_uneven_engines.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from stagewalk.gateway.batches.evidence import ASSUMED_LOADING_SECONDS, record_refusal
+from stagewalk.gateway.batches.engine_observations import ASSUMED_LOADING_SECONDS, record_refusal
 from stagewalk.gateway.batches.move_choice import faster_engine
 from stagewalk.gateway.batches.placement import choose_engine
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, WorkerLoad
--- a/tests/gateway/directory/test_read_pace.py
+++ b/tests/gateway/directory/test_poll_intervals.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from stagewalk.gateway.directory.read_pace import (
+from stagewalk.gateway.directory.poll_intervals import (
     IDLE_POLL_INTERVALS,
     LISTED_POLL_INTERVALS,
     OLDEST_VIEW_SECONDS,
--- a/tests/gateway/explain/test_steps.py
+++ b/tests/gateway/explain/test_steps.py
@@ -13,7 +13,7 @@
 from stagewalk.cli.main import run
 from stagewalk.gateway.explain.log_line import parse_lines
 from stagewalk.gateway.explain.steps import find_recoveries, summarize_steps
-from tests.gateway.explain.test_story import line
+from tests.gateway.explain.test_timeline import line
 
 STEP = (
     line(10.0, "n1", "batch_submitted", batch="b", step="3", items="2", outcome="appended"),
--- a/tests/gateway/explain/test_story.py
+++ b/tests/gateway/explain/test_timeline.py
@@ -15,7 +15,7 @@
 from stagewalk.cli.main import run
 from stagewalk.common.logs.lines import format_line
 from stagewalk.gateway.explain.log_line import parse_line, parse_lines
-from stagewalk.gateway.explain.story import Kind, Timeline, find_timeline
+from stagewalk.gateway.explain.timeline import Kind, Timeline, find_timeline
 
 
 def line(second: float, node: str, event: str, level: str = "info", **fields: str) -> str:
--- a/tests/gateway/place_shares/test_explained_wait.py
+++ b/tests/gateway/place_shares/test_explained_wait.py
@@ -6,7 +6,7 @@
 
 from stagewalk.common.logs.lines import format_line
 from stagewalk.gateway.explain.log_line import parse_lines
-from stagewalk.gateway.explain.story import find_timeline
+from stagewalk.gateway.explain.timeline import find_timeline
 
 
 def line(second: float, event: str, **fields: object) -> str:
--- a/tests/gateway/quarantine/test_losses.py
+++ b/tests/gateway/quarantine/test_lost_connections.py
@@ -7,7 +7,7 @@
 import testtools
 
 from stagewalk.gateway.ports.workers import WorkerLoad
-from stagewalk.gateway.quarantine.losses import (
+from stagewalk.gateway.quarantine.lost_connections import (
     LOSS_EVIDENCE_SECONDS,
     MAXIMUM_PENDING_LOSSES,
     LostConnection,
--- a/tests/gateway/runners/test_batch_assignments.py
+++ b/tests/gateway/runners/test_batch_assignments.py
@@ -8,7 +8,7 @@
 import testtools
 
 from stagewalk.common.identities import Address
-from stagewalk.gateway.batch_service.open_batches import BatchIndex, BatchPlace
+from stagewalk.gateway.batch_service.batch_index import BatchIndex, BatchPlace
 from stagewalk.gateway.batches.records import BatchHeader
 from stagewalk.gateway.nodes.identity import ProcessId
 from stagewalk.gateway.policy import DEFAULT_POLICY
--- a/tests/gateway/runners/test_batch_views.py
+++ b/tests/gateway/runners/test_batch_views.py
@@ -11,7 +11,7 @@
 
 from stagewalk.common.steady_clock import steady_seconds
 from stagewalk.gateway.batch_service.partial_ledger import PartialLedger
-from stagewalk.gateway.batches.evidence import record_refusal
+from stagewalk.gateway.batches.engine_observations import record_refusal
 from stagewalk.gateway.batches.messages import StartItem
 from stagewalk.gateway.batches.records import BatchEnded, encode_record
 from stagewalk.gateway.batches.view_lease import maximum_view_age
--- a/tests/gateway/runners/test_takeover.py
+++ b/tests/gateway/runners/test_takeover.py
@@ -7,7 +7,7 @@
 import anyio
 import testtools
 
-from stagewalk.gateway.batch_service.open_batches import BatchIndex
+from stagewalk.gateway.batch_service.batch_index import BatchIndex
 from tests.gateway.support import Running, Site, run, until
 
 NEVER = 1_000.0
--- a/tests/gateway/zones/test_regions.py
+++ b/tests/gateway/zones/test_regions.py
@@ -8,8 +8,8 @@
 from stagewalk.gateway.workers.placement_costs import DISTANCE_COST, distance_cost
 from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
+from stagewalk.gateway.zones.allowed_regions import allowed_regions, allows
 from stagewalk.gateway.zones.distance import Distance, Proximity
-from stagewalk.gateway.zones.homes import allowed_regions, allows
 from tests.gateway.eligibility.support import NEAR_Z1
 from tests.gateway.workers.support import announcement
 
--- a/tests/node/configuration/records.py
+++ b/tests/node/configuration/records.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from stagewalk.common.identities import ModelName, RecordId
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeOutcome
 from stagewalk.node.configuration.parameters import TenantParameters
 from stagewalk.node.configuration.records import AnyChange, encode_change
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 from stagewalk.node.core.platform import LogRecord
 
 
--- a/tests/node/configuration/test_fold.py
+++ b/tests/node/configuration/test_state_machine.py
@@ -7,11 +7,6 @@
 from hypothesis import strategies as st
 
 from stagewalk.common.identities import ModelName, TenantName, WeightVersion
-from stagewalk.node.configuration.fold import (
-    MAXIMUM_HISTORY_ENTRIES,
-    MAXIMUM_KEPT_REVISIONS,
-    ConfigurationStateMachine,
-)
 from stagewalk.node.configuration.outcomes import (
     ChangeAccepted,
     ChangeOutcome,
@@ -21,6 +16,11 @@
 )
 from stagewalk.node.configuration.parameters import TenantParameters
 from stagewalk.node.configuration.records import AnyChange, encode_change
+from stagewalk.node.configuration.state_machine import (
+    MAXIMUM_HISTORY_ENTRIES,
+    MAXIMUM_KEPT_REVISIONS,
+    ConfigurationStateMachine,
+)
 from stagewalk.node.core.platform import LogRecord
 from tests.node.configuration.records import (
     change,
--- a/tests/node/leases/test_leases.py
+++ b/tests/node/leases/test_leases.py
@@ -12,8 +12,8 @@
 from stagewalk.node.core.platform import LogRecord
 from stagewalk.node.leases.config import LeaseConfig
 from stagewalk.node.leases.core import LeaseCandidate, LeaseCore, LiveMember
-from stagewalk.node.leases.fold import Acquire, LeaseStateMachine, Release, encode_record
 from stagewalk.node.leases.notifications import LeaseAcquired, LeaseLost, LeaseOutput
+from stagewalk.node.leases.state_machine import Acquire, LeaseStateMachine, Release, encode_record
 from stagewalk.node.log_client.notifications import AppendToStream
 
 DUTIES = ("placement", "rollout/m")
--- a/tests/node/test_kept_records.py
+++ b/tests/node/test_kept_records.py
@@ -16,7 +16,7 @@
 from stagewalk.node.claims import placement
 from stagewalk.node.configuration.records import decode_change, encode_change
 from stagewalk.node.configuration.state import decode_snapshot, encode_snapshot
-from stagewalk.node.leases import fold
+from stagewalk.node.leases import state_machine
 from stagewalk.node.requests.claim_value import decode_claim, encode_claim
 from stagewalk.node.samples.sample_codec import decode_sample, encode_sample
 
@@ -27,7 +27,10 @@
 CODECS = {
     "change": (lambda payload: decode_change(payload).ok, encode_change),
     "claim": (decode_claim, encode_claim),
-    "lease": (lambda p: msgspec.json.decode(p, type=fold.Record), fold.encode_record),
+    "lease": (
+        lambda p: msgspec.json.decode(p, type=state_machine.Record),
+        state_machine.encode_record,
+    ),
     "placement": (
         lambda p: msgspec.json.decode(p, type=placement.PlacementRecord),
         placement.encode_record,
--- a/tests/process/test_nodes.py
+++ b/tests/process/test_nodes.py
@@ -9,7 +9,7 @@
 
 from stagewalk.history.checker_verdict import Promise
 from stagewalk.history.observations import AnyObservation, OrderObeyed, RecordAppended
-from stagewalk.node.leases.fold import LEASE_STREAM
+from stagewalk.node.leases.state_machine import LEASE_STREAM
 from tests.process.layout import MODEL, Plan
 from tests.process.stage import ProcessTest, Stage
 
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -8,8 +8,8 @@
 import testtools
 
 from stagewalk.cli.config_files import load_desired_tenant
-from stagewalk.node.configuration.fold import ConfigurationStateMachine
 from stagewalk.node.configuration.outcomes import ChangeAccepted
+from stagewalk.node.configuration.state_machine import ConfigurationStateMachine
 from stagewalk_standins.demo.deployment import Deployment, load_deployment
 from tests.node.configuration.records import create, publish
 
