--- a/src/stagewalk/gateway/batches/takeover.py
+++ b/src/stagewalk/gateway/batches/takeover.py
@@ -32,10 +32,10 @@
 class RunnerState(IntEnum):
     """Liveness of a batch's runner."""
 
-    ALIVE = 0
-    PREVIOUS_PROCESS = 1
+    RUNS = 0
+    MINE_BEFORE = 1
     """An earlier process of this machine: it is certainly gone."""
-    RESTARTED = 2
+    RETURNED = 2
     """Its machine runs a newer process, which claims the batch itself if it can."""
     GONE = 3
 
@@ -90,7 +90,7 @@
             if batch.view_age > MAXIMUM_CLAIM_VIEW_AGE_SECONDS:
                 continue
             state = self._state_of(batch.runner)
-            if state is RunnerState.ALIVE:
+            if state is RunnerState.RUNS:
                 continue
             orphans.add(batch.name)
             since = self._orphaned_since.setdefault(batch.name, now)
@@ -107,9 +107,9 @@
         return self._rank(batch, others)
 
     def _claim_delay(self, batch: str, state: RunnerState, replicas: Sequence[str]) -> float:
-        if state is RunnerState.PREVIOUS_PROCESS:
+        if state is RunnerState.MINE_BEFORE:
             return 0.0
-        returned = RESTARTED_RUNNER_DELAY_SECONDS if state is RunnerState.RESTARTED else 0.0
+        returned = RESTARTED_RUNNER_DELAY_SECONDS if state is RunnerState.RETURNED else 0.0
         return returned + self._rank(batch, replicas) * CLAIM_DELAY_PER_RANK_SECONDS
 
     def _rank(self, batch: str, replicas: Sequence[str]) -> int:
--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -218,7 +218,7 @@
 
     def _runs(self, node: NodeAnnouncement) -> bool:
         process = str(ProcessId(node.node, node.incarnation))
-        return self.runner_state(process) is RunnerState.ALIVE
+        return self.runner_state(process) is RunnerState.RUNS
 
     def _wake_early(self) -> None:
         if not self._announced_early:
--- a/src/stagewalk/gateway/nodes/runner_state.py
+++ b/src/stagewalk/gateway/nodes/runner_state.py
@@ -38,15 +38,15 @@
     if identity is None:
         return RunnerState.GONE
     if identity == own:
-        return RunnerState.ALIVE
+        return RunnerState.RUNS
     if identity.node == own.node:
-        return RunnerState.PREVIOUS_PROCESS
+        return RunnerState.MINE_BEFORE
     known = table.known(identity.node)
     if known is None or not known.ledger_replica or liveness.gone(process, now):
         return RunnerState.GONE
     if liveness.replaced(process, now):
-        return RunnerState.RESTARTED
+        return RunnerState.RETURNED
     if table.process_alive(known.node, identity.incarnation, view_at):
-        return RunnerState.ALIVE
+        return RunnerState.RUNS
     returned = table.process_alive(known.node, known.incarnation, view_at)
-    return RunnerState.RESTARTED if returned else RunnerState.GONE
+    return RunnerState.RETURNED if returned else RunnerState.GONE
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -99,7 +99,7 @@
         listed = await self._open_batches.list()
         places = {b: p for b, p in listed.default_value({}).items() if not p.ended}
         for batch, place in places.items():
-            if self._nodes.runner_state(place.runner) is RunnerState.PREVIOUS_PROCESS:
+            if self._nodes.runner_state(place.runner) is RunnerState.MINE_BEFORE:
                 self._tasks.start_soon(self._resume, batch, place)
         return bool(places)
 
@@ -114,7 +114,7 @@
             peer = self._nodes.peer_address_of(batch.runner)
             state = self._nodes.runner_state(batch.runner)
             rank = self._takeovers.rank(batch.header.batch, batch.runner, replicas)
-            own = batch.runner == str(self._identity) or state is RunnerState.PREVIOUS_PROCESS
+            own = batch.runner == str(self._identity) or state is RunnerState.MINE_BEFORE
             if peer is not None and not own and rank < PROBERS:
                 targets[batch.runner] = peer
         return targets
@@ -131,9 +131,9 @@
         batch = partial.whole(name)
         if batch is None or not batch.open:
             return
-        if self._nodes.runner_state(batch.runner) is RunnerState.PREVIOUS_PROCESS:
+        if self._nodes.runner_state(batch.runner) is RunnerState.MINE_BEFORE:
             epoch = batch.epoch + 1
-            self._claim(batch, RunnerState.PREVIOUS_PROCESS, place)
+            self._claim(batch, RunnerState.MINE_BEFORE, place)
             self._runner.begin_ahead(batch, partial, epoch)
 
     def _replicas(self) -> list[str]:
--- a/tests/gateway/batches/test_takeover.py
+++ b/tests/gateway/batches/test_takeover.py
@@ -31,15 +31,15 @@
 
 class TakeoverTests(testtools.TestCase):
     def test_a_batch_that_is_run_is_left(self) -> None:
-        node = Node(FIRST, RunnerState.ALIVE)
+        node = Node(FIRST, RunnerState.RUNS)
         self.assertFalse(any(node.claims(0.1 * n) for n in range(100)))
 
     def test_a_restarted_runner_goes_on_at_once_whatever_its_place(self) -> None:
         for name in NODES:
-            self.assertTrue(Node(name, RunnerState.PREVIOUS_PROCESS).claims(5.0))
+            self.assertTrue(Node(name, RunnerState.MINE_BEFORE).claims(5.0))
 
     def test_others_leave_a_batch_to_the_restarted_runner_first(self) -> None:
-        node = Node(FIRST, RunnerState.RESTARTED)
+        node = Node(FIRST, RunnerState.RETURNED)
         self.assertFalse(node.claims(0.0))
         self.assertFalse(node.claims(RESTARTED_RUNNER_DELAY_SECONDS - 0.01))
         self.assertTrue(node.claims(RESTARTED_RUNNER_DELAY_SECONDS))
@@ -60,7 +60,7 @@
         self.assertTrue(node.claims(len(NODES) * CLAIM_DELAY_PER_RANK_SECONDS))
 
     def test_nothing_is_claimed_from_an_old_view_or_one_that_is_still_read(self) -> None:
-        node = Node(FIRST, RunnerState.PREVIOUS_PROCESS)
+        node = Node(FIRST, RunnerState.MINE_BEFORE)
         self.assertFalse(node.claims(0.0, view_age=3.1))
         self.assertFalse(node.claims(0.1, view_age=float("inf")))
         self.assertTrue(node.claims(0.2, view_age=0.1))
@@ -74,7 +74,7 @@
     def test_a_runner_that_comes_back_starts_the_wait_anew(self) -> None:
         node = Node(SECOND)
         self.assertFalse(node.claims(0.0))
-        node.state = RunnerState.ALIVE
+        node.state = RunnerState.RUNS
         node.claims(CLAIM_DELAY_PER_RANK_SECONDS)
         node.state = RunnerState.GONE
         self.assertFalse(node.claims(2 * CLAIM_DELAY_PER_RANK_SECONDS))
--- a/tests/gateway/nodes/test_runner_state.py
+++ b/tests/gateway/nodes/test_runner_state.py
@@ -35,12 +35,12 @@
         return judge_runner(process, OWN, self.table, self.liveness, view_at=NOW, now=NOW)
 
     def test_this_node_is_judged_by_its_incarnation(self) -> None:
-        self.assertEqual(RunnerState.ALIVE, self.judge("own#7"))
-        self.assertEqual(RunnerState.PREVIOUS_PROCESS, self.judge("own#6"))
+        self.assertEqual(RunnerState.RUNS, self.judge("own#7"))
+        self.assertEqual(RunnerState.MINE_BEFORE, self.judge("own#6"))
 
     def test_a_process_runs_while_its_node_counts_as_alive(self) -> None:
         self.announce()
-        self.assertEqual(RunnerState.ALIVE, self.judge("other#1"))
+        self.assertEqual(RunnerState.RUNS, self.judge("other#1"))
 
     def test_unknown_processes_and_nodes_are_gone(self) -> None:
         self.assertEqual(RunnerState.GONE, self.judge("no identity"))
@@ -56,12 +56,12 @@
 
     def test_a_later_start_of_its_node_has_returned(self) -> None:
         self.announce(incarnation=2)
-        self.assertEqual(RunnerState.RESTARTED, self.judge("other#1"))
+        self.assertEqual(RunnerState.RETURNED, self.judge("other#1"))
 
     def test_probes_count_before_the_table(self) -> None:
         self.announce()
         self.liveness.record_answer("other#1", "other#2", NOW)
-        self.assertEqual(RunnerState.RESTARTED, self.judge("other#1"))
+        self.assertEqual(RunnerState.RETURNED, self.judge("other#1"))
         for n in range(PROBE_FAILURES_UNTIL_GONE):
             self.liveness.record_failure("other#1", NOW - 1.0 + n)
         self.assertEqual(RunnerState.GONE, self.judge("other#1"))
