--- a/src/stagewalk/gateway/batches/__init__.py
+++ b/src/stagewalk/gateway/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: kept in the log before they are accepted, run item by item, delivered once."""
+"""Batch jobs: written to the log before they are accepted, run item by item, delivered once."""
--- a/src/stagewalk/gateway/batches/attempt_events.py
+++ b/src/stagewalk/gateway/batches/attempt_events.py
@@ -1,8 +1,8 @@
-"""Applies what attempts bring to their items: heads, events, ends and breaks.
+"""Applies the outcomes of attempts to their items: heads, events, completions and failures.
 
-Owns no state: items, attempts and workers are the scheduler's. Relies on `version_rules` and
-`retry_rules` for what an event or an end means, and on `engine_observations` for what it says of
-the worker.
+Holds no state: items, attempts and workers belong to the scheduler. `version_rules` and
+`retry_rules` decide what an event or a completion means for the item, `engine_observations` what
+it says about the worker.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 
 class AttemptEvents:
-    """Applies the events of attempts under way; those of attempts that are over change nothing.
+    """Applies the events of running attempts and ignores those of attempts that have ended.
 
     Parameters
     ----------
     lengths
-        Learns from texts that are whole.
+        Updated with each complete text.
     memory
-        Learns from the load that engines report.
+        Updated with the load that engines report.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._memory = memory
 
     def head(self, event: AttemptHead, now: float) -> list[SchedulerInstruction]:
-        """Handle the head of an answer: the worker's load, and the weights of the next events."""
+        """Handle a response head: the worker's load and the weight version of the next events."""
         known = self._attempts.get(event.attempt)
         if known is None:
             return []
@@ -76,7 +76,7 @@
         if event.head.status != HTTP_OK:
             return []
         running.last_event_at = now
-        running.begun = True
+        running.answering = True
         for version in event.head.versions:
             stop = self._apply_version(known, version, now)
             if stop is not None:
@@ -92,7 +92,7 @@
         running = item.running
         assert running is not None
         if event.event.number != len(item.events) + 1:
-            return [self._attempts.leave(item, "event out of order", now)]
+            return [self._attempts.abandon(item, "event out of order", now)]
         if event.event.version is not None:
             stop = self._apply_version(known, event.event.version, now)
             if stop is not None:
@@ -105,7 +105,7 @@
         return []
 
     def ended(self, event: AttemptEnded, now: float) -> list[SchedulerInstruction]:
-        """Handle a complete answer: record or score the text, fail the item, or try again."""
+        """Handle a complete response: record or score the text, fail the item, or retry it."""
         ended = self._attempts.end(event.attempt)
         if ended is None:
             return []
@@ -123,14 +123,14 @@
             worker.record_connection(True, now)
         if outcome is AttemptOutcome.TEXT_WHOLE:
             self._lengths.learn(item)
-            return self._scores.text_whole(run, item, now)
+            return self._scores.text_completed(run, item, now)
         if outcome is AttemptOutcome.FAILED:
             return [run.fail(item)]
         self._attempts.retry_later(item, ended.worker, now)
         return [*self._starter.start_due(now)]
 
-    def broken(self, event: ItemAttemptFailed, now: float) -> list[SchedulerInstruction]:
-        """Handle the end of an attempt that brought no whole answer: try again."""
+    def failed(self, event: ItemAttemptFailed, now: float) -> list[SchedulerInstruction]:
+        """Handle an attempt that ended without a complete response: retry the item later."""
         ended = self._attempts.end(event.attempt)
         if ended is None:
             return []
@@ -142,7 +142,7 @@
         return [*self._starter.start_due(now)]
 
     def _apply_version(self, known: RunningItem, version: int, now: float) -> StopItem | None:
-        """Set the weight version of the events that follow; stop the attempt if it doesn't fit."""
+        """Set the weight version of the following events; stop the attempt on a conflict."""
         item, header = known.item, known.run.batch.header
         assert item.running is not None
         worker = self._workers.worker(item.running.worker)
@@ -155,4 +155,4 @@
             return None
         if conflict is VersionConflict.CHANGED:
             item.restart()
-        return self._attempts.leave(item, conflict.value, now)
+        return self._attempts.abandon(item, conflict.value, now)
--- a/src/stagewalk/gateway/batches/attempt_starter.py
+++ b/src/stagewalk/gateway/batches/attempt_starter.py
@@ -1,7 +1,7 @@
 """Decides which waiting items start next and begins their attempts. Pure.
 
-Owns the use of each claimant's places and the priority of returned items. Relies on `start_order`
-for the order, on `placement` for the engine, and on `attempt_watch` for the candidates.
+Enforces each claimant's limit of places and sets the priority of resubmitted items. `start_order`
+gives the order, `attempt_watch` the candidate engines, and `placement` chooses among them.
 """
 
 from __future__ import annotations
@@ -48,15 +48,14 @@
 from stagewalk.gateway.zones.distance import Proximity
 
 RESUBMITTED_ITEM_PRIORITY = 4
-"""Priority of an item that returns in a later batch, one above the engines' default: its trainer
-waits for its group whichever others are whole, and of an engine whose memory runs out the newest of
-the least urgent runs is stopped. Without it such an item lost its slot (62 preemptions on one day)
-and its step ended after 12.6 s instead of 8."""
+"""Priority of an item resubmitted in a later batch, one above the engines' default. Its trainer
+waits for its group in any case, and an engine out of memory preempts the newest of its runs with
+the lowest priority."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Places:
-    """The places that a batch's items take, and how many of them there are for its claimant."""
+    """Whose places a batch's items take, at which service, and the claimant's limit there."""
 
     claimant: Claimant
     service: str
@@ -64,7 +63,7 @@
 
     @property
     def key(self) -> ServiceClaimant:
-        """Return whose places they are, and at which service."""
+        """Return the claimant and the service."""
         return self.claimant, self.service
 
 
@@ -74,25 +73,25 @@
     Parameters
     ----------
     runs
-        The batches run here, by name.
+        The batches run on this node, by name.
     attempts
-        Where attempts that begin are added.
+        Receives the attempts that begin.
+    numbers
+        Attempt numbers, shared with the score calls.
     workers
-        The engines, for their usual pace.
+        The engines, for their usual time per event.
     route_of
         Finds the route of a batch: its service, and when it is due.
-    numbers
-        Numbers of attempts, shared with the score calls.
     proximity
-        Where this node is: near engines are preferred.
+        This node's location: near engines are preferred.
     may_start
-        Whether items of a batch may be sent to workers at a time.
+        Whether items of a batch may be sent to workers at a given time.
     room
-        Which engines have memory for an item.
+        Tells which engines have memory for an item.
     limits
-        How many places the items of each trainer may have.
+        How many places each trainer's items may take.
     rng
-        Random numbers of this node, for the choice among like engines.
+        This node's random numbers, for the choice among nearly equal engines.
     """
 
     def __init__(
@@ -112,12 +111,12 @@
         limits: PlaceLimits,
         rng: Random | None = None,
     ) -> None:
-        self._draws = rng
+        self._rng = rng
         self._workers = workers
         self._route_of = route_of
         self._room = room
-        self._closed: set[_AlikeItems] = set()
-        """Items that no engine can take at the moment."""
+        self._blocked: set[_PlacementClass] = set()
+        """Placement classes whose items no engine can take during this pass."""
         self._limits = limits
         self._runs = runs
         self._attempts = attempts
@@ -129,9 +128,9 @@
         self._may_start = may_start
 
     def start_due(self, now: float) -> list[StartItem]:
-        """Begin attempts at the items that wait for one, as far as engines have room.
+        """Begin attempts at waiting items as far as engines have room.
 
-        Items whose claimant has all its places taken stay waiting.
+        Items whose claimant has used all its places keep waiting.
         """
         waiting = [
             WaitingItem(run, item)
@@ -140,13 +139,13 @@
             for item in run.items.values()
             if item.waiting and item.not_before <= now
         ]
-        self._closed.clear()
+        self._blocked.clear()
         places = {run.name: self._places(run, now) for run in self._runs.values()}
         ample = [pair for pair in waiting if math.isinf(places[pair.run.name].most)]
         starts = [
             start
             for pair in order_ample(ample, self._lengths)
-            if _alike(pair.run, pair.item) not in self._closed
+            if _placement_class(pair.run, pair.item) not in self._blocked
             for start in self.start(pair.run, pair.item, now)
         ]
         if len(ample) < len(waiting):
@@ -155,16 +154,16 @@
         return starts
 
     def place_demands(self) -> list[PlaceDemand]:
-        """Return what the items of each claimant ask of each service's engines."""
+        """Return each claimant's demand for places at each service."""
         return place_demands(self._runs.values(), self._route_of)
 
     def claimant_places(self, now: float) -> list[ClaimantPlaces]:
-        """Return the places that each claimant's items have and may have."""
+        """Return the places that each claimant's items take, and their limit."""
         taken = taken_places(self._runs.values(), self._route_of, self._weight_at(now))
         return claimant_places(self.place_demands(), taken, self._limits, now)
 
     def withheld(self, now: float) -> list[ShareLimitedBatch]:
-        """Return the batches of which items wait because of their claimant's share."""
+        """Return the batches with items that wait because their claimant's places are used up."""
         return withheld_starts(self._runs.values(), self.claimant_places(now), self._route_of)
 
     def _places(self, run: BatchRun, now: float) -> _Places:
@@ -188,7 +187,7 @@
             share = places[pair.run.name]
             if not has_place(taken[share.key], share.most):
                 continue
-            if _alike(pair.run, pair.item) in self._closed:
+            if _placement_class(pair.run, pair.item) in self._blocked:
                 continue
             begun = self.start(pair.run, pair.item, now)
             taken[share.key] += sum(weight_at(share.service, start.worker) for start in begun)
@@ -196,7 +195,7 @@
         return starts
 
     def _weight_at(self, now: float) -> WeightAt:
-        """Return what tells how many places an item takes at an engine."""
+        """Return a function that gives how many places an item takes at an engine."""
         by_service: dict[str, EnginePlaces] = {}
 
         def weight_at(service: str, worker: str) -> float:
@@ -210,7 +209,7 @@
     def _bounds(
         self, runs: Iterable[BatchRun], places: Mapping[str, _Places], now: float
     ) -> dict[str, StepBounds]:
-        """Return by batch what bounds when it is whole."""
+        """Return by batch what limits when it can complete."""
         bounds: dict[str, StepBounds] = {}
         paces: dict[str, float] = {}
         for run in runs:
@@ -224,7 +223,7 @@
         return bounds
 
     def start(self, run: BatchRun, item: ItemRun, now: float) -> list[StartItem]:
-        """Begin an attempt at an item; nothing if no engine has room for it."""
+        """Begin an attempt at an item; do nothing if no engine has room for it."""
         worker = self._choose(run, item, now)
         if worker is None:
             return []
@@ -265,23 +264,23 @@
             avoid=item.last_worker,
             policy=self._policy,
             events=self._lengths.events_left(item),
-            rng=self._draws,
+            rng=self._rng,
             fits=room.fits,
         )
         engine = engine or room.last_resort()
-        if engine is None and found and room.closed:
-            self._closed.add(_alike(run, item))
+        if engine is None and found and room.blocked:
+            self._blocked.add(_placement_class(run, item))
         return engine
 
 
 @dataclass(frozen=True, slots=True)
-class _AlikeItems:
-    """Items that may go to the same engines: of one batch, model and route.
+class _PlacementClass:
+    """Key of items that may go to the same engines: those of one batch, model and route.
 
     Attributes
     ----------
     directory
-        Their paths up to the last slash, which decide the route.
+        The items' path up to the last slash, which determines the route.
     """
 
     batch: str
@@ -289,5 +288,5 @@
     directory: str
 
 
-def _alike(run: BatchRun, item: ItemRun) -> _AlikeItems:
-    return _AlikeItems(run.name, item.spec.model, item.spec.path.rpartition("/")[0])
+def _placement_class(run: BatchRun, item: ItemRun) -> _PlacementClass:
+    return _PlacementClass(run.name, item.spec.model, item.spec.path.rpartition("/")[0])
--- a/src/stagewalk/gateway/batches/attempt_watch.py
+++ b/src/stagewalk/gateway/batches/attempt_watch.py
@@ -1,8 +1,8 @@
-"""Decides which attempts under way to leave: silent, in an evacuated zone, or slow. Pure.
+"""Decides which running attempts to abandon: silent, in an evacuated zone, or slow. Pure.
 
-Owns the bounds of silence and when an item is urgent. Inputs, in seconds: when the attempt's last
-event came, the engine's time for an event, the route's `due_seconds`. Relies on `placement` for
-room and speed elsewhere, and on `eligibility` for the engines that an item may go to.
+Defines the event timeouts and when an item is urgent. Inputs, in seconds: the time of the attempt's
+last event, the engine's time per event, the route's `due_seconds`. `move_choice` judges room and
+speed at other engines, `eligibility` gives the engines that an item may go to.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 from stagewalk.gateway.workers.worker import Worker
 
 EVENT_TIMEOUT_SECONDS = 1.6
-"""An engine that brings no event of an item for this long is left."""
+"""An attempt without an event for this long is abandoned."""
 
 MINIMUM_EVENT_TIMEOUT_SECONDS = 0.7
 SHORT_SILENCE_EVENTS = 8.0
-"""With room at another engine it is left after this many times what an event takes at it, but not
-before `MINIMUM_EVENT_TIMEOUT_SECONDS`."""
+"""If another engine has room, the event timeout is this many times the engine's time per event, but
+at least `MINIMUM_EVENT_TIMEOUT_SECONDS`."""
 
 MOVE_COOLDOWN_SECONDS = 1.5
-"""An item that was moved stays where it is for this long. Without a pause items went from engine to
-engine, 1,052 moves on a quiet day."""
+"""How long a moved item stays at its engine, so that items don't keep moving from engine to
+engine."""
 
 URGENT_SHARE = 0.6
-"""An item is urgent that is expected to end after this part of the time its batch has. Long items
-at an engine 1.3 times slower missed their due time."""
+"""An item is urgent if its expected end is later than this share of the time its batch has. Guards
+against long items that miss their due time at a slow engine."""
 
 FIRST_EVENT_TIMEOUT_SECONDS = 3.0
-"""Longest silence before the first event, when the item may still wait for its slot."""
+"""Timeout before the first event, when the item may still be queued for a slot."""
 
 
 class AttemptWatch:
-    """Judges attempts under way by what their engines have shown."""
+    """Judges running attempts by what has been observed of their engines."""
 
     def __init__(
         self,
@@ -60,12 +60,12 @@
     def candidates(
         self, batch: Batch, item: ItemRun, now: float, *, request_leases: bool = False
     ) -> list[Worker]:
-        """Return the workers that may run an item now: eligible, on weights that fit.
+        """Return the workers that may run an item now: eligible, on weights that are new enough.
 
         Parameters
         ----------
         request_leases
-            Whether to ask for leases on cold workers that could run it: it waits for a worker.
+            Whether to request leases on cold workers that could run the item.
         """
         route = self._route_of(batch.header.host, item.spec.path)
         if route is None:
@@ -81,10 +81,10 @@
         oldest = batch.header.minimum_version
         return [w for w in workers if w.versions.get(model, oldest) >= oldest]
 
-    def silent(self, batch: Batch, item: ItemRun, now: float) -> bool:
-        """Whether an attempt has brought nothing for too long; sooner if there is room elsewhere.
+    def is_silent(self, batch: Batch, item: ItemRun, now: float) -> bool:
+        """Whether an attempt's last event is too long ago; sooner if another engine has room.
 
-        A worker is silent while it loads weights, which is no reason to leave it.
+        Time that the worker spends loading weights doesn't count.
         """
         attempt = item.running
         assert attempt is not None
@@ -94,7 +94,7 @@
             since = max(since, min(worker.loading_until.get(item.spec.model, since), now))
         silence = now - since
         if len(item.events) == attempt.events_before:
-            # An engine that is listed no more, and brought nothing yet, is not worth the wait.
+            # An engine that is no longer listed and has sent nothing gets the short timeout.
             return silence > (
                 MINIMUM_EVENT_TIMEOUT_SECONDS if worker is None else FIRST_EVENT_TIMEOUT_SECONDS
             )
@@ -112,10 +112,11 @@
         """Whether any zone is being evacuated."""
         return bool(self._eligibility.evacuations.zones)
 
-    def evacuated(self, batch: Batch, item: ItemRun, now: float) -> bool:
-        """Whether an item's engine is in a zone being evacuated, and another one has room.
+    def should_evacuate(self, batch: Batch, item: ItemRun, now: float) -> bool:
+        """Whether an item's engine is in a zone being evacuated and another engine has room.
 
-        Where none has, the item is done soonest where it is: only new work must not go there.
+        Without room elsewhere the item finishes soonest where it is: an evacuation only has to
+        keep new work away.
         """
         assert item.running is not None
         current = self._workers.worker(item.running.worker)
@@ -127,7 +128,7 @@
         return has_room_elsewhere(current, candidates, item.spec.model, now, fits=fits)
 
     def faster_elsewhere(self, batch: Batch, item: ItemRun, now: float) -> bool:
-        """Whether an item would be done well before at another engine."""
+        """Whether an item would finish considerably earlier at another engine."""
         assert item.running is not None
         if now - item.moved_at < MOVE_COOLDOWN_SECONDS:
             return False
@@ -151,7 +152,7 @@
         return lambda engine: self._room.fits(engine, item, now)
 
     def _urgent(self, batch: Batch, item: ItemRun, seconds_left: float, now: float) -> bool:
-        """Whether an item may end near the time when its batch is due."""
+        """Whether an item may finish close to its batch's due time."""
         route = self._route_of(batch.header.host, item.spec.path)
         if route is None:
             return False
--- a/src/stagewalk/gateway/batches/attempts.py
+++ b/src/stagewalk/gateway/batches/attempts.py
@@ -1,7 +1,7 @@
-"""The attempts at items that are under way on this node.
+"""The running attempts at items of this node.
 
-Owns which item each attempt number belongs to, and how an attempt ends on this side: its item is
-free for the next one, and its worker has a request less. Relies on the worker table for the load.
+Maps attempt numbers to items. When an attempt ends, its item becomes free for the next one and its
+worker's count of requests in the worker table goes down.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningItem:
-    """An item with an attempt under way, and the run of its batch."""
+    """An item with a running attempt, and the run of its batch."""
 
     run: BatchRun
     item: ItemRun
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedAttempt:
-    """An attempt that ended by itself, and the worker that it ran at."""
+    """An attempt that ended without being stopped here, and the worker that it ran at."""
 
     run: BatchRun
     item: ItemRun
@@ -34,7 +34,7 @@
 
 
 class RunningAttempts:
-    """Attempts under way, by number."""
+    """Running attempts, by number."""
 
     def __init__(self, workers: WorkerTable) -> None:
         self._workers = workers
@@ -42,30 +42,30 @@
         self._by_worker: dict[str, dict[int, RunningItem]] = {}
 
     def __len__(self) -> int:
-        """Return the number of attempts under way."""
+        """Return the number of running attempts."""
         return len(self._items)
 
     def __iter__(self) -> Iterator[RunningItem]:
-        """Return the items with an attempt as they are now: attempts may end meanwhile."""
+        """Iterate over a snapshot of the items with an attempt: attempts may end meanwhile."""
         return iter(list(self._items.values()))
 
     def get(self, attempt: int) -> RunningItem | None:
-        """Return the item of an attempt, None if the attempt is over."""
+        """Return the item of an attempt, None if the attempt has ended."""
         return self._items.get(attempt)
 
     def at(self, worker: str) -> dict[int, RunningItem]:
-        """Return the items with an attempt at a worker, by number in the order of their starts."""
+        """Return the items with an attempt at a worker, by attempt number in start order."""
         return self._by_worker.get(worker, {})
 
     def add(self, attempt: int, run: BatchRun, item: ItemRun) -> None:
-        """Add an attempt that begins at the worker that its item names."""
+        """Add an attempt at the worker that its item names."""
         assert item.running is not None
         running = RunningItem(run, item)
         self._items[attempt] = running
         self._by_worker.setdefault(item.running.worker, {})[attempt] = running
 
-    def leave(self, item: ItemRun, reason: str, now: float) -> StopItem:
-        """Stop an item's attempt; the next one begins elsewhere after a pause."""
+    def abandon(self, item: ItemRun, reason: str, now: float) -> StopItem:
+        """Stop an item's attempt; the next one begins elsewhere after a delay."""
         assert item.running is not None
         worker = item.running.worker
         stop = self.stop(item, reason)
@@ -77,23 +77,23 @@
         assert item.running is not None
         attempt = item.running.attempt
         self._items.pop(attempt, None)
-        self._free(item)
+        self._release(item)
         return StopItem(attempt, reason)
 
     def end(self, attempt: int) -> EndedAttempt | None:
-        """Remove an attempt that ended by itself; None if it was over before."""
+        """Remove an attempt that ended by itself; return None if it was removed before."""
         known = self._items.pop(attempt, None)
         if known is None:
             return None
-        return EndedAttempt(known.run, known.item, self._free(known.item).worker)
+        return EndedAttempt(known.run, known.item, self._release(known.item).worker)
 
     @staticmethod
     def retry_later(item: ItemRun, worker: str, now: float) -> None:
-        """Let an item wait before its next attempt, at another worker than this one if it can."""
+        """Delay an item's next attempt, and prefer another worker for it."""
         item.not_before = now + ITEM_RETRY_DELAY_SECONDS
         item.last_worker = worker
 
-    def _free(self, item: ItemRun) -> RunningAttempt:
+    def _release(self, item: ItemRun) -> RunningAttempt:
         attempt = item.running
         assert attempt is not None
         item.running = None
--- a/src/stagewalk/gateway/batches/batch.py
+++ b/src/stagewalk/gateway/batches/batch.py
@@ -1,7 +1,6 @@
-"""A batch as the records show it.
+"""The state of a batch derived from its log records.
 
-Owns the derived counts of a batch: its results by position, and which groups are whole. Relies on
-`ledger`, the only one that changes it.
+Only `ledger` changes it.
 """
 
 from __future__ import annotations
@@ -17,22 +16,22 @@
 
 @dataclass(slots=True)
 class Batch:
-    """A batch as the records show it.
+    """The state of a batch derived from its log records.
 
     Attributes
     ----------
     results
-        In the order of their records: a result's index is its position for ever.
+        In the order of their records: a result's index is its permanent position.
     listed
         Names of the items with a result.
     runner
-        The process that runs it, `NO_RUNNER` after a release.
+        The process that runs the batch, `NO_RUNNER` after a release.
     epoch
         Number of claims so far.
     seen_at, ended_at
-        When this node first saw it and its end, by the steady clock.
+        When this node first saw the batch and its end, by the monotonic clock.
     first_offset
-        Of the first record of the submission that is in force here.
+        Log offset of the first record of the submission in force.
     """
 
     header: BatchHeader
@@ -46,9 +45,9 @@
     ended_at: float = 0.0
     first_offset: int = 0
     whole_groups: int = 0
-    """Groups whose items all have a result."""
+    """Number of groups whose items all have a result."""
     _missing: Counter[str] = field(default_factory=Counter)
-    """By group, items without a result."""
+    """Number of items without a result, by group."""
 
     def __post_init__(self) -> None:
         self._missing.update(item.group for item in self.items.values())
@@ -63,10 +62,10 @@
 
     @property
     def satisfied(self) -> bool:
-        """Whether its trainer has all that it waits for."""
+        """Whether the trainer has all the groups that it waits for."""
         return not self.open or 0 < self.header.wanted_groups <= self.whole_groups
 
     @property
     def open(self) -> bool:
-        """Whether anything of it is left to run."""
+        """Whether any item is left to run."""
         return not self.ended and len(self.listed) < len(self.items)
--- a/src/stagewalk/gateway/batches/batch_run.py
+++ b/src/stagewalk/gateway/batches/batch_run.py
@@ -1,6 +1,6 @@
-"""One batch being run, and the instructions that record what becomes of its items.
+"""One batch being run, and the instructions that record the results of its items.
 
-Owns the items that have no result in the log yet. Relies on `item_run` for each item's state.
+Holds the items that have no result in the log yet; `item_run` holds each item's state.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
     @property
     def unpublished(self) -> Iterable[ItemRun]:
-        """Return the items of which the log lacks text or tries that a later run goes on from."""
+        """Return the items with text or score attempts that the log doesn't hold yet."""
         return (item for item in self.items.values() if item.unpublished and not item.recording)
 
     def progress(self, item: ItemRun) -> RecordItem:
-        """Record what has been made of an item so far."""
+        """Record an item's progress so far."""
         return RecordItem(item.publish_progress(self.name))
 
     def fail(self, item: ItemRun) -> RecordItem:
@@ -40,6 +40,6 @@
         return RecordItem(item.failure(self.name))
 
     def finish(self, item: ItemRun, score: str = "") -> RecordItem:
-        """Record an item's text, and its score if it asks for one, as its result."""
+        """Record an item's text, with its score if it asks for one, as its result."""
         item.recording = True
         return RecordItem(item.result(self.name, score))
--- a/src/stagewalk/gateway/batches/engine_observations.py
+++ b/src/stagewalk/gateway/batches/engine_observations.py
@@ -1,7 +1,6 @@
-"""Updates what is known of engines by how attempts at items went. Pure.
+"""Updates the observed state of engines from failed attempts and gaps between events. Pure.
 
-Owns nothing; the state is the worker's (`workers.worker`). Inputs: failures, and gaps between
-events.
+The state itself belongs to the worker (`workers.worker`).
 """
 
 from __future__ import annotations
@@ -11,11 +10,11 @@
 from stagewalk.gateway.workers.worker import Worker
 
 ASSUMED_LOADING_SECONDS = 0.25
-"""How long an engine that refused with slots free counts as loading weights."""
+"""How long an engine that refused an item despite free slots is assumed to load weights."""
 
 
 def record_refusal(engine: Worker, model: str, failure: AttemptFailure, now: float) -> None:
-    """Record a failed attempt: an engine that refuses with slots free is loading weights."""
+    """Record a failed attempt; an engine that refuses despite free slots is loading weights."""
     if failure.fault is AttemptFault.WITHHELD:
         return
     engine.record_load(failure.load, now)
@@ -25,20 +24,20 @@
         engine.loading_until[model] = now + ASSUMED_LOADING_SECONDS
 
 
-def _full(engine: Worker, told: WorkerLoad | None, now: float) -> bool:
-    """Whether an engine refused for want of a slot, by what it told then or just before."""
-    if told is None and engine.reports_pace:
-        told = engine.recent_load(now)
-    return told is not None and told.running >= told.slots
+def _full(engine: Worker, reported: WorkerLoad | None, now: float) -> bool:
+    """Whether an engine refused because its slots were full, by its latest load report."""
+    if reported is None and engine.reports_pace:
+        reported = engine.recent_load(now)
+    return reported is not None and reported.running >= reported.slots
 
 
 def record_pace(engine: Worker, attempt: RunningAttempt, events: int, now: float) -> None:
-    """Record an engine's time per event; the first one comes with the head and gives none.
+    """Record an engine's time per event; the first event comes with the head and is skipped.
 
     Parameters
     ----------
     events
-        Events held of the item, the newest one among them.
+        Number of the item's events received so far, including the newest.
     """
     if events <= attempt.events_before + 1:
         return
--- a/src/stagewalk/gateway/batches/expected_end.py
+++ b/src/stagewalk/gateway/batches/expected_end.py
@@ -1,9 +1,8 @@
-"""When an engine is expected to have finished an item. Pure.
+"""Estimates when an engine would finish an item. Pure.
 
-Answers the load of an uneven fleet: long items belong at fast machines, and a short one that finds
-those taken loses little at a slow one. Inputs: events expected to come, the engine's seconds for an
-event (the machine's own, as far as its worker reports a pace) and its requests per slot. Owns how
-far other runs delay one.
+On machines of different speed, long items should go to fast ones, while a short item loses little
+on a slow one. Inputs: the expected number of remaining events, the engine's seconds per event (the
+machine's usual speed, if its worker reports a pace) and its requests per slot.
 """
 
 from __future__ import annotations
@@ -11,21 +10,21 @@
 from stagewalk.gateway.workers.worker import Worker
 
 FULL_ENGINE_SLOWDOWN = 0.4
-"""How much longer a run takes at a full engine than at an empty one, in parts of its time."""
+"""How much longer a run takes at a full engine than at an empty one, as a share of its time."""
 
 MINIMUM_EVENTS = 4.0
-"""An item of which nothing is known is taken to have at least so many."""
+"""Lower bound of an item's expected events, also used if nothing is known of the item."""
 
 
 def expected_end(engine: Worker, events: float, event_seconds: float, now: float) -> float:
-    """Return how long from now an engine is expected to take for an item that is sent there.
+    """Return how many seconds an engine is expected to need for an item sent there now.
 
     Parameters
     ----------
     events
-        Events of the item expected to come.
+        Expected number of remaining events of the item.
     event_seconds
-        The engine's usual time for one.
+        The engine's usual time per event.
     """
     usual = max(events, MINIMUM_EVENTS) * event_seconds
     run = engine.expected_seconds(usual, now)
@@ -34,9 +33,9 @@
 
 
 def _waiting_share(engine: Worker, occupancy: float) -> float:
-    """Return how long a request waits for its slot, in parts of a run there.
+    """Return how long a request waits for a slot, as a share of a run's time.
 
-    One of so many runs as there are slots ends after each such part, runs being alike.
+    Assumes runs of equal length, one of which ends every 1/slots of a run's time.
     """
     slots = max(1, engine.announcement.slots)
     return max(0.0, occupancy * slots + 1.0 - slots) / slots
--- a/src/stagewalk/gateway/batches/item_moves.py
+++ b/src/stagewalk/gateway/batches/item_moves.py
@@ -1,7 +1,7 @@
 """Moves items away from engines that are silent, in an evacuated zone, or slower than others.
 
-Owns no state. Relies on `attempt_watch` for the judgement of each attempt and its thresholds, and
-on `placement` behind it; with what was made so far, any engine goes on.
+Holds no state; `attempt_watch` judges each attempt. Another engine resumes an item after the last
+event received.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class ItemMoves:
-    """Stops attempts whose items are better off elsewhere.
+    """Stops attempts whose items should run at another engine.
 
     Parameters
     ----------
     may_start
-        Whether items of a batch may be sent to workers: what could not start again stays.
+        Whether items of a batch may be sent to workers; items that couldn't restart aren't moved.
     """
 
     def __init__(
@@ -41,21 +41,21 @@
         self._policy = policy
         self._may_start = may_start
 
-    def leave_silent(self, now: float) -> list[SchedulerInstruction]:
-        """Stop attempts that have brought nothing for too long, and suspect their workers."""
+    def abandon_silent(self, now: float) -> list[SchedulerInstruction]:
+        """Stop attempts whose event timeout has passed, and record a failure of their workers."""
         instructions: list[SchedulerInstruction] = []
         for running in self._attempts:
             run, item = running.run, running.item
-            if item.running is None or not self._watch.silent(run.batch, item, now):
+            if item.running is None or not self._watch.is_silent(run.batch, item, now):
                 continue
             worker = self._workers.worker(item.running.worker)
             if worker is not None:
                 worker.record_failure(now)
-            instructions.append(self._attempts.leave(item, "silent", now))
+            instructions.append(self._attempts.abandon(item, "silent", now))
         return instructions
 
-    def leave_evacuated(self, now: float) -> list[SchedulerInstruction]:
-        """Move items whose engine is in a zone being evacuated: the next attempt begins at once."""
+    def abandon_evacuated(self, now: float) -> list[SchedulerInstruction]:
+        """Move items out of zones being evacuated; the next attempt begins at once."""
         instructions: list[SchedulerInstruction] = []
         if not self._watch.evacuating:
             return instructions
@@ -63,13 +63,13 @@
             run, item = running.run, running.item
             if item.running is None or not self._may_start(run.name, now):
                 continue
-            if self._watch.evacuated(run.batch, item, now):
-                instructions.append(self._attempts.leave(item, "zone evacuated", now))
+            if self._watch.should_evacuate(run.batch, item, now):
+                instructions.append(self._attempts.abandon(item, "zone evacuated", now))
                 instructions += self._starter.start(run, item, now)
         return instructions
 
-    def leave_slow(self, now: float) -> list[SchedulerInstruction]:
-        """Stop attempts whose items would be done well before at another engine."""
+    def abandon_slow(self, now: float) -> list[SchedulerInstruction]:
+        """Stop attempts whose items would finish considerably earlier at another engine."""
         instructions: list[SchedulerInstruction] = []
         if not self._policy.moves:
             return instructions
@@ -78,7 +78,7 @@
             if item.running is None or not self._may_start(run.name, now):
                 continue
             if self._watch.faster_elsewhere(run.batch, item, now):
-                instructions.append(self._attempts.leave(item, "faster elsewhere", now))
+                instructions.append(self._attempts.abandon(item, "faster elsewhere", now))
                 item.not_before = now
                 item.moved_at = now
         return instructions
--- a/src/stagewalk/gateway/batches/item_run.py
+++ b/src/stagewalk/gateway/batches/item_run.py
@@ -1,7 +1,7 @@
-"""The state of one item between its start and its result, across attempts at several engines.
+"""The state of one item until its result is recorded, across attempts at several engines.
 
-Owns the events held, the versions that made them, and what of it the log holds. Relies on the
-scheduler to change it and on `records` for the stored forms.
+Holds the events received, the weight versions that generated them, and how much of it is in the
+log. Only the scheduler changes it.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 from stagewalk.gateway.quarantine.content import RequestContent
 
 PACE_GAPS = 3
-"""An engine's pace is the middle one of this many gaps between events: one pause is left out. Paces
-that took in first events and pauses moved items 1,052 times on a quiet day."""
+"""An engine's pace is the median of this many gaps between events, so that one pause doesn't make
+the engine look slow."""
 
 ITEM_METHOD = "POST"
 
 
 def item_content(host: str, item: BatchItem) -> RequestContent:
-    """Return what an engine's run of an item depends on: the same in any batch of the host."""
+    """Return the request that an item is sent as; it is the same in any batch of the host."""
     return RequestContent(ITEM_METHOD, host, item.path, item.body)
 
 
 @dataclass(slots=True)
 class RunningAttempt:
-    """An attempt under way. Times are of the steady clock."""
+    """A running attempt. Times are of the monotonic clock."""
 
     attempt: int
     worker: str
     started_at: float
     last_event_at: float
     events_before: int
-    """Events held already when it began."""
-    begun: bool = False
-    """Whether the engine has begun to answer."""
+    """Number of events received before it began."""
+    answering: bool = False
+    """Whether the engine has begun to respond."""
     version: int | None = None
-    """Weight version that makes the next event."""
+    """Weight version that generates the next event."""
     gaps: deque[float] = field(default_factory=lambda: deque(maxlen=PACE_GAPS))
 
     def pace(self, gap: float) -> float | None:
-        """Add the time since the last event; return the middle one of the last few.
+        """Add the time since the last event; return the median of the last `PACE_GAPS`, if known.
 
-        One pause (weights that load, a prompt that is read) says nothing of the pace.
+        The median ignores a single pause, such as a load of weights or a prefill.
         """
         self.gaps.append(gap)
         return sorted(self.gaps)[PACE_GAPS // 2] if len(self.gaps) == PACE_GAPS else None
@@ -55,30 +55,31 @@
 
 @dataclass(slots=True)
 class ItemRun:
-    """What has been made of an item so far.
+    """The state of an item that has no result in the log yet.
 
     Attributes
     ----------
     events
-        Data of the events held, in order: event n is at index n - 1.
+        Data of the events received, in order: event n is at index n - 1.
     versions
-        Weight versions that made them, ascending.
+        Weight versions that generated them, ascending.
     run_failures
-        How often a worker ran it and said it failed.
+        How often a worker ran the item and reported a failure.
     recording
-        Whether its result is on its way to the log.
+        Whether its result has been handed over to be written to the log.
     published_events
         How many of its events the log holds.
     scoring_since
-        When its text was whole and its score was first asked for; None before that.
+        When its text was complete and its score was first requested; None before that.
     score_failures
-        How often the service that scores said that it failed.
+        How often the scoring service reported a failure.
     published_score_failures
-        What of that the log holds; None while the log does not hold the whole text.
+        The count of these in the log; None while the log doesn't hold the complete text.
     known_events
-        Events made of it in an earlier batch, at least; 0 for an item that is new.
+        Number of events known from an earlier run, also if their text can't be reused; a lower
+        bound of the item's length. 0 for a new item.
     withheld_since
-        Since when no engine has had memory for it; None while it runs, or if one has.
+        Since when no engine has had memory for it; None if it isn't withheld.
     """
 
     spec: BatchItem
@@ -101,7 +102,7 @@
 
     @classmethod
     def begin(cls, host: str, spec: BatchItem, prompt: Prompt = UNKNOWN_PROMPT) -> ItemRun:
-        """Return an item of which nothing has been made, of a batch at a host."""
+        """Return an item without text, of a batch at a host."""
         return cls(spec, item_content(host, spec), prompt=prompt)
 
     @property
@@ -110,24 +111,24 @@
         return self.running is None and not self.recording and not self.scoring
 
     @property
-    def unbegun(self) -> bool:
-        """Whether its engine has not begun to answer its attempt."""
-        return self.running is not None and not self.running.begun
+    def awaiting_answer(self) -> bool:
+        """Whether it has an attempt to which the engine has not begun to respond."""
+        return self.running is not None and not self.running.answering
 
     @property
     def scoring(self) -> bool:
-        """Whether its text is whole and its score is awaited."""
+        """Whether its text is complete and its score is pending."""
         return self.scoring_since is not None and not self.recording
 
     @property
     def unpublished(self) -> bool:
-        """Whether the log lacks text or tries that a node which takes over would go on from."""
+        """Whether the log lacks text or score failures that a node taking over would need."""
         if self.scoring:
             return self.published_score_failures != self.score_failures
         return len(self.events) > self.published_events
 
     def add_event(self, data: str) -> None:
-        """Append the next event, made under the version its attempt is at."""
+        """Append the next event, generated by its attempt's current weight version."""
         assert self.running is not None
         self.events.append(data)
         version = self.running.version
@@ -136,18 +137,18 @@
             self.versions.sort()
 
     def restart(self) -> None:
-        """Drop the text made so far."""
+        """Drop the text generated so far."""
         self.events = []
         self.versions = []
 
     def adopt(self, events: Sequence[str], versions: Sequence[int]) -> None:
-        """Go on from text that was made before."""
+        """Set the text to resume from, which is in the log already."""
         self.events = list(events)
         self.versions = sorted(versions)
         self.published_events = len(self.events)
 
     def publish_progress(self, batch: str) -> ItemProgress:
-        """Return the record of what has been made so far; it counts as published."""
+        """Return a record of the progress so far and mark it as published."""
         self.published_events = len(self.events)
         if self.scoring:
             self.published_score_failures = self.score_failures
@@ -161,10 +162,10 @@
         )
 
     def result(self, batch: str, score: str = "") -> ItemFinished:
-        """Return its succeeded result: text and score are one record."""
+        """Return its successful result, text and score in one record."""
         text = EVENT_SEPARATOR.join(self.events)
         return ItemFinished(batch, self.spec.item, True, text, tuple(self.versions), score)
 
     def failure(self, batch: str) -> ItemFinished:
-        """Return the result of an item that was given up."""
+        """Return the result of an item that failed."""
         return ItemFinished(batch, self.spec.item, False, "", ())
--- a/src/stagewalk/gateway/batches/item_scores.py
+++ b/src/stagewalk/gateway/batches/item_scores.py
@@ -1,8 +1,8 @@
-"""Scores items whose text is whole; text and score become one result. Pure.
+"""Requests scores for items whose text is complete. Pure.
 
-Owns no state: calls are `scoring.core`'s and items the scheduler's. Text and score are one record,
-or a result would stand in the log without its score, or at a position that changes
-(docs/design/0110).
+Holds no state: calls belong to `scoring.core` and items to the scheduler. Text and score are
+written as one record, because a result without its score must not appear in the log and a result's
+position must not change (docs/design/0110).
 """
 
 from __future__ import annotations
@@ -16,18 +16,17 @@
 from stagewalk.gateway.scoring.messages import ScoreAnswered, ScoreAttemptFailed, StopScore
 
 PUBLISH_UNSCORED_SECONDS = 0.3
-"""A whole text that waits longer than this for its score is recorded by itself: a node that takes
-over needs only the score. Most scores come sooner (95% within 0.092 s, docs/design/0162), and then
-text and score are recorded once."""
+"""A complete text that waits longer than this for its score is published as progress, so that a
+node that takes over needs only the score. Most scores arrive sooner and save the extra record."""
 
 
 class ItemScores:
-    """The scores that a scheduler's items wait for.
+    """The pending scores of a scheduler's items.
 
     Parameters
     ----------
     calls
-        Decides the attempts.
+        Decides the attempts at score calls.
     runs
         The batches being run, by name.
     route_of
@@ -46,15 +45,15 @@
         """Return the number of items that wait for their score."""
         return self._calls.pending
 
-    def text_whole(
+    def text_completed(
         self, run: BatchRun, item: ItemRun, now: float, score: str = ""
     ) -> list[SchedulerInstruction]:
-        """Record an item whose text is whole, or begin to score it.
+        """Record an item whose text is complete, or begin to score it.
 
         Parameters
         ----------
         score
-            The score, if it is known already.
+            The score, if it is already known.
         """
         call = item.spec.score_call
         if call is None or score:
@@ -100,7 +99,7 @@
         return [*instructions, *self.due(now)]
 
     def publish_overdue(self, now: float) -> list[RecordItem]:
-        """Record whole texts that wait long for their score."""
+        """Publish complete texts that have waited too long for their score."""
         if not self.pending:
             return []
         return [
--- a/src/stagewalk/gateway/batches/ledger.py
+++ b/src/stagewalk/gateway/batches/ledger.py
@@ -1,8 +1,8 @@
-"""The fold of batch records: the same records give the same batches on every node. Pure.
+"""Replays batch records: the same records give the same batches on every node. Pure.
 
-Owns the batches of the partitions followed, and for how long an end is remembered. Relies on
-`record_parts` for records that were split and on `reusable_texts` for text. Times are of the steady
-clock and only say how long this node has known something.
+Holds the batches of the partitions this node follows, and remembers for a time which have ended.
+`record_parts` joins split records, `reusable_texts` holds generated text. Times are of this node's
+monotonic clock and only affect how long things are remembered.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 from stagewalk.gateway.batches.reusable_texts import ReusableText, ReusableTexts
 
 FORGET_AFTER_SECONDS = 240.0
-"""How long an ended batch is kept."""
+"""How long an ended batch is retained."""
 
-ENDED_KNOWN_SECONDS = 600.0
-"""How long it is known after that that a batch has ended: twice what the log keeps its records, so
-that a submission which lies behind the end is never taken for a new batch."""
+ENDED_BATCH_ID_RETENTION_SECONDS = 600.0
+"""How long the names of ended batches are retained: twice the log's retention of records, so that a
+submission recorded after the end is never taken for a new batch."""
 
 
 class LedgerChange(StrEnum):
-    """What a record changed."""
+    """The kind of change that a record made to a batch."""
 
     OPENED = "opened"
     RESULT_ADDED = "listed"
     ENDED = "ended"
     RUNNER_CHANGED = "runner"
     LOST = "lost"
-    """Records of it were dropped from the log before they were read here."""
+    """Records of the batch were dropped from the log before this node read them."""
 
 
 ChangeListener = Callable[[Batch, LedgerChange], None]
 
 
 class BatchLedger:
-    """All batches of the partitions followed."""
+    """All batches of the partitions that this node follows."""
 
     def __init__(self, on_change: ChangeListener) -> None:
         self._on_change = on_change
@@ -56,7 +56,7 @@
         self._parts = RecordParts()
         self._texts = ReusableTexts()
         self._ended_at: dict[str, float] = {}
-        """Batches whose end was read, those too whose submission was not, and when."""
+        """When the end of each batch was read, also of batches without a known submission."""
 
     def get(self, batch: str) -> Batch | None:
         """Return a batch."""
@@ -68,15 +68,15 @@
         return self._batches.keys()
 
     def open_batches(self) -> list[Batch]:
-        """Return the batches of which something is left to run."""
+        """Return the batches with items left to run."""
         return [batch for batch in self._batches.values() if batch.open]
 
     def reusable_text(self, item: BatchItem) -> ReusableText | None:
-        """Return what was made of the same item before, in this batch or an earlier one."""
+        """Return text generated for the same item, in this batch or an earlier one."""
         return self._texts.find(item)
 
     def apply(self, record: BatchRecord, now: float, offset: int = 0) -> None:
-        """Fold one record in, which lies at an offset of its partition."""
+        """Apply the record at an offset of its partition."""
         match record:
             case BatchSubmitted():
                 self._submitted(record, now, offset)
@@ -94,17 +94,19 @@
                 self._released(record)
 
     def forget(self, now: float) -> list[str]:
-        """Drop batches that ended long ago; return those whose end is remembered no more."""
+        """Drop batches that ended long ago; return the names whose end is no longer remembered."""
         for name, batch in list(self._batches.items()):
             if batch.ended and now - batch.ended_at > FORGET_AFTER_SECONDS:
                 self._drop(name)
-        forgotten = [n for n, at in self._ended_at.items() if now - at > ENDED_KNOWN_SECONDS]
+        forgotten = [
+            n for n, at in self._ended_at.items() if now - at > ENDED_BATCH_ID_RETENTION_SECONDS
+        ]
         for name in forgotten:
             del self._ended_at[name]
         return forgotten
 
     def lose(self, batches: Collection[str]) -> None:
-        """Drop batches of which records are missing: they may have ended, or have more results."""
+        """Drop batches with missing records: they may have ended, or have more results."""
         for name in batches:
             if name in self._batches:
                 self._on_change(self._batches[name], LedgerChange.LOST)
@@ -147,7 +149,7 @@
         self._on_change(batch, LedgerChange.RESULT_ADDED)
 
     def _item_finished_part(self, record: ItemFinishedPart) -> None:
-        """Keep a part until all of its result are there."""
+        """Add a part of a result; apply the result once all its parts are there."""
         batch = self._batches.get(record.batch)
         if batch is None or record.item in batch.listed:
             return
--- a/src/stagewalk/gateway/batches/memory_fit.py
+++ b/src/stagewalk/gateway/batches/memory_fit.py
@@ -1,7 +1,4 @@
-"""Which engines have room in their memory for an item. Pure.
-
-Owns the interface between placement and what is known of engines' memory.
-"""
+"""The interface between placement and the estimate of engines' memory. Pure."""
 
 from __future__ import annotations
 
@@ -12,38 +9,38 @@
 
 
 class RoomSearch(Protocol):
-    """A search for an engine for a waiting item."""
+    """A search for an engine for one waiting item."""
 
     def fits(self, engine: Worker) -> bool:
-        """Whether an engine, which could take the item otherwise, has memory for it."""
+        """Whether an engine that could otherwise take the item has memory for it."""
 
     @property
-    def closed(self) -> bool:
-        """Whether no engine could take any item: others alike need not be tried now."""
+    def blocked(self) -> bool:
+        """Whether no engine could take any item, so that similar items need not be tried now."""
 
     def last_resort(self) -> Worker | None:
-        """Return where the item goes although no engine asked for had room; None: it waits."""
+        """Return the engine to use although none had room; None if the item is to wait."""
 
 
 class EngineRoom(Protocol):
-    """Knows how much of the engines' memory is taken."""
+    """An estimate of the free memory of engines."""
 
     def fits(self, engine: Worker, item: ItemRun, now: float) -> bool:
-        """Whether an engine is expected to run an item without stopping it or another one."""
+        """Whether an engine is expected to run an item without preempting any run."""
 
     def search(self, item: ItemRun, now: float) -> RoomSearch:
         """Begin a search for a waiting item."""
 
 
 class UnknownRoom:
-    """Nothing is known of any engine's memory: its slots alone are its room."""
+    """Treats every engine as having enough memory; only its slots limit it."""
 
     def fits(self, engine: Worker, item: ItemRun, now: float) -> bool:
-        """Return that it fits."""
+        """Return True."""
         return True
 
     def search(self, item: ItemRun, now: float) -> RoomSearch:
-        """Return a search that finds room anywhere."""
+        """Return a search that finds room at any engine."""
         return _AnyRoom()
 
 
@@ -52,7 +49,7 @@
         return True
 
     @property
-    def closed(self) -> bool:
+    def blocked(self) -> bool:
         return False
 
     def last_resort(self) -> Worker | None:
--- a/src/stagewalk/gateway/batches/messages.py
+++ b/src/stagewalk/gateway/batches/messages.py
@@ -1,7 +1,6 @@
 """Events and instructions of the scheduler.
 
-Owns the types that the pure scheduler and the shell (`runners.scheduler_loop`) exchange. Relies on
-the ports of workers for heads, events and failures.
+These are the types that the pure scheduler and its I/O loop (`runners.scheduler_loop`) exchange.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptHead:
-    """A worker began to answer an attempt."""
+    """A worker began to respond to an attempt."""
 
     attempt: int
     head: StreamHead
@@ -23,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEvent:
-    """An attempt brought one more event."""
+    """An attempt received one more event."""
 
     attempt: int
     event: StreamEvent
@@ -31,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt's answer is whole."""
+    """An attempt's response is complete."""
 
     attempt: int
     status: int
@@ -39,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemAttemptFailed:
-    """An attempt ended without a whole answer."""
+    """An attempt ended without a complete response."""
 
     attempt: int
     failure: AttemptFailure
@@ -47,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed, or something else has changed that may let items start."""
+    """Time has passed, or another change may allow items to start."""
 
 
 SchedulerEvent = AttemptHead | AttemptEvent | AttemptEnded | ItemAttemptFailed | ScoreEvent | Tick
@@ -55,9 +54,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartItem:
-    """Send an item to a worker; with `resume_after`, from the event after that one.
+    """Send an item to a worker; with `resume_after`, resume after that event.
 
-    `tenant` is whose batch it belongs to, see `BatchHeader`; `priority` as in `OutboundRequest`.
+    `tenant` is the batch's tenant, see `BatchHeader`; `priority` as in `OutboundRequest`.
     """
 
     attempt: int
@@ -72,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemAwaitingMemory:
-    """An item waits because no engine has memory for it; said once for each item.
+    """An item waits because no engine has memory for it; issued once for each wait.
 
     Attributes
     ----------
     engines
-        How many engines had a free place.
+        How many engines were checked for memory.
     lacking_tokens
-        What the best of them lacked.
+        Smallest number of tokens that one of them lacked.
     """
 
     item: str
--- a/src/stagewalk/gateway/batches/move_choice.py
+++ b/src/stagewalk/gateway/batches/move_choice.py
@@ -1,9 +1,9 @@
-"""Decides when moving an item to another engine pays. Pure.
+"""Decides when moving an item to another engine is worth its cost. Pure.
 
-Inputs: the engines that may run the item, their occupancy (parts of their slots), their seconds for
-an event, and the number of events expected to come. Owns the bounds of moves. Relies on
-`workers.placement_costs` for what counts as room. Where workers report their pace, an engine's time
-is its machine's own: no item moves since its engine is slow for a moment.
+Inputs: the engines that may run the item, their occupancy (share of their slots), their seconds per
+event, and the expected number of remaining events. `workers.placement_costs` defines what counts as
+room. Where workers report their pace, an engine's time per event is its machine's usual one, so
+that momentary slowness moves no item.
 """
 
 from __future__ import annotations
@@ -17,17 +17,15 @@
 from stagewalk.gateway.workers.worker import Worker
 
 MOVE_COST_SECONDS = 0.15
-"""What going on at another engine takes: reading the prompt and the text so far again."""
+"""Cost of resuming at another engine: the prefill of the prompt and the text so far."""
 
 FASTER_SHARE = 0.85
-"""An engine counts as faster if an event takes at most this part of the time there. An engine's
-pace differs by 5% with its load and by as much with what is seen of it: without this bound long
-items went from one engine to the next, 387 moves on a day of 4,232 items, and those that moved
-four times or more took 9.4 s for what takes 7.1 s where they stay."""
+"""An engine counts as faster if its time per event is at most this share of the current one's. The
+bound exceeds the variation with load and observation, so that long items don't keep moving."""
 
 MINIMUM_URGENT_GAIN_SECONDS = 0.25
 MINIMUM_GAIN_SECONDS = 1.0
-"""Moves that gain less than this are not worth their price."""
+"""Moves that gain less than this aren't worth their cost."""
 
 
 def faster_engine(
@@ -40,13 +38,13 @@
     urgent: bool,
     fits: Callable[[Worker], bool] = lambda _engine: True,
 ) -> Worker | None:
-    """Return an engine with room at which an item would be done well before it is at its own.
+    """Return the engine with room where an item would finish earliest, if the move is worth it.
 
-    Going on elsewhere costs reading the prompt and what was made so far again. `left` is the
-    number of events expected to come; `fits` whether an engine's memory has room for the item.
+    A move costs `MOVE_COST_SECONDS`. `left` is the expected number of remaining events; `fits`
+    tells whether an engine has memory for the item.
     """
     pace = current.recent_latency(now)
-    if pace is None or not _judged(current):
+    if pace is None or not _speed_known(current):
         return None
     pause = max(0.0, current.loading_until.get(model, now) - now)
     best: Worker | None = None
@@ -54,7 +52,7 @@
     room = URGENT_MOVE_TARGET_OCCUPANCY if urgent else MOVE_TARGET_OCCUPANCY
     for engine in engines:
         other = engine.recent_latency(now)
-        if engine is current or other is None or engine.suspect(now) or not _judged(engine):
+        if engine is current or other is None or engine.suspect(now) or not _speed_known(engine):
             continue
         if other > FASTER_SHARE * pace and not pause:
             continue
@@ -65,8 +63,8 @@
     return best
 
 
-def _judged(engine: Worker) -> bool:
-    """Whether its machine's own speed is known, so far as its worker lets one tell."""
+def _speed_known(engine: Worker) -> bool:
+    """Whether its speed estimate has settled; True if its worker reports no pace."""
     return engine.speed.settled or not engine.reports_pace
 
 
--- a/src/stagewalk/gateway/batches/place_demand.py
+++ b/src/stagewalk/gateway/batches/place_demand.py
@@ -1,7 +1,7 @@
-"""What the items of the batches run here ask of engines. Pure.
+"""The demand for places at engines of the batches run on this node. Pure.
 
-Owns whose places an item takes: those of its batch's trainer and tenant, at the service that the
-batch's route names first. Relies on `batch_run` for the items.
+An item takes a place of its claimant, which is its batch's trainer and tenant, at the first service
+that the batch's route names.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimantPlaces:
-    """The places of one claimant's items at one node.
+    """The places of one claimant's items at one service, on one node.
 
     Attributes
     ----------
     taken
-        Places of items at an engine, each by the engine's speed.
+        Places of its running items, each weighted by the speed of its engine.
     waiting
-        Items that could begin.
+        Number of items that wait for an attempt.
     most
-        How many places they may have, infinite if any.
+        How many places its items may take, infinite if unlimited.
     """
 
     claimant: Claimant
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareLimitedBatch:
-    """A batch of which items wait because their claimant has all its places taken."""
+    """A batch with items that wait because their claimant has used all its places."""
 
     batch: str
     waiting: int
@@ -52,7 +52,7 @@
 
 
 def claimant_of(run: BatchRun) -> Claimant:
-    """Return whose places the items of a batch take."""
+    """Return the claimant whose places the items of a batch take."""
     header = run.batch.header
     return Claimant(header.tenant, header.trainer)
 
@@ -77,7 +77,7 @@
 def taken_places(
     runs: Iterable[BatchRun], route_of: RouteLookup, weight_at: WeightAt
 ) -> dict[ServiceClaimant, float]:
-    """Return the places that each claimant's items have at each service."""
+    """Return the places that each claimant's items take at each service."""
     taken: dict[ServiceClaimant, float] = {}
     for run in runs:
         service = engine_service(run, route_of)
@@ -96,7 +96,7 @@
     limits: PlaceLimits,
     now: float,
 ) -> list[ClaimantPlaces]:
-    """Return what each claimant has and may have."""
+    """Return the places that each claimant takes and its limit."""
     return [
         ClaimantPlaces(
             demand.claimant,
@@ -110,14 +110,14 @@
 
 
 def has_place(taken: float, most: float) -> bool:
-    """Whether a claimant may have one more item at an engine, whichever that will be."""
+    """Whether a claimant may start one more item, at any engine."""
     return taken + 1.0 <= most
 
 
 def withheld_starts(
     runs: Iterable[BatchRun], places: Sequence[ClaimantPlaces], route_of: RouteLookup
 ) -> list[ShareLimitedBatch]:
-    """Return the batches of which items wait for their claimant's share alone."""
+    """Return the batches with items that wait because their claimant's places are used up."""
     full = {
         (claimant.claimant, claimant.service): claimant
         for claimant in places
--- a/src/stagewalk/gateway/batches/placement.py
+++ b/src/stagewalk/gateway/batches/placement.py
@@ -1,9 +1,9 @@
 """Decides which engine an item goes to. Pure.
 
-Inputs: the engines that may run the item, their occupancy (parts of their slots), their seconds for
-an event, and the number of events expected. Relies on `expected_end` where workers report their
-pace; elsewhere on `workers.placement_costs` for costs, which are parts of a full engine. When a
-move to another engine pays is `move_choice`.
+Inputs: the engines that may run the item, their occupancy (share of their slots), their seconds per
+event, and the expected number of events. Engines are ranked by `expected_end` where workers report
+their pace, elsewhere by the costs of `workers.placement_costs`, in units of a full engine's load.
+`move_choice` decides on moves of running items.
 """
 
 from __future__ import annotations
@@ -46,18 +46,18 @@
 ) -> Worker | None:
     """Return the engine with room that is expected to finish an item first.
 
-    An engine that failed lately has room because nothing runs there: it is asked again only
-    once it may be sound, or if no other is listed.
+    An engine that failed recently looks free because nothing runs there, so it is used only once it
+    is no longer suspect, or if every engine is.
 
     Parameters
     ----------
     events
-        Events of the item that are expected to come.
+        Expected number of remaining events of the item.
     rng
-        Random numbers of this node: of engines that report their pace one is drawn that is nearly
-        as good as the best. None: the best one is taken.
+        This node's random numbers: among engines that report their pace, one nearly as good as
+        the best is drawn. None: the best one is taken.
     fits
-        Whether an engine's memory has room for the item.
+        Whether an engine has memory for the item.
     """
     free = _free_engines(engines, model, now, policy)
     if not free:
@@ -80,18 +80,18 @@
             _end_choice(engine, fixed_cost(engine), events, latency or shortest, now)
             for engine, latency in zip(free, latencies, strict=True)
         ]
-        return _take_fitting(ends, partial(_first_to_end, now=now, rng=rng), fits)
+        return _choose_fitting(ends, partial(_choose_earliest_end, now=now, rng=rng), fits)
     costs = [
         _cost_choice(engine, fixed_cost(engine), slowness(latency, shortest), now)
         for engine, latency in zip(free, latencies, strict=True)
     ]
-    return _take_fitting(costs, take_best, fits)
+    return _choose_fitting(costs, take_best, fits)
 
 
 def _free_engines(
     engines: Sequence[Worker], model: str, now: float, policy: Policy
 ) -> list[Worker]:
-    """Return the engines with a slot, or nearly one; those that failed lately only if all did."""
+    """Return the engines with room, which excludes suspect ones unless all are."""
     sound = [engine for engine in engines if not (policy.suspicion and engine.suspect(now))]
     return [
         engine
@@ -102,12 +102,12 @@
     ]
 
 
-def _take_fitting(
+def _choose_fitting(
     choices: Sequence[Choice],
     take: Callable[[Sequence[Choice]], Choice],
     fits: Callable[[Worker], bool],
 ) -> Worker | None:
-    """Return what is taken of the engines with memory for the item; mostly the first one has."""
+    """Return the choice among engines with memory for the item; usually the first one has it."""
     first = take(choices)
     if fits(first.worker):
         return first.worker
@@ -117,20 +117,20 @@
 
 
 def _cost_choice(engine: Worker, fixed: float, slow: float, now: float) -> Choice:
-    """Return what an engine costs, in parts of a full one."""
+    """Return an engine's cost in units of a full engine's load."""
     return Choice(engine, engine.occupancy(now) + fixed + ENGINE_SLOWNESS_COST * slow, fixed)
 
 
 def _end_choice(
     engine: Worker, fixed: float, events: float, event_seconds: float, now: float
 ) -> Choice:
-    """Return what an engine costs in seconds: its expected end, stretched by the fixed costs."""
+    """Return an engine's cost in seconds: the expected end scaled by the fixed costs."""
     end = expected_end(engine, events, event_seconds, now)
     return Choice(engine, end * (1.0 + FULL_ENGINE_SLOWDOWN * fixed), fixed)
 
 
-def _first_to_end(choices: Sequence[Choice], now: float, rng: Random | None) -> Choice:
-    """Return the engine that ends first, or one at which a request less would do so."""
+def _choose_earliest_end(choices: Sequence[Choice], now: float, rng: Random | None) -> Choice:
+    """Return the engine with the earliest end, or a random one within one request's cost of it."""
     best = take_best(choices)
     if rng is None:
         return best
--- a/src/stagewalk/gateway/batches/prompt.py
+++ b/src/stagewalk/gateway/batches/prompt.py
@@ -1,7 +1,6 @@
-"""What a caller states of an item's tokens. Pure.
+"""What a caller states about an item's tokens. Pure.
 
-Owns these types; a `Dialect` reads them off an item's headers, so that the stored records stay as
-they are.
+A `Dialect` reads it from an item's headers, so the stored records need no fields for it.
 """
 
 from __future__ import annotations
@@ -14,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt. Requests share parts: an engine holds one `part` only once.
+    """A part of a prompt. Requests can share a part, which an engine stores only once.
 
     Attributes
     ----------
     part
-        The same for the same text.
+        Identifier of the part's text.
     """
 
     part: str
@@ -28,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """A prompt, and how much may be made of it.
+    """A prompt, and the limit of the output generated from it.
 
     Attributes
     ----------
     parts
         In order; empty if the caller doesn't state any.
     maximum_output_tokens
-        Most tokens that come out; None if the caller doesn't say.
+        Limit of generated tokens; None if the caller states none.
     """
 
     parts: tuple[PromptPart, ...] = ()
@@ -43,7 +42,7 @@
 
     @property
     def tokens(self) -> int:
-        """Return the prompt's length."""
+        """Return the prompt's length in tokens."""
         return sum(part.tokens for part in self.parts)
 
 
@@ -53,5 +52,5 @@
 
 
 def unknown_prompt(_item: BatchItem) -> Prompt:
-    """Return that nothing is stated of an item's prompt."""
+    """Return a prompt of which nothing is stated."""
     return UNKNOWN_PROMPT
--- a/src/stagewalk/gateway/batches/record_parts.py
+++ b/src/stagewalk/gateway/batches/record_parts.py
@@ -1,7 +1,7 @@
-"""Splits records that are larger than the log's records, and joins their parts again. Pure.
+"""Splits records that exceed the log's record size, and joins their parts again. Pure.
 
-Owns the parts read so far. A submission and a result have an id that their parts share, and stand
-at the place of their last part. Relies on `records` for the stored forms.
+The parts of a submission or a result share an id. Joined, it takes effect at the log position of
+its last part.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 )
 
 RECORD_HEADROOM_BYTES = 4_096
-"""Left in a record for all but its items or text."""
+"""Space reserved in a record for everything but its items or text."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     Attributes
     ----------
     first_offset
-        Of its first part.
+        Log offset of the first of its parts that was read.
     """
 
     items: dict[str, BatchItem]
@@ -44,7 +44,7 @@
 
 
 class RecordParts:
-    """Parts of submissions and results, until all of one are there."""
+    """Buffers parts of submissions and results until one is complete."""
 
     def __init__(self) -> None:
         self._submissions: dict[tuple[str, str], _Submission] = {}
@@ -74,17 +74,17 @@
         return ItemFinished(record.batch, record.item, True, text, record.versions, record.score)
 
     def drop(self, batches: Collection[str]) -> None:
-        """Drop the parts of batches of which records are missing."""
+        """Drop the parts of batches with missing records."""
         self._submissions = {k: s for k, s in self._submissions.items() if k[0] not in batches}
         self._results = {k: p for k, p in self._results.items() if k[0] not in batches}
 
 
 def split_result(record: ItemFinished, result: str, record_bytes: int) -> list[bytes]:
-    """Return a result's records, none larger than the log takes."""
+    """Return a result's records, none larger than `record_bytes`."""
     whole = encode_record(record)
     if len(whole) <= record_bytes:
         return [whole]
-    # A character takes four bytes at most.
+    # A UTF-8 character takes at most four bytes.
     length = (record_bytes - RECORD_HEADROOM_BYTES) // 4
     texts = [record.text[start : start + length] for start in range(0, len(record.text), length)]
     return [
@@ -111,7 +111,7 @@
     runner: str,
     record_bytes: int,
 ) -> list[bytes]:
-    """Return a submission's records, none larger than the log takes."""
+    """Return a submission's records, none larger than `record_bytes`."""
     parts: list[list[BatchItem]] = [[]]
     size = 0
     for item in items:
--- a/src/stagewalk/gateway/batches/records.py
+++ b/src/stagewalk/gateway/batches/records.py
@@ -1,7 +1,7 @@
 """The stored records of batches. Pure.
 
-Owns the forms in the log: fields keep their order and tags their names, so that records of earlier
-releases stay readable. Encoded with `msgspec`, whose tagged types are those the fold works on.
+Defines the log format: fields keep their order and tags their names, so that records of earlier
+releases stay readable. `msgspec` decodes records to the types that the ledger works on.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     Attributes
     ----------
     group
-        Items of one group are worth something only together; they share their prompt.
+        Items of a group share their prompt, and are useful to the trainer only together.
     expected_length
-        The caller's guess of how much it will generate, in tokens; 0 if none.
+        The caller's estimate of the tokens to be generated; 0 if none.
     score_call
-        What scores its text once that is whole; None: its text is all of its result.
+        The call that scores the complete text; None if the item asks for no score.
     """
 
     item: str
@@ -37,19 +37,19 @@
 
 
 class BatchHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What holds for a batch as a whole.
+    """Properties of a batch as a whole.
 
     Attributes
     ----------
     host, path
-        Where it was submitted: they decide its route.
+        Where it was submitted; they determine its route.
     minimum_version
-        Oldest weight version that may make any of its results.
+        Oldest weight version that may generate any of its text.
     wanted_groups
-        Number of whole groups its trainer waits for.
+        Number of complete groups that its trainer waits for.
     tenant
-        Whose batch it is, `ANONYMOUS` if nobody's; None: no tenants were in force. It stays so
-        whatever becomes of the key that it came with.
+        Owner of the batch, `ANONYMOUS` if it has none; None if no tenants were configured. Later
+        changes of the submitter's key don't affect it.
     """
 
     batch: str
@@ -63,23 +63,23 @@
 
     @property
     def trainer(self) -> str:
-        """Return the key that its trainer's batches share."""
+        """Return the key that all batches of its trainer share."""
         return f"{self.host}/{self.model}"
 
     def belongs_to(self, tenant: str | None) -> bool:
-        """Whether a tenant may read and end it; anyone may while no tenants are in force."""
+        """Whether a tenant may read and end it; anyone may while no tenants are configured."""
         return owns_batch(self.tenant, tenant)
 
 
 def owns_batch(owner: str | None, tenant: str | None) -> bool:
-    """Whether a tenant may read and end the batch of another; None: no tenants are in force."""
+    """Whether a tenant may read and end an owner's batch; None: no tenants are configured."""
     return not owner or tenant is None or tenant == owner
 
 
 class BatchSubmitted(msgspec.Struct, frozen=True, array_like=True, tag="submitted"):
-    """A part of a submission: the batch exists once all parts of one submission are there.
+    """A part of a submission; the batch exists once all parts of one submission are recorded.
 
-    The node that took it runs it.
+    The node that accepted the submission runs the batch.
     """
 
     header: BatchHeader
@@ -91,12 +91,12 @@
 
 
 class ItemFinished(msgspec.Struct, frozen=True, array_like=True, tag="finished"):
-    """A result. The first one of an item in the log is the result; its place is its position.
+    """A result. The first valid one of an item in the log counts; log order sets its position.
 
     Attributes
     ----------
     score
-        What the service that scored the text signed; empty if the item asks for no score.
+        The score as signed by the scoring service; empty if the item asks for no score.
     """
 
     batch: str
@@ -108,9 +108,9 @@
 
 
 class ItemFinishedPart(msgspec.Struct, frozen=True, array_like=True, tag="finished_part"):
-    """A part of a result that is larger than the log's records.
+    """A part of a result that exceeds the log's record size.
 
-    The result stands at the place of its last part; `result` is the id that its parts share.
+    The result takes the position of its last part; `result` is the id that its parts share.
     """
 
     batch: str
@@ -124,14 +124,14 @@
 
 
 class ItemProgress(msgspec.Struct, frozen=True, array_like=True, tag="progress"):
-    """Text made so far, for the node that runs the item next.
+    """Text generated so far, for the node that runs the item next.
 
     Attributes
     ----------
     whole
-        Whether the text is whole and only its score is missing.
+        Whether the text is complete and only its score is missing.
     score_failures
-        How often the service that scores said that it failed.
+        How often the scoring service reported a failure.
     """
 
     batch: str
@@ -143,13 +143,13 @@
 
 
 class BatchEnded(msgspec.Struct, frozen=True, array_like=True, tag="ended"):
-    """Nobody waits for the batch any more."""
+    """The batch was ended: nobody waits for its results any more."""
 
     batch: str
 
 
 class BatchClaimed(msgspec.Struct, frozen=True, array_like=True, tag="claimed"):
-    """A process takes over running a batch; void unless `epoch` follows the one in force."""
+    """A process takes over a batch; ignored unless `epoch` is the next after the one in force."""
 
     batch: str
     runner: str
@@ -157,7 +157,7 @@
 
 
 class BatchReleased(msgspec.Struct, frozen=True, array_like=True, tag="released"):
-    """The runner stops: anyone may claim the batch at once."""
+    """The runner stops running the batch: any node may claim it at once."""
 
     batch: str
     runner: str
@@ -188,7 +188,7 @@
 
 
 def decode_record(payload: bytes) -> BatchRecord | None:
-    """Return a payload's record, None if it is none."""
+    """Return a payload's record, None if it can't be decoded."""
     try:
         return _DECODER.decode(payload)
     except msgspec.DecodeError:
--- a/src/stagewalk/gateway/batches/retry_rules.py
+++ b/src/stagewalk/gateway/batches/retry_rules.py
@@ -1,11 +1,11 @@
-"""Decides when an item of a batch is tried again, fails, or is given up. Pure.
+"""Decides when an item of a batch is retried, fails, or is given up. Pure.
 
-Owns the statuses that engines answer items with and the pause between attempts. Relies on the
-route in force for the two limits: `maximum_attempts` and `give_up_seconds`.
+Defines the statuses that engines respond to items with and the delay between attempts. The route in
+force gives the two limits, `maximum_attempts` and `give_up_seconds`.
 
-An attempt that broke off, was stopped or answered with a status not named here costs the item
-nothing: the next engine goes on after the last event held. Only an engine that ran the item and
-said so counts against `maximum_attempts`.
+Only an engine that reports a failed run counts against `maximum_attempts`. An attempt that broke
+off, was stopped or ended with another status doesn't: the next engine resumes after the last event
+received.
 """
 
 from __future__ import annotations
@@ -16,18 +16,17 @@
 
 HTTP_OK = 200
 RUN_FAILED = 500
-"""The engine ran the item and failed at it: counted against the route's `maximum_attempts`."""
+"""The engine ran the item and failed: counted against the route's `maximum_attempts`."""
 
-IMPOSSIBLE = 422
-"""The engine says that the item can never be done: it fails at once."""
+UNPROCESSABLE = 422
+"""The engine reports that the item can never succeed: it fails at once."""
 
 ITEM_RETRY_DELAY_SECONDS = 0.1
-"""How long an item whose attempt failed waits before the next one. Two
-scheduler ticks."""
+"""Delay between a failed attempt of an item and the next one: two scheduler ticks."""
 
 
 class AttemptOutcome(Enum):
-    """What a complete answer of an engine means for its item."""
+    """What an engine's complete response means for its item."""
 
     TEXT_WHOLE = auto()
     FAILED = auto()
@@ -37,20 +36,20 @@
 def judge_item_answer(
     status: int, *, has_events: bool, run_failures: int, route: Route | None
 ) -> AttemptOutcome:
-    """Return what a complete answer means for its item.
+    """Return what a complete response means for its item.
 
     Parameters
     ----------
     has_events
-        Whether any event of the item is held: a success without text is tried again.
+        Whether any event of the item was received; a success without text is retried.
     run_failures
-        How often engines ran the item and failed at it, this answer included.
+        How often engines ran the item and failed, including this response.
     route
-        The item's route; None if the configuration in force has none: then nothing limits retries.
+        The item's route; None if the configuration in force has none, which removes the limit.
     """
     if status == HTTP_OK and has_events:
         return AttemptOutcome.TEXT_WHOLE
-    if status == IMPOSSIBLE:
+    if status == UNPROCESSABLE:
         return AttemptOutcome.FAILED
     exhausted = route is not None and run_failures >= route.maximum_attempts
     if status == RUN_FAILED and exhausted:
@@ -64,6 +63,6 @@
     Parameters
     ----------
     seen_at, now
-        Times of the steady clock, in seconds.
+        Times of the monotonic clock, in seconds.
     """
     return route is not None and now - seen_at > route.give_up_seconds
--- a/src/stagewalk/gateway/batches/reusable_texts.py
+++ b/src/stagewalk/gateway/batches/reusable_texts.py
@@ -1,7 +1,8 @@
-"""The text of items made so far, which a later run of the same item goes on from.
+"""The text generated for items, from which a later run of the same item resumes.
 
-Owns, by item, the text of the batch that had the most of it: items return under the same id in
-a later batch if their group was not whole. Relies on `ledger` for records and for when to forget.
+Items are resubmitted under the same id in a later batch if their group was incomplete, so the
+longest text of each item is kept across batches. `ledger` applies the records and decides when to
+forget a text.
 """
 
 from __future__ import annotations
@@ -12,25 +13,25 @@
 from stagewalk.gateway.batches.records import BatchItem, ItemFinished, ItemProgress
 
 EVENT_SEPARATOR = "\n"
-"""Between the events of a text."""
+"""Separates the events of a text."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReusableText:
-    """Text of an item, whole or so far.
+    """Text of an item, complete or partial.
 
     Attributes
     ----------
     spec
-        The item as it was when the text was made.
+        The item as it was when the text was generated.
     versions
-        Weight versions that made it.
+        Weight versions that generated it.
     whole
-        Whether it is the whole text; its score may still be missing.
+        Whether the text is complete; its score may still be missing.
     score
-        The score of the whole text, empty if there is none.
+        The score of the complete text, empty if there is none.
     score_failures
-        How often the service that scores said that it failed.
+        How often the scoring service reported a failure.
     """
 
     spec: BatchItem
@@ -42,21 +43,21 @@
 
 
 ReusableTextLookup = Callable[[BatchItem], ReusableText | None]
-"""Finds what was made of an item before, None if nothing was."""
+"""Finds text generated for an item before, None if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Listed:
-    """The text of a listed result: cut into events only where an item goes on from it.
+class _ResultText:
+    """The text of a recorded result, split into events only when it is reused.
 
-    Results are most of what a ledger holds, so their text must not be there a second time.
+    Results are most of a ledger's memory, so their text must not be stored a second time.
     """
 
     spec: BatchItem
     result: ItemFinished
 
-    def cut(self) -> ReusableText:
-        """Return the text as it is reused."""
+    def to_reusable(self) -> ReusableText:
+        """Return the text split into its events."""
         events = tuple(self.result.text.split(EVENT_SEPARATOR))
         return ReusableText(
             self.spec, events, self.result.versions, whole=True, score=self.result.score
@@ -64,15 +65,15 @@
 
 
 class ReusableTexts:
-    """The most that is known of each item's text."""
+    """The most complete known text of each item."""
 
     def __init__(self) -> None:
-        self._texts: dict[str, ReusableText | _Listed] = {}
+        self._texts: dict[str, ReusableText | _ResultText] = {}
 
     def find(self, item: BatchItem) -> ReusableText | None:
-        """Return what was made of the same item before, in this batch or an earlier one.
+        """Return text generated for the same item, in this batch or an earlier one.
 
-        A score belongs to one call: an item that returns with another one is scored anew.
+        A score belongs to one call: an item resubmitted with another call is scored again.
         """
         known = self._known(item.item)
         if known is None or (known.spec.path, known.spec.body) != (item.path, item.body):
@@ -82,11 +83,11 @@
         return known
 
     def apply_result(self, spec: BatchItem, result: ItemFinished) -> None:
-        """Set the text of a result that succeeded."""
-        self._texts[spec.item] = _Listed(spec, result)
+        """Store the text of a successful result."""
+        self._texts[spec.item] = _ResultText(spec, result)
 
     def apply_progress(self, spec: BatchItem, progress: ItemProgress) -> None:
-        """Set the text made so far, unless more is known already."""
+        """Store the text generated so far, unless more is already known."""
         known = self._known(spec.item)
         if known is None or _holds_more(progress, known):
             self._texts[spec.item] = ReusableText(
@@ -103,11 +104,11 @@
 
     def _known(self, item: str) -> ReusableText | None:
         known = self._texts.get(item)
-        return known.cut() if isinstance(known, _Listed) else known
+        return known.to_reusable() if isinstance(known, _ResultText) else known
 
 
 def _holds_more(progress: ItemProgress, known: ReusableText) -> bool:
-    """Whether progress holds more than what is known: more text, or more tries at its score."""
+    """Whether progress holds more text than is known, or more score failures of the same text."""
     if known.whole:
         same_text = progress.whole and progress.events == known.events
         more_tries = progress.score_failures > known.score_failures
--- a/src/stagewalk/gateway/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -1,12 +1,12 @@
-"""Runs a node's batches: applies events to their items and returns what is to be done. Pure.
+"""Schedules a node's batches: applies events to their items and returns instructions. Pure.
 
-Owns the batches that run here and their items without a result. Relies on `attempt_events` for what
-attempts bring, `attempt_starter` for starts, `item_moves` for moves, `retry_rules` for giving up
-and `item_scores` for scores.
+Holds the batches that this node runs and their items without a result. `attempt_events` handles the
+outcomes of attempts, `attempt_starter` starts, `item_moves` moves, `retry_rules` giving up and
+`item_scores` scores.
 
-Items of a step are worth something only as whole groups in time. So the longest start first,
-a silent or slow worker is left with what has been made so far (any worker goes on after the
-last event held), and what is no longer needed stops at once.
+A trainer needs complete groups in time. So the longest items start first, items move away from
+silent or slow workers (any worker resumes after the last event received), and attempts that are no
+longer needed are stopped at once.
 """
 
 from __future__ import annotations
@@ -49,27 +49,27 @@
 
 PUBLISH_SECONDS = 1.0
 PUBLISH_EVENTS = 20
-"""Every `PUBLISH_SECONDS`, an item that has made this many events more than the log holds records
-them, so that little is made again after a takeover. Recording each event would write four times the
-bytes to save 1 s of work."""
+"""Every `PUBLISH_SECONDS`, the progress of items with at least this many events beyond those in the
+log is recorded, which limits the work lost in a takeover. Recording each event would save little
+more and write four times the bytes."""
 
 GIVEN_UP = "given up"
 
 
 class BatchScheduler:
-    """The batches run on this node.
+    """Schedules the batches run on this node.
 
     Parameters
     ----------
     may_start
-        Whether a batch is known to be open from a view that is recent enough at a time:
-        nothing of it is sent to a worker otherwise. What is under way goes on.
+        Whether a recent enough view of the log shows a batch as open at a given time. Otherwise
+        none of its items is sent to a worker; running attempts continue.
     service
-        Finds a service by its name: what its engines hold.
+        Finds a service, with its engines' limits, by name.
     prompt_of
         Reads an item's prompt.
     limits
-        How many places the items of each trainer may have.
+        How many places each trainer's items may take.
     """
 
     def __init__(
@@ -140,39 +140,39 @@
 
     @property
     def running(self) -> int:
-        """Return the number of attempts under way."""
+        """Return the number of running attempts."""
         return len(self._attempts)
 
     def engine_tokens(self, now: float) -> dict[str, int]:
-        """Return the tokens that engines with attempts under way are expected to hold at most."""
+        """Return the expected peak of tokens at each engine with running attempts."""
         return self._memory.expected_tokens(now)
 
     def running_for_other_trainers(self, trainer: str) -> int:
-        """Return the number of attempts under way at items of other trainers."""
+        """Return the number of running attempts at items of other trainers."""
         return sum(running.run.batch.header.trainer != trainer for running in self._attempts)
 
     @property
     def place_demands(self) -> list[PlaceDemand]:
-        """Return what the items run here ask of engines, by claimant and service."""
+        """Return the demand for places of this node's items, by claimant and service."""
         return self._starter.place_demands()
 
     def claimant_places(self, now: float) -> list[ClaimantPlaces]:
-        """Return the places that each claimant's items have and may have."""
+        """Return the places that each claimant's items take, and their limit."""
         return self._starter.claimant_places(now)
 
     def withheld(self, now: float) -> list[ShareLimitedBatch]:
-        """Return the batches of which items wait because of their claimant's share."""
+        """Return the batches with items that wait because their claimant's places are used up."""
         return self._starter.withheld(now)
 
     @property
     def scoring(self) -> int:
-        """Return the number of items whose text is whole and whose score is awaited."""
+        """Return the number of items whose text is complete and whose score is pending."""
         return self._scores.pending
 
     def open(
         self, batch: Batch, reusable_text: ReusableTextLookup, now: float
     ) -> list[SchedulerInstruction]:
-        """Begin to run what is left of a batch; `reusable_text` finds what was made of an item."""
+        """Begin to run a batch's remaining items, resuming from their `reusable_text`."""
         if batch.header.batch in self._runs:
             return []
         run = BatchRun(batch)
@@ -190,7 +190,7 @@
             item.adopt(kept.events, kept.versions)
             if kept.whole:
                 item.score_failures = kept.score_failures
-                instructions += self._scores.text_whole(run, item, now, kept.score)
+                instructions += self._scores.text_completed(run, item, now, kept.score)
         return instructions
 
     def close(self, batch: str, reason: str) -> list[SchedulerInstruction]:
@@ -206,7 +206,7 @@
         return stops
 
     def listed(self, batch: str, item: str) -> list[SchedulerInstruction]:
-        """Drop an item that has its result, whichever node made it."""
+        """Drop an item that has its result in the log, whichever node recorded it."""
         run = self._runs.get(batch)
         known = None if run is None else run.items.pop(item, None)
         if known is None:
@@ -217,7 +217,7 @@
         return stops
 
     def progress(self, batch: str) -> list[SchedulerInstruction]:
-        """Return what has been made of a batch's unfinished items since that was last recorded."""
+        """Return records of the unpublished progress of a batch's unfinished items."""
         run = self._runs.get(batch)
         if run is None:
             return []
@@ -233,28 +233,28 @@
             case AttemptEnded():
                 return self._events.ended(event, now)
             case ItemAttemptFailed():
-                return self._events.broken(event, now)
+                return self._events.failed(event, now)
             case ScoreAnswered() | ScoreAttemptFailed():
                 return self._scores.handle(event, now)
             case Tick():
                 return self._tick(now)
 
     def _tick(self, now: float) -> list[SchedulerInstruction]:
-        """Decide what only time brings: moves and silence, giving up, progress, starts, scores."""
-        instructions = self._moves.leave_silent(now)
+        """Handle what depends on time: timeouts, giving up, progress, moves, starts and scores."""
+        instructions = self._moves.abandon_silent(now)
         instructions += self._give_up(now)
         instructions += self._publish_progress(now)
-        instructions += self._moves.leave_evacuated(now)
-        instructions += self._moves.leave_slow(now)
+        instructions += self._moves.abandon_evacuated(now)
+        instructions += self._moves.abandon_slow(now)
         instructions += self._starter.start_due(now)
         instructions += self._memory.take_withheld()
         instructions += self._scores.due(now)
         return instructions
 
     def _publish_progress(self, now: float) -> list[SchedulerInstruction]:
-        """Record now and then what long items have made, and texts that wait long for a score.
+        """Record the progress of long items, and texts that have waited too long for a score.
 
-        A node that takes the batch over goes on from there.
+        A node that takes the batch over resumes from there.
         """
         if now - self._published_at < PUBLISH_SECONDS:
             return []
--- a/src/stagewalk/gateway/batches/start_order.py
+++ b/src/stagewalk/gateway/batches/start_order.py
@@ -1,12 +1,13 @@
 """Decides in which order waiting items are started. Pure.
 
-Where places suffice: older batches first, within one the items expected to run longest. Where they
-don't, a trainer's step is late if its places go to texts that it doesn't wait for. So the trainer
-with the least slack comes first (one whose step can't be in time any more after the others: its
-share is kept for it all the same), and within a step the groups that it waits for.
-
-Owns these orders. Inputs: expected events (`length_estimate`), the engines' seconds for an event,
-when a batch is due. Relies on its caller to say which items share too few places.
+If places suffice: older batches first, and within a batch the items expected to run longest. If
+places are limited, a trainer's step is late when its places go to texts that it doesn't wait for.
+So the trainer with the least slack comes first, those whose step can't be in time any more come
+last (their share of places is kept), and within a step the groups that its trainer waits for come
+first.
+
+Inputs: expected events (`length_estimate`), the engines' seconds per event, and when a batch is
+due. The caller tells which items have limited places.
 """
 
 from __future__ import annotations
@@ -35,16 +36,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StepBounds:
-    """What bounds when a batch is whole.
+    """What limits when a batch can complete.
 
     Attributes
     ----------
     due_seconds
         How long after its submission its results are due.
     places
-        How many of its items may be at engines at a time.
+        How many of its items may run at a time.
     event_seconds
-        Time that an engine usually takes for an event.
+        An engine's usual time per event.
     """
 
     due_seconds: float
@@ -53,13 +54,13 @@
 
 
 def usual_event_seconds(engines: Iterable[Worker], now: float) -> float:
-    """Return the time that engines usually take for an event; 0.0 if none was seen of late."""
+    """Return the engines' median time per event; 0.0 if none was observed recently."""
     seen = [seconds for engine in engines if (seconds := engine.recent_latency(now)) is not None]
     return statistics.median(seen) if seen else 0.0
 
 
 def order_ample(waiting: Collection[WaitingItem], lengths: LengthEstimate) -> list[WaitingItem]:
-    """Return waiting items in their order where places suffice."""
+    """Return waiting items in start order if places suffice."""
 
     def key(pair: WaitingItem) -> tuple[float, float, str]:
         return pair.run.batch.seen_at, -lengths.events(pair.item), pair.item.spec.group
@@ -73,22 +74,24 @@
     lengths: LengthEstimate,
     now: float,
 ) -> list[WaitingItem]:
-    """Return waiting items in their order where places are too few.
+    """Return waiting items in start order if places are limited.
 
     Parameters
     ----------
     bounds
-        By batch, what bounds when it is whole.
+        By batch, what limits when it can complete.
     """
     steps: dict[str, list[WaitingItem]] = {}
     for pair in waiting:
         steps.setdefault(pair.run.name, []).append(pair)
     runs = {name: pairs[0].run for name, pairs in steps.items()}
-    outlooks = {name: _outlook(run, bounds[name], lengths, now) for name, run in runs.items()}
+    forecasts = {
+        name: _forecast_step(run, bounds[name], lengths, now) for name, run in runs.items()
+    }
     slacks: dict[Claimant, float] = {}
     for name, run in runs.items():
         claimant = claimant_of(run)
-        slacks[claimant] = min(slacks.get(claimant, math.inf), outlooks[name].slack_seconds)
+        slacks[claimant] = min(slacks.get(claimant, math.inf), forecasts[name].slack_seconds)
 
     def urgency(name: str) -> tuple[bool, float, float, str]:
         slack = slacks[claimant_of(runs[name])]
@@ -97,14 +100,14 @@
     return [
         pair
         for name in sorted(steps, key=urgency)
-        for pair in _order_step(steps[name], outlooks[name].awaited, lengths)
+        for pair in _order_step(steps[name], forecasts[name].awaited, lengths)
     ]
 
 
 def _order_step(
     waiting: Collection[WaitingItem], awaited: Collection[str], lengths: LengthEstimate
 ) -> list[WaitingItem]:
-    """Return a step's waiting items: awaited groups first, of these the longest items."""
+    """Return a step's waiting items: awaited groups first, then the longest items first."""
 
     def key(pair: WaitingItem) -> tuple[bool, float, str]:
         group = pair.item.spec.group
@@ -114,15 +117,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Outlook:
-    """What is expected of a batch.
+class _StepForecast:
+    """Forecast of a batch's completion.
 
     Attributes
     ----------
     awaited
-        The groups that are expected to be the ones its trainer waits for.
+        The groups expected to be those that its trainer waits for.
     slack_seconds
-        Time between their expected end and when they are due; negative if they will be late.
+        Time from their expected end to the due time; negative if they will be late.
     """
 
     awaited: frozenset[str]
@@ -130,51 +133,53 @@
 
 
 @dataclass(slots=True)
-class _GroupRest:
-    """What is left of a group, in events; whether it came back from an earlier batch."""
+class _RemainingGroup:
+    """A group's remaining events, and whether it was resubmitted from an earlier batch."""
 
     events: float = 0.0
     longest: float = 0.0
     returned: bool = False
 
 
-def _outlook(run: BatchRun, bounds: StepBounds, lengths: LengthEstimate, now: float) -> _Outlook:
+def _forecast_step(
+    run: BatchRun, bounds: StepBounds, lengths: LengthEstimate, now: float
+) -> _StepForecast:
     left_seconds = run.batch.seen_at + bounds.due_seconds - now
     groups = _groups(run, lengths)
 
     def rank(group: str) -> tuple[bool, bool, float, str]:
-        rest = groups[group]
-        late = rest.longest * bounds.event_seconds > left_seconds
-        return not rest.returned, late, rest.events, group
+        remaining = groups[group]
+        late = remaining.longest * bounds.event_seconds > left_seconds
+        return not remaining.returned, late, remaining.events, group
 
     awaited = sorted(groups, key=rank)[: _missing_groups(run.batch)]
     events = sum(groups[group].events for group in awaited)
     longest = max((groups[group].longest for group in awaited), default=0.0)
-    rounds = max(longest, events / max(1.0, bounds.places))
-    return _Outlook(frozenset(awaited), left_seconds - rounds * bounds.event_seconds)
+    duration_events = max(longest, events / max(1.0, bounds.places))
+    return _StepForecast(frozenset(awaited), left_seconds - duration_events * bounds.event_seconds)
 
 
-def _groups(run: BatchRun, lengths: LengthEstimate) -> dict[str, _GroupRest]:
-    """Return what is left of each group of which something is left.
+def _groups(run: BatchRun, lengths: LengthEstimate) -> dict[str, _RemainingGroup]:
+    """Return the remaining work of each incomplete group.
 
-    A group that returns from an earlier batch counts as awaited whichever others are whole.
+    A group resubmitted from an earlier batch is awaited whichever others are complete.
     """
-    groups: dict[str, _GroupRest] = {}
+    groups: dict[str, _RemainingGroup] = {}
     for item in run.items.values():
-        rest = groups.get(item.spec.group)
-        if rest is None:
-            rest = groups[item.spec.group] = _GroupRest()
+        remaining = groups.get(item.spec.group)
+        if remaining is None:
+            remaining = groups[item.spec.group] = _RemainingGroup()
         if item.known_events > 0:
-            rest.returned = True
+            remaining.returned = True
         if item.running is None and not item.waiting:
             continue
         left = max(1.0, lengths.events_left(item))
-        rest.events += left
-        rest.longest = max(rest.longest, left)
+        remaining.events += left
+        remaining.longest = max(remaining.longest, left)
     return groups
 
 
 def _missing_groups(batch: Batch) -> int | None:
-    """Return how many more whole groups its trainer waits for; None: for all."""
+    """Return how many more complete groups its trainer waits for; None: for all."""
     wanted = batch.header.wanted_groups
     return max(0, wanted - batch.whole_groups) if wanted > 0 else None
--- a/src/stagewalk/gateway/batches/submission.py
+++ b/src/stagewalk/gateway/batches/submission.py
@@ -1,6 +1,6 @@
 """Validates the score calls of a submission before any of it is accepted.
 
-Owns one check and no state. Relies on the routes in force, which the caller passes in.
+The caller passes in the routes in force.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 def find_unroutable_score(
     items: Sequence[BatchItem], route_of: RouteLookup
 ) -> StagewalkError | None:
-    """Return the error of the first score call that no route in force takes, None if all have one.
+    """Return the error of the first score call without a route in force, None if all have one.
 
-    A call may be sent more than once, so only a route whose requests may be repeated takes it.
+    A call may be sent more than once, so only routes whose requests may be repeated count.
     """
     checked: set[tuple[str, str]] = set()
     for number, item in enumerate(items):
--- a/src/stagewalk/gateway/batches/takeover.py
+++ b/src/stagewalk/gateway/batches/takeover.py
@@ -1,9 +1,9 @@
 """Decides which batches this node takes over, and when. Pure.
 
-Any node may claim a batch whose runner is gone: the log accepts one claim an epoch, and a second
-run of an item harms nothing. So the node that is likely to go on soonest claims first, and the
-others wait in the order of `rendezvous_hash`. Owns since when batches are seen without a runner.
-Relies on the list of nodes and `runner_liveness` for the state of each runner.
+Any node may claim a batch whose runner is gone: the log accepts one claim per epoch, and running an
+item twice is harmless. The restarted process of the runner's machine claims first, since it can
+resume soonest; the other nodes wait in the order of `rendezvous_hash`. The caller judges the state
+of each runner.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 import xxhash
 
 CLAIM_DELAY_PER_RANK_SECONDS = 0.3
-"""How much longer each next node waits before it claims: a claim is read back sooner. With 1 s a
-rank an open batch was claimed 1.7 s after all nodes had read their views."""
+"""How much longer each next node in rank waits before it claims: enough for the claim of the node
+before it to be read from the log."""
 
 RESTARTED_RUNNER_DELAY_SECONDS = 0.6
-"""How long others leave a batch to the restarted process of its runner's machine, which claims it
-at once (docs/design/0110)."""
+"""How long other nodes wait for the restarted process of the runner's machine, which claims the
+batch at once (docs/design/0110)."""
 
 CLAIM_REPEAT_SECONDS = 2.0
-"""How long a claim may take to be read back before it is made again."""
+"""A claim that wasn't read back from the log within this time is repeated."""
 
 MAXIMUM_CLAIM_VIEW_AGE_SECONDS = 3.0
-"""From an older view nothing is claimed: the batch may have ended, or another node may run it."""
+"""Nothing is claimed from an older view: the batch may have ended, or another node may run it."""
 
 
 class RunnerState(IntEnum):
@@ -34,7 +34,7 @@
 
     RUNS = 0
     MINE_BEFORE = 1
-    """An earlier process of this machine: it is certainly gone."""
+    """An earlier process of this machine, which is certainly gone."""
     RETURNED = 2
     """Its machine runs a newer process, which claims the batch itself if it can."""
     GONE = 3
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenBatch:
-    """A batch of which something is left to run.
+    """A batch with items left to run.
 
     Attributes
     ----------
     view_age
-        How long ago the view of it was complete, in seconds.
+        Seconds since this node's view of the batch was up to date.
     """
 
     name: str
@@ -56,14 +56,14 @@
 
 
 class Takeovers:
-    """Batches seen without a runner, and the claims made to them.
+    """Tracks batches without a runner, and this node's claims to them.
 
     Parameters
     ----------
     node
-        This node.
+        The name of this node.
     state_of
-        Judges the process that is to run a batch.
+        Returns the state of a batch's runner.
     """
 
     def __init__(self, node: str, state_of: Callable[[str], RunnerState]) -> None:
@@ -80,7 +80,7 @@
         Parameters
         ----------
         batches
-            The open ones.
+            The open batches.
         replicas
             Nodes that may run batches.
         """
@@ -102,7 +102,7 @@
         return claims
 
     def rank(self, batch: str, runner: str, replicas: Sequence[str]) -> int:
-        """Return this node's rank among those that would take a batch over, its runner aside."""
+        """Return this node's rank among those that would take a batch over, without its runner."""
         others = [node for node in replicas if not runner.startswith(f"{node}#")]
         return self._rank(batch, others)
 
@@ -126,5 +126,5 @@
 
 
 def rendezvous_hash(work: str, node: str) -> int:
-    """Return a node's place for a piece of work: the smallest one gets it."""
+    """Return a node's rendezvous hash for a piece of work, which goes to the smallest one."""
     return xxhash.xxh64_intdigest(f"{work}/{node}".encode())
--- a/tests/gateway/batches/bench_engine_memory.py
+++ b/tests/gateway/batches/bench_engine_memory.py
@@ -1,4 +1,4 @@
-"""Prints what choosing an engine by its memory takes at 600 engines, in microseconds a choice.
+"""Measures the time to choose one of 600 engines by memory, in microseconds per choice.
 
 Run it from the repository: `python -m tests.gateway.batches.bench_engine_memory`.
 """
@@ -24,17 +24,17 @@
 from tests.gateway.workers.support import announcement
 
 ENGINES = 600
-RUNS_AT_AN_ENGINE = 6
+RUNS_PER_ENGINE = 6
 SLOTS = 8
-LOAD = WorkerLoad(RUNS_AT_AN_ENGINE + 1, 0, SLOTS)
+LOAD = WorkerLoad(RUNS_PER_ENGINE + 1, 0, SLOTS)
 TICKS = 20
-CHOICES_IN_A_TICK = 20
+CHOICES_PER_TICK = 20
 LIMITS = EngineLimits(75_317, 78.0)
 FULL = EngineLimits(5_000, 78.0)
 
 
-class World:
-    """Engines that each run some items of this node, and one of another."""
+class EngineFleet:
+    """Engines that each run some items of this node and one of another node."""
 
     def __init__(self, limits: EngineLimits) -> None:
         workers = WorkerTable()
@@ -43,13 +43,13 @@
         self.engines = list(workers.all())
         run = BatchRun(RecordingLedger().open(submitted(item("x"))))
         attempts = RunningAttempts(workers)
-        for number in range(ENGINES * RUNS_AT_AN_ENGINE):
+        for number in range(ENGINES * RUNS_PER_ENGINE):
             engine = self.engines[number % ENGINES]
-            one = _item(number)
-            one.running = RunningAttempt(number, engine.announcement.worker, 0.0, 0.0, 0)
-            one.running.begun = True
-            one.events = ["text"] * (number % 17)
-            attempts.add(number, run, one)
+            filler = _item(number)
+            filler.running = RunningAttempt(number, engine.announcement.worker, 0.0, 0.0, 0)
+            filler.running.answering = True
+            filler.events = ["text"] * (number % 17)
+            attempts.add(number, run, filler)
             engine.record_sent()
         for engine in self.engines:
             engine.record_load(LOAD, 0.0)
@@ -66,10 +66,10 @@
 
 
 def microseconds(room: EngineRoom, engines: list[Worker]) -> float:
-    """Return the time of a choice, of several in each tick,."""
-    began = perf_counter()
+    """Return the mean time of a choice, with several choices per tick."""
+    started = perf_counter()
     for tick in range(TICKS):
-        for number in range(CHOICES_IN_A_TICK):
+        for number in range(CHOICES_PER_TICK):
             choose_engine(
                 engines,
                 "m",
@@ -79,20 +79,20 @@
                 avoid="",
                 fits=room.search(_item(number), tick / 20.0).fits,
             )
-    return (perf_counter() - began) / (TICKS * CHOICES_IN_A_TICK) * 1e6
+    return (perf_counter() - started) / (TICKS * CHOICES_PER_TICK) * 1e6
 
 
 def main() -> None:
-    """Print the time by slots alone, by memory, and by memory where no engine has room."""
-    roomy, crowded = World(LIMITS), World(FULL)
+    """Print the time by slots alone, by memory, and by memory if no engine has room."""
+    roomy, crowded = EngineFleet(LIMITS), EngineFleet(FULL)
     by_slots = microseconds(UnknownRoom(), roomy.engines)
     by_memory = microseconds(roomy.memory, roomy.engines)
-    in_vain = microseconds(crowded.memory, crowded.engines)
-    began = perf_counter()
+    without_room = microseconds(crowded.memory, crowded.engines)
+    started = perf_counter()
     roomy.memory.expected_tokens(9.0)
-    gauges = (perf_counter() - began) * 1e6
+    gauges = (perf_counter() - started) * 1e6
     print(f"{ENGINES} engines, us a choice: {by_slots:.0f} by slots, {by_memory:.0f} by memory,")
-    print(f"{in_vain:.0f} if no engine has memory; {gauges:.0f} us for all gauges")
+    print(f"{without_room:.0f} if no engine has memory; {gauges:.0f} us for all gauges")
 
 
 if __name__ == "__main__":
--- a/tests/gateway/batches/support.py
+++ b/tests/gateway/batches/support.py
@@ -1,4 +1,4 @@
-"""Batches for tests."""
+"""Batches, items and routes for tests."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class RecordingLedger:
-    """A ledger that notes its changes."""
+    """A ledger that records its changes."""
 
     def __init__(self) -> None:
         self.changes: list[LedgerChange] = []
--- a/tests/gateway/batches/test_ledger.py
+++ b/tests/gateway/batches/test_ledger.py
@@ -1,4 +1,4 @@
-"""The fold of batch records: positions never change, the first result of an item wins."""
+"""Replay of batch records: positions never change, and an item's first result counts."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
         self.assertEqual(["first", "t"], [result.text for result in self.batch.results])
         self.assertFalse(self.batch.open)
 
-    def test_a_result_on_weights_that_are_too_old_is_none(self) -> None:
+    def test_a_result_on_too_old_weights_is_ignored(self) -> None:
         batch = self.recording.open(submitted(item("x"), batch="c", minimum=3))
         self.ledger.apply(ItemFinished("c", "x", True, "t", (2, 3)), 1.0)
         self.assertEqual([], batch.results)
 
-    def test_a_batch_handed_in_twice_stays_the_one_it_was(self) -> None:
+    def test_a_repeated_submission_changes_nothing(self) -> None:
         self.ledger.apply(finished("x"), 1.0)
         self.ledger.apply(submitted(item("x"), item("y"), runner="other#2"), 2.0)
         self.assertEqual(1, len(self.batch.results))
@@ -65,7 +65,7 @@
             self.ledger.apply(decode_record(payload), 0.0)
         self.assertEqual(50, len(self.ledger.get("p").items))
 
-    def test_a_result_larger_than_a_record_is_listed_whole_at_its_last_part(self) -> None:
+    def test_a_result_larger_than_a_record_is_listed_at_its_last_part(self) -> None:
         large = finished("x", "ä" * 9_000 + "\n" + "z" * 9_000)
         payloads = split_result(large, "r1", 8_000)
         self.assertGreater(len(payloads), 2)
@@ -95,7 +95,7 @@
         self.ledger.apply(BatchReleased("b", "n#1"), 1.0)
         self.assertEqual(NO_RUNNER, self.batch.runner)
 
-    def test_the_longest_text_is_kept_until_the_whole_one(self) -> None:
+    def test_the_longest_text_is_kept_until_the_complete_one(self) -> None:
         spec = self.batch.items["x"]
         self.ledger.apply(ItemProgress("b", "x", ("1", "2"), (1,)), 1.0)
         self.ledger.apply(ItemProgress("b", "x", ("1",), (1,)), 1.0)
@@ -117,7 +117,7 @@
         self.assertEqual(1, len(self.batch.results))
 
     @given(st.randoms(use_true_random=False))
-    def test_every_node_folds_the_same_list_however_it_reads(self, chooser: random.Random) -> None:
+    def test_replaying_the_records_gives_the_same_results(self, chooser: random.Random) -> None:
         names = [f"i{number}" for number in range(6)]
         records: list[BatchRecord] = [submitted(*(item(name) for name in names))]
         for number in range(30):
@@ -147,7 +147,7 @@
 
 
 class ScoredLedgerTests(testtools.TestCase):
-    """Text and score are one result; what is kept of either serves whoever takes over."""
+    """Text and score are one result, and both are kept for a node that takes over."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -172,7 +172,7 @@
             self.ledger.apply(decode_record(payload), 1.0)
         self.assertEqual([finished], self.batch.results)
 
-    def test_a_whole_text_is_kept_with_what_its_score_has_cost(self) -> None:
+    def test_a_complete_text_is_kept_with_its_score_failures(self) -> None:
         self.ledger.apply(ItemProgress("b", "x", ("1", "2"), (1,)), 1.0)
         self.ledger.apply(ItemProgress("b", "x", ("1", "2"), (1,), True, 1), 1.0)
         self.ledger.apply(ItemProgress("b", "x", ("1",), (1,)), 1.0)
--- a/tests/gateway/batches/test_placement.py
+++ b/tests/gateway/batches/test_placement.py
@@ -1,4 +1,4 @@
-"""Each preference among engines does what it says, and can be switched off."""
+"""Each preference among engines has its effect, and can be disabled by the policy."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class PlacementTests(testtools.TestCase):
-    def test_each_preference_can_be_switched_off(self) -> None:
+    def test_each_preference_can_be_disabled(self) -> None:
         slow = engine("slow")
         for _ in range(60):
             slow.record_success(3 * PACE, 0.0)
@@ -65,11 +65,11 @@
         worker.in_flight = running
         return worker
 
-    def test_engines_of_like_pace_are_left_alone(self) -> None:
+    def test_no_move_between_engines_of_similar_pace(self) -> None:
         self.assertIsNone(self.faster([self.paced("e", 0.9)]))
         self.assertEqual("e", self.faster([self.paced("e", 0.75)]))
 
-    def test_an_urgent_item_goes_wherever_a_slot_is_free(self) -> None:
+    def test_an_urgent_item_moves_to_any_engine_with_a_free_slot(self) -> None:
         nearly_full = self.paced("e", 0.5, running=7)
         self.assertEqual("e", self.faster([nearly_full]))
         self.assertIsNone(self.faster([nearly_full], urgent=False))
--- a/tests/gateway/batches/test_retry_rules.py
+++ b/tests/gateway/batches/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""When an item is tried again, fails, or is given up."""
+"""Items are retried, fail, or are given up by the response and the route's limits."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from stagewalk.gateway.batches.retry_rules import (
     HTTP_OK,
-    IMPOSSIBLE,
     RUN_FAILED,
+    UNPROCESSABLE,
     AttemptOutcome,
     is_overdue,
     judge_item_answer,
@@ -23,7 +23,7 @@
     def judge(self, status: int, events: bool = True, failures: int = 0) -> AttemptOutcome:
         return judge_item_answer(status, has_events=events, run_failures=failures, route=ROUTE)
 
-    def test_a_success_is_whole_only_with_text(self) -> None:
+    def test_a_success_without_text_is_retried(self) -> None:
         self.assertIs(AttemptOutcome.TEXT_WHOLE, self.judge(HTTP_OK))
         self.assertIs(AttemptOutcome.RETRY, self.judge(HTTP_OK, events=False))
 
@@ -32,8 +32,8 @@
         self.assertIs(AttemptOutcome.FAILED, self.judge(RUN_FAILED, failures=3))
         self.assertIs(AttemptOutcome.RETRY, self.judge(503, failures=3))
 
-    def test_an_impossible_item_fails_at_once(self) -> None:
-        self.assertIs(AttemptOutcome.FAILED, self.judge(IMPOSSIBLE, events=False))
+    def test_a_status_of_unprocessable_fails_the_item_at_once(self) -> None:
+        self.assertIs(AttemptOutcome.FAILED, self.judge(UNPROCESSABLE, events=False))
 
     def test_without_a_route_nothing_limits_retries(self) -> None:
         outcome = judge_item_answer(RUN_FAILED, has_events=False, run_failures=99, route=None)
--- a/tests/gateway/batches/test_reusable_texts.py
+++ b/tests/gateway/batches/test_reusable_texts.py
@@ -1,4 +1,4 @@
-"""What a ledger holds of the texts that it lists, and that they are reused as they were."""
+"""Texts of recorded results are stored once, and reused unchanged."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ReusableTextsTests(testtools.TestCase):
-    def test_a_listed_text_is_there_once(self) -> None:
+    def test_a_listed_text_is_stored_once(self) -> None:
         texts, listed = ReusableTexts(), []
         gc.collect()
         tracemalloc.start()
@@ -32,14 +32,14 @@
         held = tracemalloc.get_traced_memory()[0] - before
         self.assertLess(held, 2 * ITEMS * EVENTS * EVENT_CHARACTERS)
 
-    def test_a_listed_text_is_found_cut_into_its_events(self) -> None:
+    def test_a_listed_text_is_split_into_its_events(self) -> None:
         texts, spec = ReusableTexts(), item("x")
         texts.apply_result(spec, result("x", "one\ntwo", "score"))
         self.assertEqual(
             ReusableText(spec, ("one", "two"), (1, 2), whole=True, score="score"), texts.find(spec)
         )
 
-    def test_progress_counts_against_a_listed_text_as_against_any_whole_one(self) -> None:
+    def test_progress_replaces_a_listed_text_only_with_more_score_failures(self) -> None:
         texts, spec = ReusableTexts(), item("x")
         texts.apply_result(spec, result("x", "one\ntwo"))
         texts.apply_progress(spec, ItemProgress("b", "x", ("one", "two", "three"), (1,)))
--- a/tests/gateway/batches/test_runner_liveness.py
+++ b/tests/gateway/batches/test_runner_liveness.py
@@ -1,4 +1,4 @@
-"""A runner that stops answering is gone soon; one answer, or old evidence, says nothing of it."""
+"""Repeated probe failures mark a runner as gone; a single or an old failure doesn't."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
             self.liveness.record_failure("n#1", 5.0)
         self.assertFalse(self.liveness.gone("n#1", 5.0))
 
-    def test_failures_in_a_row_over_some_time_are(self) -> None:
+    def test_repeated_failures_over_time_mean_gone(self) -> None:
         self.liveness.record_failure("n#1", 5.0)
         self.liveness.record_failure("n#1", 5.1 + MINIMUM_FAILING_SECONDS)
         self.assertTrue(self.liveness.gone("n#1", 5.1 + MINIMUM_FAILING_SECONDS))
 
-    def test_an_answer_between_them_begins_anew(self) -> None:
+    def test_an_answer_resets_the_failures(self) -> None:
         self.liveness.record_failure("n#1", 5.0)
         self.liveness.record_answer("n#1", "n#1", 5.2)
         self.liveness.record_failure("n#1", 5.5)
         self.assertFalse(self.liveness.gone("n#1", 5.5))
 
-    def test_old_failures_tell_nothing(self) -> None:
+    def test_old_failures_are_ignored(self) -> None:
         self.liveness.record_failure("n#1", 5.0)
         late = 5.1 + PROBE_VALID_SECONDS
         self.liveness.record_failure("n#1", late)
@@ -44,7 +44,7 @@
         self.assertTrue(self.liveness.gone("n#1", late + 1.0))
         self.assertFalse(self.liveness.gone("n#1", late + 1.1 + PROBE_VALID_SECONDS))
 
-    def test_another_process_in_its_place_is_told_apart(self) -> None:
+    def test_a_replaced_process_is_detected(self) -> None:
         self.liveness.record_answer("n#1", "n#2", 5.0)
         self.assertTrue(self.liveness.replaced("n#1", 5.1))
         self.liveness.record_answer("n#1", "n#1", 5.2)
--- a/tests/gateway/batches/test_takeover.py
+++ b/tests/gateway/batches/test_takeover.py
@@ -1,4 +1,4 @@
-"""Batches without a runner are taken over: by their own machine at once, by others in turn."""
+"""Batches without a runner are claimed by its machine at once, by other nodes in rank order."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Node:
-    """One node's takeovers, of a batch whose runner is in a state the test sets."""
+    """One node's takeovers, for a batch whose runner state the test sets."""
 
     def __init__(self, name: str, state: RunnerState = RunnerState.GONE) -> None:
         self.state = state
@@ -30,11 +30,11 @@
 
 
 class TakeoverTests(testtools.TestCase):
-    def test_a_batch_that_is_run_is_left(self) -> None:
+    def test_a_batch_with_a_live_runner_is_not_claimed(self) -> None:
         node = Node(FIRST, RunnerState.RUNS)
         self.assertFalse(any(node.claims(0.1 * n) for n in range(100)))
 
-    def test_a_restarted_runner_goes_on_at_once_whatever_its_place(self) -> None:
+    def test_a_restarted_runner_claims_at_once_whatever_its_rank(self) -> None:
         for name in NODES:
             self.assertTrue(Node(name, RunnerState.MINE_BEFORE).claims(5.0))
 
@@ -44,22 +44,22 @@
         self.assertFalse(node.claims(RESTARTED_RUNNER_DELAY_SECONDS - 0.01))
         self.assertTrue(node.claims(RESTARTED_RUNNER_DELAY_SECONDS))
 
-    def test_of_a_gone_runner_nodes_take_over_in_turn(self) -> None:
-        for place, name in enumerate((FIRST, SECOND, THIRD)):
+    def test_nodes_claim_a_gone_runners_batch_in_rank_order(self) -> None:
+        for rank, name in enumerate((FIRST, SECOND, THIRD)):
             node = Node(name)
-            due = place * CLAIM_DELAY_PER_RANK_SECONDS
-            self.assertEqual(place == 0, node.claims(0.0))
-            if place:
+            due = rank * CLAIM_DELAY_PER_RANK_SECONDS
+            self.assertEqual(rank == 0, node.claims(0.0))
+            if rank:
                 self.assertFalse(node.claims(due - 0.01))
                 self.assertTrue(node.claims(due))
 
-    def test_a_node_that_holds_no_replica_comes_last(self) -> None:
+    def test_a_node_without_a_replica_claims_last(self) -> None:
         node = Node("stranger")
         self.assertFalse(node.claims(0.0))
         self.assertFalse(node.claims(len(NODES) * CLAIM_DELAY_PER_RANK_SECONDS - 0.01))
         self.assertTrue(node.claims(len(NODES) * CLAIM_DELAY_PER_RANK_SECONDS))
 
-    def test_nothing_is_claimed_from_an_old_view_or_one_that_is_still_read(self) -> None:
+    def test_nothing_is_claimed_from_an_old_or_incomplete_view(self) -> None:
         node = Node(FIRST, RunnerState.MINE_BEFORE)
         self.assertFalse(node.claims(0.0, view_age=3.1))
         self.assertFalse(node.claims(0.1, view_age=float("inf")))
@@ -71,7 +71,7 @@
         self.assertFalse(node.claims(1.0 + CLAIM_REPEAT_SECONDS - 0.01))
         self.assertTrue(node.claims(1.0 + CLAIM_REPEAT_SECONDS))
 
-    def test_a_runner_that_comes_back_starts_the_wait_anew(self) -> None:
+    def test_a_runner_that_comes_back_resets_the_delay(self) -> None:
         node = Node(SECOND)
         self.assertFalse(node.claims(0.0))
         node.state = RunnerState.RUNS
--- a/tests/gateway/batches/test_version_rules.py
+++ b/tests/gateway/batches/test_version_rules.py
@@ -1,4 +1,4 @@
-"""Which weight versions may make an item's text."""
+"""Limits on the weight versions that may generate an item's text."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
         self.assertIs(VersionConflict.TOO_OLD, find_conflict(1, [], 2, ANY))
         self.assertIsNone(find_conflict(2, [], 2, ANY))
 
-    def test_versions_mix_unless_the_route_wants_one_a_text(self) -> None:
+    def test_versions_mix_unless_the_route_requires_a_single_one(self) -> None:
         self.assertIsNone(find_conflict(3, [2], 2, ANY))
         self.assertIsNone(find_conflict(3, [2], 2, None))
         self.assertIs(VersionConflict.CHANGED, find_conflict(3, [2], 2, SINGLE))
         self.assertIsNone(find_conflict(3, [3], 2, SINGLE))
 
-    def test_text_is_reused_only_if_all_that_made_it_fits(self) -> None:
+    def test_text_is_reused_only_if_all_its_versions_fit(self) -> None:
         self.assertTrue(may_reuse([2, 3], 2, ANY))
         self.assertFalse(may_reuse([1, 3], 2, ANY))
         self.assertFalse(may_reuse([2, 3], 2, SINGLE))
