--- a/src/stagewalk/gateway/admission/__init__.py
+++ b/src/stagewalk/gateway/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who goes first when forwarded requests are more than a service's workers have room for."""
+"""Admission control for forwarded requests: concurrency limits, fair queueing and rejection."""
--- a/src/stagewalk/gateway/admission/decisions.py
+++ b/src/stagewalk/gateway/admission/decisions.py
@@ -1,6 +1,6 @@
-"""What admission says of a request: it has its place, it waits, or it is refused.
+"""Outcomes of an admission decision: admitted, queued or rejected.
 
-Owns these types and their reasons, which are on logs and metrics.
+The values of `RejectionReason` appear in logs and metrics.
 """
 
 from __future__ import annotations
@@ -12,34 +12,36 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request is refused before any worker got it."""
+    """Why a request is rejected before it is sent to any worker."""
 
     TOO_LATE = "too_late"
-    """It would start too late for an answer within its target, or within its deadline."""
+    """It would start too late to be answered within its target or its deadline."""
     QUEUE_FULL = "queue_full"
-    """As many wait as are allowed, whenever they start."""
+    """The queue holds the maximum number of requests."""
     NO_WORKER = "no_worker"
-    """The service has no worker at present."""
+    """The service currently has no worker."""
     STOPPING = "stopping"
-    """This node stops, and its listeners close."""
+    """This node is shutting down."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitEstimate:
-    """What a request in the queue is judged by. Times are in seconds.
+    """The estimate by which a request is queued or rejected. Times are in seconds.
 
     Attributes
     ----------
     ahead
-        Requests that start before it.
+        Queued requests that start before it.
     ahead_of_tenant
-        Those of its own tenant that wait, in whatever order.
+        Queued requests of its own tenant, whether they start before it or not.
     wait_seconds
-        Until it starts.
+        Expected time until it starts.
     allowed_seconds
         How long it may still wait.
+    in_flight
+        Requests of this node in flight at the service.
     limit
-        Bound on what is under way at the service.
+        Concurrency limit of this node at the service.
     """
 
     ahead: int
@@ -51,20 +53,20 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether it is worth waiting."""
+        """Whether the expected wait is within the allowed one."""
         return self.wait_seconds <= self.allowed_seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request may start at once, and keeps a place of its service until it ends."""
+    """A request may start at once; it counts as in flight at its service until it ends."""
 
     request: AdmissionRequest
 
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """A request waits."""
+    """A request waits in the queue."""
 
     waiting: QueueEntry
     wait_estimate: WaitEstimate
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request is refused; no worker got it, and none will."""
+    """A request is rejected; it has not been sent to any worker."""
 
     reason: RejectionReason
     retry_after_seconds: float
--- a/src/stagewalk/gateway/admission/fair_queue.py
+++ b/src/stagewalk/gateway/admission/fair_queue.py
@@ -1,22 +1,17 @@
-"""In which order requests that wait for a service start. Pure.
-
-Answers a burst of one tenant beside single requests of many others, urgent requests beside others,
-and callers that were refused before beside new ones.
-
-- The most urgent class goes first.
-- Within a class a new request goes before one that returns after a refusal, since it can still be
-  answered within its target; one start in four is for those that return, unless their
-  tenants are ahead of the others' shares.
-- Among these, tenants have equal shares by start-time fair queueing: each start moves its tenant
-  back by the time that the request is expected to keep its place. Unlike the turns of a round robin
-  this remembers for a second the tenants that have nothing in the queue at the moment, which is the
-  usual case where a node has one request under way.
-- Within a tenant who is due first goes first.
-- A request that was told to wait and should have started by now is overdue: one start in four is
-  for one of these, whatever its class.
-
-Owns the requests that wait, and how far each tenant is; whether a request is worth waiting is
-`admission.service_admission`.
+"""A service's queue of requests, ordered by urgency, tenant and due time. Pure.
+
+- Requests of the most urgent class start first.
+- Within a class, new requests start before retries, since they can still be answered within their
+  target. One start in four goes to a retry, unless its tenant has already exceeded its share.
+- Among new requests, and among retries, tenants get equal shares by start-time fair queueing: each
+  request advances its tenant's start tag by the time that it is expected to be in flight. Start
+  tags are kept for a second after a tenant's queue is empty, which is the usual state on a node
+  with one request in flight; a round robin would forget the tenant at once.
+- Within a tenant, requests start in the order of their due times.
+- A queued request that was promised a start and has passed its latest start time is overdue. One
+  start in four goes to an overdue request, whatever its class.
+
+`admission.service_admission` decides which requests are queued at all.
 """
 
 from __future__ import annotations
@@ -26,41 +21,41 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-RETURNING_EACH = 4
-"""Of so many starts one is a returning request's, while new ones wait too."""
+STARTS_PER_RETRY = 4
+"""One start in this many goes to a retry while new requests are queued too."""
 
-OVERDUE_EACH = 4
-"""Of so many starts one is an overdue request's, while others wait too."""
+STARTS_PER_OVERDUE = 4
+"""One start in this many goes to an overdue request while others are queued too."""
 
 MAXIMUM_TENANT_LEAD = 1.0
-"""A returning request whose tenant is this far ahead of the others' shares waits for them, in
-requests of usual cost."""
+"""Retries lose their share of starts while their first start tag is later than that of the new
+requests by more than this, in requests of average cost."""
 
 MAXIMUM_RELATIVE_COST = 8.0
-"""Most that one request moves its tenant back, in parts of the usual."""
+"""Upper bound on the cost of one request, relative to the average."""
 
 TENANT_HISTORY_SECONDS = 1.0
-"""How long a start moves its tenant back: within an answer's usual target. Over a longer time each
-tenant of a node that starts few would be behind all others in turn, and wait for them."""
+"""How long a tenant's start tag is kept. It is about as long as a typical target: with a longer
+history, tenants of a node with few starts would wait for each other needlessly."""
 
 MAXIMUM_IDLE_TENANTS = 256
-"""Tenants remembered beyond those that wait; the ones that are not ahead of others go first."""
+"""Start tags kept before those that no longer affect the order are pruned."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """A forwarded request as it asks for a place. Times are of the steady clock.
+    """A forwarded request that asks for admission. Times are of the steady clock.
 
     Attributes
     ----------
     tenant
-        Empty for a request of nobody's.
+        Empty for a request without a tenant.
     urgency
         0 is the most urgent.
     target_seconds
-        Time after `arrived_at` within which an answer has its full worth.
+        Time after `arrived_at` within which an answer has its full value.
     streamed
-        Whether that is the time to its first event, which says nothing of how long it runs.
+        Whether the target is for the first event; it then doesn't bound how long the request runs.
     """
 
     request_id: str
@@ -74,7 +69,7 @@
 
     @property
     def due_at(self) -> float:
-        """Return until when an answer has its full worth, or any."""
+        """Return the target time, or the deadline if that is earlier."""
         return min(self.deadline_at, self.arrived_at + self.target_seconds)
 
 
@@ -85,252 +80,261 @@
     Attributes
     ----------
     cost
-        Time that it is expected to keep its place, in parts of the usual.
-    returning
-        Whether its caller was refused before, as far as can be told.
+        Expected time in flight, relative to the average.
+    retried
+        Whether its caller appears to have been rejected before.
     committed
-        Whether it waits on until it starts: it was found worth waiting after its patience.
+        Whether it stays queued until it starts: it passed the final check of its expected wait.
     started
-        Whether it has its place.
+        Whether it has been started.
     """
 
     request: AdmissionRequest
     cost: float
-    returning: bool
+    retried: bool
     committed: bool = False
     started: bool = False
 
 
 @dataclass(slots=True)
 class _TenantQueue:
-    """A tenant's requests by when they are due, and its turns in their order."""
+    """A tenant's requests by due time, and its start tags in increasing order."""
 
     requests: list[tuple[float, int, QueueEntry]] = field(default_factory=list)
-    turns: list[tuple[float, int, str]] = field(default_factory=list)
+    start_tags: list[tuple[float, int, str]] = field(default_factory=list)
 
 
 class _VirtualClock:
-    """Times of tenants' turns: it stands still while tenants that are behind start."""
+    """Virtual time and start tags of tenants; it stands still while earlier tags are served."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._next: dict[str, tuple[float, float]] = {}
-        """By tenant, its next turn, and the steady time at which it took the one before."""
+        self._next_tags: dict[str, tuple[float, float]] = {}
+        """By tenant, its next start tag, and the steady time at which the last one was assigned."""
         self._prune_at = MAXIMUM_IDLE_TENANTS
 
-    def next_turn(self, tenant: str, now: float) -> float:
-        at, taken_at = self._next.get(tenant, (0.0, -math.inf))
-        return max(self.now, at) if now - taken_at < TENANT_HISTORY_SECONDS else self.now
-
-    def take_turn(self, tenant: str, cost: float, now: float) -> float:
-        """Return a tenant's next turn; the one after it is later by the cost."""
-        at = self.next_turn(tenant, now)
-        self._next[tenant] = at + cost, now
-        if len(self._next) > self._prune_at:
-            self._next = {t: turn for t, turn in self._next.items() if self._counts(turn, now)}
-            self._prune_at = MAXIMUM_IDLE_TENANTS + 2 * len(self._next)
+    def next_start_tag(self, tenant: str, now: float) -> float:
+        at, assigned_at = self._next_tags.get(tenant, (0.0, -math.inf))
+        return max(self.now, at) if now - assigned_at < TENANT_HISTORY_SECONDS else self.now
+
+    def assign_start_tag(self, tenant: str, cost: float, now: float) -> float:
+        """Return a tenant's next start tag, and advance the one after it by the cost."""
+        at = self.next_start_tag(tenant, now)
+        self._next_tags[tenant] = at + cost, now
+        if len(self._next_tags) > self._prune_at:
+            self._next_tags = {
+                t: start_tag
+                for t, start_tag in self._next_tags.items()
+                if self._is_active(start_tag, now)
+            }
+            self._prune_at = MAXIMUM_IDLE_TENANTS + 2 * len(self._next_tags)
         return at
 
-    def give_back(self, tenant: str, cost: float) -> None:
-        """Take back a tenant's last turn, which nothing used."""
-        if tenant in self._next:
-            at, taken_at = self._next[tenant]
-            self._next[tenant] = at - cost, taken_at
+    def refund(self, tenant: str, cost: float) -> None:
+        """Undo the cost of a request that was removed without being started."""
+        if tenant in self._next_tags:
+            at, assigned_at = self._next_tags[tenant]
+            self._next_tags[tenant] = at - cost, assigned_at
 
-    def _counts(self, turn: tuple[float, float], now: float) -> bool:
-        return turn[0] > self.now and now - turn[1] < TENANT_HISTORY_SECONDS
+    def _is_active(self, start_tag: tuple[float, float], now: float) -> bool:
+        return start_tag[0] > self.now and now - start_tag[1] < TENANT_HISTORY_SECONDS
 
     def advance(self, at: float) -> None:
         self.now = max(self.now, at)
 
 
-class _Line:
-    """Requests that share starts equally by tenant."""
+class _FairSubqueue:
+    """Requests of one class, new ones or retries, with equal shares by tenant."""
 
     def __init__(self, clock: _VirtualClock) -> None:
         self._clock = clock
         self._tenants: dict[str, _TenantQueue] = {}
-        self._turns: list[tuple[float, int, str]] = []
+        self._start_tags: list[tuple[float, int, str]] = []
         self._last_number = 0
 
     def __len__(self) -> int:
-        return len(self._turns)
+        return len(self._start_tags)
 
     def add(self, waiting: QueueEntry, now: float) -> None:
         tenant = waiting.request.tenant
         queue = self._tenants.setdefault(tenant, _TenantQueue())
-        at = self._clock.take_turn(tenant, waiting.cost, now)
+        at = self._clock.assign_start_tag(tenant, waiting.cost, now)
         self._last_number += 1
         number = self._last_number
         insort(queue.requests, (waiting.request.due_at, number, waiting), key=_due)
-        insort(queue.turns, (at, number, tenant))
-        insort(self._turns, (at, number, tenant))
+        insort(queue.start_tags, (at, number, tenant))
+        insort(self._start_tags, (at, number, tenant))
 
     def pop(self) -> QueueEntry:
-        turn = self._turns.pop(0)
-        tenant = turn[2]
+        start_tag = self._start_tags.pop(0)
+        tenant = start_tag[2]
         queue = self._tenants[tenant]
-        queue.turns.remove(turn)
+        queue.start_tags.remove(start_tag)
         waiting = queue.requests.pop(0)[2]
         if not queue.requests:
             del self._tenants[tenant]
-        self._clock.advance(turn[0])
+        self._clock.advance(start_tag[0])
         return waiting
 
     def remove(self, waiting: QueueEntry) -> bool:
-        """Remove a request that won't start, and its tenant's last turn; return if it was there."""
+        """Remove a request that won't start; return whether it was queued.
+
+        Its tenant's last start tag is removed, so that the earlier ones stay with those queued.
+        """
         if not self._remove(waiting, -1):
             return False
-        self._clock.give_back(waiting.request.tenant, waiting.cost)
+        self._clock.refund(waiting.request.tenant, waiting.cost)
         return True
 
     def start(self, waiting: QueueEntry) -> bool:
-        """Remove a request that starts out of order, and its tenant's first turn."""
+        """Remove a request that starts out of order, and its tenant's first start tag."""
         return self._remove(waiting, 0)
 
-    def _remove(self, waiting: QueueEntry, turn_place: int) -> bool:
+    def _remove(self, waiting: QueueEntry, tag_index: int) -> bool:
         tenant = waiting.request.tenant
         queue = self._tenants.get(tenant, _TenantQueue())
-        places = (i for i, entry in enumerate(queue.requests) if entry[2] is waiting)
-        place = next(places, None)
-        if place is None:
+        indices = (i for i, entry in enumerate(queue.requests) if entry[2] is waiting)
+        index = next(indices, None)
+        if index is None:
             return False
-        del queue.requests[place]
-        turn = queue.turns.pop(turn_place)
-        del self._turns[bisect_left(self._turns, turn)]
+        del queue.requests[index]
+        start_tag = queue.start_tags.pop(tag_index)
+        del self._start_tags[bisect_left(self._start_tags, start_tag)]
         if not queue.requests:
             del self._tenants[tenant]
         return True
 
     @property
-    def first_turn(self) -> float:
-        """Return the earliest turn, infinite if nobody waits."""
-        return self._turns[0][0] if self._turns else math.inf
+    def first_start_tag(self) -> float:
+        """Return the earliest start tag, infinite if the subqueue is empty."""
+        return self._start_tags[0][0] if self._start_tags else math.inf
 
     def ahead_of(self, request: AdmissionRequest, now: float) -> int:
-        """Return how many start before a request."""
-        return bisect_left(self._turns, self._turn(request, now))
+        """Return how many queued requests start before a request."""
+        return bisect_left(self._start_tags, self._start_tag(request, now))
 
     def is_behind(self, request: AdmissionRequest, now: float) -> bool:
         """Whether later requests of other tenants may start before a request."""
-        return self._turn(request, now)[0] > self._clock.now
+        return self._start_tag(request, now)[0] > self._clock.now
 
-    def _turn(self, request: AdmissionRequest, now: float) -> tuple[float, int, str]:
-        """Return the turn of a request: its tenant's next one if it doesn't wait yet."""
+    def _start_tag(self, request: AdmissionRequest, now: float) -> tuple[float, int, str]:
+        """Return the start tag of a request: its tenant's next one if it isn't queued yet."""
         queue = self._tenants.get(request.tenant)
         own = 0 if queue is None else bisect_left(queue.requests, request.due_at, key=_due)
-        if queue is not None and own < len(queue.turns):
-            return queue.turns[own]
-        next_turn = self._clock.next_turn(request.tenant, now)
-        return next_turn, self._last_number, request.tenant
+        if queue is not None and own < len(queue.start_tags):
+            return queue.start_tags[own]
+        next_start_tag = self._clock.next_start_tag(request.tenant, now)
+        return next_start_tag, self._last_number, request.tenant
 
-    def waiting_of(self, tenant: str) -> int:
+    def count_of_tenant(self, tenant: str) -> int:
         queue = self._tenants.get(tenant)
         return 0 if queue is None else len(queue.requests)
 
 
-class _Class:
-    """Requests of one urgency: new ones, and those that return after a refusal."""
+class _UrgencyClass:
+    """Requests of one urgency: new ones and retries."""
 
     def __init__(self) -> None:
         self.clock = _VirtualClock()
-        self.new = _Line(self.clock)
-        self.returning = _Line(self.clock)
+        self.new = _FairSubqueue(self.clock)
+        self.retried = _FairSubqueue(self.clock)
         self._starts = 0
 
     def __len__(self) -> int:
-        return len(self.new) + len(self.returning)
+        return len(self.new) + len(self.retried)
 
-    def line(self, returning: bool) -> _Line:
-        return self.returning if returning else self.new
+    def subqueue(self, retried: bool) -> _FairSubqueue:
+        return self.retried if retried else self.new
 
     def pop(self) -> QueueEntry:
         self._starts += 1
-        lead = self.returning.first_turn - self.new.first_turn
-        turn_of_returning = self._starts % RETURNING_EACH == 0 and lead <= MAXIMUM_TENANT_LEAD
-        return self.line(turn_of_returning or len(self.new) == 0).pop()
+        lead = self.retried.first_start_tag - self.new.first_start_tag
+        serve_retry = self._starts % STARTS_PER_RETRY == 0 and lead <= MAXIMUM_TENANT_LEAD
+        return self.subqueue(serve_retry or len(self.new) == 0).pop()
 
-    def ahead_of(self, request: AdmissionRequest, returning: bool, now: float) -> int:
-        ahead = self.line(returning).ahead_of(request, now)
-        if returning:
-            return ahead + min(len(self.new), (RETURNING_EACH - 1) * (ahead + 1))
-        return ahead + min(len(self.returning), ahead // (RETURNING_EACH - 1))
+    def ahead_of(self, request: AdmissionRequest, retried: bool, now: float) -> int:
+        ahead = self.subqueue(retried).ahead_of(request, now)
+        if retried:
+            return ahead + min(len(self.new), (STARTS_PER_RETRY - 1) * (ahead + 1))
+        return ahead + min(len(self.retried), ahead // (STARTS_PER_RETRY - 1))
 
 
 class FairQueue:
-    """Requests that wait for one service."""
+    """Queue of requests for one service."""
 
     def __init__(self) -> None:
-        self._classes: dict[int, _Class] = {}
+        self._classes: dict[int, _UrgencyClass] = {}
         """By urgency."""
         self._overdue: deque[QueueEntry] = deque()
         self._size = 0
         self._starts = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return how many requests are queued."""
         return self._size
 
     def record_start(self, waiting: QueueEntry, now: float) -> None:
-        """Count a request that starts without waiting."""
+        """Account for a request that starts without being queued."""
         request = waiting.request
-        clock = self._class(request.urgency).clock
-        clock.advance(clock.take_turn(request.tenant, waiting.cost, now))
+        clock = self._urgency_class(request.urgency).clock
+        clock.advance(clock.assign_start_tag(request.tenant, waiting.cost, now))
 
     def push(self, waiting: QueueEntry, now: float) -> None:
         """Add a request."""
-        self._line(waiting).add(waiting, now)
+        self._subqueue(waiting).add(waiting, now)
         self._size += 1
 
     def pop(self) -> QueueEntry:
-        """Remove and return the request that starts next; raises `ValueError` if none waits."""
+        """Remove and return the request that starts next; `ValueError` if the queue is empty."""
         self._starts += 1
         self._size -= 1
-        overdue = self._pop_overdue() if self._starts % OVERDUE_EACH == 0 else None
+        overdue = self._pop_overdue() if self._starts % STARTS_PER_OVERDUE == 0 else None
         return overdue or self._classes[self._most_urgent()].pop()
 
     def remove(self, waiting: QueueEntry) -> bool:
         """Remove a request; return whether it was there."""
-        removed = self._line(waiting).remove(waiting)
+        removed = self._subqueue(waiting).remove(waiting)
         self._size -= removed
         return removed
 
     def add_overdue(self, waiting: QueueEntry) -> None:
-        """Have a request that waits start out of order, if its turn doesn't come before."""
+        """Mark a queued request as overdue, so that it may start out of order."""
         self._overdue.append(waiting)
 
     def ahead_of(self, waiting: QueueEntry, now: float) -> int:
-        """Return how many of those that wait start before a request, whether it waits or not."""
+        """Return how many queued requests start before a request, which may be queued or not."""
         request = waiting.request
         urgency = request.urgency
         ahead = sum(len(group) for u, group in self._classes.items() if u < urgency)
-        group = self._class(urgency)
-        ahead += group.ahead_of(request, waiting.returning, now)
-        return ahead + min(len(self._overdue), (ahead + 1) // (OVERDUE_EACH - 1))
+        group = self._urgency_class(urgency)
+        ahead += group.ahead_of(request, waiting.retried, now)
+        return ahead + min(len(self._overdue), (ahead + 1) // (STARTS_PER_OVERDUE - 1))
 
     def is_behind(self, waiting: QueueEntry, now: float) -> bool:
         """Whether later requests of other tenants of its class may start before a request."""
-        return self._line(waiting).is_behind(waiting.request, now)
+        return self._subqueue(waiting).is_behind(waiting.request, now)
 
-    def waiting_of(self, tenant: str) -> int:
-        """Return how many requests of a tenant wait."""
+    def count_of_tenant(self, tenant: str) -> int:
+        """Return how many requests of a tenant are queued."""
         groups = self._classes.values()
-        return sum(g.new.waiting_of(tenant) + g.returning.waiting_of(tenant) for g in groups)
+        return sum(
+            g.new.count_of_tenant(tenant) + g.retried.count_of_tenant(tenant) for g in groups
+        )
 
     def _pop_overdue(self) -> QueueEntry | None:
         while self._overdue:
             waiting = self._overdue.popleft()
-            if self._line(waiting).start(waiting):
+            if self._subqueue(waiting).start(waiting):
                 return waiting
         return None
 
-    def _line(self, waiting: QueueEntry) -> _Line:
-        return self._class(waiting.request.urgency).line(waiting.returning)
+    def _subqueue(self, waiting: QueueEntry) -> _FairSubqueue:
+        return self._urgency_class(waiting.request.urgency).subqueue(waiting.retried)
 
-    def _class(self, urgency: int) -> _Class:
+    def _urgency_class(self, urgency: int) -> _UrgencyClass:
         group = self._classes.get(urgency)
         if group is None:
-            group = self._classes[urgency] = _Class()
+            group = self._classes[urgency] = _UrgencyClass()
         return group
 
     def _most_urgent(self) -> int:
--- a/src/stagewalk/gateway/admission/limit.py
+++ b/src/stagewalk/gateway/admission/limit.py
@@ -1,12 +1,11 @@
-"""How many requests a node may have under way at a service, learned from its answers. Pure.
-
-Answers the load of many nodes that share a service's workers and know of each other only by what
-the workers say. The bound grows by addition and shrinks by multiplication: on refusals of full
-workers, on requests that wait at a worker, and on answers that take longer than the shortest ones
-by more than the pace that the worker states for the moment. Below one request under way it is a
-distance in time between two starts.
-Owns the bound and the times it is learned from, in seconds of the steady clock; relies on
-`admission.recent_values` for the shortest of them.
+"""Adaptive limit on the requests that a node has in flight at one service. Pure.
+
+Many nodes share a service's workers without knowing each other's load. Each node adjusts its limit
+by additive increase and multiplicative decrease (AIMD). Signs of congestion are refusals by full
+workers, requests queued at a worker, and answers that take much longer than the fastest recent
+ones, after correction for the pace that the worker reports. A limit below one request in flight is
+enforced as a minimum interval between two starts.
+Times are in seconds of the steady clock.
 """
 
 from __future__ import annotations
@@ -16,48 +15,48 @@
 from stagewalk.gateway.admission.recent_values import SpanMaximum
 
 MINIMUM_STARTS_PER_SECOND = 4.0
-"""The bound never holds a node below this rate: a node with three requests a second sees too few
-answers to learn from, and one that sends nothing learns nothing."""
+"""The limit never reduces a node below this rate: a node that sends fewer requests gets too few
+answers to adjust the limit by."""
 
 PLACES_PER_SLOT = 1.25
-"""Most requests under way for each slot of the service: a worker has the next one as a slot gets
-free, and no queue of its own."""
+"""Maximum requests in flight for each slot of the service: a worker has its next request when a
+slot becomes free, without building up a queue of its own."""
 
 REFUSAL_DECREASE_FACTOR = 0.8
-"""What is left of the bound after a full worker's refusal."""
+"""The limit is multiplied by this after a refusal by a full worker."""
 
 CONGESTION_DECREASE_FACTOR = 0.9
-"""What is left of it after an answer from a worker with a queue, or one that took too long."""
+"""The limit is multiplied by this after a slow answer, or one from a worker with a queue."""
 
 ADDITIVE_INCREASE = 0.5
-"""Added to the bound over as many answers without congestion as it has places."""
+"""Added to the limit over as many answers without congestion as the limit allows in flight."""
 
 USED_SHARE = 0.5
-"""Only a node that uses this share of its bound learns from queues and times: they are the work of
-others otherwise. It does learn from refusals."""
+"""Queues and latencies change the limit only while this share of it is in use, since otherwise
+other nodes cause them. Refusals always count."""
 
 QUEUED_SHARE = 0.25
-"""A worker has a queue once this part of its slots waits there."""
+"""A worker counts as having a queue from this many waiting requests per slot."""
 
 LATENCY_FACTOR = 2.0
-"""Answers take too long once their smoothed time is this many times the shortest one."""
+"""Answers are slow once their smoothed latency exceeds the lowest recent one by this factor."""
 
 SMOOTHING = 0.1
-"""Weight of the newest time in the smoothed ones."""
+"""Weight of the newest value in an exponentially smoothed one."""
 
 MINIMUM_ANSWERS = 10
-"""Answers before their smoothed time says anything."""
+"""Answers needed before their smoothed latency is used."""
 
 MINIMUM_DECREASE_SECONDS = 0.05
-"""Between two decreases pass this time and that of an answer: one moment of congestion counts
-once."""
+"""Minimum time between two decreases, or the holding time if that is longer, so that a single
+moment of congestion counts once."""
 
-FORGET_SECONDS = 5.0
-"""A bound is given up once there was no congestion for so long."""
+LIMIT_RESET_SECONDS = 5.0
+"""The limit is reset after this long without congestion."""
 
 
 class ConcurrencyLimit:
-    """The learned bound of one service."""
+    """This node's concurrency limit at one service."""
 
     def __init__(self) -> None:
         self._ceiling = math.inf
@@ -66,28 +65,28 @@
         self._holding: float | None = None
         self._latency = 0.0
         self._shortest = SpanMaximum()
-        """Of the smoothed time's negative: the shortest of late."""
+        """Maximum of the negated smoothed latency, that is, the lowest recent one."""
         self._congested_at = -math.inf
         self._decreased_at = -math.inf
         self._started_at = -math.inf
 
     @property
     def value(self) -> float:
-        """Return the bound, in requests under way; below 1 it is a share of the time."""
+        """Return the limit in requests in flight; below 1, the share of time with one in flight."""
         floor = MINIMUM_STARTS_PER_SECOND * (self._holding or 0.0)
         return min(self._ceiling, max(floor, self._limit))
 
     @property
     def holding_seconds(self) -> float | None:
-        """Return how long a request keeps its place, smoothed; None before the first one ended."""
+        """Return the smoothed time that a request is in flight; None before the first one ended."""
         return self._holding
 
     def set_slots(self, slots: int) -> None:
-        """Set how many slots the service's workers have together."""
+        """Set the total number of slots of the service's workers."""
         self._ceiling = max(1.0, PLACES_PER_SLOT * slots)
 
     def has_place(self, in_flight: int, now: float) -> bool:
-        """Whether another request may start beside those under way."""
+        """Whether another request may start in addition to those in flight."""
         value = self.value
         if value >= 1.0:
             return in_flight + 1 <= value
@@ -95,20 +94,20 @@
 
     @property
     def next_start_at(self) -> float:
-        """Return the earliest time of the next start where the bound is below one."""
+        """Return the earliest time of the next start; minus infinity if the limit is 1 or more."""
         if self.value >= 1.0:
             return -math.inf
         return self._started_at + self.seconds_per_start(0.0)
 
-    def seconds_per_start(self, otherwise: float) -> float:
-        """Return the expected time between two starts while all places are taken.
+    def seconds_per_start(self, default_seconds: float) -> float:
+        """Return the expected time between two starts while the limit is reached.
 
         Parameters
         ----------
-        otherwise
-            Seconds that a request is expected to keep its place if none has ended yet.
+        default_seconds
+            Expected time in flight of a request if none has ended yet.
         """
-        holding = otherwise if self._holding is None else self._holding
+        holding = default_seconds if self._holding is None else self._holding
         return holding / self.value
 
     def record_started(self, now: float) -> None:
@@ -116,7 +115,7 @@
         self._started_at = now
 
     def note_holding_time(self, seconds: float) -> None:
-        """Record how long a request kept its place."""
+        """Record how long a request was in flight."""
         before = self._holding
         self._holding = seconds if before is None else before + SMOOTHING * (seconds - before)
 
@@ -126,7 +125,7 @@
         Parameters
         ----------
         in_flight
-            Requests that this node had under way at the service, the refused one among them.
+            Requests that this node had in flight at the service, including the refused one.
         """
         self._decrease(REFUSAL_DECREASE_FACTOR, in_flight, now)
 
@@ -138,12 +137,12 @@
         Parameters
         ----------
         seconds
-            How long it took, divided by the pace that the worker stated with it; None for answers
-            whose time says nothing, such as streams.
+            Its latency, divided by the pace that the worker reported with it; None for answers
+            whose latency isn't meaningful, such as streams.
         queued_share
-            Requests that waited at the worker, in parts of its slots.
+            Requests queued at the worker, relative to its slots.
         in_flight
-            Requests that this node had under way at the service, the answered one among them.
+            Requests that this node had in flight at the service, including the answered one.
         """
         slow = seconds is not None and self._is_slow(seconds, now)
         used = in_flight >= USED_SHARE * self.value
@@ -156,9 +155,9 @@
                 1.0, self.value
             )
 
-    def forget(self, now: float) -> None:
-        """Give the bound up if there was no congestion of late; asked while nobody waits."""
-        if now - self._congested_at >= FORGET_SECONDS:
+    def reset_if_uncongested(self, now: float) -> None:
+        """Reset the limit if there was no recent congestion; called while the queue is empty."""
+        if now - self._congested_at >= LIMIT_RESET_SECONDS:
             self._limit = math.inf
 
     def _is_slow(self, seconds: float, now: float) -> bool:
@@ -171,7 +170,7 @@
         return self._latency > LATENCY_FACTOR * -self._shortest.value
 
     def _decrease(self, factor: float, in_flight: int, now: float) -> None:
-        """Shrink the bound to a part of itself, or of what was under way if that was less."""
+        """Multiply the limit, or the requests in flight if these are fewer, by a factor."""
         self._congested_at = now
         pause = max(MINIMUM_DECREASE_SECONDS, self._holding or 0.0)
         if now - self._decreased_at < pause:
--- a/src/stagewalk/gateway/admission/recent_values.py
+++ b/src/stagewalk/gateway/admission/recent_values.py
@@ -1,18 +1,14 @@
-"""Counts and extremes of the last moments, without keeping each value. Pure.
-
-Owns an exponentially decaying count, from which rates are read, and the largest value of a span.
-"""
+"""Decaying event counts and sliding maxima, in constant memory. Pure."""
 
 from __future__ import annotations
 
 import math
 
 DECAY_SECONDS = 1.0
-"""An event counts for about so long. Long against the time of a short request, short against that
-of a change of load."""
+"""Time constant of the decay: longer than a short request takes, shorter than a change of load."""
 
 SPAN_SECONDS = 15.0
-"""A largest value is that of the last one to two spans of this length."""
+"""A maximum covers the last one to two spans of this length."""
 
 
 class RecentCount:
@@ -28,16 +24,16 @@
         self._at = now
 
     def value(self, now: float) -> float:
-        """Return about how many events there were in the last `DECAY_SECONDS`."""
+        """Return the decayed count, about the number of events in the last `DECAY_SECONDS`."""
         return self._count * math.exp(min(0.0, (self._at - now) / DECAY_SECONDS))
 
     def rate(self, now: float) -> float:
-        """Return the events a second."""
+        """Return the events per second."""
         return self.value(now) / DECAY_SECONDS
 
 
 class SpanMaximum:
-    """The largest value of the last one to two spans of time."""
+    """The largest value of the last one to two spans of `SPAN_SECONDS`."""
 
     def __init__(self) -> None:
         self._began = -math.inf
@@ -55,5 +51,5 @@
 
     @property
     def value(self) -> float:
-        """Return the largest, minus infinity before the first one."""
+        """Return the maximum, minus infinity if no value was recorded."""
         return max(self._current, self._before)
--- a/src/stagewalk/gateway/admission/return_times.py
+++ b/src/stagewalk/gateway/admission/return_times.py
@@ -1,11 +1,9 @@
-"""When callers that were refused a place are asked to return. Pure.
+"""Retry delays for rejected requests. Pure.
 
-Answers refused callers that would all come back at the same moment and be refused again. Each is
-told a random time within the span in which those refused lately can start, the more urgent ones in
-an earlier span. Nothing remembers who was refused: a caller's next try has an id of its own, and
-nobody can be told from another caller by it. So the next try is a draw like the first, which each
-tenant wins in its turn; no one is refused for ever.
-Owns the times, in seconds; relies on `admission.recent_values` and a random generator.
+If all rejected callers retried at the same moment, most would be rejected again. So each gets a
+random delay within the time that the recently rejected requests need to start, and more urgent ones
+get shorter delays. Rejections aren't stored per caller: a retry has a new request id, so it can't
+be matched to the earlier request and is judged like any other.
 """
 
 from __future__ import annotations
@@ -15,18 +13,18 @@
 from stagewalk.gateway.admission.recent_values import RecentCount
 
 MINIMUM_RETURN_SECONDS = 0.05
-"""Shortest time: a new connection of the caller takes some of it."""
+"""Shortest delay; connecting again takes the caller some of it."""
 
 MAXIMUM_SHARE_OF_TIME_LEFT = 0.33
-"""Most of its time left that a caller is asked to spend: it needs the rest to wait and be served,
-and may try again twice."""
+"""Maximum delay as a share of the time left until the deadline: the rest is for queueing, the
+answer and up to two further retries."""
 
-LATEST_SPREAD = 0.5
-"""Where that bound is in the way, the times are spread over this last part of it."""
+CAPPED_SPREAD_SHARE = 0.5
+"""Delays that would exceed that maximum are spread over this last part of it."""
 
 
 class ReturnTimes:
-    """Chooses the times of one service, by who was refused there of late."""
+    """Chooses the retry delays for one service, by its recent rejections."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -37,29 +35,29 @@
         self,
         urgency: int,
         *,
-        too_long_seconds: float,
+        excess_wait_seconds: float,
         seconds_per_start: float,
-        left_seconds: float,
+        remaining_seconds: float,
         now: float,
     ) -> float:
-        """Count a refusal, and return after how many seconds its caller may return.
+        """Record a rejection, and return the seconds after which its caller may retry.
 
         Parameters
         ----------
-        too_long_seconds
-            By how much the queue was too long for it.
+        excess_wait_seconds
+            By how much the expected wait exceeded the allowed one.
         seconds_per_start
             Expected time between two starts.
-        left_seconds
-            Until the caller's deadline.
+        remaining_seconds
+            Time until the caller's deadline.
         """
         count = self._refused.setdefault(urgency, RecentCount())
         count.add(now)
         before = sum(c.value(now) for u, c in self._refused.items() if u < urgency)
-        earliest = max(MINIMUM_RETURN_SECONDS, too_long_seconds, before * seconds_per_start)
+        earliest = max(MINIMUM_RETURN_SECONDS, excess_wait_seconds, before * seconds_per_start)
         span = max(MINIMUM_RETURN_SECONDS, count.value(now) * seconds_per_start)
         seconds = earliest + span * self._rng.random()
-        most = MAXIMUM_SHARE_OF_TIME_LEFT * max(0.0, left_seconds)
+        most = MAXIMUM_SHARE_OF_TIME_LEFT * max(0.0, remaining_seconds)
         if seconds <= most:
             return seconds
-        return max(MINIMUM_RETURN_SECONDS, most * (1.0 - LATEST_SPREAD * self._rng.random()))
+        return max(MINIMUM_RETURN_SECONDS, most * (1.0 - CAPPED_SPREAD_SHARE * self._rng.random()))
--- a/src/stagewalk/gateway/admission/service_admission.py
+++ b/src/stagewalk/gateway/admission/service_admission.py
@@ -1,13 +1,13 @@
-"""Which forwarded requests start at a service, which wait and which are refused. Pure.
-
-Answers more requests than a service's workers have room for. A request waits only while it can
-still be answered within its target; whether it can is decided as it comes, and again within an
-eighth of the target, so that a refused caller has the time to be served elsewhere or later. From
-then on it is committed and keeps its turn, also while workers are lost.
-Owns the places and the queue of one service. Inputs: the service's workers with the loads they
-reported, what became of the requests that started, and the steady clock, in seconds.
-Relies on `admission.limit` for how many may be under way, on `admission.fair_queue` for the order,
-and on `admission.return_times` for when refused callers return.
+"""Admission control of one service: starts, queues or rejects forwarded requests. Pure.
+
+A request is queued only while it can still be answered within its target. This is checked on
+arrival, and once more within an eighth of the target, so that a rejected caller has time to retry
+or go elsewhere. A request that passes the second check is committed: it stays queued until it
+starts, even if workers are lost.
+
+The limit on requests in flight is in `admission.limit`, the order of the queue in
+`admission.fair_queue`, and the delay before a retry in `admission.return_times`. Times are in
+seconds of the steady clock.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 )
 from stagewalk.gateway.admission.fair_queue import (
     MAXIMUM_RELATIVE_COST,
-    RETURNING_EACH,
+    STARTS_PER_RETRY,
     AdmissionRequest,
     FairQueue,
     QueueEntry,
@@ -41,62 +41,63 @@
 from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 from stagewalk.gateway.workers.worker import Worker
 
-PATIENCE_SHARE = 0.1
-"""Part of its target after which a request is refused or committed: callers need to know within an
-eighth, and timers are late."""
+FINAL_DECISION_SHARE = 0.1
+"""Share of its target after which a queued request is rejected or committed. Callers have to know
+within an eighth of the target; the difference allows for late timers."""
 
 MAXIMUM_WAIT_SHARE = 0.33
-"""Most of its target, and of the time that its deadline leaves, that a request is expected to wait:
-a third to wait, a third for the worker, a third for what the expectation is off by."""
+"""Maximum expected wait, as a share of the target and of the time until the deadline. The rest is
+for the worker and for the error of the estimate."""
 
-SURE_WAIT_SHARE = 0.45
-"""The same where less is uncertain. Before which no other starts: it is off by one start at most,
-and a node that starts few a second would refuse all that come while one is under way. Which was
-told to wait: it is refused once its expectation is worse by more than its error."""
+CONFIDENT_WAIT_SHARE = 0.45
+"""The same where the estimate is more certain. For the first request in the queue it is off by one
+start at most, and a node with few starts per second would otherwise reject every request that
+arrives while one is in flight. A request already queued is rejected only once its expected wait has
+grown by more than the error of the estimate."""
 
 START_DEADLINE_RESERVE_SECONDS = 0.05
-"""Left of the deadline for the way of the answer and what a worker takes beyond the usual."""
+"""Time kept before the deadline for the transfer of the answer and for a slower worker."""
 
-UNKNOWN_HOLDING_SHARE = 0.5
-"""Part of its target that a request is expected to take before any has ended."""
+DEFAULT_HOLDING_SHARE = 0.5
+"""Assumed time in flight, as a share of the target, before any request has ended."""
 
 MAXIMUM_QUEUE_LENGTH = 1024
-"""Most requests in the queue of a service, whenever they start: bounds memory and tasks."""
+"""Maximum requests in the queue of a service; bounds memory and tasks."""
 
-MINIMUM_LEFT_SHARE = 0.05
-"""Part of all starts that a class is expected to have at least, while more urgent ones take all."""
+MINIMUM_AVAILABLE_SHARE = 0.05
+"""Minimum share of the starts that an estimate assumes for a request, whatever overtakes it."""
 
-NEW_SHARE = 0.9
-"""A request with this part of the longest time that callers of its route lately came with is a new
-one; what has less left returns after a refusal. Where callers differ in the time they give, the
-short ones count as returning, and have their share of starts."""
+NEW_REQUEST_TIMEOUT_SHARE = 0.9
+"""A request counts as new if its timeout is at least this share of the longest recent timeout on
+its route, and as a retry otherwise, since callers retry with the time that is left. Where callers
+use different timeouts, requests with short ones are treated as retries."""
 
-FRESH_SECONDS = 0.5
-"""How long a report shows that a worker has room."""
+LOAD_REPORT_VALID_SECONDS = 0.5
+"""How long a load report is taken as proof that a worker has spare capacity."""
 
-CURRENT_START = 0.5
-"""Of the time between two starts, what is left of the current one as a request comes."""
+RESIDUAL_INTERVAL_SHARE = 0.5
+"""Expected rest of the current interval between two starts when a request arrives."""
 
 SPARE_OCCUPANCY = 0.5
-"""A worker that has fewer requests for each slot gets another one, whatever the bound is: a bound
-that was learned from little must not leave workers idle."""
+"""A worker with fewer requests per slot than this gets another one regardless of the limit, so that
+a limit that is too low doesn't leave workers idle."""
 
 RECHECK_SECONDS = 0.1
-"""A request that waits is looked at again after so long: all workers may be gone."""
+"""Queued requests are rechecked at this interval, since all workers may be lost meanwhile."""
 
 MAXIMUM_RECHECKS_PER_SECOND = 500.0
-"""With many waiting, each is looked at less often: bounds what a long queue costs."""
+"""With a long queue, each request is rechecked less often, which bounds the cost."""
 
 MINIMUM_RECHECK_SECONDS = 0.002
-"""Shortest time between two looks at it: less than that is a busy loop."""
+"""Minimum time between two rechecks of a request; avoids a busy loop."""
 
 WORKER_SUMMARY_VALID_SECONDS = 0.02
-"""How long a look at all workers of the service counts."""
+"""How long a summary of the service's workers is reused."""
 
 
 @dataclass(slots=True)
-class _Survey:
-    """What the workers say, at a time; `spare` is what may start beside the bound."""
+class _WorkerSummary:
+    """Summary of the workers at one time; `spare` requests may start beyond the limit."""
 
     at: float = -math.inf
     workers: int = 0
@@ -104,85 +105,87 @@
 
 
 class ServiceAdmission:
-    """Places and queue of one service.
+    """Concurrency limit and queue of one service.
 
     Parameters
     ----------
     workers
-        Returns the service's workers that may get new work.
+        Returns the service's workers that may get new requests.
     """
 
     def __init__(self, workers: Callable[[], Sequence[Worker]], rng: random.Random) -> None:
         self._workers = workers
         self._limit = ConcurrencyLimit()
         self._queue = FairQueue()
-        self._returns = ReturnTimes(rng)
-        self._survey = _Survey()
+        self._return_times = ReturnTimes(rng)
+        self._worker_summary = _WorkerSummary()
         self._in_flight = 0
         self._starts: dict[tuple[int, bool], RecentCount] = {}
-        """By urgency, and whether they return, the requests that started of late."""
-        self._tenants = TenantRates()
-        self._longest: dict[str, SpanMaximum] = {}
-        """By route, the longest time until the deadline that a request came with."""
+        """Recent starts, by urgency and whether they are retries."""
+        self._tenant_rates = TenantRates()
+        self._longest_timeouts: dict[str, SpanMaximum] = {}
+        """By route, the longest recent timeout of a request on arrival."""
         self._route_seconds: dict[str, float] = {}
-        """By route, how long its requests keep their places, smoothed."""
+        """By route, the smoothed time that its requests are in flight."""
         self._committed: list[tuple[float, int, QueueEntry]] = []
-        """Committed requests by the time at which they should have started at the latest."""
-        self._numbers = count()
+        """Heap of committed requests by their latest start time."""
+        self._sequence = count()
         self._stopping = False
 
     @property
     def limit(self) -> ConcurrencyLimit:
-        """Return the bound, which learns from answers."""
+        """Return the concurrency limit, which is updated by answers."""
         return self._limit
 
     @property
     def waiting(self) -> int:
-        """Return how many wait."""
+        """Return how many requests are queued."""
         return len(self._queue)
 
     @property
     def in_flight(self) -> int:
-        """Return how many have a place."""
+        """Return how many requests are in flight."""
         return self._in_flight
 
     def offer(self, request: AdmissionRequest, now: float) -> Decision:
-        """Return whether a request that comes now starts, waits or is refused."""
-        returning = self._is_returning(request, now)
-        waiting = QueueEntry(request, self._cost(request), returning)
-        if self._current_survey(now).workers > 0 and not self._queue:
+        """Start, queue or reject a request that arrives now."""
+        retried = self._is_retry(request, now)
+        waiting = QueueEntry(request, self._cost(request), retried)
+        if self._current_summary(now).workers > 0 and not self._queue:
             self._committed.clear()
-            self._limit.forget(now)
+            self._limit.reset_if_uncongested(now)
             if self._has_place(now):
                 self._queue.record_start(waiting, now)
                 self._start(waiting, now)
                 return Admitted(request)
-        wait_estimate = self._expect(waiting, now)
-        reason = self._reason_to_end(request, now) or self._reason_to_refuse(wait_estimate, now)
+        wait_estimate = self._estimate_wait(waiting, now)
+        reason = self._final_rejection_reason(request, now) or self._queue_rejection_reason(
+            wait_estimate, now
+        )
         if reason is not None:
             return self._reject(request, reason, wait_estimate, now)
         self._queue.push(waiting, now)
         return Queued(waiting, wait_estimate)
 
     def recheck(self, waiting: QueueEntry, now: float) -> Rejection | None:
-        """Judge a request that waits once more; remove it if it is refused."""
+        """Check a queued request again; remove it from the queue if it is rejected."""
         request = waiting.request
-        reason = self._reason_to_end(request, now)
+        reason = self._final_rejection_reason(request, now)
         if waiting.committed and reason is None:
             return None
-        wait_estimate = self._expect(waiting, now, told=True)
-        reason = reason or self._reason_to_refuse(wait_estimate, now)
+        wait_estimate = self._estimate_wait(waiting, now, already_queued=True)
+        reason = reason or self._queue_rejection_reason(wait_estimate, now)
         if reason is not None:
             self._queue.remove(waiting)
             return self._reject(request, reason, wait_estimate, now)
-        if now >= patience_ends_at(request):
+        if now >= final_decision_at(request):
             waiting.committed = True
             latest = now + wait_estimate.allowed_seconds
-            heappush(self._committed, (latest, next(self._numbers), waiting))
+            heappush(self._committed, (latest, next(self._sequence), waiting))
         return None
 
     def start_due(self, now: float) -> list[QueueEntry]:
-        """Return the requests that start now, in order; each of them has its place."""
+        """Start as many queued requests as the limit allows; return them in order."""
         started: list[QueueEntry] = []
         while self._queue and self._has_place(now):
             self._mark_overdue(now)
@@ -192,178 +195,193 @@
         return started
 
     def withdraw(self, waiting: QueueEntry) -> None:
-        """Remove a request whose caller left; it gives back its place if it has one."""
+        """Remove a request whose caller disconnected, whether it is queued or in flight."""
         if waiting.started:
             self.release()
         else:
             self._queue.remove(waiting)
 
     def release(self) -> None:
-        """Give back a place."""
+        """Record that a request is no longer in flight."""
         self._in_flight -= 1
 
     def note_holding_time(self, route: str, seconds: float) -> None:
-        """Record how long a request that workers ran kept its place."""
+        """Record how long a request that a worker ran was in flight."""
         self._limit.note_holding_time(seconds)
         before = self._route_seconds.get(route, seconds)
         self._route_seconds[route] = before + SMOOTHING * (seconds - before)
 
     def may_hedge(self, now: float) -> bool:
-        """Whether there is room for a second attempt beside a slow one, which takes no place."""
+        """Whether there is capacity for a hedged attempt, which isn't counted as in flight."""
         return not self._queue and self._has_place(now)
 
     def stop(self) -> None:
-        """Refuse from now on whatever can't start at once."""
+        """Reject from now on all requests that can't start at once."""
         self._stopping = True
 
     def seconds_until_recheck(self, waiting: QueueEntry, now: float) -> float:
-        """Return after how many seconds a request that waits is to be looked at again.
+        """Return the seconds until a queued request has to be rechecked.
 
-        Something may have changed that no ended request tells: its patience, its time, or that of
-        the next start where the bound is below one request under way.
+        Covers changes that don't coincide with the end of another request: the final decision on
+        it, its deadline, and the next paced start while the limit is below one.
         """
         request = waiting.request
-        next_at = self._last_start(request)
+        next_at = self._latest_start_for_deadline(request)
         if not waiting.committed:
-            next_at = min(next_at, patience_ends_at(request))
+            next_at = min(next_at, final_decision_at(request))
         paced = self._limit.next_start_at
         if paced > now:
             next_at = min(next_at, paced)
-        look = max(RECHECK_SECONDS, len(self._queue) / MAXIMUM_RECHECKS_PER_SECOND)
-        return max(MINIMUM_RECHECK_SECONDS, min(next_at - now, look))
+        interval = max(RECHECK_SECONDS, len(self._queue) / MAXIMUM_RECHECKS_PER_SECOND)
+        return max(MINIMUM_RECHECK_SECONDS, min(next_at - now, interval))
 
     def retry_after(self, request: AdmissionRequest, now: float) -> float:
-        """Return when a caller may return whose request all workers that got it refused."""
-        returning = self._is_returning(request, now)
-        waiting = QueueEntry(request, self._cost(request), returning)
-        wait_estimate = self._expect(waiting, now)
-        return self._choose_return(request, wait_estimate, now)
+        """Return the retry delay, in seconds, for a request that workers refused."""
+        retried = self._is_retry(request, now)
+        waiting = QueueEntry(request, self._cost(request), retried)
+        wait_estimate = self._estimate_wait(waiting, now)
+        return self._choose_retry_after(request, wait_estimate, now)
 
     def _start(self, waiting: QueueEntry, now: float) -> None:
         waiting.started = True
         self._in_flight += 1
         self._limit.record_started(now)
-        key = (waiting.request.urgency, waiting.returning)
+        key = (waiting.request.urgency, waiting.retried)
         self._starts.setdefault(key, RecentCount()).add(now)
-        self._tenants.record_start(waiting.request.tenant, now)
+        self._tenant_rates.record_start(waiting.request.tenant, now)
 
-    def _is_returning(self, request: AdmissionRequest, now: float) -> bool:
+    def _is_retry(self, request: AdmissionRequest, now: float) -> bool:
         allowed = request.deadline_at - request.arrived_at
-        longest = self._longest.get(request.route)
+        longest = self._longest_timeouts.get(request.route)
         if longest is None:
-            longest = self._longest[request.route] = SpanMaximum()
+            longest = self._longest_timeouts[request.route] = SpanMaximum()
         longest.observe(allowed, now)
-        return allowed < NEW_SHARE * longest.value
+        return allowed < NEW_REQUEST_TIMEOUT_SHARE * longest.value
 
     def _has_place(self, now: float) -> bool:
-        survey = self._current_survey(now)
+        summary = self._current_summary(now)
         if self._limit.has_place(self._in_flight, now):
             return True
-        if survey.spare > 0:
-            survey.spare -= 1
+        if summary.spare > 0:
+            summary.spare -= 1
             return True
         return False
 
-    def _current_survey(self, now: float) -> _Survey:
-        survey = self._survey
-        if now - survey.at >= WORKER_SUMMARY_VALID_SECONDS:
+    def _current_summary(self, now: float) -> _WorkerSummary:
+        summary = self._worker_summary
+        if now - summary.at >= WORKER_SUMMARY_VALID_SECONDS:
             workers = self._workers()
-            survey.at, survey.workers = now, len(workers)
-            survey.spare = sum(_spare_places(worker, now) for worker in workers)
+            summary.at, summary.workers = now, len(workers)
+            summary.spare = sum(_spare_places(worker, now) for worker in workers)
             self._limit.set_slots(sum(worker.announcement.slots for worker in workers))
-        return survey
+        return summary
 
-    def _expect(self, waiting: QueueEntry, now: float, *, told: bool = False) -> WaitEstimate:
-        """Return what a request is judged by; `told`: it was told to wait before."""
+    def _estimate_wait(
+        self, waiting: QueueEntry, now: float, *, already_queued: bool = False
+    ) -> WaitEstimate:
+        """Return the expected and the allowed wait of a request."""
         request = waiting.request
         ahead = self._queue.ahead_of(waiting, now)
-        seconds = self._seconds_per_start(request, now) / self._left_share(waiting, now)
+        seconds = self._seconds_per_start(request, now) / self._available_share(waiting, now)
         return WaitEstimate(
             ahead=ahead,
-            ahead_of_tenant=self._queue.waiting_of(request.tenant),
-            wait_seconds=(ahead + CURRENT_START) * seconds,
-            allowed_seconds=self._latest_start(request, sure=told or ahead == 0) - now,
+            ahead_of_tenant=self._queue.count_of_tenant(request.tenant),
+            wait_seconds=(ahead + RESIDUAL_INTERVAL_SHARE) * seconds,
+            allowed_seconds=self._latest_start_for_target(
+                request, confident=already_queued or ahead == 0
+            )
+            - now,
             in_flight=self._in_flight,
             limit=self._limit.value,
         )
 
-    def _reason_to_end(self, request: AdmissionRequest, now: float) -> RejectionReason | None:
-        """Return why a request is refused even if it was committed."""
-        if self._current_survey(now).workers == 0:
+    def _final_rejection_reason(
+        self, request: AdmissionRequest, now: float
+    ) -> RejectionReason | None:
+        """Return why a request is rejected even if it is committed; None if it isn't."""
+        if self._current_summary(now).workers == 0:
             return RejectionReason.NO_WORKER
         if self._stopping:
             return RejectionReason.STOPPING
-        return RejectionReason.TOO_LATE if now > self._last_start(request) else None
+        return RejectionReason.TOO_LATE if now > self._latest_start_for_deadline(request) else None
 
-    def _reason_to_refuse(self, wait_estimate: WaitEstimate, now: float) -> RejectionReason | None:
+    def _queue_rejection_reason(
+        self, wait_estimate: WaitEstimate, now: float
+    ) -> RejectionReason | None:
         if len(self._queue) > MAXIMUM_QUEUE_LENGTH:
             return RejectionReason.QUEUE_FULL
         return None if wait_estimate.in_time else RejectionReason.TOO_LATE
 
     def _reject(
-        self, request: AdmissionRequest, reason: RejectionReason, expected: WaitEstimate, now: float
+        self,
+        request: AdmissionRequest,
+        reason: RejectionReason,
+        wait_estimate: WaitEstimate,
+        now: float,
     ) -> Rejection:
-        return Rejection(reason, self._choose_return(request, expected, now), expected)
+        return Rejection(
+            reason, self._choose_retry_after(request, wait_estimate, now), wait_estimate
+        )
 
-    def _choose_return(
-        self, request: AdmissionRequest, expected: WaitEstimate, now: float
+    def _choose_retry_after(
+        self, request: AdmissionRequest, wait_estimate: WaitEstimate, now: float
     ) -> float:
-        too_long = expected.wait_seconds - max(0.0, expected.allowed_seconds)
-        if self._current_survey(now).workers == 0:
-            too_long = max(too_long, DEFAULT_RETRY_AFTER_SECONDS)
-        return self._returns.choose(
+        excess_wait = wait_estimate.wait_seconds - max(0.0, wait_estimate.allowed_seconds)
+        if self._current_summary(now).workers == 0:
+            excess_wait = max(excess_wait, DEFAULT_RETRY_AFTER_SECONDS)
+        return self._return_times.choose(
             request.urgency,
-            too_long_seconds=too_long,
+            excess_wait_seconds=excess_wait,
             seconds_per_start=self._seconds_per_start(request, now),
-            left_seconds=request.deadline_at - now,
+            remaining_seconds=request.deadline_at - now,
             now=now,
         )
 
-    def _left_share(self, waiting: QueueEntry, now: float) -> float:
-        """Return the share of all starts that is left to a request by those that come meanwhile.
+    def _available_share(self, waiting: QueueEntry, now: float) -> float:
+        """Return the share of all starts that isn't taken by requests that overtake this one.
 
-        These are the more urgent ones, the new ones if it returns, and if its tenant is behind
-        those of the others.
+        These are more urgent requests, new ones if it is a retry, and those of other tenants if its
+        own tenant has had more than its share.
         """
         urgency, holding = waiting.request.urgency, self._limit.holding_seconds
         rates = {key: count.rate(now) for key, count in self._starts.items()}
-        most = max(sum(rates.values()), self._limit.value / holding if holding else 0.0)
-        if most == 0.0:
+        capacity = max(sum(rates.values()), self._limit.value / holding if holding else 0.0)
+        if capacity == 0.0:
             return 1.0
         more_urgent = sum(rate for (u, _), rate in rates.items() if u < urgency)
-        left = max(MINIMUM_LEFT_SHARE, 1.0 - more_urgent / most)
-        new = rates.get((urgency, False), 0.0) / most
-        if waiting.returning:
-            left = max(left / RETURNING_EACH, left - new)
+        left = max(MINIMUM_AVAILABLE_SHARE, 1.0 - more_urgent / capacity)
+        new = rates.get((urgency, False), 0.0) / capacity
+        if waiting.retried:
+            left = max(left / STARTS_PER_RETRY, left - new)
         if not self._queue.is_behind(waiting, now):
             return left
-        others = self._tenants.before(waiting.request.tenant, now) / most
-        return max(MINIMUM_LEFT_SHARE * left, left - others)
+        others = self._tenant_rates.rate_ahead_of(waiting.request.tenant, now) / capacity
+        return max(MINIMUM_AVAILABLE_SHARE * left, left - others)
 
     def _seconds_per_start(self, request: AdmissionRequest, now: float) -> float:
-        self._current_survey(now)
-        return self._limit.seconds_per_start(UNKNOWN_HOLDING_SHARE * request.target_seconds)
+        self._current_summary(now)
+        return self._limit.seconds_per_start(DEFAULT_HOLDING_SHARE * request.target_seconds)
 
     def _holding(self, request: AdmissionRequest) -> float:
-        unknown = UNKNOWN_HOLDING_SHARE * request.target_seconds
+        unknown = DEFAULT_HOLDING_SHARE * request.target_seconds
         return self._route_seconds.get(request.route, self._limit.holding_seconds or unknown)
 
     def _cost(self, request: AdmissionRequest) -> float:
         usual = self._limit.holding_seconds
         return 1.0 if not usual else min(MAXIMUM_RELATIVE_COST, self._holding(request) / usual)
 
-    def _latest_start(self, request: AdmissionRequest, *, sure: bool) -> float:
-        """Return until when it is to start: for its target, but patience is granted to all."""
+    def _latest_start_for_target(self, request: AdmissionRequest, *, confident: bool) -> float:
+        """Return the latest start for the target, not before the final decision is due."""
         target = request.target_seconds
-        share = SURE_WAIT_SHARE if sure else MAXIMUM_WAIT_SHARE
+        share = CONFIDENT_WAIT_SHARE if confident else MAXIMUM_WAIT_SHARE
         wait = share * target
         if not request.streamed:
             wait = min(wait, target - self._holding(request))
-        of_deadline = share * (self._last_start(request) - request.arrived_at)
-        return request.arrived_at + min(max(wait, PATIENCE_SHARE * target), of_deadline)
+        of_deadline = share * (self._latest_start_for_deadline(request) - request.arrived_at)
+        return request.arrived_at + min(max(wait, FINAL_DECISION_SHARE * target), of_deadline)
 
-    def _last_start(self, request: AdmissionRequest) -> float:
-        """Return until when it may start for its deadline."""
+    def _latest_start_for_deadline(self, request: AdmissionRequest) -> float:
+        """Return the latest start at which it can be answered before its deadline."""
         return request.deadline_at - START_DEADLINE_RESERVE_SECONDS - self._holding(request)
 
     def _mark_overdue(self, now: float) -> None:
@@ -373,14 +391,14 @@
                 self._queue.add_overdue(waiting)
 
 
-def patience_ends_at(request: AdmissionRequest) -> float:
-    """Return when a request that waits is refused or committed."""
-    return request.arrived_at + PATIENCE_SHARE * request.target_seconds
+def final_decision_at(request: AdmissionRequest) -> float:
+    """Return when a queued request is either rejected or committed."""
+    return request.arrived_at + FINAL_DECISION_SHARE * request.target_seconds
 
 
 def _spare_places(worker: Worker, now: float) -> int:
-    """Return how many more requests a worker surely has room for, by a fresh report."""
-    if worker.load is None or now - worker.load_at > FRESH_SECONDS:
+    """Return how many more requests a worker can take, by a recent load report."""
+    if worker.load is None or now - worker.load_at > LOAD_REPORT_VALID_SECONDS:
         return 0
     slots = max(1, worker.announcement.slots)
     return max(0, math.ceil((SPARE_OCCUPANCY - worker.occupancy(now)) * slots))
--- a/tests/gateway/admission/benchmark.py
+++ b/tests/gateway/admission/benchmark.py
@@ -1,7 +1,7 @@
-"""Microseconds of admission's decisions: `python -m tests.gateway.admission.benchmark`.
+"""Benchmark of admission decisions: `python -m tests.gateway.admission.benchmark`.
 
-3,200 requests a second ask one service of 600 workers: for room for all, and for two thirds of
-them.
+One service with 600 workers gets 3,200 requests per second, with enough capacity and with too
+little.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from stagewalk.gateway.admission.decisions import Admitted, Queued
 from stagewalk.gateway.admission.fair_queue import AdmissionRequest, QueueEntry
-from stagewalk.gateway.admission.service_admission import ServiceAdmission, patience_ends_at
+from stagewalk.gateway.admission.service_admission import ServiceAdmission, final_decision_at
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.worker import Worker
 from tests.gateway.workers.support import announcement
@@ -23,13 +23,13 @@
 SLOTS = 1
 HOLDING_SECONDS = 0.35
 SHORT_HOLDING_SECONDS = 0.1
-"""With it there is room for all."""
+"""Short enough for the service to have capacity for all requests."""
 
 TARGET_SECONDS = 1.0
 
 
 class _Clock:
-    """Adds up the time that decisions take."""
+    """Accumulates the time taken by decisions."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -48,20 +48,20 @@
 
 def main() -> None:
     for tenants in (72, 1_000):
-        _play(tenants, SHORT_HOLDING_SECONDS)
-        _play(tenants, HOLDING_SECONDS)
+        _simulate(tenants, SHORT_HOLDING_SECONDS)
+        _simulate(tenants, HOLDING_SECONDS)
 
 
-def _play(tenants: int, holding_seconds: float) -> None:
+def _simulate(tenants: int, holding_seconds: float) -> None:
     rng = random.Random(1)
     workers = [Worker(announcement(f"w{n}", slots=SLOTS), 0.0) for n in range(WORKERS)]
     for worker in workers:
         worker.record_load(WorkerLoad(SLOTS, 0, SLOTS, 1.0), 0.0)
     admission = ServiceAdmission(lambda: workers, rng)
     admission.note_holding_time("r", holding_seconds)
-    offers, reviews, starts = _Clock(), _Clock(), _Clock()
+    offers, rechecks, starts = _Clock(), _Clock(), _Clock()
     ends: deque[float] = deque()
-    patient: deque[QueueEntry] = deque()
+    undecided: deque[QueueEntry] = deque()
     counts = {"at once": 0, "queued": 0, "rejected": 0}
     for n in range(REQUESTS):
         now = n / ARRIVALS_PER_SECOND
@@ -69,10 +69,10 @@
             ends.popleft()
             admission.release()
             ends.extend(now + holding_seconds for _ in starts.time(admission.start_due, now))
-        while patient and patience_ends_at(patient[0].request) <= now:
-            waiting = patient.popleft()
+        while undecided and final_decision_at(undecided[0].request) <= now:
+            waiting = undecided.popleft()
             if not waiting.started:
-                reviews.time(admission.recheck, waiting, now)
+                rechecks.time(admission.recheck, waiting, now)
         tenant = f"t{min(rng.randrange(tenants), rng.randrange(tenants))}"
         request = AdmissionRequest("", "r", tenant, 5, now, now + 5.0, TARGET_SECONDS)
         decision = offers.time(admission.offer, request, now)
@@ -80,13 +80,13 @@
             ends.append(now + holding_seconds)
             counts["at once"] += 1
         elif isinstance(decision, Queued):
-            patient.append(decision.waiting)
+            undecided.append(decision.waiting)
             counts["queued"] += 1
         else:
             counts["rejected"] += 1
-    total = offers.seconds + reviews.seconds + starts.seconds
+    total = offers.seconds + rechecks.seconds + starts.seconds
     print(f"{tenants} tenants, {holding_seconds} s: {counts}, waiting {admission.waiting}")
-    print(f"  offer {offers}, review {reviews}, start {starts}")
+    print(f"  offer {offers}, review {rechecks}, start {starts}")
     print(f"  together {1e6 * total / REQUESTS:.1f} us a request")
 
 
--- a/tests/gateway/admission/play.py
+++ b/tests/gateway/admission/play.py
@@ -1,4 +1,4 @@
-"""Nodes, workers and callers on a virtual clock, for tests of what callers get from admission."""
+"""Simulation of nodes, workers and callers on a virtual clock, for tests of admission."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from stagewalk.gateway.workers.worker import Worker
 from tests.gateway.workers.support import announcement
 
-CALLER_SHARE = 1.0 / 3.0
-"""Part of their time left that callers wait at most before they return."""
+MAXIMUM_CALLER_WAIT_SHARE = 1.0 / 3.0
+"""Maximum delay before a caller retries, as a share of its time left."""
 
 
 @dataclass
 class Call:
-    """What one caller asked for, and what it got."""
+    """A caller's request, with all its retries, and its outcome."""
 
     tenant: str
     asked_at: float
@@ -30,7 +30,7 @@
     deadline_at: float
     urgency: int = 5
     tried_at: float = 0.0
-    """When it asked last."""
+    """Time of the latest try."""
     served_at: float | None = None
     refused_waits: list[float] = field(default_factory=list)
 
@@ -40,8 +40,8 @@
 
 
 @dataclass
-class PlayedWorker:
-    """Runs so many requests at once, queues as many more, and refuses the rest."""
+class SimulatedWorker:
+    """Runs up to `slots` requests at once, queues as many more, and refuses the rest."""
 
     name: str
     slots: int
@@ -56,22 +56,22 @@
 
 
 class Node:
-    """One node with its own view of all workers."""
+    """A node with its own view of all workers."""
 
-    def __init__(self, play: Play, rng: random.Random) -> None:
-        self.play = play
+    def __init__(self, simulation: Simulation, rng: random.Random) -> None:
+        self.simulation = simulation
         self.views = {
             worker.name: Worker(announcement(worker.name, slots=worker.slots), 0.0)
-            for worker in play.workers
+            for worker in simulation.workers
         }
         self.admission = ServiceAdmission(self.usable, rng)
         self.starts: dict[QueueEntry, Callable[[], None]] = {}
 
     def usable(self) -> list[Worker]:
-        return [self.views[worker.name] for worker in self.play.workers if not worker.lost]
+        return [self.views[worker.name] for worker in self.simulation.workers if not worker.lost]
 
     def ask(self, call: Call) -> None:
-        now = call.tried_at = self.play.now
+        now = call.tried_at = self.simulation.now
         request = AdmissionRequest(
             "", "r", call.tenant, call.urgency, now, call.deadline_at, call.target
         )
@@ -81,38 +81,38 @@
         elif isinstance(decision, Rejection):
             self.refuse(call, request, decision.retry_after_seconds)
         else:
-            self.starts[decision.waiting] = lambda: self.send(call, request, self.play.now)
-            self.look(call, request, decision.waiting)
+            self.starts[decision.waiting] = lambda: self.send(call, request, self.simulation.now)
+            self.review(call, request, decision.waiting)
 
-    def look(self, call: Call, request: AdmissionRequest, waiting: QueueEntry) -> None:
+    def review(self, call: Call, request: AdmissionRequest, waiting: QueueEntry) -> None:
         self.start_due()
         if waiting.started or waiting not in self.starts:
             return
-        now = self.play.now
+        now = self.simulation.now
         rejection = self.admission.recheck(waiting, now)
         if rejection is not None:
             del self.starts[waiting]
             self.refuse(call, request, rejection.retry_after_seconds)
             return
-        later = self.admission.seconds_until_recheck(waiting, now)
-        self.play.after(later, lambda: self.look(call, request, waiting))
+        delay = self.admission.seconds_until_recheck(waiting, now)
+        self.simulation.after(delay, lambda: self.review(call, request, waiting))
 
     def start_due(self) -> None:
-        for waiting in self.admission.start_due(self.play.now):
+        for waiting in self.admission.start_due(self.simulation.now):
             self.starts.pop(waiting)()
 
     def send(self, call: Call, request: AdmissionRequest, since: float, tried: str = "") -> None:
-        """Send to the emptiest worker as this node sees it, once more after a refusal."""
+        """Send to the least loaded worker in this node's view, then to another one if refused."""
         views = [view for view in self.usable() if view.announcement.worker != tried]
-        view = min(views, key=lambda view: view.occupancy(self.play.now), default=None)
+        view = min(views, key=lambda view: view.occupancy(self.simulation.now), default=None)
         if view is None:
             self.end(call, request, since, ran=False)
             return
-        worker = self.play.named[view.announcement.worker]
+        worker = self.simulation.workers_by_name[view.announcement.worker]
         view.record_sent()
 
         def answered(seconds: float | None) -> None:
-            now = self.play.now
+            now = self.simulation.now
             view.record_ended()
             view.record_load(worker.load, now)
             limit, in_flight = self.admission.limit, self.admission.in_flight
@@ -126,10 +126,10 @@
             limit.record_answered(seconds, worker.load.waiting / worker.slots, in_flight, now)
             self.end(call, request, since, ran=True)
 
-        self.play.arrive(worker, answered)
+        self.simulation.arrive(worker, answered)
 
     def end(self, call: Call, request: AdmissionRequest, since: float, *, ran: bool) -> None:
-        now = self.play.now
+        now = self.simulation.now
         if ran:
             self.admission.note_holding_time("r", now - since)
             if now <= call.deadline_at:
@@ -140,16 +140,16 @@
         self.start_due()
 
     def refuse(self, call: Call, request: AdmissionRequest, retry_after: float) -> None:
-        """Have the caller come back, to any node, as long as that helps."""
-        now = self.play.now
+        """Have the caller retry at any node while enough time is left."""
+        now = self.simulation.now
         call.refused_waits.append(now - request.arrived_at)
         left = call.deadline_at - now
-        later = min(retry_after, CALLER_SHARE * left)
+        delay = min(retry_after, MAXIMUM_CALLER_WAIT_SHARE * left)
         if left > 0.1:
-            self.play.after(later, lambda: self.play.ask(call))
+            self.simulation.after(delay, lambda: self.simulation.ask(call))
 
 
-class Play:
+class Simulation:
     """The clock, the workers and the nodes."""
 
     def __init__(
@@ -157,15 +157,15 @@
     ) -> None:
         self.now = 0.0
         self.rng = random.Random(7)
-        self.workers = [PlayedWorker(f"w{i}", slots, seconds) for i in range(workers)]
-        self.named = {worker.name: worker for worker in self.workers}
+        self.workers = [SimulatedWorker(f"w{i}", slots, seconds) for i in range(workers)]
+        self.workers_by_name = {worker.name: worker for worker in self.workers}
         self.nodes = [Node(self, random.Random(i)) for i in range(nodes)]
         self.calls: list[Call] = []
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = count()
+        self._sequence = count()
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        heappush(self._events, (self.now + seconds, next(self._numbers), action))
+        heappush(self._events, (self.now + seconds, next(self._sequence), action))
 
     def demand(
         self,
@@ -178,7 +178,7 @@
         timeout: float = 2.0,
         urgency: int = 5,
     ) -> None:
-        """Have each tenant ask so many times a second, at random moments."""
+        """Schedule calls of each tenant at random times with the given rate per second."""
         for tenant in tenants:
             at = begin + self.rng.expovariate(rate)
             while at < end:
@@ -190,7 +190,7 @@
     def ask(self, call: Call) -> None:
         self.rng.choice(self.nodes).ask(call)
 
-    def arrive(self, worker: PlayedWorker, answered: Callable[[float | None], None]) -> None:
+    def arrive(self, worker: SimulatedWorker, answered: Callable[[float | None], None]) -> None:
         began = self.now
 
         def run() -> None:
--- a/tests/gateway/admission/test_fair_queue.py
+++ b/tests/gateway/admission/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Who starts next: by urgency, tenant, and when an answer is due."""
+"""Order of starts: by urgency, tenant and due time."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def waiting(
-    tenant: str, number: int = 0, *, urgency: int = 5, due: float = 1.0, returning: bool = False
+    tenant: str, number: int = 0, *, urgency: int = 5, due: float = 1.0, retried: bool = False
 ) -> QueueEntry:
     request = AdmissionRequest(f"{tenant}{number}", "r", tenant, urgency, 0.0, 9.0, due)
-    return QueueEntry(request, 1.0, returning)
+    return QueueEntry(request, 1.0, retried)
 
 
 def filled(*entries: QueueEntry) -> FairQueue:
@@ -32,45 +32,45 @@
         queue = filled(waiting("a", urgency=7), waiting("b", urgency=0), waiting("c", urgency=3))
         self.assertEqual(["b0", "c0", "a0"], order(queue))
 
-    def test_single_requests_go_before_the_rest_of_one_tenants_queue(self) -> None:
+    def test_single_requests_start_before_a_backlog_of_another_tenant(self) -> None:
         queue = filled(*(waiting("a", n) for n in range(50)), waiting("b"), waiting("c"))
         self.assertEqual(["a0", "b0", "c0", "a1"], order(queue)[:4])
 
-    def test_a_tenant_that_started_much_waits_for_one_that_comes_later(self) -> None:
+    def test_a_tenant_with_more_starts_yields_to_one_that_arrives_later(self) -> None:
         queue = filled(*(waiting("a", n) for n in range(4)))
         for n in range(3):
             queue.pop()
             queue.push(waiting("b", n), 0.0)
             self.assertEqual("b", queue.pop().request.tenant)
 
-    def test_starts_without_waiting_count(self) -> None:
+    def test_starts_without_queueing_count(self) -> None:
         queue = FairQueue()
         queue.record_start(waiting("b"), 0.0)
         queue.push(waiting("b"), 0.1)
         queue.push(waiting("a"), 0.1)
         self.assertEqual(["a0", "b0"], order(queue))
 
-    def test_within_a_tenant_who_is_due_first_goes_first(self) -> None:
+    def test_within_a_tenant_the_earliest_due_time_starts_first(self) -> None:
         queue = filled(waiting("a", 1, due=3.0), waiting("a", 2, due=1.0), waiting("a", 3, due=2.0))
         self.assertEqual(["a2", "a3", "a1"], order(queue))
 
-    def test_a_costly_request_moves_its_tenant_further_back(self) -> None:
+    def test_a_costly_request_delays_its_tenant_longer(self) -> None:
         costly = [QueueEntry(waiting("a", n).request, 4.0, False) for n in range(2)]
         queue = filled(*costly, *(waiting("b", n) for n in range(5)))
         self.assertEqual(["a0", "b0", "b1", "b2", "b3", "a1", "b4"], order(queue))
 
-    def test_one_start_in_four_is_a_returning_requests(self) -> None:
+    def test_one_start_in_four_is_a_retry(self) -> None:
         queue = filled(
             *(waiting(f"n{n}") for n in range(12)),
-            *(waiting(f"r{n}", returning=True) for n in range(12)),
+            *(waiting(f"r{n}", retried=True) for n in range(12)),
         )
         first = order(queue)[:12]
         self.assertEqual(3, sum(name.startswith("r") for name in first))
 
-    def test_returns_give_a_tenant_no_more_than_its_share(self) -> None:
+    def test_retries_give_a_tenant_no_more_than_its_share(self) -> None:
         queue = filled(
             *(waiting("a", n) for n in range(20)),
-            *(waiting("a", n, returning=True) for n in range(20)),
+            *(waiting("a", n, retried=True) for n in range(20)),
             *(waiting(f"t{n}") for n in range(20)),
         )
         self.assertLessEqual(sum(name.startswith("a") for name in order(queue)[:20]), 2)
@@ -83,7 +83,7 @@
 
 
 class BookkeepingTests(testtools.TestCase):
-    def test_each_request_starts_or_is_removed_once_whatever_the_order(self) -> None:
+    def test_random_operations_start_or_remove_each_request_once(self) -> None:
         rng = random.Random(11)
         queue, inside, started = FairQueue(), [], []
         for n in range(4000):
@@ -94,7 +94,7 @@
                     n,
                     urgency=rng.randrange(3),
                     due=rng.random(),
-                    returning=rng.random() < 0.3,
+                    retried=rng.random() < 0.3,
                 )
                 entry.cost = rng.choice((0.2, 1.0, 8.0))
                 queue.push(entry, 0.0)
@@ -111,7 +111,7 @@
             self.assertEqual(len(inside), len(queue))
         self.assertEqual(len(started), len({id(entry) for entry in started}))
 
-    def test_the_number_ahead_is_that_which_starts_before(self) -> None:
+    def test_ahead_of_counts_the_requests_that_start_before(self) -> None:
         entries = [waiting(f"t{n % 5}", n, due=float(n % 7)) for n in range(40)]
         last = waiting("t2", 99, due=9.0)
         ahead = filled(*entries).ahead_of(last, 0.0)
--- a/tests/gateway/admission/test_over_connections.py
+++ b/tests/gateway/admission/test_over_connections.py
@@ -1,4 +1,4 @@
-"""Callers of a service that has too little room, through a whole gateway on loopback."""
+"""Overload of a service, through a complete gateway on the loopback interface."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 ANSWER_SECONDS = 0.5
 CALLERS = 80
 PLACES = 10
-"""Requests under way at two workers of four slots, under the bound."""
+"""Concurrency limit for two workers with four slots."""
 ROUTES = tuple(
     dataclasses.replace(
         route(kind.value, f"/{kind.value}/", kind, "app"),
@@ -39,7 +39,7 @@
 
 
 async def start(site: Site, *, pace: float | None = 1.0, **changes: object) -> Running:
-    """Start a gateway whose workers have told their load once."""
+    """Start a gateway whose workers have reported their load once."""
     site.publish(2, ROUTES)
     for name in ("a1", "a2"):
         site.workers.workers[name].pace = pace
@@ -77,7 +77,7 @@
 
 
 class AdmissionTests(testtools.TestCase):
-    def test_some_wait_and_the_rest_is_refused_at_once_and_truly_not_run(self) -> None:
+    def test_some_requests_wait_and_the_rest_are_rejected_at_once_and_never_run(self) -> None:
         async def scenario(site: Site) -> None:
             node = await start(site)
             replies = await ask_together(site, node, "/once/x", CALLERS)
@@ -98,7 +98,7 @@
 
         run(scenario)
 
-    def test_streams_wait_as_well(self) -> None:
+    def test_streams_are_queued_too(self) -> None:
         async def scenario(site: Site) -> None:
             node = await start(site)
             for name in ("a1", "a2"):
@@ -111,7 +111,7 @@
 
         run(scenario)
 
-    def test_a_caller_that_leaves_frees_its_place_in_the_queue(self) -> None:
+    def test_a_caller_that_disconnects_leaves_the_queue(self) -> None:
         async def scenario(site: Site) -> None:
             node = await start(site)
             async with anyio.create_task_group() as tasks:
@@ -124,7 +124,7 @@
 
         run(scenario)
 
-    def test_a_planned_stop_answers_all_that_wait(self) -> None:
+    def test_a_planned_stop_answers_all_queued_requests(self) -> None:
         async def scenario(site: Site) -> None:
             with mock.patch("stagewalk.gateway.daemon.DRAIN_DELAY_SECONDS", 0.1):
                 node = await start(site)
@@ -141,21 +141,21 @@
 
         run(scenario)
 
-    def test_workers_that_state_no_pace_get_all_as_before(self) -> None:
+    def test_workers_that_report_no_pace_are_not_limited(self) -> None:
         async def scenario(site: Site) -> None:
-            await self.check_nobody_waits(site, await start(site, pace=None))
+            await self.check_not_limited(site, await start(site, pace=None))
 
         run(scenario)
 
-    def test_switched_off_all_is_as_before(self) -> None:
+    def test_nothing_is_limited_while_admission_is_disabled(self) -> None:
         async def scenario(site: Site) -> None:
             node = await start(site, policy=Policy(admission=False))
-            await self.check_nobody_waits(site, node)
+            await self.check_not_limited(site, node)
 
         run(scenario)
 
-    async def check_nobody_waits(self, site: Site, node: Running) -> None:
-        """Check that no request is held back, and that workers have more than the bound allows."""
+    async def check_not_limited(self, site: Site, node: Running) -> None:
+        """Check that no request is queued, and that workers get more than the limit allows."""
         most_running = 0
 
         async def watch() -> None:
--- a/tests/gateway/admission/test_service_admission.py
+++ b/tests/gateway/admission/test_service_admission.py
@@ -1,4 +1,4 @@
-"""Which request starts, waits or is refused at one service."""
+"""Decisions on single requests: start, queue or reject."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Service:
-    """One worker of four slots, whose requests keep their places for so long."""
+    """Admission to one worker with four slots and a given time in flight."""
 
     def __init__(self, holding_seconds: float = 0.1) -> None:
         self.workers = [Worker(announcement("w", slots=SLOTS), 0.0)]
@@ -43,19 +43,19 @@
 
 
 class ServiceAdmissionTests(testtools.TestCase):
-    def test_a_request_starts_at_once_while_there_are_places(self) -> None:
+    def test_requests_start_at_once_until_the_limit_is_reached(self) -> None:
         service = Service()
         service.fill()
         self.assertIsInstance(service.ask(), Queued)
 
-    def test_what_can_not_start_in_time_is_refused_as_it_comes(self) -> None:
+    def test_a_request_that_would_start_too_late_is_rejected_on_arrival(self) -> None:
         service = Service(holding_seconds=2.0)
         service.fill()
         refused = service.ask()
         self.assertIsInstance(refused, Rejection)
         self.assertEqual(Reason.TOO_LATE, refused.reason)
 
-    def test_what_the_deadline_leaves_no_time_for_is_refused(self) -> None:
+    def test_a_request_with_too_short_a_deadline_is_rejected(self) -> None:
         service = Service()
         service.fill()
         self.assertIsInstance(service.ask(allowed=0.1), Rejection)
@@ -66,7 +66,7 @@
         self.assertIsInstance(service.ask(), Rejection)
         self.assertIsInstance(service.ask(streamed=True), Queued)
 
-    def test_all_workers_gone_is_said_to_those_that_come_and_those_that_wait(self) -> None:
+    def test_without_workers_new_and_queued_requests_are_rejected(self) -> None:
         service = Service()
         service.fill()
         queued = service.ask()
@@ -76,7 +76,9 @@
         self.assertEqual(Reason.NO_WORKER, service.ask(0.1).reason)
         self.assertEqual(0, service.admission.waiting)
 
-    def test_a_stop_refuses_what_waits_and_starts_what_has_a_place(self) -> None:
+    def test_after_stop_queued_requests_are_rejected_and_requests_within_the_limit_start(
+        self,
+    ) -> None:
         service = Service()
         service.fill()
         queued = service.ask()
@@ -86,7 +88,7 @@
         service.admission.release()
         self.assertIsInstance(service.ask(0.02), Admitted)
 
-    def test_a_caller_that_leaves_gives_back_its_turn_or_its_place(self) -> None:
+    def test_a_withdrawn_request_leaves_the_queue_or_frees_its_place(self) -> None:
         service = Service()
         service.fill()
         first, second = service.ask(), service.ask()
@@ -96,13 +98,13 @@
         service.admission.withdraw(second.waiting)
         self.assertIsInstance(service.ask(0.02), Admitted)
 
-    def test_a_worker_that_says_it_is_half_empty_gets_more_than_the_bound(self) -> None:
+    def test_a_worker_that_reports_spare_capacity_gets_more_than_the_limit(self) -> None:
         service = Service()
         service.fill()
         service.workers[0].record_load(WorkerLoad(0, 0, SLOTS, 1.0), 0.1)
         self.assertIsInstance(service.ask(0.2), Admitted)
 
-    def test_a_hedge_needs_room_and_nobody_that_waits(self) -> None:
+    def test_hedging_needs_spare_capacity_and_an_empty_queue(self) -> None:
         service = Service()
         self.assertTrue(service.admission.may_hedge(0.0))
         service.fill()
