--- a/src/stagewalk/gateway/place_shares/__init__.py
+++ b/src/stagewalk/gateway/place_shares/__init__.py
@@ -1,1 +1,1 @@
-"""Shares of engines' places among trainers and tenants that run at different nodes."""
+"""Fair sharing of engine slots among trainers and tenants whose batches run on different nodes."""
--- a/src/stagewalk/gateway/place_shares/claims.py
+++ b/src/stagewalk/gateway/place_shares/claims.py
@@ -1,8 +1,7 @@
-"""What nodes announce to each other of their demand for places. Pure.
+"""Claims: what nodes announce to each other of their demand for places. Pure.
 
-Owns the form on the wire (fields and their order stay) and the bound on its size. Relies on
-`demand` for who asks. Names are not needed elsewhere than at the node that runs a claimant's items,
-so a claimant is announced as a short hash of them.
+The records are sent between nodes, so their fields and the order of the fields are fixed. Only the
+node that runs a claimant's items needs its names, so a claimant is announced as a short hash.
 """
 
 from __future__ import annotations
@@ -15,31 +14,31 @@
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand
 
 MAXIMUM_ANNOUNCED_CLAIMS = 16
-"""Claimants of a service that a node announces one by one: more than the trainers of the largest
-deployment. The rest of a node's claimants is announced as one sum."""
+"""Claimants of a service that a node announces individually: more than the largest deployment has
+trainers. The node's other claimants are announced as one sum."""
 
-MARKED_SHARE = 0.25
-MINIMUM_MARKED_ITEMS = 4
-"""A demand is announced before its time once it has grown by this share of it, and so many items:
-a step that begins is, a few items that come back are not."""
+SIGNIFICANT_INCREASE_SHARE = 0.25
+MINIMUM_SIGNIFICANT_ITEMS = 4
+"""An increase of demand is announced at once if it is at least this share of the new demand and
+this many items: a step that begins is significant, a few returning items are not."""
 
 
 class PlaceClaim(msgspec.Struct, frozen=True, array_like=True):
-    """Items of one claimant, at an engine or able to begin, that one node runs."""
+    """Number of running and waiting items of one claimant at one node."""
 
     claimant: int
     items: int
 
 
 class ServiceClaims(msgspec.Struct, frozen=True, array_like=True):
-    """The demand for a service's engines at one node.
+    """One node's demand for a service's engines.
 
     Attributes
     ----------
     claims
         The largest claims, in the order of their claimants' keys.
     others, others_items
-        How many further claimants there are, and their items together.
+        Number of further claimants, and the sum of their items.
     """
 
     service: str
@@ -49,18 +48,18 @@
 
     @property
     def items(self) -> int:
-        """Return the items of all claimants."""
+        """Return the sum of the items of all claimants."""
         return self.others_items + sum(claim.items for claim in self.claims)
 
 
 def claimant_key(claimant: Claimant) -> int:
-    """Return what a claimant is announced as; two that share a key would share their places."""
+    """Return the hash that identifies a claimant; if two collide, they get one share together."""
     tenant = "-" if claimant.tenant is None else f"+{claimant.tenant}"
     return xxhash.xxh32_intdigest(f"{tenant}/{claimant.trainer}".encode())
 
 
 def build_claims(demands: Iterable[PlaceDemand]) -> tuple[ServiceClaims, ...]:
-    """Return what a node announces, in the order of the services' names."""
+    """Return the claims that a node announces, sorted by service."""
     by_service: dict[str, list[PlaceClaim]] = {}
     for demand in demands:
         if demand.items > 0:
@@ -72,12 +71,13 @@
 def has_significant_increase(
     announced: Sequence[ServiceClaims], now: Sequence[ServiceClaims]
 ) -> bool:
-    """Whether a demand is so much above the announced one that other nodes should know at once.
+    """Whether the demand for a service has grown enough to be announced at once.
 
-    They lend this node's places until they know. What falls is lent a renewal later.
+    Other nodes use this node's unclaimed places until they know of the demand. A decrease can wait
+    for the next regular announcement.
     """
     before = {claims.service: claims.items for claims in announced}
-    return any(_marked(before.get(claims.service, 0), claims.items) for claims in now)
+    return any(_is_significant(before.get(claims.service, 0), claims.items) for claims in now)
 
 
 def _service_claims(service: str, claims: list[PlaceClaim]) -> ServiceClaims:
@@ -94,5 +94,5 @@
     )
 
 
-def _marked(before: int, after: int) -> bool:
-    return after - before >= max(MINIMUM_MARKED_ITEMS, MARKED_SHARE * after)
+def _is_significant(before: int, after: int) -> bool:
+    return after - before >= max(MINIMUM_SIGNIFICANT_ITEMS, SIGNIFICANT_INCREASE_SHARE * after)
--- a/src/stagewalk/gateway/place_shares/demand.py
+++ b/src/stagewalk/gateway/place_shares/demand.py
@@ -1,6 +1,6 @@
-"""Who asks for places at engines, and how many of them it may have. Pure.
+"""Types for the demand for places at engines, and for its limits. Pure.
 
-Owns the types that the runner of batches, the nodes' announcements and the rule of shares exchange.
+The batch runner, the announcements of nodes and the computation of shares exchange them.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimant:
-    """Whose items share places: those of one trainer of one tenant.
+    """A party that places are shared among: one trainer of one tenant.
 
     Attributes
     ----------
     tenant
-        As in `BatchHeader`: empty if nobody's, None where no tenants are in force.
+        As in `BatchHeader`: empty for no tenant, None if no tenants are configured.
     trainer
         The key that its batches share.
     """
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceDemand:
-    """What the items of one claimant, run at one node, ask of a service's engines.
+    """Demand for a service's engines by the items of one claimant that one node runs.
 
     Attributes
     ----------
     running
-        Items at an engine.
+        Items running at an engine.
     waiting
-        Items that could begin if there were a place.
+        Items ready to start that have no place yet.
     """
 
     claimant: Claimant
@@ -45,19 +45,19 @@
 
     @property
     def items(self) -> int:
-        """Return how many places its items would take if there were enough."""
+        """Return how many places its items would take without a limit."""
         return self.running + self.waiting
 
 
 class PlaceLimits(Protocol):
-    """How many places a claimant's items may have."""
+    """Limits on the places that a claimant's items may take."""
 
     def most(self, claimant: Claimant, service: str, now: float) -> float:
-        """Return the most places for items of a claimant that this node runs, infinite if any."""
+        """Return the maximum places of a claimant at this node; infinite if not limited."""
 
 
 class UnlimitedPlaces:
-    """No claimant's places are limited."""
+    """Place limits that limit no claimant."""
 
     def most(self, claimant: Claimant, service: str, now: float) -> float:
         """Return infinity."""
--- a/src/stagewalk/gateway/place_shares/limits.py
+++ b/src/stagewalk/gateway/place_shares/limits.py
@@ -1,7 +1,8 @@
-"""The limits in force at this node: each claimant's share, and its part of it here. Pure.
+"""Place limits in force at this node, by claimant. Pure.
 
-Owns the shares as last computed and how long they hold. Relies on `shares` for the rule, and on its
-caller for demand, places and the age of what other nodes announced.
+A claimant's limit at a node is its share of the service's places, in proportion to the items that
+the node runs for it. The shares are computed by `shares`; the caller supplies the demand, the
+places, and the claims of other nodes with their age.
 """
 
 from __future__ import annotations
@@ -14,25 +15,26 @@
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand
 from stagewalk.gateway.place_shares.shares import ServiceShares, share_places
 
-VIEW_SECONDS = 1.8
-"""A view of other nodes' claims that is older lends nothing any more. They count a node that is cut
-off for longer than this, so its part is given to others after it has been given back."""
+MAXIMUM_VIEW_AGE_SECONDS = 1.8
+"""With an older view of other nodes' claims, a claimant gets no more than its guaranteed floor. The
+other nodes count a disconnected node for longer than this, so it has returned the places above the
+floor before they redistribute them."""
 
 MINIMUM_PLACES = 1.0
-"""What a claimant may have at each node that runs items of it, however many claimants there are:
-every step goes on."""
+"""Minimum places of a claimant at each node that runs items of it, however many claimants there
+are, so that every step makes progress."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerClaims:
-    """What the other nodes that run batches announced.
+    """Claims announced by the other nodes that run batches.
 
     Attributes
     ----------
     view_at
-        When the view of them was last complete, by the steady clock.
+        Steady time at which the view of them was last complete.
     claims
-        By node; None if a node's build announces none.
+        One entry for each node; None if its build doesn't announce claims.
     """
 
     view_at: float
@@ -40,7 +42,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all of them announce their claims."""
+        """Whether all these nodes announce their claims."""
         return all(claims is not None for claims in self.claims)
 
     def of_service(self, service: str) -> list[ServiceClaims]:
@@ -54,7 +56,7 @@
 
 
 class ShareLimits:
-    """Limits the places of claimants while they ask for more than there are."""
+    """Limits the places of claimants while their demand exceeds the places."""
 
     def __init__(self) -> None:
         self._shares: dict[str, ServiceShares] = {}
@@ -63,25 +65,25 @@
 
     @property
     def shares(self) -> Mapping[str, ServiceShares]:
-        """Return the shares by service, of the services whose engines run items here."""
+        """Return the shares by service, for services that items at this node ask for."""
         return self._shares
 
     def update(
         self, own: Sequence[PlaceDemand], others: PeerClaims, places: Mapping[str, float]
     ) -> None:
-        """Compute the shares anew.
+        """Recompute the shares.
 
-        No limit holds while a node that runs batches announces nothing: what it takes is unknown,
-        and only the nodes that can count would hold back.
+        Nothing is limited while a node that runs batches announces no claims: its demand is
+        unknown, and only the nodes that do announce theirs would be limited.
 
         Parameters
         ----------
         own
-            The demand of the items run here.
+            The demand of the items that this node runs.
         others
-            What other nodes announced.
+            The claims of the other nodes.
         places
-            By service, slots of its engines.
+            By service, the places of its engines.
         """
         self._view_at = others.view_at
         self._own_items = {(demand.claimant, demand.service): demand.items for demand in own}
@@ -96,20 +98,20 @@
         }
 
     def clear(self) -> None:
-        """Forget all shares: nothing runs here."""
+        """Remove all shares, as this node runs no items."""
         self._shares = {}
         self._own_items = {}
 
     def most(self, claimant: Claimant, service: str, now: float) -> float:
-        """Return the most places for items of a claimant that this node runs, infinite if any."""
+        """Return the maximum places of a claimant at this node; infinite if not limited."""
         shares = self._shares.get(service)
         if shares is None or not shares.in_force:
             return math.inf
-        level = shares.level if now - self._view_at <= VIEW_SECONDS else shares.floor
-        return max(MINIMUM_PLACES, level * self._part_here(claimant, service, shares))
+        level = shares.level if now - self._view_at <= MAXIMUM_VIEW_AGE_SECONDS else shares.floor
+        return max(MINIMUM_PLACES, level * self._local_share(claimant, service, shares))
 
-    def _part_here(self, claimant: Claimant, service: str, shares: ServiceShares) -> float:
-        """Return which part of a claimant's items this node runs."""
+    def _local_share(self, claimant: Claimant, service: str, shares: ServiceShares) -> float:
+        """Return the fraction of a claimant's items that this node runs."""
         own = self._own_items.get((claimant, service), 0)
         total = shares.totals.get(claimant_key(claimant), own)
         return 1.0 if total <= 0 else min(1.0, own / total)
--- a/src/stagewalk/gateway/place_shares/places.py
+++ b/src/stagewalk/gateway/place_shares/places.py
@@ -1,9 +1,8 @@
-"""How many places a service's engines have, and how many an item at one of them takes. Pure.
+"""Number of places of a service's engines, with slots weighted by engine speed. Pure.
 
-Answers an uneven fleet: a slot of an engine twice as fast is two places, so that no claimant has
-its share at the fast engines and another one at the slow ones. Where engines report no pace their
-own speed is not known, and each slot is a place. Relies on `workers` for what is known of an
-engine.
+A slot of an engine that is twice as fast counts as two places, so that a share at fast engines is
+worth as much as one at slow engines. If engines don't report a pace, their speed is unknown and
+each slot counts as one place.
 """
 
 from __future__ import annotations
@@ -15,41 +14,40 @@
 
 MINIMUM_SLOT_WEIGHT = 0.4
 MAXIMUM_SLOT_WEIGHT = 2.5
-"""What a slot counts for at least and at most, in places: an engine's speed is an estimate."""
+"""Bounds on the places that a slot counts as, since an engine's speed is only estimated."""
 
 
 class EnginePlaces:
-    """Places of a service's engines at a time.
+    """Places of a service's engines at one time.
 
     Parameters
     ----------
     engines
-        Those that items may go to.
+        The engines that items may be sent to.
     """
 
     def __init__(self, engines: Iterable[Worker], now: float) -> None:
         self._engines = list(engines)
         self._now = now
-        seen = [seconds for engine in self._engines if (seconds := _own_seconds(engine, now))]
-        self._usual = statistics.median(seen) if seen else 0.0
+        seen = [seconds for engine in self._engines if (seconds := _seconds_per_event(engine, now))]
+        self._median_seconds = statistics.median(seen) if seen else 0.0
 
     def weight(self, engine: Worker) -> float:
-        """Return how many places a slot of an engine is."""
-        seconds = _own_seconds(engine, self._now)
-        if seconds is None or self._usual <= 0.0:
+        """Return how many places a slot of an engine counts as."""
+        seconds = _seconds_per_event(engine, self._now)
+        if seconds is None or self._median_seconds <= 0.0:
             return 1.0
-        return min(MAXIMUM_SLOT_WEIGHT, max(MINIMUM_SLOT_WEIGHT, self._usual / seconds))
+        return min(MAXIMUM_SLOT_WEIGHT, max(MINIMUM_SLOT_WEIGHT, self._median_seconds / seconds))
 
     def total(self, evacuated: Collection[str]) -> float:
-        """Return the places of the engines that may get items now.
+        """Return the total places of the engines that may get items now.
 
-        One that failed lately has none: what is lost without notice is listed for some seconds
-        more.
+        A suspect engine doesn't count: one lost without notice stays listed for some seconds.
 
         Parameters
         ----------
         evacuated
-            Zones whose engines get nothing.
+            Zones whose engines don't count.
         """
         return sum(
             max(1, engine.announcement.slots) * self.weight(engine)
@@ -58,6 +56,6 @@
         )
 
 
-def _own_seconds(engine: Worker, now: float) -> float | None:
-    """Return the time of an event at a machine's own speed, None if that isn't known."""
+def _seconds_per_event(engine: Worker, now: float) -> float | None:
+    """Return the recent time per event of an engine, None if it is unknown or reports no pace."""
     return engine.recent_latency(now) if engine.reports_pace else None
--- a/src/stagewalk/gateway/place_shares/shares.py
+++ b/src/stagewalk/gateway/place_shares/shares.py
@@ -1,8 +1,7 @@
-"""Divides a service's places among claimants: max-min shares. Pure.
+"""Max-min fair division of a service's places among claimants. Pure.
 
-Answers the load in which trainers together ask for more places than there are: nobody gets more
-than another who still wants some, and what one does not use is lent to the others. Owns the rule;
-its callers know the places and the claims.
+If claimants together ask for more places than there are, none gets more than another whose demand
+is not met, and places that a claimant doesn't use are divided among the others.
 """
 
 from __future__ import annotations
@@ -14,8 +13,8 @@
 from stagewalk.gateway.place_shares.claims import ServiceClaims
 
 OVERCOMMIT_FACTOR = 1.05
-"""Places that are shared, for each that there is: a place whose item ended is taken again at once,
-and parts of places that shares leave over are used."""
+"""Factor by which more places are shared than exist, so that a place is taken again as soon as its
+item ends, and the fractions lost to rounding are used."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,15 +24,15 @@
     Attributes
     ----------
     places
-        Slots of the engines that there are.
+        Places of the service's engines.
     level
-        Most places of a claimant; infinite while all demands fit.
+        Maximum places of a claimant; infinite while all demands can be met.
     claimants
-        How many ask for places.
+        Number of claimants.
     items
-        What they ask for together.
+        Sum of their items.
     totals
-        By claimant's key, its items at all nodes.
+        By claimant key, its items at all nodes.
     """
 
     places: float
@@ -44,17 +43,17 @@
 
     @classmethod
     def none(cls) -> ServiceShares:
-        """Return the shares of a service that nobody asks for."""
+        """Return the shares of a service without claimants."""
         return cls(0.0, math.inf, 0, 0, {})
 
     @property
     def in_force(self) -> bool:
-        """Whether there are fewer places than are asked for, by more than one claimant."""
+        """Whether places are limited: several claimants together ask for more than there are."""
         return math.isfinite(self.level)
 
     @property
     def floor(self) -> float:
-        """Return the places that are a claimant's whatever the others ask for."""
+        """Return the places that a claimant is guaranteed, whatever the others ask for."""
         return self.places / max(1, self.claimants)
 
 
@@ -66,20 +65,20 @@
     Parameters
     ----------
     places
-        Slots of the engines that there are.
+        Places of the service's engines.
     own
-        The claims of this node as they are now; None if it has none.
+        The current claims of this node; None if it has none.
     others
         The claims that other nodes announced for this service.
     """
     totals: dict[int, int] = {}
-    unnamed: list[tuple[int, float]] = []
+    aggregated: list[tuple[int, float]] = []
     for claims in [*others, *([] if own is None else [own])]:
         for claim in claims.claims:
             totals[claim.claimant] = totals.get(claim.claimant, 0) + claim.items
         if claims.others > 0:
-            unnamed.append((claims.others, claims.others_items / claims.others))
-    demands = [(1, float(items)) for items in totals.values()] + unnamed
+            aggregated.append((claims.others, claims.others_items / claims.others))
+    demands = [(1, float(items)) for items in totals.values()] + aggregated
     claimants = sum(count for count, _ in demands)
     level = fair_level(places * OVERCOMMIT_FACTOR, demands) if claimants > 1 else math.inf
     items = round(sum(count * each for count, each in demands))
@@ -87,17 +86,17 @@
 
 
 def fair_level(places: float, demands: Sequence[tuple[int, float]]) -> float:
-    """Return the max-min level: claimants that ask for less get that, all others this much.
+    """Return the max-min level: claimants get their demand or this level, whichever is less.
 
     Parameters
     ----------
     demands
-        Numbers of claimants, and the items of each of them.
+        Pairs of a number of claimants and the items that each of them asks for.
 
     Returns
     -------
     float
-        Infinite if all demands fit.
+        Infinite if all demands can be met.
     """
     left = places
     claimants = sum(count for count, _ in demands)
--- a/tests/gateway/place_shares/benchmark_shares.py
+++ b/tests/gateway/place_shares/benchmark_shares.py
@@ -1,7 +1,6 @@
-"""Time of shares at 600 workers: `python -m tests.gateway.place_shares.benchmark_shares`.
+"""Benchmark of place shares: `python -m tests.gateway.place_shares.benchmark_shares`.
 
-Before there were shares, items took what places they found. What was seen stands in
-docs/design/0173-place-shares.md.
+Results are in docs/design/0173-place-shares.md.
 """
 
 from __future__ import annotations
@@ -40,8 +39,8 @@
 
 def _shares(claimants: int) -> None:
     items = 3 * WORKERS * SLOTS // claimants
-    all_of_them = [Claimant(f"tenant-{n}", "h/m") for n in range(claimants)]
-    demands = [PlaceDemand(claimant, SERVICE, items // 3, items) for claimant in all_of_them]
+    all_claimants = [Claimant(f"tenant-{n}", "h/m") for n in range(claimants)]
+    demands = [PlaceDemand(claimant, SERVICE, items // 3, items) for claimant in all_claimants]
     nodes = [demands[n::RUNNERS] for n in range(RUNNERS)]
     others = PeerClaims(0.0, [build_claims(node) for node in nodes[1:]])
     limits = ShareLimits()
@@ -50,7 +49,7 @@
         limits.update(nodes[0], others, {SERVICE: float(WORKERS * SLOTS)})
 
     computed = _microseconds(update, 200)
-    asked = _microseconds(lambda: limits.most(all_of_them[0], SERVICE, 0.0), 20_000)
+    asked = _microseconds(lambda: limits.most(all_claimants[0], SERVICE, 0.0), 20_000)
     print(f"{claimants} claimants: shares {computed:.0f} us, a limit {asked:.2f} us")
 
 
--- a/tests/gateway/place_shares/support.py
+++ b/tests/gateway/place_shares/support.py
@@ -13,7 +13,7 @@
 
 
 def demand(claimant: Claimant, items: int, running: int = 0) -> PlaceDemand:
-    """Return a demand of which some items are running."""
+    """Return a demand for a number of items, some of them running."""
     return PlaceDemand(claimant, SERVICE, running, items - running)
 
 
@@ -23,7 +23,7 @@
 
 
 def service_claims(*demands: PlaceDemand) -> ServiceClaims:
-    """Return the claims for the one service."""
+    """Return the claims of a node with these demands, all for `SERVICE`."""
     (found,) = build_claims(demands)
     return found
 
@@ -39,7 +39,7 @@
     Parameters
     ----------
     seen
-        By node, the demands of the claimants it runs: its own as they are, the others' as known.
+        By node, the demands of its claimants: the node's own ones, and the others' as announced.
     """
     own = [demand(claimant, items) for claimant, items in seen[node].items()]
     others = [
@@ -53,7 +53,7 @@
 
 
 def granted(limits: ShareLimits, demands: Demands, now: float = 0.0) -> float:
-    """Return how many places a node's items may take in all."""
+    """Return how many places a node's items may take in total."""
     return sum(
         int(min(items, limits.most(claimant, SERVICE, now))) for claimant, items in demands.items()
     )
--- a/tests/gateway/place_shares/test_explained_wait.py
+++ b/tests/gateway/place_shares/test_explained_wait.py
@@ -1,4 +1,4 @@
-"""A story of an item tells that it waited for its trainer's share, and who asked for the places."""
+"""The timeline of an item shows that it waited for its trainer's share, and the shares then."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ExplainedWaitTests(testtools.TestCase):
-    def test_its_own_batch_and_the_shares_are_told(self) -> None:
+    def test_the_wait_of_its_own_batch_and_the_shares_are_shown(self) -> None:
         timeline = find_timeline("x", parse_lines(LINES, "file"))
         assert timeline is not None
         waits = [found.get("batch") for found in timeline.own if found.event == "starts_withheld"]
--- a/tests/gateway/place_shares/test_places.py
+++ b/tests/gateway/place_shares/test_places.py
@@ -1,4 +1,4 @@
-"""What a place is where engines differ in speed."""
+"""Weight of slots for engines of different speed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def engine(name: str, factor: float, *, pace: float | None = 1.0) -> Worker:
-    """Return an engine that was seen for some seconds to take so many times the usual."""
+    """Return an engine whose recent times per event are a multiple of `EVENT_SECONDS`."""
     worker = Worker(announcement(name, slots=SLOTS), NOW)
     for n in range(100):
         now = NOW - (100 - n) * EVENT_SECONDS
@@ -29,20 +29,20 @@
 
 
 class EnginePlacesTests(testtools.TestCase):
-    def test_a_slot_of_an_engine_twice_as_fast_is_two_places(self) -> None:
+    def test_a_slot_of_an_engine_twice_as_fast_counts_as_two_places(self) -> None:
         fast, usual = engine("fast", 0.5), [engine(f"e{n}", 1.0) for n in range(3)]
         places = EnginePlaces([fast, *usual], NOW)
         self.assertAlmostEqual(2.0, places.weight(fast), delta=0.1)
         self.assertAlmostEqual(1.0, places.weight(usual[0]), delta=0.1)
         self.assertAlmostEqual(5.0 * SLOTS, places.total(()), delta=0.5 * SLOTS)
 
-    def test_one_estimate_far_off_counts_within_bounds(self) -> None:
+    def test_the_weight_of_an_outlier_is_bounded(self) -> None:
         usual = [engine(f"e{n}", 1.0) for n in range(3)]
         for factor, weight in ((0.01, MAXIMUM_SLOT_WEIGHT), (100.0, MINIMUM_SLOT_WEIGHT)):
             odd = engine("odd", factor)
             self.assertEqual(weight, EnginePlaces([odd, *usual], NOW).weight(odd))
 
-    def test_without_a_pace_or_unseen_each_slot_is_a_place(self) -> None:
+    def test_without_a_pace_or_samples_each_slot_counts_as_one_place(self) -> None:
         unpaced = [engine("fast", 0.5, pace=None), engine("usual", 1.0, pace=None)]
         unseen = Worker(announcement("new", slots=SLOTS), NOW)
         places = EnginePlaces([*unpaced, unseen], NOW)
--- a/tests/gateway/place_shares/test_shares.py
+++ b/tests/gateway/place_shares/test_shares.py
@@ -1,4 +1,4 @@
-"""Max-min shares: nobody gets more than another who still wants some, and nothing is left over."""
+"""Max-min fair shares of places."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class FairLevelTests(testtools.TestCase):
-    def test_there_is_none_while_all_fit(self) -> None:
+    def test_the_level_is_infinite_while_all_demands_can_be_met(self) -> None:
         self.assertTrue(math.isinf(fair_level(10.0, [(1, 4.0), (1, 6.0)])))
 
-    def test_what_one_does_not_use_is_lent(self) -> None:
+    def test_unused_places_go_to_the_others(self) -> None:
         self.assertEqual(5.0, fair_level(12.0, [(1, 2.0), (1, 50.0), (1, 7.0)]))
 
-    def test_claimants_in_a_sum_count_each(self) -> None:
+    def test_aggregated_claimants_count_like_individual_ones(self) -> None:
         self.assertEqual(
             fair_level(12.0, [(1, 9.0), (1, 3.0), (1, 3.0), (1, 3.0)]),
             fair_level(12.0, [(1, 9.0), (3, 3.0)]),
         )
 
-    def test_it_uses_all_places_and_is_the_same_for_all_who_want_more(self) -> None:
+    def test_the_level_uses_all_places(self) -> None:
         random_numbers = random.Random(3)
         for _ in range(500):
             asked = [random_numbers.randint(1, 200) for _ in range(random_numbers.randint(2, 12))]
@@ -37,11 +37,11 @@
 
 
 class ServiceSharesTests(testtools.TestCase):
-    def test_one_claimant_alone_is_not_limited(self) -> None:
+    def test_a_single_claimant_is_not_limited(self) -> None:
         shares = share_places(10.0, service_claims(demand(ALPHA, 500)), [])
         self.assertFalse(shares.in_force)
 
-    def test_they_are_in_force_only_where_demand_is_over_the_places(self) -> None:
+    def test_shares_are_in_force_only_if_demand_exceeds_the_places(self) -> None:
         others = [service_claims(demand(BETA, 50))]
         for items, in_force in ((50, False), (70, True)):
             shares = share_places(100.0, service_claims(demand(ALPHA, items)), others)
@@ -53,14 +53,14 @@
         self.assertEqual(120, shares.totals[claimant_key(ALPHA)])
         self.assertAlmostEqual(100.0 * OVERCOMMIT_FACTOR / 2, shares.level)
 
-    def test_each_has_its_floor_whatever_the_others_ask(self) -> None:
+    def test_the_floor_does_not_depend_on_the_demand_of_others(self) -> None:
         for items in (10, 1_000, 100_000):
             others = [service_claims(demand(BETA, items)), service_claims(demand(GAMMA, items))]
             shares = share_places(90.0, service_claims(demand(ALPHA, 40)), others)
             self.assertGreaterEqual(shares.level, shares.floor)
             self.assertEqual(30.0, shares.floor)
 
-    def test_the_sums_of_a_thousand_tenants_give_nearly_the_level_of_all_of_them(self) -> None:
+    def test_aggregated_claims_do_not_overcommit(self) -> None:
         random_numbers = random.Random(5)
         tenants = [Claimant(f"t{n}", "h/m") for n in range(1_000)]
         asked = {tenant: random_numbers.randint(1, 40) for tenant in tenants}
--- a/tests/gateway/place_shares/test_start_order.py
+++ b/tests/gateway/place_shares/test_start_order.py
@@ -1,4 +1,4 @@
-"""In which order items start while places are too few, and within which limits."""
+"""Start order of items while places are scarce, and starts within place limits."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     return run
 
 
-def taught() -> LengthEstimate:
-    """Return an estimate that has seen an item of as many events as its guess."""
+def trained_lengths() -> LengthEstimate:
+    """Return an estimate that has seen one item, as long as was guessed."""
     lengths = LengthEstimate()
     known = ItemRun.begin("h.example", item("known", 10))
     known.adopt(["d"] * 10, [1])
@@ -64,16 +64,18 @@
     def scarce(self, *runs: BatchRun, now: float = 0.0, places: float = 4.0) -> list[str]:
         waiting = [WaitingItem(run, i) for run in runs for i in run.items.values()]
         bounds = {run.name: StepBounds(DUE_SECONDS, places, EVENT_SECONDS) for run in runs}
-        return [pair.item.spec.item for pair in order_scarce(waiting, bounds, taught(), now)]
+        return [
+            pair.item.spec.item for pair in order_scarce(waiting, bounds, trained_lengths(), now)
+        ]
 
-    def test_where_places_suffice_older_steps_and_their_longest_come_first(self) -> None:
+    def test_with_ample_places_older_steps_and_longer_items_start_first(self) -> None:
         old = run_of(batch("b1", "m", item("a", 5, "g1"), item("b", 9, "g2")))
         new = run_of(batch("b2", "m", item("c", 50, "g1"), seen_at=1.0))
         waiting = [WaitingItem(run, i) for run in (new, old) for i in run.items.values()]
-        order = [pair.item.spec.item for pair in order_ample(waiting, taught())]
+        order = [pair.item.spec.item for pair in order_ample(waiting, trained_lengths())]
         self.assertEqual(["b", "a", "c"], order)
 
-    def test_groups_that_are_whole_soonest_come_before_what_the_trainer_does_not_wait_for(
+    def test_groups_that_complete_soonest_start_before_unneeded_ones(
         self,
     ) -> None:
         items = [
@@ -84,34 +86,34 @@
         order = self.scarce(run_of(batch("b1", "m", *items, wanted=2)))
         self.assertEqual(["mid1", "mid2", "short1", "short2", "long1", "long2"], order)
 
-    def test_a_group_that_returned_is_awaited_whatever_its_length(self) -> None:
+    def test_a_group_with_progress_is_preferred_whatever_its_length(self) -> None:
         run = run_of(batch("b1", "m", item("new", 3, "g1"), item("back", 60, "g2")))
         run.items["back"].known_events = 20
         self.assertEqual(["back", "new"], self.scarce(run))
 
-    def test_a_group_that_cannot_be_whole_in_time_makes_way(self) -> None:
+    def test_a_group_that_cannot_complete_in_time_starts_last(self) -> None:
         many = [item(f"many{n}", 50, "many") for n in range(8)]
         run = run_of(batch("b1", "m", item("endless", 90, "endless"), *many))
         self.assertEqual("endless", self.scarce(run)[-1])
 
-    def test_the_trainer_with_the_least_slack_comes_first(self) -> None:
+    def test_the_trainer_with_the_least_slack_starts_first(self) -> None:
         old = run_of(batch("b1", "alpha", item("a", 5)))
         large = run_of(batch("b2", "beta", item("b", 60), seen_at=1.0))
         self.assertEqual(["b", "a"], self.scarce(old, large))
 
-    def test_a_step_that_cannot_be_in_time_comes_last_and_stays_in(self) -> None:
+    def test_a_step_that_cannot_be_in_time_starts_last_but_is_not_dropped(self) -> None:
         late = run_of(batch("b1", "alpha", item("late", 9)))
         fresh = run_of(batch("b2", "beta", item("fresh", 9), seen_at=8.0))
         self.assertEqual(["fresh", "late"], self.scarce(late, fresh, now=8.0))
 
-    def test_the_steps_of_one_trainer_stay_in_their_order(self) -> None:
+    def test_the_steps_of_one_trainer_start_in_order(self) -> None:
         late = run_of(batch("b1", "alpha", item("late", 9)))
         fresh = run_of(batch("b2", "alpha", item("fresh", 9), seen_at=8.0))
         self.assertEqual(["late", "fresh"], self.scarce(late, fresh, now=8.0))
 
 
 class FakeLimits:
-    """Limits that the test sets, by model of the trainer."""
+    """Place limits set by the test, by the trainer's model."""
 
     def __init__(self, **most: float) -> None:
         self.places = most
@@ -171,19 +173,19 @@
         self.assertEqual([], bench.tick())
         self.assertEqual(["b1-3"], bench.end("b1-0"))
 
-    def test_its_places_are_those_of_all_its_steps_together(self) -> None:
+    def test_a_claimants_limit_covers_all_its_steps(self) -> None:
         bench = LimitedScheduler(alpha=3.0)
         bench.open(step("b1", "alpha", 2, seen_at=-1.0))
         bench.open(step("b2", "alpha", 2))
         self.assertEqual(["b1-0", "b1-1", "b2-0"], bench.tick())
 
-    def test_parts_of_a_place_start_nothing(self) -> None:
+    def test_fractions_of_a_place_start_nothing(self) -> None:
         bench = LimitedScheduler(alpha=2.9)
         bench.open(step("b1", "alpha", 6))
         self.assertEqual(2, len(bench.tick()))
 
-    def test_places_taken_away_stop_nothing_and_start_nothing_until_enough_ended(self) -> None:
-        """Overfilled by the items that run already, and by no further one."""
+    def test_a_lowered_limit_stops_no_item_and_starts_none_until_enough_ended(self) -> None:
+        """Running items may exceed the new limit, but no further item starts."""
         bench = LimitedScheduler(alpha=4.0)
         bench.open(step("b1", "alpha", 8))
         self.assertEqual(4, len(bench.tick()))
@@ -193,14 +195,14 @@
         self.assertEqual([], bench.end("b1-1"))
         self.assertEqual(["b1-4"], bench.end("b1-2"))
 
-    def test_once_places_suffice_all_start(self) -> None:
+    def test_all_items_start_once_the_limit_is_removed(self) -> None:
         bench = LimitedScheduler(alpha=1.0)
         bench.open(step("b1", "alpha", 5))
         bench.tick()
         del bench.limits.places["alpha"]
         self.assertEqual(4, len(bench.tick()))
 
-    def test_it_tells_demand_places_and_whose_starts_wait_for_them(self) -> None:
+    def test_demand_places_and_withheld_starts_are_reported(self) -> None:
         bench = LimitedScheduler(alpha=2.0)
         bench.open(step("b1", "alpha", 5))
         bench.open(step("b2", "beta", 1))
--- a/tests/gateway/place_shares/test_whole_gateways.py
+++ b/tests/gateway/place_shares/test_whole_gateways.py
@@ -1,4 +1,4 @@
-"""Places shared by whole gateways: a small step beside a large one, and an earlier build's node."""
+"""Place shares in complete gateways: a small step beside a large one, and mixed builds."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 LARGE_STEP, SMALL_STEP = 40, 4
 EVENT_SECONDS = 0.1
 
-EARLIER_NODE = NodeAnnouncement("n7", 1, "10.0.0.7:80", "", "z1", "r1", False, 1, True)
-"""As a build without claims announces itself, which runs batches."""
+NODE_WITHOUT_CLAIMS = NodeAnnouncement("n7", 1, "10.0.0.7:80", "", "z1", "r1", False, 1, True)
+"""Announcement of a node that runs batches, by a build without claims."""
 
 
 async def shares(site: Site, node: Running) -> dict[str, float]:
-    """Return the places that each tenant's items may have."""
+    """Return the place limit of each tenant, from the metrics."""
     text = (await site.call(node, "GET", "/metrics")).text
     return {
         sample.labels["tenant"]: sample.value
@@ -89,10 +89,10 @@
                 return len(found) == 2 and all(math.isinf(most) for most in found.values())
 
             await until(limited)
-            site.log.put_key(NODES_PARTITION, "n7", EARLIER_NODE.encode())
+            site.log.put_key(NODES_PARTITION, "n7", NODE_WITHOUT_CLAIMS.encode())
             with anyio.fail_after(2.0):
                 await until(unlimited)
-            gone = replace(EARLIER_NODE, beat=2, ledger_replica=False)
+            gone = replace(NODE_WITHOUT_CLAIMS, beat=2, ledger_replica=False)
             site.log.put_key(NODES_PARTITION, "n7", gone.encode())
             with anyio.fail_after(2.0):
                 await until(limited)
