--- a/src/stagewalk/gateway/held_memory/__init__.py
+++ b/src/stagewalk/gateway/held_memory/__init__.py
@@ -1,1 +1,1 @@
-"""Memory held for callers and workers that send or read slowly: its bound, and who makes room."""
+"""Memory budget for bodies, answers and streams, and eviction of slow readers."""
--- a/src/stagewalk/gateway/held_memory/budget.py
+++ b/src/stagewalk/gateway/held_memory/budget.py
@@ -1,8 +1,7 @@
-"""A node's budget of bytes held for callers and workers.
+"""A node's memory budget for data buffered for callers and workers.
 
-Answers the load of many peers that send or read slowly at once: bodies of requests, answers of
-workers and buffers of streams are counted together, so that their sum can't exhaust the memory.
-Owns the count and its maximum. Relies on whoever can give bytes back being set as the reclaimer.
+Request bodies, answers and stream buffers are counted together, so that many slow peers at once
+can't exhaust the node's memory. A reclaimer may be set that frees bytes when the budget is used up.
 """
 
 from __future__ import annotations
@@ -10,14 +9,14 @@
 from collections.abc import Callable
 
 BUFFER_MEMORY_SHARE = 0.2
-"""Share of a node's memory: a body or an answer may for a moment be there twice, as it is copied to
-a socket, and the process itself needs half."""
+"""Share of a node's memory. A body or an answer may exist twice while it is copied to a socket, and
+the process itself needs half of the memory."""
 
 MEGABYTE = 1_000_000
 
 
 class MemoryBudget:
-    """Counts bytes held against a maximum."""
+    """Counts the bytes held, up to a maximum."""
 
     def __init__(self, maximum_bytes: int) -> None:
         self._maximum = maximum_bytes
@@ -27,7 +26,7 @@
 
     @classmethod
     def for_node(cls, memory_megabytes: float) -> MemoryBudget:
-        """Return the budget of a node whose process may use so much memory."""
+        """Return the budget of a node whose process may use the given memory."""
         return cls(int(memory_megabytes * MEGABYTE * BUFFER_MEMORY_SHARE))
 
     @property
@@ -42,25 +41,25 @@
 
     @property
     def peak_bytes(self) -> int:
-        """Return the most bytes that were held at any time."""
+        """Return the highest number of bytes held so far."""
         return self._peak
 
     def set_reclaimer(self, reclaim: Callable[[int], None]) -> None:
-        """Set what gives bytes back when a taker finds too few; it is told how many are missing."""
+        """Set the function that frees bytes for a reservation; it gets the number missing."""
         self._reclaim = reclaim
 
     def missing_bytes(self, count: int, left_bytes: int = 0) -> int:
-        """Return how many bytes too few there are to hold some more; 0 or less: enough.
+        """Return how many bytes are missing to hold `count` more; 0 or less if there are enough.
 
         Parameters
         ----------
         left_bytes
-            How many are to be left for others.
+            Bytes that have to remain free.
         """
         return self._held + count + left_bytes - self._maximum
 
     def reserve_bytes(self, count: int) -> bool:
-        """Hold some more bytes; return whether there were enough, or others made room."""
+        """Hold more bytes, reclaiming some if necessary; return whether there were enough."""
         missing = self.missing_bytes(count)
         if missing > 0:
             self._reclaim(missing)
@@ -70,14 +69,14 @@
         return True
 
     def add(self, count: int) -> None:
-        """Hold some more bytes, however many there are."""
+        """Hold more bytes, even beyond the maximum."""
         self._held += count
         self._peak = max(self._peak, self._held)
 
     def release_bytes(self, count: int) -> None:
-        """Hold fewer bytes."""
+        """Release some of the held bytes."""
         self._held -= count
 
 
 def _reclaim_nothing(_missing: int) -> None:
-    """Give nothing back."""
+    """Free no bytes."""
--- a/src/stagewalk/gateway/held_memory/reader_choice.py
+++ b/src/stagewalk/gateway/held_memory/reader_choice.py
@@ -1,8 +1,4 @@
-"""Decides which callers are cut off so that what is held for slow ones fits the node's memory.
-
-Answers the load of many callers that read slower than workers write. Pure: what each caller has not
-read, since when, and whether it may resume, are arguments.
-"""
+"""Selects the slow readers to disconnect when the node's memory budget is used up. Pure."""
 
 from __future__ import annotations
 
@@ -10,28 +6,28 @@
 from typing import Protocol, TypeVar
 
 READER_SHARE = 1 / 16
-"""Most of the budget that is held for one caller of a stream: a whole text is a small part of it,
-and one caller that reads nothing can't push out the others."""
+"""Maximum share of the budget for one caller of a stream. It is much more than a whole text, and
+keeps a caller that reads nothing from using the memory of the others."""
 
 SLOW_READER_SECONDS = 1.0
-"""A caller that is this far behind makes room for requests and answers of others; the answer to one
-that keeps up is on its way, and would be lost for a request that may as well come back."""
+"""A caller this far behind may be disconnected to free memory for other requests and answers. A
+caller that keeps up is spared: its answer would be lost, while a refused request can be retried."""
 
 
 class Reader(Protocol):
-    """A caller that an answer is written to."""
+    """A caller that reads an answer."""
 
     @property
     def held_bytes(self) -> int:
-        """Bytes that it has not read."""
+        """Bytes buffered for it that it has not read."""
 
     @property
     def behind_since(self) -> float:
-        """Steady time at which the oldest of them arrived; infinite if there are none."""
+        """Steady time at which the oldest of these bytes arrived; infinite if there are none."""
 
     @property
     def resumable(self) -> bool:
-        """Whether it may ask for the rest of its answer."""
+        """Whether it may request the rest of its answer later."""
 
 
 AnyReader = TypeVar("AnyReader", bound=Reader)
@@ -40,9 +36,9 @@
 def readers_to_cut(
     readers: Iterable[AnyReader], missing_bytes: int, now: float, least_behind_seconds: float
 ) -> list[AnyReader]:
-    """Return the callers to cut off so that some bytes are free, as far as there are any.
+    """Return the callers to disconnect to free the missing bytes, or as many as possible.
 
-    Those that may resume go first, and of each kind those furthest behind.
+    Resumable callers are chosen first, and within each group those furthest behind.
     """
     behind = [
         reader
--- a/src/stagewalk/gateway/held_memory/readers.py
+++ b/src/stagewalk/gateway/held_memory/readers.py
@@ -1,7 +1,7 @@
-"""The callers that this node writes answers to, and what each of them has not read.
+"""Callers that this node writes answers to, and the data buffered for each of them.
 
-Owns the bytes held for each, and has those cut off that are too far behind. Relies on `budget` for
-the node's bound and on `reader_choice` for who is cut off.
+Callers that are too far behind are disconnected ("cut off"): at the limit for one caller, or when
+the node's budget is used up, in the order given by `reader_choice`.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 
 
 class CutOffReason(StrEnum):
-    """Which bound a caller was cut off for."""
+    """Which limit a caller was cut off for."""
 
     READER_LIMIT = "reader_limit"
-    """More was held for it than for any one caller of a stream."""
+    """The data buffered for it exceeded the limit for one caller of a stream."""
     NODE_LIMIT = "node_limit"
-    """More was held for all callers and workers than the node's memory allows."""
+    """The data held for all callers and workers reached the node's budget."""
 
 
 @dataclass(frozen=True, slots=True)
 class CutOff:
-    """A caller was cut off.
+    """Record of a caller that was cut off.
 
     Attributes
     ----------
     held_bytes
-        What it had not read.
+        Data that it had not read.
     seconds_behind
-        Age of the oldest part of that.
+        Age of the oldest of these data.
     node_held_bytes
-        What the node held for all callers and workers, this one among them.
+        Data held by the node for all callers and workers, including this one.
     """
 
     request_id: str
@@ -53,14 +53,14 @@
 
 @dataclass(slots=True, eq=False)
 class ReaderBacklog:
-    """One caller with what it has not read.
+    """A caller and the data it has not read.
 
     Attributes
     ----------
     cut_off
-        Ends its answer; called once at most.
+        Aborts its answer; called at most once.
     was_cut_off
-        Whether that was done: nothing is held for it any more.
+        Whether it was cut off; nothing is held for it from then on.
     """
 
     request_id: str
@@ -73,7 +73,7 @@
 
     @property
     def behind_since(self) -> float:
-        """Return when the oldest part that it has not read arrived, infinite if there is none."""
+        """Return when the oldest unread part arrived, infinite if there is none."""
         return self.parts[0][0] if self.parts else math.inf
 
 
@@ -82,7 +82,7 @@
 
 
 class ResponseReaders:
-    """All callers of a node that answers are written to.
+    """All callers that a node writes answers to.
 
     Parameters
     ----------
@@ -107,16 +107,16 @@
         return len(self._readers)
 
     def add(self, reader: ReaderBacklog) -> None:
-        """Begin to write to a caller."""
+        """Add a caller whose answer begins."""
         self._readers[reader] = None
 
     def remove(self, reader: ReaderBacklog) -> None:
-        """Give back what is held for a caller, whose answer has ended."""
+        """Remove a caller whose answer has ended, and release its data."""
         self._readers.pop(reader, None)
         self._release_all(reader)
 
     def buffer_part(self, reader: ReaderBacklog, size: int, now: float) -> None:
-        """Hold a part of a stream until its caller has read it, or cut callers off."""
+        """Buffer a part of a stream until its caller has read it; cut callers off if necessary."""
         if reader.was_cut_off:
             return
         missing = self._budget.missing_bytes(size)
@@ -131,14 +131,14 @@
             self._cut(reader, CutOffReason.READER_LIMIT, now)
 
     def buffer_answer(self, reader: ReaderBacklog, size: int, now: float) -> None:
-        """Hold a whole answer, which is there already, until its caller has read it."""
+        """Buffer a complete answer until its caller has read it, whatever its size."""
         missing = self._budget.missing_bytes(size)
         if missing > 0:
             self.make_room(missing, now)
         self._add(reader, size, now)
 
     def release(self, reader: ReaderBacklog, size: int) -> None:
-        """Give back the oldest bytes, which a caller has read."""
+        """Release the oldest bytes of a caller, which it has read."""
         if reader.was_cut_off:
             return
         reader.held_bytes -= size
@@ -152,7 +152,7 @@
     def make_room(
         self, missing_bytes: int, now: float, least_behind_seconds: float = SLOW_READER_SECONDS
     ) -> None:
-        """Cut slow callers off until some bytes are free, as far as there are any."""
+        """Cut off slow callers to free the missing bytes, or as many as possible."""
         for reader in readers_to_cut(self._readers, missing_bytes, now, least_behind_seconds):
             self._cut(reader, CutOffReason.NODE_LIMIT, now)
 
