--- a/src/stagewalk/gateway/eligibility/core.py
+++ b/src/stagewalk/gateway/eligibility/core.py
@@ -1,11 +1,10 @@
-"""Whether a request may be sent to a worker: asked when one is chosen, and as it is sent. Pure.
-
-Owns the rule, and the permits that clients of workers require. Every sender (forwarded requests,
-streams, items of batches, score calls) chooses among what `candidates` returns, and sends only with
-what `permit` returns. Inputs: the worker's entry, evacuated zones, allowed regions, cold starts,
-and contents that are held back; each reason has a name in `ports.denials`. Times are of the steady
-clock.
-Relies on `zones`, `cold_starts`, `quarantine` (through `held`), `routes` and `workers`.
+"""Decides whether a request may be sent to a worker. Pure.
+
+The check is made twice: when a worker is chosen, and again just before the request is sent. Every
+sender (forwarded requests, streams, batch items, score calls) chooses a worker from `candidates`
+and can only send with a permit from `permit`. The decision depends on the worker's announcement,
+evacuated zones, allowed regions, cold starts and quarantined contents; the reasons for a denial are
+listed in `ports.denials`. Times are of the steady clock.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestScope:
-    """What decides where a request may run: its route, its content, and whose it is."""
+    """The properties of a request that decide where it may run: route, content and tenant."""
 
     route: Route
     content: RequestContent
@@ -46,7 +45,7 @@
     Attributes
     ----------
     denied
-        By worker that serves but may not get the request, the reason.
+        By serving worker that may not get the request, the reason.
     """
 
     workers: list[Worker]
@@ -54,11 +53,11 @@
 
 
 QuarantineCheck = Callable[[RequestContent, bool], bool]
-"""Return whether a content is held back now since it crashes workers; True for an item of a
-batch."""
+"""Returns whether a content is quarantined because it crashes workers. The second argument is True
+for an item of a batch."""
 
 DenialListener = Callable[[Denial], None]
-"""Called for each request that was denied a permit, or denied as it was to be sent."""
+"""Called for each request that is denied a permit, or denied just before it is sent."""
 
 
 def ignore_denial(_denial: Denial) -> None:
@@ -66,16 +65,16 @@
 
 
 class Eligibility:
-    """Judges sends by evacuations, cold starts, regions, and what is held back.
+    """Checks requests against evacuations, cold starts, regions and quarantine.
 
     Parameters
     ----------
     held
-        Returns whether a content is held back now.
+        Returns whether a content is currently quarantined.
     on_denied
-        Called for each request that was denied a permit, or denied as it was to be sent.
+        Called for each request that is denied a permit, or denied just before it is sent.
     rng
-        Random numbers of this node, for choices among what `candidates` returns.
+        Random generator for choices among candidates; None: the first of equal workers is taken.
     """
 
     def __init__(
@@ -90,7 +89,7 @@
         on_denied: DenialListener = ignore_denial,
         rng: Random | None = None,
     ) -> None:
-        self._draws = rng
+        self._rng = rng
         self._held = held
         self._on_denied = on_denied
         self._workers = workers
@@ -98,20 +97,20 @@
         self._proximity = proximity
         self._evacuations = evacuations
         self._cold = cold
-        self._found: dict[tuple[str, str, frozenset[str], str | None], Candidates] = {}
-        """By service, route, its regions, and tenant: what was found at `_found_at`."""
-        self._found_at = -math.inf
+        self._cached_candidates: dict[tuple[str, str, frozenset[str], str | None], Candidates] = {}
+        """By service, route, regions of the route, and tenant; valid at `_cached_at` only."""
+        self._cached_at = -math.inf
         evacuations.listen(lambda _zone, _now: None, self._zone_restored)
 
     @property
     def proximity(self) -> Proximity:
-        """Return where this node is among the zones."""
+        """Return the distances of zones from this node."""
         return self._proximity
 
     @property
     def rng(self) -> Random | None:
-        """Return this node's random numbers; None: of equal workers the first is taken."""
-        return self._draws
+        """Return the random generator; None: the first of equal workers is taken."""
+        return self._rng
 
     @property
     def evacuations(self) -> Evacuations:
@@ -119,31 +118,31 @@
         return self._evacuations
 
     def scope(self, path: str, content: RequestContent, tenant: str | None) -> RequestScope | None:
-        """Return what decides where a request may run, None if no route matches it."""
+        """Return the scope of a request, None if no route matches it."""
         route = self._routes.find(content.host, path)
         return None if route is None else RequestScope(route, content, tenant)
 
     def candidates(self, service: str, scope: RequestScope, now: float) -> Candidates:
         """Return the workers of a service that a request may be sent to now.
 
-        Many items ask at the same moment, so what was found for one counts for all of them.
+        Results are cached for one moment, since many items ask at the same time.
         """
-        if self._is_held(scope):
+        if self._is_quarantined(scope):
             serving = self._workers.serving(service)
             denied = {w.announcement.worker: Denial.CRASHES_WORKERS for w in serving}
             return Candidates([], denied)
-        if now != self._found_at:
-            self._found.clear()
-            self._found_at = now
+        if now != self._cached_at:
+            self._cached_candidates.clear()
+            self._cached_at = now
         route = scope.route
         key = (service, route.name, route.allowed_regions, scope.tenant)
-        found = self._found.get(key)
+        found = self._cached_candidates.get(key)
         if found is None:
-            found = self._found[key] = self._find(service, scope, now)
+            found = self._cached_candidates[key] = self._find(service, scope, now)
         return found
 
     def request_leases(self, candidates: Candidates, now: float) -> None:
-        """Request the leases of workers that were denied since this node holds no lease on them."""
+        """Request leases on the workers that were denied for lack of one."""
         cold = [w for w, d in candidates.denied.items() if d is Denial.COLD_WITHOUT_LEASE]
         if cold:
             self._cold.request_leases(cold, now)
@@ -155,18 +154,18 @@
         now: float,
         withheld: Callable[[float], Denial | None] = lambda _now: None,
     ) -> Result[SendPermit, Denial]:
-        """Return the permission to send a request to a worker, or why there is none.
+        """Return a permit to send a request to a worker, or the reason for a denial.
 
         Parameters
         ----------
         withheld
-            Returns why its sender must not send it any more, at a time; called as it is to go.
+            Returns a further reason of the sender not to send it; called just before the send.
         """
         if scope is None:
             return Error(self._report(Denial.NO_ROUTE))
         service = self._routes.service(worker.announcement.service)
         denial = self._denial(worker, service, self._allowed(scope), now)
-        if denial is None and self._is_held(scope):
+        if denial is None and self._is_quarantined(scope):
             denial = Denial.CRASHES_WORKERS
         if denial is not None:
             return Error(self._report(denial))
@@ -184,14 +183,14 @@
         cold = known is not None and self._cold.any(known, now)
         if allowed is None and not cold and not self._evacuations.zones:
             return Candidates(self._workers.usable(service))
-        judged = {
+        denial_by_worker = {
             worker.announcement.worker: self._denial(worker, known, allowed, now)
             for worker in self._workers.serving(service)
         }
-        denied = {name: denial for name, denial in judged.items() if denial is not None}
+        denied = {name: denial for name, denial in denial_by_worker.items() if denial is not None}
         return Candidates(self._workers.usable(service, denied), denied)
 
-    def _is_held(self, scope: RequestScope) -> bool:
+    def _is_quarantined(self, scope: RequestScope) -> bool:
         return self._held(scope.content, scope.route.kind is RouteKind.BATCH)
 
     def _allowed(self, scope: RequestScope) -> AllowedRegions:
@@ -205,7 +204,7 @@
         Parameters
         ----------
         service
-            The worker's; None: whether it is cold is judged elsewhere.
+            The service of the worker; None: its cold start is not checked.
         """
         if worker.announcement.draining:
             return Denial.WORKER_LEAVING
@@ -223,10 +222,10 @@
     def _denial_at_send(
         self, worker: Worker, scope: RequestScope, reserved_at: float | None, now: float
     ) -> Denial | None:
-        """Judge a request as its first byte is to go, and count it at a cold worker."""
+        """Check a request just before it is sent, and count it if the worker is cold."""
         if self._workers.worker(worker.announcement.worker) is not worker:
             return Denial.WORKER_LEAVING
-        if self._is_held(scope):
+        if self._is_quarantined(scope):
             return Denial.CRASHES_WORKERS
         denial = self._denial(worker, None, self._allowed(scope), now)
         service = self._routes.service(worker.announcement.service)
@@ -235,7 +234,7 @@
         return self._cold.confirm(worker, service, reserved_at, now)
 
     def _zone_restored(self, zone: str, now: float) -> None:
-        """Mark a zone's workers cold as its evacuation ends: they may have become so before."""
+        """Mark a zone's workers cold as its evacuation ends: they may have become so meanwhile."""
         for worker in self._workers.all():
             service = self._routes.service(worker.announcement.service)
             if worker.announcement.zone == zone and service is not None and service.cold_rate > 0.0:
--- a/tests/gateway/eligibility/support.py
+++ b/tests/gateway/eligibility/support.py
@@ -1,4 +1,4 @@
-"""Eligibility for tests: nothing is restricted unless a test says so."""
+"""Eligibility for tests, without restrictions by default."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 NEAR_Z1 = Proximity(Placement("r1", "z1"), ZONES)
 
 
-class Rules:
-    """What decides whether a request may be sent, each part in the test's hands."""
+class EligibilityFixture:
+    """An `Eligibility` with all its inputs, which tests may change."""
 
     def __init__(
         self,
@@ -74,8 +74,8 @@
 
 
 def unrestricted(workers: WorkerTable, *routes: Route) -> Eligibility:
-    """Return an eligibility that denies nothing."""
-    return Rules(workers, routes).eligibility
+    """Return an eligibility without restrictions."""
+    return EligibilityFixture(workers, routes).eligibility
 
 
 def granted(target: WorkerTarget) -> SendPermit:
