--- a/src/stagewalk/gateway/zones/__init__.py
+++ b/src/stagewalk/gateway/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Zones and regions: distance, where a request may be served, evacuation of a zone."""
+"""Zones and regions: distances, allowed regions and evacuations."""
--- a/src/stagewalk/gateway/zones/distance.py
+++ b/src/stagewalk/gateway/zones/distance.py
@@ -1,6 +1,6 @@
-"""How far a zone is from this node. Pure.
+"""Distances of zones from this node. Pure.
 
-Owns the map of zones to regions. What a distance costs a choice is in `workers.placement_costs`.
+The costs of distances in the choice of a worker are in `workers.placement_costs`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Distance(IntEnum):
-    """Places of increasing latency."""
+    """Distance classes in order of increasing latency."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
@@ -21,14 +21,14 @@
 
 
 class Proximity:
-    """Where this node is among the zones.
+    """Distances of zones, as seen from this node.
 
     Parameters
     ----------
     own
-        Where this node is.
+        Zone and region of this node.
     regions
-        By zone, its region, from the settings.
+        Region of each zone, from the settings.
     """
 
     def __init__(self, own: Placement, regions: Mapping[str, str]) -> None:
@@ -37,7 +37,7 @@
 
     @property
     def own(self) -> Placement:
-        """Return where this node is."""
+        """Return the zone and region of this node."""
         return self._own
 
     def region_of(self, zone: str) -> str | None:
@@ -45,7 +45,7 @@
         return self._regions.get(zone)
 
     def distance(self, zone: str) -> Distance:
-        """Return how far a zone is; one of an unknown region counts as near."""
+        """Return the distance of a zone; a zone of unknown region counts as in the same region."""
         if zone == self._own.zone:
             return Distance.SAME_ZONE
         known = self._regions.get(zone, self._own.region)
