--- a/src/stagewalk/gateway/routes/__init__.py
+++ b/src/stagewalk/gateway/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: which service a request belongs to, by host and path."""
+"""Routes: map requests to services by host and path."""
--- a/src/stagewalk/gateway/routes/route.py
+++ b/src/stagewalk/gateway/routes/route.py
@@ -1,6 +1,6 @@
-"""Routes and services as published by operators.
+"""Types of the configuration that operators publish: routes, services and limits.
 
-Owns these types; `routes.table` holds the ones in force. The platform's adapter decodes them.
+The platform's adapter decodes them; `routes.table` holds the configuration in force.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a route's requests."""
+    """How a route's requests are run and answered."""
 
     REPEATABLE = "repeatable"
-    """May run more than once."""
+    """Requests may run more than once."""
     ONCE = "once"
-    """Runs at most once."""
+    """Requests run at most once."""
     STREAM = "stream"
-    """Answered by a stream of events; runs at most once unless it may be resumed."""
+    """Requests are answered by a stream of events; they run at most once unless resumable."""
     BATCH = "batch"
-    """Accepts batches, whose items run afterwards."""
+    """Requests submit batches, whose items run later."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,23 +41,23 @@
     path_prefix
         Begins and ends with a slash.
     timeout_seconds
-        Longest time that a request waits for its answer.
+        Maximum time until a request is answered.
     target_seconds
-        Time within which an answer has its full worth.
+        Time within which an answer has its full value.
     maximum_attempts
-        Most workers one request may be sent to.
+        Maximum number of workers that one request may be sent to.
     priority
         0 is the most urgent.
     give_up_seconds
-        How long after its submission an item of a batch may be given up.
+        Time after its submission from which an item of a batch may be given up.
     due_seconds
-        How long after its submission all results of a batch are due.
+        Time after its submission at which all results of a batch are due.
     single_version
-        Whether one weight version must make a whole result.
+        Whether a result must be produced by a single weight version.
     public
-        Whether it serves calls without a key where others need one.
+        Whether it serves calls without a key while other routes need one.
     allowed_regions
-        Where its requests may be served, stored and cached; empty: anywhere.
+        Regions where its requests may be served, stored and cached; empty: any region.
     """
 
     name: str
@@ -78,7 +78,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether its requests may run more than once: such a stream goes on where it broke."""
+        """Whether its requests may run more than once, as those of a resumable stream may."""
         return self.kind is RouteKind.REPEATABLE or (
             self.kind is RouteKind.STREAM and self.resumable
         )
@@ -86,19 +86,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Scaling:
-    """How many workers of a service may be ordered, and what they cost.
+    """Bounds on the number of a service's workers, and their cost.
 
     Attributes
     ----------
     least, most
-        Workers of a zone, of both kinds together.
+        Minimum and maximum workers in a zone, spot and ordinary ones together.
     boot_seconds
-        How long a new worker takes until it serves.
+        Time until a new worker serves.
     spot_price
-        Price of a worker that may be taken away, in parts of that of an ordinary one; None: there
-        are none.
+        Price of a spot worker relative to an ordinary one; None: there are no spot workers.
     zone_prices
-        Price of a worker's second by zone, relative to each other.
+        Relative price per worker and second, by zone.
     """
 
     least: int
@@ -110,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLimits:
-    """What an engine of a service holds at once.
+    """Capacity of an engine of a service.
 
     Attributes
     ----------
     memory_tokens
-        Tokens of all its runs together: their prompts, shared parts once, and what they made.
+        Maximum tokens of all its runs: their prompts, counting shared parts once, and output.
     tokens_per_event
-        Tokens that one event of a stream carries.
+        Tokens carried by one event of a stream.
     """
 
     memory_tokens: int
@@ -126,19 +125,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service whose workers are back ends.
+    """A service and the properties of its workers.
 
     Attributes
     ----------
     scaling
-        How its workers may be ordered; None: none are.
+        How its workers are scaled; None: they aren't.
     cold_seconds
-        How long a worker that started lately is cold.
+        How long a worker is cold after its start.
     cold_rate
-        Requests a second that a cold worker withstands from all senders together; 0.0: as many as
-        at any other time.
+        Maximum requests per second to a cold worker from all senders together; 0.0: cold workers
+        aren't limited.
     engine
-        What its engines hold; None: its workers are no engines, or it isn't known.
+        Capacity of its engines; None: its workers are not engines, or it is unknown.
     """
 
     name: str
@@ -150,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send. The times that operators publish beside these are not applied."""
+    """Size limits for calls. The time limits that operators publish with them are not applied."""
 
     header_bytes: int = 16_384
     body_bytes: int = 33_554_432
@@ -158,12 +157,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteConfiguration:
-    """One published configuration, whole.
+    """One complete published configuration.
 
     Attributes
     ----------
     tenants
-        Who may call; None: calls need no key.
+        The tenants that may call; None: calls need no key.
     """
 
     version: int
--- a/src/stagewalk/gateway/routes/table.py
+++ b/src/stagewalk/gateway/routes/table.py
@@ -1,8 +1,4 @@
-"""The routes in force: look-up by host and longest prefix, and shares of back ends. Pure.
-
-Owns the configuration in force and the turns of split routes. Relies on `zones.allowed_regions` to
-combine the regions that routes and tenants allow.
-"""
+"""The routes in force: lookup by host and longest prefix, and the choice of a back end. Pure."""
 
 from __future__ import annotations
 
@@ -12,30 +8,30 @@
 from stagewalk.gateway.tenants.key_table import KeyTable
 from stagewalk.gateway.zones.allowed_regions import AllowedRegions, allowed_regions
 
-MAXIMUM_TURNS_SKIPPED = 211
-"""A node begins a split route at one of so many turns of its cycle, so that nodes don't all send
-their first requests to the largest share."""
+ROUND_ROBIN_OFFSETS = 211
+"""Number of offsets at which nodes may begin a route's weighted round robin, so that they don't all
+send their first requests to the back end with the largest weight."""
 
 
 class RouteTable:
-    """Holds the newest configuration; an older one never comes back.
+    """Holds the newest configuration; older ones are ignored.
 
     Parameters
     ----------
     node
-        Name of this node: each node begins a route's shares at another place of their cycle.
+        Name of this node, which determines the offset at which it begins a round robin.
     """
 
     def __init__(self, node: str = "") -> None:
         self._node = node
         self._configuration: RouteConfiguration | None = None
         self._by_host: dict[str, dict[str, Route]] = {}
-        """By host and prefix."""
+        """Routes by host and path prefix."""
         self._by_name: dict[str, Route] = {}
         self._batch_regions: AllowedRegions = None
         self._services: dict[str, Service] = {}
         self._credits: dict[str, dict[str, float]] = {}
-        """By route and service."""
+        """State of the weighted round robin, by route and service."""
         self.keys = KeyTable()
         """Keys of the tenants in force."""
 
@@ -45,7 +41,7 @@
         return self._configuration
 
     def apply(self, configuration: RouteConfiguration) -> bool:
-        """Put a configuration in force; return whether it is newer than the one that was."""
+        """Apply a configuration if it is newer than the one in force; return whether it is."""
         if configuration.version <= self.version:
             return False
         self._configuration = configuration
@@ -56,7 +52,7 @@
         self._by_host = by_host
         self._by_name = {route.name: route for route in configuration.routes}
         self.keys.replace(configuration.tenants)
-        self._batch_regions = _regions_of_batches(configuration)
+        self._batch_regions = _compute_batch_regions(configuration)
         return True
 
     @property
@@ -65,10 +61,10 @@
         return 0 if self._configuration is None else self._configuration.version
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request: of its host, the longest prefix that begins its path.
+        """Return the route of a request's host with the longest prefix that matches the path.
 
-        Prefixes end with a slash, so only what ends at a slash of the path is looked up: the
-        time depends on the path's depth, not on how many routes there are.
+        Prefixes end with a slash, so one lookup for each slash in the path is enough: the time
+        depends on the depth of the path, not on the number of routes.
         """
         routes = self._by_host.get(host.lower(), {})
         end = len(path)
@@ -84,14 +80,14 @@
         return any(route.public and route.kind is RouteKind.BATCH for route in routes)
 
     def priority_of(self, tenant: str | None) -> int | None:
-        """Return the priority that a tenant's requests have in place of their route's, if any."""
+        """Return the priority of a tenant that overrides that of the route, if any."""
         known = None if tenant is None else self.keys.named(tenant)
         return None if known is None else known.priority
 
     def regions_of(self, route: Route, tenant: str | None) -> AllowedRegions:
-        """Return where a tenant's requests on a route may be served.
+        """Return the regions where a tenant's requests on a route may be served.
 
-        The route that the request matched binds it, and the route of that name now in force.
+        Both the route as matched by the request and its version now in force apply.
         """
         now = self._by_name.get(route.name, route)
         known = None if tenant is None else self.keys.named(tenant)
@@ -106,7 +102,7 @@
         return self._batch_regions
 
     def regions_of_host(self, host: str) -> AllowedRegions:
-        """Return where a host's callers are served; None if a route of it allows any region."""
+        """Return the regions where a host's callers are served; None if a route allows any."""
         routes = self._by_host.get(host.lower(), {}).values()
         if not routes or any(not route.allowed_regions for route in routes):
             return None
@@ -114,7 +110,7 @@
 
     @property
     def scaled_services(self) -> list[Service]:
-        """Return the services whose workers may be ordered."""
+        """Return the services whose workers are scaled."""
         return [service for service in self._services.values() if service.scaling is not None]
 
     def service(self, name: str) -> Service | None:
@@ -122,28 +118,27 @@
         return self._services.get(name)
 
     def choose_back_end(self, route: Route) -> BackEnd:
-        """Return the back end whose turn it is: shares are exact over any run of requests.
+        """Return the next back end by smooth weighted round robin.
 
-        Many nodes get few requests each. If all began alike, each would send its first ones to
-        the largest part, and the shares over all nodes would be off by as much; so each node
-        begins at another turn of the cycle.
+        With many nodes that get few requests each, the shares over all nodes would be off if all
+        nodes began with the back end of the largest weight. So each begins at its own offset.
         """
         if len(route.back_ends) == 1:
             return route.back_ends[0]
         credits = self._credits.get(route.name)
         if credits is None:
             credits = self._credits[route.name] = {}
-            for _ in range(self._first_turn(route)):
-                _take_turn(route, credits)
-        return _take_turn(route, credits)
+            for _ in range(self._start_offset(route)):
+                _next_back_end(route, credits)
+        return _next_back_end(route, credits)
 
-    def _first_turn(self, route: Route) -> int:
+    def _start_offset(self, route: Route) -> int:
         seed = f"{self._node}/{route.name}".encode()
-        return xxhash.xxh64_intdigest(seed) % MAXIMUM_TURNS_SKIPPED
+        return xxhash.xxh64_intdigest(seed) % ROUND_ROBIN_OFFSETS
 
 
-def _take_turn(route: Route, credits: dict[str, float]) -> BackEnd:
-    """Credit every back end with its weight, and charge the one with most credit the sum of all."""
+def _next_back_end(route: Route, credits: dict[str, float]) -> BackEnd:
+    """Add its weight to each back end's credit, and charge the one with most credit the total."""
     for back_end in route.back_ends:
         credits[back_end.service] = credits.get(back_end.service, 0.0) + back_end.weight
     chosen = max(route.back_ends, key=lambda back_end: credits[back_end.service])
@@ -151,11 +146,11 @@
     return chosen
 
 
-def _regions_of_batches(configuration: RouteConfiguration) -> AllowedRegions:
+def _compute_batch_regions(configuration: RouteConfiguration) -> AllowedRegions:
     """Return the regions that all batch routes and tenants allow.
 
-    A replica of the batch ledger holds the batches of all. Where the routes and tenants have no
-    region in common, it is in one that any of them allows.
+    Each replica of the batch ledger holds the batches of all routes and tenants. If these have no
+    region in common, the regions that any of them allows are returned.
     """
     routes = [route for route in configuration.routes if route.kind is RouteKind.BATCH]
     stated = [route.allowed_regions for route in routes]
--- a/tests/gateway/routes/test_table.py
+++ b/tests/gateway/routes/test_table.py
@@ -1,4 +1,4 @@
-"""Routes are found by host and longest prefix; configurations never go back."""
+"""Lookup of routes, replacement of configurations, and the choice of back ends."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class RouteTableTests(testtools.TestCase):
-    def test_the_longest_prefix_wins_whatever_the_order(self) -> None:
+    def test_the_longest_prefix_matches(self) -> None:
         table = RouteTable()
         table.apply(configuration(1, route("short", "/a/"), route("long", "/a/b/")))
         self.assertEqual("long", table.find("H.example", "/a/b/c").name)
@@ -44,7 +44,7 @@
         self.assertIsNone(table.find("h.example", "/b"))
         self.assertIsNone(table.find("other.example", "/a/c"))
 
-    def test_a_path_that_is_a_prefix_itself_and_the_root_are_found(self) -> None:
+    def test_a_path_equal_to_a_prefix_and_the_root_match(self) -> None:
         table = RouteTable()
         table.apply(configuration(1, route("root", "/"), route("a", "/a/")))
         found = [table.find("h.example", path).name for path in ("/a/", "/a", "/", "/b/c/d", "//")]
@@ -52,30 +52,30 @@
         self.assertIsNone(table.find("h.example", "a/"))
 
     @given(st.lists(st.text("ab/", max_size=6), max_size=8), st.text("ab/", max_size=8))
-    def test_the_same_is_found_as_by_trying_every_prefix(self, parts, rest) -> None:
+    def test_lookup_agrees_with_trying_every_prefix(self, parts, rest) -> None:
         prefixes = {f"/{part}/".replace("//", "/") for part in parts}
         table = RouteTable()
         table.apply(configuration(1, *(route(prefix, prefix) for prefix in sorted(prefixes))))
         path = f"/{rest}"
-        fitting = [prefix for prefix in prefixes if path.startswith(prefix)]
+        matching = [prefix for prefix in prefixes if path.startswith(prefix)]
         found = table.find("h.example", path)
-        self.assertEqual(max(fitting, key=len, default=None), found and found.name)
+        self.assertEqual(max(matching, key=len, default=None), found and found.name)
 
-    def test_an_older_configuration_never_comes_back(self) -> None:
+    def test_an_older_configuration_is_ignored(self) -> None:
         table = RouteTable()
         self.assertTrue(table.apply(configuration(7, route("new", "/n/"))))
         self.assertFalse(table.apply(configuration(4, route("old", "/o/"))))
         self.assertEqual(7, table.version)
         self.assertIsNone(table.find("h.example", "/o/x"))
 
-    def test_shares_are_exact_over_any_run_of_requests(self) -> None:
+    def test_shares_are_exact_over_a_cycle_of_requests(self) -> None:
         table = RouteTable()
         split = route("split", "/", BackEnd("a", 90.0), BackEnd("b", 10.0))
         table.apply(configuration(1, split))
         counts = Counter(table.choose_back_end(split).service for _ in range(100))
         self.assertEqual({"a": 90, "b": 10}, dict(counts))
 
-    def test_shares_over_many_nodes_hold_from_their_first_requests_on(self) -> None:
+    def test_shares_over_many_nodes_hold_from_the_first_requests(self) -> None:
         split = route("split", "/", BackEnd("a", 90.0), BackEnd("b", 10.0))
         counts: Counter[str] = Counter()
         for node in range(300):
@@ -84,7 +84,7 @@
             counts.update(table.choose_back_end(split).service for _ in range(2))
         self.assertAlmostEqual(0.1, counts["b"] / 600, delta=0.04)
 
-    def test_shares_follow_weights_that_change(self) -> None:
+    def test_shares_follow_changed_weights(self) -> None:
         table = RouteTable("node")
         before = route("split", "/", BackEnd("a", 90.0), BackEnd("b", 10.0))
         after = route("split", "/", BackEnd("a", 20.0), BackEnd("b", 80.0))
