--- a/src/stagewalk/gateway/workers/__init__.py
+++ b/src/stagewalk/gateway/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers: what is known of each, and which one a request goes to."""
+"""Worker state as seen by this node, and the selection of a worker for each request."""
--- a/src/stagewalk/gateway/workers/near_best.py
+++ b/src/stagewalk/gateway/workers/near_best.py
@@ -1,8 +1,7 @@
-"""Which of several workers that are nearly equal is taken. Pure.
+"""Random choice among workers of nearly equal cost. Pure.
 
-Answers the load of many nodes that read the same reports: if each took the best of them, all would
-take the same worker, and each would see in the next reports that all had. Owns the choice among
-those within a margin; what a worker costs is `placement_costs`.
+Many nodes read the same load reports. If each took the cheapest worker, all would send to the same
+one until its next report. The cost terms are in `placement_costs`.
 """
 
 from __future__ import annotations
@@ -16,16 +15,17 @@
 
 
 class Choice(NamedTuple):
-    """A worker that could be taken, and what that costs.
+    """A candidate worker and its cost.
 
     Attributes
     ----------
     cost
-        Everything that is known, in the chooser's unit.
+        Total cost, in the caller's unit.
     fixed
-        The part of it that reports don't change (distance, connection, prompt held), in any unit.
+        Cost terms that don't depend on load reports (distance, connection, cached prompt), in any
+        unit.
     last_resort
-        Whether it is taken only where all others are.
+        Whether it is chosen only if all candidates are a last resort.
     """
 
     worker: Worker
@@ -35,17 +35,17 @@
 
 
 def take_best(choices: Sequence[Choice]) -> Choice:
-    """Return the choice that costs least."""
+    """Return the cheapest choice."""
     preferred = [choice for choice in choices if not choice.last_resort]
     return min(preferred or choices, key=attrgetter("cost"))
 
 
 def choose_near_best(choices: Sequence[Choice], margin: float, now: float, rng: Random) -> Choice:
-    """Return one of the choices that cost at most a margin more than the best, at random.
+    """Return a random choice among those that cost at most `margin` more than the best.
 
-    Of these the ones whose fixed part is least come first: nodes in other zones, and with other
-    connections, spread by themselves. None on whose worker a request would wait is near one with
-    a slot free.
+    Only those with the lowest fixed cost are drawn from, since nodes in different zones or with
+    different connections spread anyway. If the best has a free slot, workers without one are left
+    out.
     """
     best = take_best(choices)
     near = [
@@ -53,11 +53,11 @@
         for choice in choices
         if choice.last_resort == best.last_resort
         and choice.cost <= best.cost + margin
-        and _waits(choice, now) == _waits(best, now)
+        and _would_queue(choice, now) == _would_queue(best, now)
     ]
     least = min(choice.fixed for choice in near)
     return rng.choice([choice for choice in near if choice.fixed == least])
 
 
-def _waits(choice: Choice, now: float) -> bool:
+def _would_queue(choice: Choice, now: float) -> bool:
     return choice.worker.occupancy(now) >= 1.0
--- a/src/stagewalk/gateway/workers/selection.py
+++ b/src/stagewalk/gateway/workers/selection.py
@@ -1,7 +1,7 @@
-"""Which worker the next attempt of a request goes to. Pure.
+"""Selection of the worker for the next attempt of a request. Pure.
 
-Owns the choice for forwarded requests, streams and score calls; items of batches are placed by
-`batches.placement`. The weights of both are in `workers.placement_costs`.
+Used for forwarded requests, streams and score calls; batch items are placed by
+`batches.placement`. The cost terms of both are in `workers.placement_costs`.
 """
 
 from __future__ import annotations
@@ -31,16 +31,19 @@
     prefer_warm: bool = False,
     rng: Random | None = None,
 ) -> Worker | None:
-    """Return the worker expected to answer first, none that was tried already.
+    """Return the untried worker that is expected to answer first, None if there is none.
 
-    Workers that failed lately come last; among the others the emptier, the faster and the
-    nearer one wins, and with `prefer_warm` one to which a connection is kept.
+    The choice is by occupancy, latency and distance. Workers that failed recently come last.
 
     Parameters
     ----------
+    tried
+        Workers that already had an attempt of the request.
+    prefer_warm
+        Prefer workers with an open connection.
     rng
-        Random numbers of this node: where workers report their pace, those nearly as good as the
-        best one are drawn from. None: the best one is taken.
+        If workers report a pace, one of those nearly as good as the best is drawn at random. None:
+        always take the best.
     """
     candidates = [w for w in workers if w.announcement.worker not in tried]
     if not candidates:
@@ -56,7 +59,7 @@
 def _choices(
     candidates: Sequence[Worker], now: float, proximity: Proximity, *, prefer_warm: bool
 ) -> list[Choice]:
-    """Return what each candidate costs, in parts of a full worker."""
+    """Return the cost of each candidate, in units of occupancy."""
     latencies = [worker.expected_latency(now) for worker in candidates]
     shortest = shortest_latency(latencies)
     distances = zone_costs(proximity, candidates)
@@ -64,7 +67,7 @@
     for worker, latency in zip(candidates, latencies, strict=True):
         connection = NEW_CONNECTION_COST if prefer_warm and not worker.warm(now) else 0.0
         fixed = distances[worker.announcement.zone] + connection
-        late = slowness(latency, shortest) * SLOWNESS_COST
-        cost = worker.occupancy(now) + fixed + late
+        slowness_cost = slowness(latency, shortest) * SLOWNESS_COST
+        cost = worker.occupancy(now) + fixed + slowness_cost
         choices.append(Choice(worker, cost, fixed, worker.suspect(now)))
     return choices
--- a/src/stagewalk/gateway/workers/speed.py
+++ b/src/stagewalk/gateway/workers/speed.py
@@ -1,10 +1,11 @@
-"""How fast a worker's machine is, told apart from how slow it is for a moment. Pure.
+"""Separates a machine's baseline speed from temporary slowdowns. Pure.
 
-Answers the load of machines that are shared: work takes twice as long for some hundred milliseconds
-and then as long as ever, and whoever avoids such a machine avoids another one a moment later.
-Owns the estimate of a machine's own speed, and what the paces that its worker reports say of a
-slowness that lasts. Inputs, in seconds: times of answers or events, and when each was seen. Paces
-are in parts of the usual, as in `ports.workers.WorkerLoad`.
+On shared machines work takes twice as long for a few hundred milliseconds, then runs at full speed
+again. Avoiding a machine for that is pointless: the next one slows down a moment later. So the
+baseline is estimated from latencies divided by the pace that the worker reported, and a reported
+slowdown counts as a property of the machine only if it is sustained.
+
+A pace is a factor on the usual duration, as in `ports.workers.WorkerLoad`. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -13,60 +14,60 @@
 from dataclasses import dataclass, field
 
 PACE_VALID_SECONDS = 0.3
-"""How long a reported pace says how long work takes: it varies many times a second."""
+"""Age up to which a reported pace is used. The pace changes many times a second."""
 
 MINIMUM_PACE = 0.1
 MAXIMUM_PACE = 10.0
-"""A pace beyond these counts as the nearest of them: a single absurd report must not make its
-machine look many times as fast as it is."""
+"""Reported paces are clamped to this range, so that one bogus report can't make a machine look many
+times faster than it is."""
 
-OWN_SPEED_SECONDS = 1.5
-"""Time over which a machine's own speed is smoothed: many of its slow moments, few of its items."""
+BASELINE_SMOOTHING_SECONDS = 1.5
+"""Time constant of the baseline: long compared with a slowdown."""
 
 FIRST_SAMPLE_SECONDS = 0.05
 MAXIMUM_SAMPLE_SECONDS = 0.25
-"""What the first time stands for, and what each later one does at most, however long ago the one
-before it was."""
+"""Weight of the first sample, and the maximum weight of each later one. A sample's weight is the
+time since the one before it."""
 
 MAXIMUM_LOG_STEP = 0.25
-"""A time counts for at most this far from what is known, as the logarithm of their ratio: the many
-usual times outweigh those of slow moments. Downwards this holds once the estimate has settled: the
-first times may all have come in one slow moment."""
+"""Limit on the log ratio of a sample to the estimate, so that samples from slowdowns weigh little.
+It limits downward steps only once the estimate has settled: the first samples may all be from one
+slowdown."""
 
-LASTING_SECONDS = 0.5
-"""A slowness lasts that every report of two successive spans of this length tells."""
+SUSTAINED_PACE_WINDOW_SECONDS = 0.5
+"""A slowdown is sustained if all reports of two successive windows of this length show it."""
 
-MINIMUM_LASTING_REPORTS = 4
-"""Fewer reports may all have come in slow moments."""
+MINIMUM_SUSTAINED_PACE_REPORTS = 4
+"""Minimum number of reports in the two windows; fewer may all be from temporary slowdowns."""
 
 
 @dataclass(slots=True)
-class OwnSpeed:
-    """Smoothed time of a machine's answers or events at the usual pace.
+class BaselineLatency:
+    """Smoothed latency of a machine's answers or events, with reported slowdowns divided out.
 
     Attributes
     ----------
     seconds
-        None before the first time.
+        None before the first sample.
     observed_seconds
-        How long it was observed so far, at most `OWN_SPEED_SECONDS`.
+        Total weight of the samples, at most `BASELINE_SMOOTHING_SECONDS`.
     """
 
     seconds: float | None = None
     observed_seconds: float = 0.0
-    _noted_at: float = -math.inf
+    _observed_at: float = -math.inf
 
     @property
     def settled(self) -> bool:
-        """Whether it was observed for so long that slow moments weigh little."""
-        return self.observed_seconds >= OWN_SPEED_SECONDS
+        """Whether it has enough samples for temporary slowdowns to weigh little."""
+        return self.observed_seconds >= BASELINE_SMOOTHING_SECONDS
 
     def observe(self, seconds: float, now: float) -> None:
-        """Add a time, divided by the pace at which it was taken."""
+        """Add a sample, already divided by the pace at which it was measured."""
         if seconds <= 0.0:
             return
-        stands_for = min(now - self._noted_at, MAXIMUM_SAMPLE_SECONDS)
-        self._noted_at = now
+        weight_seconds = min(now - self._observed_at, MAXIMUM_SAMPLE_SECONDS)
+        self._observed_at = now
         if self.seconds is None:
             self.seconds = seconds
             self.observed_seconds = FIRST_SAMPLE_SECONDS
@@ -74,18 +75,20 @@
         step = min(MAXIMUM_LOG_STEP, math.log(seconds / self.seconds))
         if self.settled:
             step = max(-MAXIMUM_LOG_STEP, step)
-        self.observed_seconds = min(OWN_SPEED_SECONDS, self.observed_seconds + stands_for)
-        self.seconds *= math.exp(step * stands_for / self.observed_seconds)
+        self.observed_seconds = min(
+            BASELINE_SMOOTHING_SECONDS, self.observed_seconds + weight_seconds
+        )
+        self.seconds *= math.exp(step * weight_seconds / self.observed_seconds)
 
     def forget(self) -> None:
-        """Begin anew."""
+        """Discard all samples."""
         self.seconds = None
         self.observed_seconds = 0.0
 
 
 @dataclass(slots=True)
-class _Span:
-    """The paces reported in one span of time."""
+class _PaceWindow:
+    """The paces reported within one window of `SUSTAINED_PACE_WINDOW_SECONDS`."""
 
     number: int = -2
     lowest: float = math.inf
@@ -97,56 +100,57 @@
 
 
 @dataclass(slots=True)
-class LastingPace:
-    """The pace that a worker has kept to for longer than its slow moments are.
+class SustainedPace:
+    """The lowest pace reported in the last two windows.
 
-    The lowest pace of a while: a single report at the usual pace shows that a slowness is one of a
-    moment.
+    A single report at the usual pace shows that a slowdown is temporary.
     """
 
-    _before: _Span = field(default_factory=_Span)
-    _current: _Span = field(default_factory=_Span)
+    _previous: _PaceWindow = field(default_factory=_PaceWindow)
+    _current: _PaceWindow = field(default_factory=_PaceWindow)
     _pace: float = 1.0
     _until: float = -math.inf
 
     def observe(self, pace: float, now: float) -> None:
-        """Add a pace that was reported."""
-        number = math.floor(now / LASTING_SECONDS)
+        """Add a reported pace."""
+        number = math.floor(now / SUSTAINED_PACE_WINDOW_SECONDS)
         if number != self._current.number:
-            self._before = self._current
-            self._current = _Span(number)
+            self._previous = self._current
+            self._current = _PaceWindow(number)
         self._current.observe(pace)
-        self._pace = self._lowest()
-        self._until = (number + 2) * LASTING_SECONDS
+        self._pace = self._lowest_pace()
+        self._until = (number + 2) * SUSTAINED_PACE_WINDOW_SECONDS
 
     def pace(self, now: float) -> float:
-        """Return it, the usual one if too few reports tell another."""
+        """Return the sustained pace; 1.0 if there are too few recent reports."""
         return self._pace if now < self._until else 1.0
 
-    def _lowest(self) -> float:
-        successive = self._before.number == self._current.number - 1
-        if not successive or self._before.reports + self._current.reports < MINIMUM_LASTING_REPORTS:
+    def _lowest_pace(self) -> float:
+        successive = self._previous.number == self._current.number - 1
+        if (
+            not successive
+            or self._previous.reports + self._current.reports < MINIMUM_SUSTAINED_PACE_REPORTS
+        ):
             return 1.0
-        return min(self._before.lowest, self._current.lowest)
+        return min(self._previous.lowest, self._current.lowest)
 
 
 def plausible_pace(pace: float) -> float:
-    """Return a reported pace within its bounds."""
+    """Return a reported pace, clamped to the plausible range."""
     return max(MINIMUM_PACE, min(MAXIMUM_PACE, pace))
 
 
 def seconds_at_pace(work: float, pace: float, seconds_left: float) -> float:
-    """Return how long work takes that begins now.
+    """Return the expected duration of work that begins now.
 
     Parameters
     ----------
     work
-        How long it takes at the usual pace, in seconds.
+        Its duration at the usual pace, in seconds.
     pace
-        The pace of the moment.
+        The current pace.
     seconds_left
-        How long the pace of the moment is expected to hold: what is not done by then takes as long
-        as usual.
+        How long the current pace is expected to hold. The remaining work runs at the usual pace.
     """
     if work * pace <= seconds_left:
         return work * pace
--- a/src/stagewalk/gateway/workers/table.py
+++ b/src/stagewalk/gateway/workers/table.py
@@ -1,9 +1,8 @@
 """All listed workers, by service. Pure.
 
-Owns which workers are believed to serve: what an entry that is missing, late, unreadable or of an
-earlier start says of its worker. Inputs are the entries of the platform's list (as published), and
-when reading the list was disturbed last.
-Relies on `workers.worker` for what is known of one worker.
+Decides from the entries of the platform's worker list which workers may be used, also when an entry
+is missing, delayed, unreadable or of an earlier incarnation. State of a single worker is in
+`workers.worker`.
 """
 
 from __future__ import annotations
@@ -18,26 +17,24 @@
 from stagewalk.gateway.workers.worker import ReportKind, Worker, WorkerAnnouncement
 
 STALE_SECONDS = 2.2
-"""How long after trouble with the list a worker whose entry is missing counts as stale rather than
-gone: entries that lapsed meanwhile are back about two seconds after its end, if their workers
-live."""
+"""How long after an outage of the list a worker whose entry is missing counts as stale rather than
+gone. Live workers renew expired entries within about two seconds after the outage."""
 
 EARLIER_START_SECONDS = 3.6
-"""An entry of an earlier start is believed again after three heartbeats (of 1.2 s) without one of
-the later start."""
+"""An entry of an earlier incarnation is accepted after three heartbeats (of 1.2 s) without one of
+the later incarnation."""
 
 DEPARTURE_REMEMBERED_SECONDS = 300.0
-"""How long it is remembered which workers said that they leave: entries written before, and read
-late, change nothing meanwhile."""
+"""How long draining workers are remembered, so that older entries that arrive late are ignored."""
 
 
 class WorkerChange(StrEnum):
-    """What changed in the belief about a worker; the values are logged."""
+    """State change of a worker; the values are logged."""
 
     JOINED = "joined"
     DRAINING = "draining"
     STALE = "doubted"
-    """Its entry is missing, perhaps only because reading the list was disturbed."""
+    """Its entry is missing, perhaps only because of an outage of the list."""
     GONE = "gone"
 
 
@@ -45,10 +42,10 @@
     """Called by the table as it applies entries."""
 
     def worker_changed(self, worker: str, change: WorkerChange) -> None:
-        """Handle a change of belief about a worker."""
+        """Handle a state change of a worker."""
 
     def worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
-        """Handle an entry, read at `now`, that says that its worker is cold for `seconds` more."""
+        """Handle an entry, read at `now`, of a worker that is cold for `seconds` more."""
 
 
 class _NoListener:
@@ -60,16 +57,15 @@
 
 
 class WorkerTable:
-    """Workers by the identity of their start. An entry that says `draining` or is gone gets no new
-    work.
+    """Workers by incarnation. Workers that are draining or no longer listed get no new work.
 
-    Entries also vanish while the list's store is down, of workers that serve on. So a worker
-    whose entry vanished around an outage is stale: usable for a moment, as a last resort, until
-    its next heartbeat would have brought it back.
+    Entries also disappear while the list's store is down, although their workers still serve. A
+    worker whose entry disappears around an outage is therefore stale: usable as a last resort
+    until its next heartbeat is due.
 
-    A worker that said that it leaves keeps leaving: an older entry, written late, changes nothing.
-    A worker may start again under its name. That is another worker then, and the one before is
-    gone; an entry of an earlier start, written late, changes nothing while the later one is seen.
+    A draining worker stays draining: older entries that arrive late are ignored. A worker that
+    restarts under its name is another worker, and replaces the one before. Late entries of an
+    earlier incarnation are ignored while the later one is seen.
 
     Parameters
     ----------
@@ -78,18 +74,18 @@
     """
 
     def __init__(self, *, uses_reported_pace: bool = True) -> None:
-        self._reads_pace = uses_reported_pace
+        self._uses_reported_pace = uses_reported_pace
         self._workers: dict[str, Worker] = {}
-        self._start_of: dict[str, str] = {}
-        """By the name that an entry is listed under, its start."""
+        self._incarnation_by_name: dict[str, str] = {}
+        """Incarnation by the name that its entry is listed under."""
         self._stale_until: dict[str, float] = {}
         self._by_service: dict[str, list[Worker]] = {}
-        self._starts_stated = False
-        self._left_at: dict[str, float] = {}
+        self._most_state_start_time = False
+        self._draining_at: dict[str, float] = {}
         self._listener: WorkerListener = _NoListener()
 
     def listen(self, listener: WorkerListener) -> None:
-        """Set the listener: the reader of entries, which is itself given this table."""
+        """Set the listener, which itself needs this table and so is created after it."""
         self._listener = listener
 
     def replace(
@@ -99,31 +95,33 @@
         disturbed_at: float,
         unreadable: Iterable[str] = (),
     ) -> None:
-        """Apply a whole list, and the names of entries in it that can't be read.
+        """Replace all workers by those of a complete listing.
 
         Parameters
         ----------
         disturbed_at
-            Steady time at which reading the list was disturbed last.
+            Steady time at which reading the list last failed.
+        unreadable
+            Names of entries that can't be read.
         """
         listed = {announcement.listed_as: announcement for announcement in announcements}
         for name in unreadable:
             self.discard(name)
-        for name in list(self._start_of):
+        for name in list(self._incarnation_by_name):
             if name not in listed:
                 self.remove(name, now, disturbed_at)
         for announcement in listed.values():
             self.announce(announcement, now)
 
     def announce(self, announcement: WorkerAnnouncement, now: float) -> None:
-        """Apply a worker's entry."""
-        if self._replaced_by_later(announcement, now):
+        """Add or update a worker from its entry."""
+        if self._is_superseded(announcement, now):
             return
         if announcement.draining:
-            self._left_at[announcement.worker] = now
-        elif announcement.worker in self._left_at:
+            self._draining_at[announcement.worker] = now
+        elif announcement.worker in self._draining_at:
             announcement = replace(announcement, draining=True)
-        earlier = self._start_of.get(announcement.listed_as)
+        earlier = self._incarnation_by_name.get(announcement.listed_as)
         if earlier is not None and earlier != announcement.worker:
             self._drop(earlier)
         known = self._workers.get(announcement.worker)
@@ -133,10 +131,10 @@
                 announcement,
                 now,
                 versions=dict(announcement.versions),
-                uses_reported_pace=self._reads_pace,
+                uses_reported_pace=self._uses_reported_pace,
             )
             self._workers[announcement.worker] = worker
-            self._start_of[announcement.listed_as] = announcement.worker
+            self._incarnation_by_name[announcement.listed_as] = announcement.worker
             self._index()
             self._listener.worker_changed(announcement.worker, WorkerChange.JOINED)
             self._record_cold(worker, now)
@@ -150,50 +148,50 @@
         self._record_cold(known, now)
 
     def remove(self, name: str, now: float, disturbed_at: float) -> None:
-        """Apply that the entry under a name is gone."""
-        known = self._workers.get(self._start_of.get(name, ""))
+        """Mark the worker listed under a name as stale, or drop it, as its entry is gone."""
+        known = self._workers.get(self._incarnation_by_name.get(name, ""))
         if known is None:
             return
-        start = known.announcement.worker
+        incarnation = known.announcement.worker
         gone_at = disturbed_at + STALE_SECONDS
         if now < gone_at and not known.announcement.draining:
-            self._stale_until.setdefault(start, gone_at)
-            self._listener.worker_changed(start, WorkerChange.STALE)
+            self._stale_until.setdefault(incarnation, gone_at)
+            self._listener.worker_changed(incarnation, WorkerChange.STALE)
             return
-        self._drop(start)
+        self._drop(incarnation)
 
     def discard(self, name: str) -> None:
         """Drop the worker listed under a name, whose entry can't be read."""
-        start = self._start_of.get(name)
-        if start is not None:
-            self._drop(start)
+        incarnation = self._incarnation_by_name.get(name)
+        if incarnation is not None:
+            self._drop(incarnation)
 
     def expire(self, now: float) -> None:
-        """Drop stale workers that were not listed again; forget who left long ago."""
-        for worker, left_at in list(self._left_at.items()):
-            if now - left_at > DEPARTURE_REMEMBERED_SECONDS:
-                del self._left_at[worker]
+        """Drop stale workers that were not listed again, and records of workers long gone."""
+        for worker, draining_at in list(self._draining_at.items()):
+            if now - draining_at > DEPARTURE_REMEMBERED_SECONDS:
+                del self._draining_at[worker]
         for worker, until in list(self._stale_until.items()):
             if now >= until:
                 self._drop(worker)
 
-    def worker(self, start: str) -> Worker | None:
-        """Return a listed worker by the identity of its start."""
-        return self._workers.get(start)
+    def worker(self, incarnation: str) -> Worker | None:
+        """Return a listed worker by its incarnation."""
+        return self._workers.get(incarnation)
 
     def lists(self, name: str) -> bool:
-        """Whether any start is listed under a name."""
-        return name in self._start_of
+        """Whether a worker is listed under a name."""
+        return name in self._incarnation_by_name
 
     def serving(self, service: str) -> list[Worker]:
-        """Return a service's workers that are listed and don't leave, stale ones too."""
+        """Return a service's workers that are not draining, including stale ones."""
         return [worker for worker in self._by_service.get(service, ()) if self._serves(worker)]
 
     def usable(self, service: str, excluded: Container[str] = ()) -> list[Worker]:
-        """Return a service's workers that may get new work; stale ones as a last resort."""
+        """Return a service's workers for new work; stale ones only if there are no others."""
         workers = [w for w in self.serving(service) if w.announcement.worker not in excluded]
-        sure = [w for w in workers if w.announcement.worker not in self._stale_until]
-        return sure or workers
+        not_stale = [w for w in workers if w.announcement.worker not in self._stale_until]
+        return not_stale or workers
 
     def __contains__(self, name: object) -> bool:
         """Whether a worker is listed."""
@@ -204,38 +202,41 @@
         return [worker for worker in self._workers.values() if self._trusted(worker)]
 
     def report_kinds(self, now: float) -> dict[ReportKind, int]:
-        """Return of how many workers each kind of load report is known, of every kind."""
+        """Return the number of workers by the kind of their last load report."""
         counts = Counter(worker.report_kind(now) for worker in self.all())
         return {kind: counts[kind] for kind in ReportKind}
 
     @staticmethod
     def target(worker: Worker) -> WorkerTarget:
-        """Return where to send."""
+        """Return the address and identity to send to."""
         announcement = worker.announcement
         return WorkerTarget(announcement.listed_as, announcement.address, announcement.worker)
 
-    def _replaced_by_later(self, announcement: WorkerAnnouncement, now: float) -> bool:
-        """Whether an entry is of a start before the one that is known, which is still seen.
+    def _is_superseded(self, announcement: WorkerAnnouncement, now: float) -> bool:
+        """Whether an entry is of an earlier incarnation than the known one, which is still seen.
 
-        A worker's time of day may step back between two starts: the later one is then believed once
-        the other was not seen for longer than its heartbeats last.
+        If a worker's clock steps back between two starts, the later one looks like the earlier. It
+        is accepted once the other has missed its heartbeats.
         """
-        known = self._workers.get(self._start_of.get(announcement.listed_as, ""))
+        known = self._workers.get(self._incarnation_by_name.get(announcement.listed_as, ""))
         if known is None:
             return False
-        born, known_born = announcement.born_milliseconds, known.announcement.born_milliseconds
-        if known_born is None:
+        started, known_started = (
+            announcement.born_milliseconds,
+            known.announcement.born_milliseconds,
+        )
+        if known_started is None:
             return False
-        earlier = born is None or born < known_born
+        earlier = started is None or started < known_started
         return earlier and now - known.last_seen_at < EARLIER_START_SECONDS
 
     def _trusted(self, worker: Worker) -> bool:
-        """Whether an entry says when its worker started, if most entries do.
+        """Whether a worker's entry states its start time, if most entries do.
 
-        Another writer's entry may lack it. The majority decides, since one such entry must not
-        discredit the workers of a deployment where none says it.
+        An entry without one may be from another writer. If most entries lack it, none is required
+        to have it.
         """
-        return worker.announcement.born_milliseconds is not None or not self._starts_stated
+        return worker.announcement.born_milliseconds is not None or not self._most_state_start_time
 
     def _serves(self, worker: Worker) -> bool:
         return not worker.announcement.draining and self._trusted(worker)
@@ -248,7 +249,7 @@
         dropped = self._workers.pop(worker, None)
         self._stale_until.pop(worker, None)
         if dropped is not None:
-            self._start_of.pop(dropped.announcement.listed_as, None)
+            self._incarnation_by_name.pop(dropped.announcement.listed_as, None)
         self._index()
         self._listener.worker_changed(worker, WorkerChange.GONE)
 
@@ -257,5 +258,5 @@
         for worker in self._workers.values():
             by_service.setdefault(worker.announcement.service, []).append(worker)
         self._by_service = by_service
-        born = sum(w.announcement.born_milliseconds is not None for w in self._workers.values())
-        self._starts_stated = 2 * born > len(self._workers)
+        stated = sum(w.announcement.born_milliseconds is not None for w in self._workers.values())
+        self._most_state_start_time = 2 * stated > len(self._workers)
--- a/src/stagewalk/gateway/workers/worker.py
+++ b/src/stagewalk/gateway/workers/worker.py
@@ -1,8 +1,8 @@
-"""What is believed of one worker, and how old that is. Pure.
+"""State of one worker as seen by this node. Pure.
 
-Owns a worker's entry, what this node has seen of its answers, and how long each of these counts.
-Choosing among workers is `workers.selection`; which of them are listed, `workers.table`. Relies on
-`workers.speed` for what is told of machines whose workers report a pace.
+Holds the worker's entry, the load it reported, the latency and failures of its answers, and how
+long each of these stays valid. Listed workers are in `workers.table`; the choice among them is in
+`workers.selection`.
 """
 
 from __future__ import annotations
@@ -15,61 +15,61 @@
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.speed import (
     PACE_VALID_SECONDS,
-    LastingPace,
-    OwnSpeed,
+    BaselineLatency,
+    SustainedPace,
     plausible_pace,
     seconds_at_pace,
 )
 
 LATENCY_SMOOTHING = 0.15
-"""Weight of the newest time in the smoothed latency."""
+"""Weight of the newest sample in the smoothed latency."""
 
 LATENCY_OUTLIER = 3.0
-"""A time counts for at most this many smoothed ones: one pause says little of a worker's pace."""
+"""Samples are capped at this multiple of the smoothed latency, so that one pause weighs little."""
 
 LATENCY_VALID_SECONDS = 9.0
-"""A worker that was not used for so long is tried again as if it were as fast as any."""
+"""Age up to which a latency is used; after that the worker counts as being as fast as any."""
 
 LOAD_VALID_SECONDS = 1.5
-"""How long a load that came with an answer counts; after that, the node's own count alone."""
+"""Age up to which a reported load is used; after that, only this node's own requests count."""
 
 CONNECTION_REUSE_SECONDS = 8.0
-"""How long after an answer its connection is expected to be kept: workers close those that idle for
-ten seconds, and clients of them a little earlier (8.5 s)."""
+"""How long after an answer its connection is expected to stay open. Workers close idle connections
+after ten seconds, clients after 8.5 s."""
 
 FAILURE_BACKOFF_SECONDS = (0.5, 1.0, 2.0, 4.0)
-"""How long a worker is avoided after one, two, ... consecutive failures."""
+"""How long a worker is avoided after one, two, three, and four or more consecutive failures."""
 
 
 class ReportKind(StrEnum):
-    """What a worker said of its load last; the values are labels of a metric."""
+    """Kind of a worker's last load report; the values are labels of a metric."""
 
     NONE = "none"
     OLD = "old"
-    """A report that counts no more."""
+    """The report is too old to be used."""
     LOAD = "load"
     PACED = "load_and_pace"
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerAnnouncement:
-    """What the platform's list says of a worker.
+    """A worker's entry in the platform's worker list.
 
     Attributes
     ----------
     worker
-        Identity of this start of the worker: all that is kept of a worker is kept by start.
+        Identity of the worker's incarnation. All state of a worker is kept by incarnation.
     versions
         Weight version by model, empty for workers without models.
     spot
-        Whether the platform may take it away at short notice.
+        Whether the platform may reclaim its machine at short notice.
     cold_seconds
-        How much longer it stays cold, as of when this was written.
+        How much longer it stays cold, as of when the entry was written.
     name
-        What its entry is listed under, and what it answers to; empty if that is `worker`. It may
-        be the same after a start.
+        Name that its entry is listed under, and that it answers to; empty if that is `worker`. A
+        restarted worker may have the same name.
     born_milliseconds
-        When it started, in Unix time; None if it doesn't say.
+        When it started, in Unix time; None if its entry doesn't state it.
     """
 
     worker: str
@@ -86,18 +86,18 @@
 
     @property
     def listed_as(self) -> str:
-        """Return what its entry is listed under."""
+        """Return the name that its entry is listed under."""
         return self.name or self.worker
 
 
 def incarnation_id(name: str, born_milliseconds: int | None) -> str:
-    """Return the identity of a worker's start: of its name alone where it doesn't say when."""
+    """Return the identity of a worker's incarnation: its name and, if known, its start time."""
     return name if born_milliseconds is None else f"{name}@{born_milliseconds}"
 
 
 @dataclass(slots=True)
 class Worker:
-    """A listed worker with what this node has seen of it. Times are of the steady clock.
+    """A listed worker and what this node has observed of it. Times are of the steady clock.
 
     Attributes
     ----------
@@ -106,7 +106,7 @@
     load_at
         When the load was received.
     sent_since_load, ended_since_load
-        Requests that this node sent to it since then, and that ended there.
+        Requests of this node that were sent to it, and that ended, since then.
     uses_reported_pace
         Whether the pace that it reports is used.
     """
@@ -122,36 +122,36 @@
     ended_since_load: int = 0
     uses_reported_pace: bool = True
     latency: float | None = None
-    """Smoothed time to a whole answer, of engines to the next event, in seconds."""
+    """Smoothed time to a complete answer, for engines to the next event, in seconds."""
     latency_at: float = -math.inf
-    speed: OwnSpeed = field(default_factory=OwnSpeed)
-    """The machine's own, of a worker that reports a pace."""
-    lasting_pace: LastingPace = field(default_factory=LastingPace)
+    speed: BaselineLatency = field(default_factory=BaselineLatency)
+    """Baseline of the machine; only for a worker that reports a pace."""
+    sustained_pace: SustainedPace = field(default_factory=SustainedPace)
     versions: dict[str, int] = field(default_factory=dict)
-    """Version by model: the newest evidence of the list, reports and answers."""
+    """Version by model: the latest from its entry, reports and answers."""
     warm_until: float = -math.inf
     kept_connections: int = 0
-    """Most requests at a time that it had while its connections were kept."""
+    """Estimated number of open connections: the most concurrent requests while they were kept."""
     cold_until: float = -math.inf
-    """Until when it is known to withstand few requests a second."""
+    """Until when it can handle only few requests a second."""
     loading_until: dict[str, float] = field(default_factory=dict)
-    """By model, until when it is expected to refuse requests while it loads weights."""
+    """By model, until when it is expected to refuse requests because it loads weights."""
 
     def suspect(self, now: float) -> bool:
-        """Whether it failed so lately that others should be tried first."""
+        """Whether it failed so recently that others should be tried first."""
         return now < self.suspect_until
 
     @property
     def half_open(self) -> bool:
-        """Whether it failed last, and a request that may show it sound again is under way."""
+        """Whether its last request failed and another one is in flight as a probe."""
         return self.failures > 0 and self.in_flight > 0
 
     def warm(self, now: float) -> bool:
-        """Whether a repeatable request needs no new connection to it, as far as that is known."""
+        """Whether an idle connection to it is expected to be open for a repeatable request."""
         return now < self.warm_until and self.in_flight < self.kept_connections
 
     def record_connection(self, kept: bool, now: float) -> None:
-        """Record whether the connection of a whole answer is kept."""
+        """Record whether the connection of a completed answer is kept open."""
         if now >= self.warm_until:
             self.kept_connections = 0
         if kept:
@@ -159,16 +159,16 @@
             self.warm_until = now + CONNECTION_REUSE_SECONDS
 
     def loading(self, model: str, now: float) -> bool:
-        """Whether it is expected to refuse a model's requests while it loads weights."""
+        """Whether it is expected to refuse a model's requests because it loads weights."""
         return now < self.loading_until.get(model, -math.inf)
 
     @property
     def reports_pace(self) -> bool:
-        """Whether its last report said how long work takes there at the moment."""
+        """Whether its last load report included a pace."""
         return self.load is not None and self.load.pace is not None
 
     def report_kind(self, now: float) -> ReportKind:
-        """Return what kind of report is known of it."""
+        """Return the kind of its last load report."""
         if self.load is None:
             return ReportKind.NONE
         if self.recent_load(now) is None:
@@ -176,17 +176,17 @@
         return ReportKind.PACED if self.reports_pace else ReportKind.LOAD
 
     def recent_load(self, now: float) -> WorkerLoad | None:
-        """Return the load that it reported of late, None if it reported none or that is old."""
+        """Return the last reported load, None if there is none or it is too old."""
         return self.load if now - self.load_at <= LOAD_VALID_SECONDS else None
 
     def recent_pace(self, now: float) -> float | None:
-        """Return the pace of the moment, None if it reported none or that is old."""
+        """Return the last reported pace, None if there is none or it is too old."""
         if self.load is None or now - self.load_at > PACE_VALID_SECONDS:
             return None
         return self.load.pace
 
     def occupancy(self, now: float) -> float:
-        """Return the requests it is believed to have, running and waiting, per slot."""
+        """Return its estimated requests per slot, running and waiting."""
         slots = max(1, self.announcement.slots)
         load = self.load
         if load is None or now - self.load_at > LOAD_VALID_SECONDS:
@@ -202,7 +202,7 @@
         self.sent_since_load += 1
 
     def record_ended(self) -> None:
-        """Count a request that ended there, however it did."""
+        """Count a request that ended, whatever the outcome."""
         self.in_flight -= 1
         self.ended_since_load += 1
 
@@ -219,40 +219,40 @@
         self.sent_since_load = 0
         self.ended_since_load = 0
         if load.pace is not None:
-            self.lasting_pace.observe(load.pace, now)
+            self.sustained_pace.observe(load.pace, now)
 
     def recent_latency(self, now: float) -> float | None:
-        """Return the time that its answers or events usually take, None if none is known of late.
+        """Return the usual latency of its answers or events, None if there are no recent ones.
 
         Returns
         -------
         float or None
-            In seconds; of a worker that reports its pace the machine's own, at the pace that lasts:
-            the pace of the moment is in `expected_seconds`.
+            In seconds. For a worker that reports a pace, this is the baseline at the sustained
+            pace; the current pace is only in `expected_seconds`.
         """
         if now - self.latency_at >= LATENCY_VALID_SECONDS:
             return None
         if self.reports_pace and self.speed.seconds is not None:
-            return self.speed.seconds * self.lasting_pace.pace(now)
+            return self.speed.seconds * self.sustained_pace.pace(now)
         return self.latency
 
     def expected_latency(self, now: float) -> float | None:
-        """Return how long an answer begun now is expected to take, in seconds; None if unknown."""
+        """Return the expected latency of an answer that starts now, in seconds; None if unknown."""
         usual = self.recent_latency(now)
         if usual is None or now - self.load_at > PACE_VALID_SECONDS:
             return usual
         return self.expected_seconds(usual, now)
 
     def expected_seconds(self, work: float, now: float) -> float:
-        """Return how long work takes that begins now and usually takes `work` seconds there."""
+        """Return the expected duration of work that starts now and usually takes `work` seconds."""
         pace = self.recent_pace(now)
         if pace is None:
             return work
         seconds_left = PACE_VALID_SECONDS - (now - self.load_at)
-        return seconds_at_pace(work, pace / self.lasting_pace.pace(now), seconds_left)
+        return seconds_at_pace(work, pace / self.sustained_pace.pace(now), seconds_left)
 
     def record_success(self, seconds: float, now: float) -> None:
-        """Record the seconds that an answer or event took; clear its failures."""
+        """Record the latency of an answer or event, and clear the failures."""
         if now - self.latency_at >= LATENCY_VALID_SECONDS:
             self.latency = None
             self.speed.forget()
@@ -260,7 +260,7 @@
         self.failures = 0
         self.suspect_until = -math.inf
         if self.reports_pace:
-            pace = self.recent_pace(now) or self.lasting_pace.pace(now)
+            pace = self.recent_pace(now) or self.sustained_pace.pace(now)
             self.speed.observe(seconds / pace, now)
         before = self.latency
         if before is None:
@@ -270,7 +270,7 @@
         self.latency = before + LATENCY_SMOOTHING * (bounded - before)
 
     def record_failure(self, now: float) -> None:
-        """Record a failure: avoid it for a while, longer with each consecutive one."""
+        """Record a failure: the worker is avoided for a time that grows with each one."""
         pause = FAILURE_BACKOFF_SECONDS[min(self.failures, len(FAILURE_BACKOFF_SECONDS) - 1)]
         self.failures += 1
         self.suspect_until = now + pause
--- a/tests/gateway/workers/choice_cost.py
+++ b/tests/gateway/workers/choice_cost.py
@@ -1,4 +1,4 @@
-"""Prints what a choice among many workers costs, in microseconds of processor time.
+"""Benchmark of the choice among many workers; prints microseconds of processor time per choice.
 
 Run as `python -m tests.gateway.workers.choice_cost`.
 """
@@ -22,28 +22,28 @@
 NOW = 100.0
 
 
-def workers(pace: float | None) -> list[Worker]:
-    made = []
+def make_workers(pace: float | None) -> list[Worker]:
+    workers = []
     for n in range(WORKERS):
         worker = Worker(announcement(f"w{n}", zone=f"z{n % 3 + 1}", slots=8), 0.0)
         for step in range(20):
             worker.record_load(WorkerLoad(n % 7, 0, 8, pace), NOW - 2.0 + 0.1 * step)
             worker.record_success(0.04 + 0.0001 * (n % 50), NOW - 2.0 + 0.1 * step)
-        made.append(worker)
-    return made
+        workers.append(worker)
+    return workers
 
 
-def microseconds(act: Callable[[], object]) -> float:
+def microseconds(function: Callable[[], object]) -> float:
     began = time.process_time()
     for _ in range(ROUNDS):
-        act()
+        function()
     return (time.process_time() - began) / ROUNDS * 1e6
 
 
 def main() -> None:
     rng = Random("node")
     for label, pace in (("no pace", None), ("pace", 1.1)):
-        pool = workers(pace)
+        pool = make_workers(pace)
         costs = {
             "worker for a request": lambda pool=pool: choose_worker(
                 pool, NOW, NEAR_Z1, prefer_warm=True, rng=rng
@@ -54,13 +54,13 @@
             "faster engine": lambda pool=pool: faster_engine(
                 pool[0], pool, "m", NOW, left=50.0, urgent=True
             ),
-            "report and time noted": lambda pool=pool, pace=pace: note(pool[0], pace),
+            "report and latency": lambda pool=pool, pace=pace: record_answer(pool[0], pace),
         }
-        for name, act in costs.items():
-            print(f"{label:8} {name:24} {microseconds(act):8.1f} us, {WORKERS} workers")
+        for name, function in costs.items():
+            print(f"{label:8} {name:24} {microseconds(function):8.1f} us, {WORKERS} workers")
 
 
-def note(worker: Worker, pace: float | None) -> None:
+def record_answer(worker: Worker, pace: float | None) -> None:
     worker.record_load(WorkerLoad(3, 0, 8, pace), NOW)
     worker.record_success(0.04, NOW)
 
--- a/tests/gateway/workers/support.py
+++ b/tests/gateway/workers/support.py
@@ -1,4 +1,4 @@
-"""Workers for tests."""
+"""Fakes and builders for tests of workers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RecordingListener:
-    """Keeps the changes of a table, and passes cold workers on."""
+    """Records the changes of a table; passes cold workers to a callback."""
 
     def __init__(
         self, on_cold: Callable[[Worker, float, float], None] = lambda _worker, _seconds, _now: None
--- a/tests/gateway/workers/test_speed.py
+++ b/tests/gateway/workers/test_speed.py
@@ -1,4 +1,4 @@
-"""A machine's own speed is told apart from the pace of the moment."""
+"""Temporary slowdowns must not distort the estimate of a machine's baseline speed."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from stagewalk.gateway.batches.move_choice import FASTER_SHARE
 from stagewalk.gateway.ports.workers import WorkerLoad
 from stagewalk.gateway.workers.speed import (
+    BASELINE_SMOOTHING_SECONDS,
     MAXIMUM_PACE,
-    OWN_SPEED_SECONDS,
     PACE_VALID_SECONDS,
 )
 from stagewalk.gateway.workers.table import WorkerTable
@@ -27,13 +27,13 @@
 SLOW = 2.5
 SLOW_SHARE = 0.15
 SLOW_SPANS = (0.05, 0.1, 0.25)
-"""Seconds that a slow moment lasts, at `SLOW` times the usual."""
+"""Durations of a slowdown to a pace of `SLOW`, in seconds."""
 
 REPORT_EVERY = (0.05, 0.4, 2.0)
-"""Seconds between two reports, the last of them longer than any report counts."""
+"""Seconds between two reports; the longest exceeds the age up to which a report is used."""
 
 
-def swinging_pace(now: float, slow_span: float) -> float:
+def alternating_pace(now: float, slow_span: float) -> float:
     return SLOW if now % (slow_span / SLOW_SHARE) < slow_span else 1.0
 
 
@@ -42,10 +42,10 @@
 
 
 def run(machine: Worker, event: float, slow_span: float, report_every: float) -> Iterator[float]:
-    """Let events come for ten seconds; give the time of each once it was noted."""
+    """Simulate events for ten seconds; yield the time after each one is recorded."""
     now, reported_at, phase = 100.0, 0.0, event
     while now < 110.0:
-        pace = swinging_pace(now + phase, slow_span)
+        pace = alternating_pace(now + phase, slow_span)
         if now - reported_at >= report_every:
             machine.record_load(WorkerLoad(3, 0, 6, pace), now)
             reported_at = now
@@ -55,8 +55,8 @@
         yield now
 
 
-class OwnSpeedTests(testtools.TestCase):
-    def test_swings_neither_hide_nor_feign_a_difference_between_machines(self) -> None:
+class BaselineLatencyTests(testtools.TestCase):
+    def test_temporary_slowdowns_do_not_change_which_machine_is_faster(self) -> None:
         for slow_span, report_every in itertools.product(SLOW_SPANS, REPORT_EVERY):
             first, other, slow = worker(), worker(), worker()
             runs = (
@@ -66,14 +66,14 @@
             )
             case = f"slow for {slow_span} s, reports every {report_every} s"
             for now, _, _ in zip(*runs, strict=False):
-                if now < 100.0 + 2 * OWN_SPEED_SECONDS:
+                if now < 100.0 + 2 * BASELINE_SMOOTHING_SECONDS:
                     continue
                 like = [machine.recent_latency(now) or 0.0 for machine in (first, other)]
                 self.assertGreater(min(like), FASTER_SHARE * max(like), f"{case}, at {now}")
                 slower = slow.recent_latency(now) or 0.0
                 self.assertLessEqual(min(like), FASTER_SHARE * slower, f"{case}, at {now}")
 
-    def test_a_slowness_that_lasts_counts_within_two_seconds_and_ends_as_soon(self) -> None:
+    def test_a_sustained_slowdown_and_its_end_are_detected_within_two_seconds(self) -> None:
         machine = worker()
         for now in run(machine, EVENT, 0.1, 0.1):
             started = now
@@ -87,13 +87,13 @@
             self.assertTrue(least * usual < latency < most * usual, f"{slow}: {latency / usual}")
             started = now + 0.1
 
-    def test_an_absurd_pace_makes_no_machine_look_fast(self) -> None:
+    def test_reported_pace_is_clamped(self) -> None:
         machine = worker()
         machine.record_load(WorkerLoad(3, 0, 6, 9_999_999.0), 100.0)
         machine.record_success(EVENT, 100.0)
         self.assertGreaterEqual(machine.recent_latency(100.0) or 0.0, EVENT / MAXIMUM_PACE)
 
-    def test_without_a_pace_the_latency_is_as_before(self) -> None:
+    def test_without_a_pace_the_smoothed_latency_is_used(self) -> None:
         machine = worker()
         machine.record_load(WorkerLoad(3, 0, 6), 0.0)
         machine.record_success(0.1, 0.0)
@@ -101,34 +101,34 @@
         self.assertAlmostEqual(0.1 + 0.1 * LATENCY_SMOOTHING, machine.recent_latency(0.1))
         self.assertEqual(0.5, machine.expected_seconds(0.5, 0.1))
 
-    def test_where_the_pace_is_switched_off_it_is_no_part_of_a_report(self) -> None:
+    def test_reported_pace_is_ignored_if_disabled(self) -> None:
         machine = Worker(announcement("w"), 0.0, uses_reported_pace=False)
         machine.record_load(WorkerLoad(3, 0, 6, 2.5), 0.0)
         self.assertFalse(machine.reports_pace)
         self.assertIsNone(machine.recent_pace(0.0))
 
 
-class PaceOfTheMomentTests(testtools.TestCase):
+class CurrentPaceTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.machine = worker()
         self.machine.record_load(WorkerLoad(3, 0, 6, SLOW), 10.0)
 
-    def test_a_short_request_takes_as_long_as_the_moment_says(self) -> None:
+    def test_short_work_takes_as_long_as_the_current_pace_predicts(self) -> None:
         self.assertAlmostEqual(0.1, self.machine.expected_seconds(0.04, 10.0))
 
-    def test_a_long_run_loses_less_than_the_moment_lasts(self) -> None:
+    def test_long_work_is_delayed_by_less_than_the_validity_of_the_pace(self) -> None:
         lost = self.machine.expected_seconds(4.0, 10.0) - 4.0
         self.assertTrue(0.0 < lost < PACE_VALID_SECONDS)
 
-    def test_it_fades_and_is_forgotten(self) -> None:
-        fading = [self.machine.expected_seconds(0.2, 10.0 + age) for age in (0.0, 0.1, 0.2, 0.31)]
-        self.assertEqual(sorted(fading, reverse=True), fading)
-        self.assertEqual(0.2, fading[-1])
+    def test_effect_of_a_pace_decreases_with_its_age(self) -> None:
+        expected = [self.machine.expected_seconds(0.2, 10.0 + age) for age in (0.0, 0.1, 0.2, 0.31)]
+        self.assertEqual(sorted(expected, reverse=True), expected)
+        self.assertEqual(0.2, expected[-1])
 
 
 class ReportAgeTests(testtools.TestCase):
-    def test_the_table_counts_workers_by_what_they_reported(self) -> None:
+    def test_table_counts_workers_by_kind_of_report(self) -> None:
         table = WorkerTable()
         for name in ("silent", "old", "three", "four"):
             table.announce(announcement(name), 0.0)
@@ -137,7 +137,7 @@
         table.worker("four").record_load(WorkerLoad(1, 0, 4, 1.0), 10.0)
         self.assertEqual(dict.fromkeys(ReportKind, 1), table.report_kinds(10.1))
 
-    def test_none_three_figures_four_and_old_ones_are_told_apart(self) -> None:
+    def test_load_and_pace_expire_separately(self) -> None:
         silent, three, four = worker(), worker(), worker()
         three.record_load(WorkerLoad(4, 2, 6), 10.0)
         four.record_load(WorkerLoad(4, 2, 6, 1.2), 10.0)
@@ -150,7 +150,7 @@
         self.assertEqual((0.0, None), (four.occupancy(old), four.recent_load(old)))
         self.assertTrue(four.reports_pace)
 
-    def test_own_requests_since_the_report_are_added_and_taken_off(self) -> None:
+    def test_own_requests_since_the_report_are_added_and_subtracted(self) -> None:
         machine = worker()
         machine.record_sent()
         machine.record_load(WorkerLoad(3, 0, 6, 1.0), 10.0)
--- a/tests/gateway/workers/test_table.py
+++ b/tests/gateway/workers/test_table.py
@@ -1,4 +1,4 @@
-"""Workers that leave get no new work; ones that vanish in an outage are doubted first."""
+"""Draining workers get no new work; workers whose entries vanish in an outage are stale first."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.gateway.eligibility.support import NEAR_Z1
 from tests.gateway.workers.support import RecordingListener, announcement
 
-CALM = -math.inf
+NEVER_DISTURBED = -math.inf
 
 
 def names(table: WorkerTable) -> set[str]:
@@ -30,13 +30,13 @@
     def listed_as(self) -> set[str]:
         return {worker.announcement.listed_as for worker in self.table.usable("s")}
 
-    def test_a_worker_that_left_and_starts_again_under_its_name_is_used(self) -> None:
+    def test_a_drained_worker_that_restarts_under_its_name_is_used(self) -> None:
         self.table.announce(announcement("a", draining=True, born=1_000), 1.0)
-        self.table.remove("a", 5.0, CALM)
+        self.table.remove("a", 5.0, NEVER_DISTURBED)
         self.table.announce(announcement("a", born=9_000), 9.0)
         self.assertEqual({"a", "b"}, self.listed_as())
 
-    def test_nothing_that_is_kept_of_a_worker_outlasts_its_start(self) -> None:
+    def test_state_of_a_worker_is_reset_by_a_restart(self) -> None:
         listener = RecordingListener()
         self.table.listen(listener)
         self.table.announce(announcement("c", born=1_000, versions={"m": 7}), 1.0)
@@ -54,7 +54,7 @@
         changes = [("c@1000", "joined"), ("c@1000", "gone"), ("c@5000", "joined")]
         self.assertEqual(changes, listener.changes)
 
-    def test_an_entry_of_an_earlier_start_written_late_changes_nothing(self) -> None:
+    def test_late_entry_of_an_earlier_incarnation_is_ignored(self) -> None:
         self.table.announce(announcement("c", born=5_000), 5.0)
         for late in (announcement("c", born=1_000, draining=True), announcement("c")):
             self.table.announce(late, 6.0)
@@ -62,7 +62,7 @@
             assert known is not None
             self.assertFalse(known.announcement.draining)
 
-    def test_a_start_whose_clock_stepped_back_is_believed_once_the_other_is_silent(self) -> None:
+    def test_incarnation_with_an_earlier_clock_is_accepted_once_the_other_is_silent(self) -> None:
         self.table.announce(announcement("c", born=5_000), 5.0)
         self.table.announce(announcement("c", born=1_000), 5.0 + EARLIER_START_SECONDS - 0.1)
         self.assertIsNone(self.table.worker("c@1000"))
@@ -70,23 +70,23 @@
         self.assertIsNotNone(self.table.worker("c@1000"))
         self.assertIsNone(self.table.worker("c@5000"))
 
-    def test_who_said_that_it_leaves_never_takes_that_back_within_its_start(self) -> None:
+    def test_a_draining_incarnation_stays_draining(self) -> None:
         self.table.announce(announcement("c", born=5_000, draining=True), 5.0)
         self.table.announce(announcement("c", born=5_000), 6.0)
         self.assertEqual({"a", "b"}, self.listed_as())
 
-    def test_an_entry_without_a_start_is_not_used_where_most_entries_tell_theirs(self) -> None:
+    def test_entry_without_start_time_is_not_used_if_most_entries_have_one(self) -> None:
         for name in ("c", "d", "e"):
             self.table.announce(announcement(name, born=1_000), 1.0)
         self.assertEqual({"c", "d", "e"}, self.listed_as())
         self.assertEqual(3, len(self.table.all()))
 
-    def test_one_entry_that_tells_its_start_discredits_no_others(self) -> None:
+    def test_entries_without_start_time_are_used_if_few_entries_have_one(self) -> None:
         self.table.announce(announcement("c", born=1_000), 1.0)
         self.assertEqual({"a", "b", "c"}, self.listed_as())
 
-    def test_an_entry_that_names_no_worker_takes_its_worker_out_at_once(self) -> None:
-        """Also around an outage, when a worker whose entry vanished is doubted only."""
+    def test_worker_with_an_unreadable_entry_is_dropped_at_once(self) -> None:
+        """Also around an outage, when a worker with a missing entry is only stale."""
         self.table.discard("a")
         self.assertEqual({"b"}, names(self.table))
         self.table.replace([announcement("a")], 10.0, 9.9, unreadable=["b"])
@@ -96,11 +96,11 @@
         self.table.announce(announcement("a", draining=True), 1.0)
         self.assertEqual({"b"}, names(self.table))
 
-    def test_a_worker_whose_entry_is_gone_gets_no_new_work(self) -> None:
-        self.table.remove("a", 1.0, CALM)
+    def test_a_worker_without_an_entry_gets_no_new_work(self) -> None:
+        self.table.remove("a", 1.0, NEVER_DISTURBED)
         self.assertEqual({"b"}, names(self.table))
 
-    def test_in_an_outage_vanished_workers_serve_on_only_if_no_other_is_left(self) -> None:
+    def test_in_an_outage_stale_workers_are_used_only_if_no_others_are_left(self) -> None:
         self.table.remove("a", 10.0, 9.0)
         self.assertEqual({"b"}, names(self.table))
         self.table.remove("b", 10.0, 9.0)
@@ -125,21 +125,21 @@
         self.table.remove("b", 9.9 + STALE_SECONDS, 9.9)
         self.assertEqual(set(), names(self.table))
 
-    def test_a_worker_that_said_it_leaves_is_gone_for_good_whatever_comes_late(self) -> None:
+    def test_late_entries_of_a_draining_worker_are_ignored(self) -> None:
         self.table.announce(announcement("a", draining=True), 1.0)
         self.table.announce(announcement("a"), 1.2)
         self.assertEqual({"b"}, names(self.table))
-        self.table.remove("a", 2.0, CALM)
+        self.table.remove("a", 2.0, NEVER_DISTURBED)
         self.table.announce(announcement("a"), 2.5)
         self.assertEqual({"b"}, names(self.table))
         self.table.replace([announcement("a"), announcement("b")], 3.0, 3.0)
         self.assertEqual({"b"}, names(self.table))
 
-    def test_a_listing_takes_the_place_of_all_that_was_known(self) -> None:
-        self.table.replace([announcement("c")], 1.0, CALM)
+    def test_a_listing_replaces_all_workers(self) -> None:
+        self.table.replace([announcement("c")], 1.0, NEVER_DISTURBED)
         self.assertEqual({"c"}, names(self.table))
 
-    def test_weights_may_go_back_as_the_list_says(self) -> None:
+    def test_an_entry_may_lower_the_weight_version(self) -> None:
         self.table.announce(announcement("a", versions={"m": 5}), 1.0)
         self.table.announce(announcement("a", versions={"m": 4}), 2.0)
         self.assertEqual(4, self.table.worker("a").versions["m"])
@@ -156,29 +156,29 @@
         chosen = choose_worker(self.table.usable("s"), now, NEAR_Z1, tried)
         return "" if chosen is None else chosen.announcement.worker
 
-    def test_the_nearer_one_of_two_equals(self) -> None:
+    def test_nearer_worker_is_preferred(self) -> None:
         self.assertEqual("near", self.choose())
 
-    def test_the_emptier_one_by_the_load_it_told(self) -> None:
+    def test_worker_with_lower_reported_load_is_preferred(self) -> None:
         self.table.worker("near").record_load(WorkerLoad(4, 2, 4), 0.0)
         self.assertEqual("far", self.choose())
 
-    def test_an_old_load_counts_no_more(self) -> None:
+    def test_old_load_is_ignored(self) -> None:
         self.table.worker("near").record_load(WorkerLoad(4, 2, 4), 0.0)
         self.assertEqual("near", self.choose(now=60.0))
 
-    def test_one_that_failed_lately_comes_last_and_a_tried_one_never(self) -> None:
+    def test_recently_failed_worker_comes_last_and_tried_worker_is_never_chosen(self) -> None:
         self.table.worker("near").record_failure(0.0)
         self.assertEqual("far", self.choose())
         self.assertEqual("near", self.choose(tried=("far",)))
         self.assertEqual("", self.choose(tried=("far", "near")))
 
-    def test_a_slow_one_is_left_to_the_fast_one(self) -> None:
+    def test_faster_worker_is_preferred(self) -> None:
         self.table.worker("near").record_success(0.2, 0.0)
         self.table.worker("far").record_success(0.05, 0.0)
         self.assertEqual("far", self.choose())
 
-    def test_a_kept_connection_outweighs_the_way_but_not_a_load(self) -> None:
+    def test_open_connection_outweighs_distance_but_not_load(self) -> None:
         far = self.table.worker("far")
         self.warm_up(far)
         usable = self.table.usable("s")
@@ -189,19 +189,19 @@
             "near", choose_worker(usable, 0.1, NEAR_Z1, prefer_warm=True).announcement.worker
         )
 
-    def test_connections_that_are_in_use_are_not_counted_on(self) -> None:
+    def test_connections_in_use_do_not_count_as_open(self) -> None:
         far = self.table.worker("far")
         self.warm_up(far)
         far.record_sent()
         self.assertFalse(far.warm(0.1))
 
-    def test_a_connection_is_kept_for_a_while_only(self) -> None:
+    def test_idle_connection_expires(self) -> None:
         far = self.table.worker("far")
         self.warm_up(far)
         self.assertTrue(far.warm(CONNECTION_REUSE_SECONDS - 0.1))
         self.assertFalse(far.warm(CONNECTION_REUSE_SECONDS))
 
-    def test_a_worker_that_closes_its_connection_is_cold(self) -> None:
+    def test_worker_that_closes_its_connection_is_not_warm(self) -> None:
         near = self.table.worker("near")
         near.record_connection(False, 0.0)
         self.assertFalse(near.warm(0.1))
