--- a/src/stagewalk/gateway/forwarding/__init__.py
+++ b/src/stagewalk/gateway/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarding: which attempts a caller's opaque request gets, and what it is answered."""
+"""Forwarding of callers' opaque requests to workers: attempts, retries, hedging and streams."""
--- a/src/stagewalk/gateway/forwarding/admission_gate.py
+++ b/src/stagewalk/gateway/forwarding/admission_gate.py
@@ -1,10 +1,8 @@
-"""Holds forwarded requests back until their service has a place for them, or refuses them.
+"""Queues forwarded requests until their service has capacity, or rejects them.
 
-A thin shell of `admission`: it wakes requests that wait, tells what became of those that started,
-and writes down each decision. In force at services whose workers report the pace of their work;
-requests to other services pass at once.
-Owns the tasks that wait, and one `ServiceAdmission` for each such service. Relies on it for every
-decision.
+The asynchronous part of `admission`: it wakes queued requests, reports the outcomes of started ones
+and logs each decision. `ServiceAdmission` makes the decisions, one for each service whose workers
+report a pace; requests to other services pass at once.
 """
 
 from __future__ import annotations
@@ -25,7 +23,7 @@
 from stagewalk.gateway.workers.worker import Worker
 
 REPORTS_VALID_SECONDS = 10.0
-"""Admission ends at a service that reported no pace for so long."""
+"""Admission control of a service ends if its workers have reported no pace for so long."""
 
 ServiceWorkers = Callable[[str], Sequence[Worker]]
 """Returns the workers of a service that may get new work."""
@@ -35,10 +33,10 @@
     """Called for each decision about a request."""
 
     def request_admitted(self, wait_seconds: float) -> None:
-        """Handle a request that got its place after so many seconds, 0.0 if at once."""
+        """Handle a request that was admitted after `wait_seconds`."""
 
     def request_rejected(self, reason: str) -> None:
-        """Handle a request that was refused."""
+        """Handle a request that was rejected."""
 
 
 class _NoListener:
@@ -51,36 +49,36 @@
 
 @dataclass(slots=True)
 class _Service:
-    """Admission at one service, and the events of those that wait."""
+    """Admission control of one service, and the events that wake its queued requests."""
 
     name: str
     core: ServiceAdmission
     reported_at: float
-    """When its workers reported a pace last."""
+    """When one of its workers last reported a pace."""
     woken: dict[QueueEntry, anyio.Event] = field(default_factory=dict)
 
     def wake_started(self, now: float) -> None:
-        """Start what may start now."""
+        """Wake the queued requests that may start now."""
         if self.core.waiting:
             for waiting in self.core.start_due(now):
                 self.woken[waiting].set()
 
 
 @dataclass(slots=True, eq=False)
-class HeldPlace:
-    """A request's place at a service, from its admission to its end."""
+class AdmittedPlace:
+    """An admitted request's place within its service's concurrency limit, until it is released."""
 
     service: _Service
     route: str
     since: float
 
     def release(self, *, ran: bool) -> None:
-        """Give the place to who is next.
+        """Release the place, and wake the requests that may start now.
 
         Parameters
         ----------
         ran
-            Whether a worker ran the request: only then its time tells how long others take.
+            Whether a worker ran the request; only then is its duration recorded.
         """
         now = steady_seconds()
         if ran:
@@ -89,22 +87,22 @@
         self.service.wake_started(now)
 
     def may_hedge(self) -> bool:
-        """Whether there is room for a second attempt beside a slow one."""
+        """Whether the service has capacity for a hedged attempt."""
         return self.service.core.may_hedge(steady_seconds())
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How an attempt ended at a worker, as far as admission learns from it.
+    """Outcome of an attempt, as input of the concurrency limit.
 
     Attributes
     ----------
     load
-        What the worker reported with its answer or refusal, None if nothing.
+        Load that the worker reported with its answer or refusal, None if it reported none.
     refused
-        Whether the worker said that it did not run it.
+        Whether the worker said that it did not run the request.
     seconds
-        Time of a whole answer; None for streams and failures.
+        Time to a complete answer; None for streams and failures.
     """
 
     load: WorkerLoad | None
@@ -113,12 +111,12 @@
 
 
 class AdmissionGate:
-    """Admission of forwarded requests, by service.
+    """Admission control of forwarded requests, by service.
 
     Parameters
     ----------
     enabled
-        Whether any request is held back at all.
+        If false, all requests pass at once.
     """
 
     def __init__(
@@ -138,13 +136,17 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return sum(service.core.waiting for service in self._services.values())
 
-    async def enter(self, name: str, request: AdmissionRequest) -> HeldPlace | Rejection | None:
-        """Return the place of a request once it has one, or why it is refused.
+    async def enter(self, name: str, request: AdmissionRequest) -> AdmittedPlace | Rejection | None:
+        """Wait until a request is admitted or rejected.
 
-        None: the service's requests are not held back. Cancelling gives the turn to the next one.
+        Returns
+        -------
+        AdmittedPlace, Rejection or None
+            None if the service has no admission control. If the call is cancelled, the request
+            gives up its place or leaves the queue.
         """
         service, now = self._services.get(name), steady_seconds()
         if service is None or now - service.reported_at > REPORTS_VALID_SECONDS:
@@ -159,10 +161,10 @@
                 return rejection
         began = steady_seconds()
         self._listener.request_admitted(began - now)
-        return HeldPlace(service, request.route, began)
+        return AdmittedPlace(service, request.route, began)
 
     def record_outcome(self, name: str, outcome: AttemptOutcome) -> None:
-        """Learn from an attempt that ended at one of a service's workers."""
+        """Update a service's concurrency limit with the outcome of an attempt."""
         if not self._enabled:
             return
         now, load = steady_seconds(), outcome.load
@@ -185,14 +187,23 @@
             core.limit.record_answered(seconds, queued, core.in_flight, now)
 
     def retry_after(self, name: str, request: AdmissionRequest) -> float | None:
-        """Return when a caller may return whose request only full workers got; None: as usual."""
+        """Return when the caller of a request that only full workers refused may retry.
+
+        Returns
+        -------
+        float or None
+            In seconds; None for the default.
+        """
         service, now = self._services.get(name), steady_seconds()
         if service is None or now - service.reported_at > REPORTS_VALID_SECONDS:
             return None
         return service.core.retry_after(request, now)
 
     def stop(self) -> None:
-        """Refuse what waits, before the listeners close, and what can't start at once after."""
+        """Reject queued requests, and from now on all that can't start at once.
+
+        To be called before the listeners close, so that callers get the rejections.
+        """
         self._stopping = True
         for service in self._services.values():
             service.core.stop()
@@ -208,7 +219,7 @@
     async def _wait(
         self, service: _Service, waiting: QueueEntry, expected: WaitEstimate
     ) -> Rejection | None:
-        """Wait until a request starts or is refused."""
+        """Wait until a queued request starts or is rejected."""
         request, core = waiting.request, service.core
         _log_queued(service, request, expected)
         woken = service.woken[waiting] = anyio.Event()
@@ -252,7 +263,7 @@
 def _fields(
     service: _Service, request: AdmissionRequest, expected: WaitEstimate
 ) -> dict[str, str | int | float]:
-    """Return what a request was judged by."""
+    """Return the log fields that show what a decision was based on."""
     return {
         "request": request.request_id,
         "service": service.name,
--- a/src/stagewalk/gateway/forwarding/attempts.py
+++ b/src/stagewalk/gateway/forwarding/attempts.py
@@ -1,10 +1,8 @@
-"""One attempt of a forwarded request: choice of the worker, what is sent, records of how it ended.
+"""Single attempts of a forwarded request: choice of the worker, outbound request, outcome.
 
-Owns what `Forwarder` and `StreamForwarder` do alike at each attempt. They own what differs: how a
-request is sent, and which answer reaches the caller.
-Relies on `ForwardedRequest` for what is allowed, on `Eligibility` for where a request may go, on
-`choose_worker` for which of these it goes to, on `AdmissionGate` for when its first attempt may
-begin, and on `CrashReports` for what crashed workers.
+This is the common part of `Forwarder` and `StreamForwarder`, which differ in how they send a
+request and pass on the answer. Whether an attempt is allowed is decided by `ForwardedRequest`,
+which workers are eligible by `Eligibility`, when the first attempt may start by `AdmissionGate`.
 """
 
 from __future__ import annotations
@@ -18,9 +16,9 @@
 from stagewalk.gateway.admission.decisions import Rejection
 from stagewalk.gateway.admission.fair_queue import AdmissionRequest
 from stagewalk.gateway.eligibility.core import Eligibility, RequestScope
-from stagewalk.gateway.forwarding.admission_gate import AdmissionGate, AttemptOutcome, HeldPlace
+from stagewalk.gateway.forwarding.admission_gate import AdmissionGate, AdmittedPlace, AttemptOutcome
 from stagewalk.gateway.forwarding.inbound import InboundRequest
-from stagewalk.gateway.forwarding.policy import ForwardedRequest, evidence_of
+from stagewalk.gateway.forwarding.policy import ForwardedRequest, selection_evidence
 from stagewalk.gateway.ports.denials import Denial
 from stagewalk.gateway.ports.workers import AttemptFailure, AttemptFault, OutboundRequest
 from stagewalk.gateway.quarantine.crash_reports import CrashReports, SentRequest
@@ -28,35 +26,35 @@
 from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
 
-BegunListener = Callable[[str | None, float], None]
-"""Called when a worker began to run a request: its tenant, and the time of the steady clock."""
+RunStartListener = Callable[[str | None, float], None]
+"""Called when a worker has started to run a request, with its tenant and the steady time."""
 
 
-def ignore_begun(_tenant: str | None, _began: float) -> None:
-    """Do nothing."""
+def ignore_run_start(_tenant: str | None, _began: float) -> None:
+    """Ignore the start of a run."""
 
 
-GOOD_OUTCOMES = frozenset({"answered_200", "stream_200"})
+SUCCESSFUL_OUTCOMES = frozenset({"answered_200", "stream_200"})
 
 _MINIMUM_LOGGED_WAIT_SECONDS = 0.001
-"""Shorter waits for a place are not told of."""
+"""Shorter waits for admission are not logged."""
 
 
 @dataclass(slots=True)
 class Forwarding:
-    """A request on its way to a service, with the state of its attempts."""
+    """A request being forwarded to a service, with the state of its attempts."""
 
     request: InboundRequest
     state: ForwardedRequest
     service: str
-    place: HeldPlace | None = field(init=False, default=None)
-    """Its place at the service; None before it has one, and where none is needed."""
+    place: AdmittedPlace | None = field(init=False, default=None)
+    """None before it is admitted, and at services without admission control."""
     admitted: bool = field(init=False, default=False)
     waited_seconds: float = field(init=False, default=0.0)
-    """How long it waited for its place."""
+    """How long it waited for admission."""
 
-    def queued(self) -> AdmissionRequest:
-        """Return it as it asks for a place."""
+    def admission_request(self) -> AdmissionRequest:
+        """Return the request in the form that admission control takes."""
         request, state = self.request, self.state
         route = state.route
         return AdmissionRequest(
@@ -73,12 +71,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One send of a request to one worker; its permit is asked for as it is to go.
+    """One attempt of a request at one worker.
 
     Attributes
     ----------
     known_crashes
-        Consecutive crashes that were known of its content as it began.
+        Consecutive crashes known for its content when the attempt started.
     started_at
         Steady time.
     """
@@ -92,17 +90,17 @@
 
     @property
     def scope(self) -> RequestScope:
-        """Return what decides where it may run."""
+        """Return what determines its eligible workers."""
         return self.request.scope(self.state.route)
 
 
 class Attempts:
-    """Chooses workers for attempts, prepares attempts, and records how they ended.
+    """Chooses workers for attempts, prepares attempts, and records their outcomes.
 
     Parameters
     ----------
     prefer_warm
-        Whether workers to which a connection is kept are preferred for requests that may use one.
+        Whether repeatable requests prefer workers with an open connection.
     """
 
     def __init__(
@@ -119,22 +117,22 @@
         self._prefer_warm = prefer_warm
 
     async def next_worker(self, forwarding: Forwarding) -> Worker | None:
-        """Return the worker of the next attempt, None if there is to be no other attempt."""
+        """Return the worker for the next attempt, None if there must be no further attempt."""
         state = forwarding.state
-        state.withheld = await self._crashes.denial(forwarding.request.content)
-        if state.withheld is not None or not await self._admit(forwarding):
+        state.content_denial = await self._crashes.denial(forwarding.request.content)
+        if state.content_denial is not None or not await self._admit(forwarding):
             return None
         worker = self.choose(forwarding)
-        return worker if state.may_try_again(steady_seconds()) else None
+        return worker if state.may_retry(steady_seconds()) else None
 
     def choose(self, forwarding: Forwarding) -> Worker | None:
-        """Return the best worker that the request may be sent to and was not sent to yet."""
+        """Return the best eligible worker that has not been tried yet, None if there is none."""
         state, now = forwarding.state, steady_seconds()
         scope = forwarding.request.scope(state.route)
         found = self._eligibility.candidates(forwarding.service, scope, now)
         self._eligibility.request_leases(found, now)
         state.denied = found.denied
-        # Only repeatable requests may go over a kept connection.
+        # Only repeatable requests may reuse a connection: it can break as they are sent.
         repeatable = state.route.kind is RouteKind.REPEATABLE
         return choose_worker(
             found.workers,
@@ -146,28 +144,28 @@
         )
 
     def release(self, forwarding: Forwarding) -> None:
-        """Give back the place of a request that ended, however it did."""
+        """Release the place of a request that ended, whatever the outcome."""
         if forwarding.place is not None:
             state = forwarding.state
             forwarding.place.release(ran=state.answered or state.may_have_run)
             forwarding.place = None
 
-    def record_refused(self, forwarding: Forwarding) -> None:
-        """Set when the caller may return of a request that full workers refused."""
+    def set_retry_delay(self, forwarding: Forwarding) -> None:
+        """Set the caller's retry delay for a request that full workers refused."""
         state = forwarding.state
-        if state.tried and state.return_after_seconds is None:
-            after = self._gate.retry_after(forwarding.service, forwarding.queued())
-            state.return_after_seconds = after
+        if state.tried and state.admission_retry_seconds is None:
+            after = self._gate.retry_after(forwarding.service, forwarding.admission_request())
+            state.admission_retry_seconds = after
 
     async def _admit(self, forwarding: Forwarding) -> bool:
-        """Wait for the request's place at its service; return whether it may be sent."""
+        """Wait for admission on the first call; return whether the request was admitted."""
         if forwarding.admitted:
             return True
         began = steady_seconds()
-        entered = await self._gate.enter(forwarding.service, forwarding.queued())
+        entered = await self._gate.enter(forwarding.service, forwarding.admission_request())
         forwarding.waited_seconds = steady_seconds() - began
         if isinstance(entered, Rejection):
-            forwarding.state.return_after_seconds = entered.retry_after_seconds
+            forwarding.state.admission_retry_seconds = entered.retry_after_seconds
             return False
         forwarding.place = entered
         forwarding.admitted = True
@@ -175,15 +173,15 @@
 
     @staticmethod
     def start(state: ForwardedRequest, worker: Worker) -> None:
-        """Count an attempt at a worker."""
+        """Record the start of an attempt at a worker."""
         now = steady_seconds()
-        state.started(worker.announcement.worker, evidence_of(worker, now))
+        state.started(worker.announcement.worker, selection_evidence(worker, now))
         worker.record_sent()
 
     def prepare(
         self, forwarding: Forwarding, worker: Worker, resume_after: int | None = None
     ) -> Attempt:
-        """Return a started attempt as it is to be sent.
+        """Return an attempt with its outbound request.
 
         Parameters
         ----------
@@ -197,7 +195,7 @@
             target=request.target,
             headers=request.headers,
             body=request.body,
-            deadline_seconds=state.worker_seconds(now),
+            deadline_seconds=state.worker_deadline_seconds(now),
             repeatable=state.route.repeatable,
             resume_after=resume_after,
             tenant=request.tenant,
@@ -207,7 +205,7 @@
         return Attempt(request, state, worker, known_crashes, now, outbound)
 
     async def record_unanswered(self, attempt: Attempt, failure: AttemptFailure) -> None:
-        """Record a sent attempt that got no answer, and find out whether its worker ended."""
+        """Record an attempt that was sent but not answered, and check for a crashed worker."""
         request = attempt.request
         sent = SentRequest(
             request.request_id,
@@ -223,14 +221,14 @@
         self._record_outcome(attempt, AttemptOutcome(failure.load, refused))
 
     def record_answered(self, attempt: Attempt) -> None:
-        """Record an attempt that its worker ran to a whole answer."""
+        """Record an attempt that got a complete answer."""
         self._crashes.answered(attempt.request.content)
-        attempt.state.under_way -= 1
+        attempt.state.in_flight -= 1
         attempt.state.answered = True
         worker = attempt.worker
         load = worker.load if worker.load_at >= attempt.started_at else None
-        whole = attempt.state.route.kind is not RouteKind.STREAM
-        seconds = steady_seconds() - attempt.started_at if whole else None
+        is_buffered = attempt.state.route.kind is not RouteKind.STREAM
+        seconds = steady_seconds() - attempt.started_at if is_buffered else None
         self._record_outcome(attempt, AttemptOutcome(load, seconds=seconds))
 
     def _record_outcome(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
@@ -238,16 +236,16 @@
 
 
 def record_denied(attempt: Attempt, denial: Denial) -> None:
-    """Record an attempt that was denied its permit: nothing of it was sent."""
+    """Record an attempt that was denied a send permit, so that nothing of it was sent."""
     attempt.worker.record_ended()
     record_failure(attempt, AttemptFailure(AttemptFault.WITHHELD, denial.value))
 
 
 def record_failure(attempt: Attempt, failure: AttemptFailure) -> None:
-    """Count a failed attempt, and log it; avoid its worker for a while.
+    """Record and log a failed attempt; its worker is avoided for a while.
 
-    A worker that refused the request, was not even tried, or answered more than this node may hold
-    is not avoided.
+    The worker is not avoided if it refused the request, if nothing was sent to it, or if a limit of
+    this node ended the attempt.
     """
     request, state, worker = attempt.request, attempt.state, attempt.worker
     now = steady_seconds()
@@ -268,12 +266,12 @@
         detail=failure.detail,
         occupancy=worker.occupancy(now),
         attempts=state.attempts_used,
-        **_loss_fields(request, failure),
+        **_contact_loss_fields(request, failure),
     )
 
 
 def log_request_end(forwarding: Forwarding, configuration: int, outcome: str) -> None:
-    """Log how a forwarded request ended, which workers it went to and what chose them.
+    """Log the outcome of a forwarded request, and the workers it was sent to.
 
     Parameters
     ----------
@@ -281,7 +279,7 @@
         Version of the configuration in force.
     """
     request, state = forwarding.request, forwarding.state
-    good = outcome in GOOD_OUTCOMES
+    good = outcome in SUCCESSFUL_OUTCOMES
     waited = forwarding.waited_seconds
     waits = {"waited_seconds": waited} if waited >= _MINIMUM_LOGGED_WAIT_SECONDS else {}
     content = {} if good or not state.may_have_run else {"content": request.content.digest}
@@ -303,14 +301,14 @@
     )
 
 
-def _loss_fields(request: InboundRequest, failure: AttemptFailure) -> dict[str, str]:
-    """Return the fields that show whether one content loses its workers again and again."""
+def _contact_loss_fields(request: InboundRequest, failure: AttemptFailure) -> dict[str, str]:
+    """Return the log fields by which requests that repeatedly lose their workers are found."""
     if failure.contact_loss is None:
         return {}
     return {"contact_loss": failure.contact_loss.value, "content": request.content.digest}
 
 
 def _count_denials(state: ForwardedRequest) -> str:
-    """Return the number of workers that the request was denied, by reason."""
+    """Return the number of denied workers by reason, as text."""
     counts = Counter(denial.value for denial in state.denied.values())
     return ",".join(f"{reason}:{count}" for reason, count in sorted(counts.items()))
--- a/src/stagewalk/gateway/forwarding/forwarder.py
+++ b/src/stagewalk/gateway/forwarding/forwarder.py
@@ -1,8 +1,7 @@
-"""Forwards whole requests: one task an attempt, the first whole answer wins.
+"""Forwards requests with buffered answers: a task for each attempt, the first accepted answer wins.
 
-Owns the order of a request's attempts, the second attempt beside a slow one, and which answer its
-caller gets. Relies on `forwarding.policy` for every decision, on `forwarding.attempts` for what
-each attempt does, and on the `WorkerClient` to send.
+Runs the retries and hedged attempts of a request. Decisions are made in `forwarding.policy`; the
+parts of an attempt common with streams are in `forwarding.attempts`.
 """
 
 from __future__ import annotations
@@ -21,9 +20,9 @@
 from stagewalk.gateway.forwarding.attempts import (
     Attempt,
     Attempts,
-    BegunListener,
     Forwarding,
-    ignore_begun,
+    RunStartListener,
+    ignore_run_start,
     log_request_end,
     record_denied,
     record_failure,
@@ -46,14 +45,14 @@
 
 
 @dataclass(slots=True)
-class _Whole(Forwarding):
-    """A request whose caller gets one whole answer: the one that an attempt left here."""
+class _BufferedRequest(Forwarding):
+    """A request whose answer is buffered; `answer` is set by the attempt that got it."""
 
     answer: WorkerAnswer | None = None
 
 
 class Forwarder:
-    """Forwards whole requests to workers of their route's services."""
+    """Forwards requests with buffered answers to the workers of their route's services."""
 
     def __init__(
         self,
@@ -64,7 +63,7 @@
         gate: AdmissionGate,
         *,
         policy: Policy = DEFAULT_POLICY,
-        on_begun: BegunListener = ignore_begun,
+        on_begun: RunStartListener = ignore_run_start,
     ) -> None:
         self._client = client
         self._eligibility = eligibility
@@ -78,7 +77,7 @@
     ) -> Result[WorkerAnswer, Unanswered]:
         """Return a worker's answer, or how the request ended without one.
 
-        Cancelling this call closes the connections of all its attempts.
+        Cancelling this call closes the connections of all attempts.
 
         Parameters
         ----------
@@ -86,42 +85,42 @@
             Steady time.
         """
         state = ForwardedRequest(route, deadline_at, steady_seconds())
-        whole = _Whole(request, state, self._routes.choose_back_end(route).service)
+        buffered = _BufferedRequest(request, state, self._routes.choose_back_end(route).service)
         try:
             with anyio.move_on_at(anyio.current_time() + max(0.0, deadline_at - steady_seconds())):
-                await self._attempt_until_answered(whole)
+                await self._attempt_until_answered(buffered)
         finally:
-            self._attempts.release(whole)
-            if whole.answer is None:
+            self._attempts.release(buffered)
+            if buffered.answer is None:
                 self._crashes.publish(request.content)
-            if state.began_running is not None:
-                self._on_begun(request.tenant, state.began_running)
+            if state.run_started_at is not None:
+                self._on_begun(request.tenant, state.run_started_at)
         now = steady_seconds()
-        if whole.answer is not None:
-            log_request_end(whole, self._routes.version, f"answered_{whole.answer.status}")
-            return Ok(whole.answer)
+        if buffered.answer is not None:
+            log_request_end(buffered, self._routes.version, f"answered_{buffered.answer.status}")
+            return Ok(buffered.answer)
         await self._crashes.wait_published(request.content)
         ending = state.ending(now)
         if ending is Ending.NOT_RUN:
-            self._attempts.record_refused(whole)
-        log_request_end(whole, self._routes.version, ending.value)
+            self._attempts.set_retry_delay(buffered)
+        log_request_end(buffered, self._routes.version, ending.value)
         return Error(state.unanswered(ending))
 
-    async def _attempt_until_answered(self, whole: _Whole) -> None:
-        while whole.answer is None:
-            worker = await self._attempts.next_worker(whole)
+    async def _attempt_until_answered(self, buffered: _BufferedRequest) -> None:
+        while buffered.answer is None:
+            worker = await self._attempts.next_worker(buffered)
             if worker is None:
                 return
-            await self._attempt_with_hedge(whole, worker)
+            await self._attempt_with_hedge(buffered, worker)
 
-    async def _attempt_with_hedge(self, whole: _Whole, worker: Worker) -> None:
-        """Run one attempt, and a second one beside it if it is slow, until none is left."""
-        state = whole.state
+    async def _attempt_with_hedge(self, buffered: _BufferedRequest, worker: Worker) -> None:
+        """Run an attempt, and a hedged one if it is slow, until one is accepted or all end."""
+        state = buffered.state
         async with anyio.create_task_group() as tasks:
 
             async def attempt(chosen: Worker) -> None:
-                await self._attempt(whole, chosen)
-                if whole.answer is not None or state.under_way == 0:
+                await self._attempt(buffered, chosen)
+                if buffered.answer is not None or state.in_flight == 0:
                     tasks.cancel_scope.cancel()
 
             now = steady_seconds()
@@ -129,18 +128,18 @@
             self._attempts.start(state, worker)
             tasks.start_soon(attempt, worker)
             await anyio.sleep(delay)
-            state.suspected = self._crashes.known_crashes(whole.request.content) > 0
-            if whole.place is not None and not whole.place.may_hedge():
+            state.crash_suspected = self._crashes.known_crashes(buffered.request.content) > 0
+            if buffered.place is not None and not buffered.place.may_hedge():
                 return
-            second = self._attempts.choose(whole)
+            second = self._attempts.choose(buffered)
             if second is not None and state.may_hedge(steady_seconds()):
                 self._attempts.start(state, second)
                 tasks.start_soon(attempt, second)
 
-    async def _attempt(self, whole: _Whole, worker: Worker) -> None:
-        attempt = self._attempts.prepare(whole, worker)
+    async def _attempt(self, buffered: _BufferedRequest, worker: Worker) -> None:
+        attempt = self._attempts.prepare(buffered, worker)
         permit = self._eligibility.permit(
-            worker, attempt.scope, attempt.started_at, whole.state.late
+            worker, attempt.scope, attempt.started_at, buffered.state.deadline_denial
         )
         if permit.is_error():
             record_denied(attempt, permit.error)
@@ -149,26 +148,28 @@
         if result.is_error():
             await self._attempts.record_unanswered(attempt, result.error)
         else:
-            self._handle_answer(whole, attempt, result.ok)
+            self._handle_answer(buffered, attempt, result.ok)
 
-    def _handle_answer(self, whole: _Whole, attempt: Attempt, answer: WorkerAnswer) -> None:
-        state, worker = whole.state, attempt.worker
+    def _handle_answer(
+        self, buffered: _BufferedRequest, attempt: Attempt, answer: WorkerAnswer
+    ) -> None:
+        state, worker = buffered.state, attempt.worker
         now = steady_seconds()
         state.record_run(attempt.started_at)
         worker.record_load(answer.load, now)
         worker.record_connection(attempt.outbound.repeatable and not answer.leaving, now)
         if is_success(answer.status) and not answer.is_signed:
-            damaged = AttemptFailure(AttemptFault.MAY_HAVE_RUN, "an answer without signature")
-            record_failure(attempt, damaged)
+            failure = AttemptFailure(AttemptFault.MAY_HAVE_RUN, "answer has no signature")
+            record_failure(attempt, failure)
             return
         worker.record_success(now - attempt.started_at, now)
         self._attempts.record_answered(attempt)
         if state.accepts(answer, now):
-            whole.answer = answer
+            buffered.answer = answer
 
 
 async def _run(attempt: Attempt, send: _Send) -> Result[WorkerAnswer, AttemptFailure]:
-    """Send an attempt; record its end, and whether it may have run, also if it is cancelled."""
+    """Send an attempt; record its end and whether it may have run, even if it is cancelled."""
     proves_not_run = False
     try:
         result = await send()
--- a/src/stagewalk/gateway/forwarding/hedging.py
+++ b/src/stagewalk/gateway/forwarding/hedging.py
@@ -1,8 +1,7 @@
-"""When a second worker is tried beside a slow one. Pure.
+"""Delay after which a slow request is hedged: sent to a second worker as well. Pure.
 
-Owns the delay of hedges, for forwarded requests and for score calls. Inputs, in seconds: the usual
-latency of the worker, and the time within which the route's answers have their full worth.
-Whether a request may be hedged at all is `ForwardedRequest.may_hedge`.
+Used for forwarded requests and score calls. Whether a request may be hedged at all is decided by
+`ForwardedRequest.may_hedge`.
 """
 
 from __future__ import annotations
@@ -10,23 +9,23 @@
 from stagewalk.gateway.routes.route import Route
 
 HEDGE_LATENCIES = 4.0
-"""A worker this many usual latencies late gets a second one beside it."""
+"""Multiple of a worker's usual latency after which a request is hedged."""
 
 HEDGE_MINIMUM_SECONDS = 0.05
-"""Shortest delay, however fast the worker usually is."""
+"""Minimum delay, however fast the worker usually is."""
 
 HEDGE_TARGET_SHARE = 0.45
-"""The second attempt starts at the latest after this part of the route's target, which leaves the
-larger part to it."""
+"""Maximum delay, as a share of the route's target latency; leaves the larger share to the hedged
+attempt."""
 
 
 def hedge_delay(route: Route, usual_latency: float | None) -> float:
-    """Return after how many seconds without an answer a worker is late.
+    """Return after how many seconds without an answer a request is hedged.
 
     Parameters
     ----------
     usual_latency
-        Smoothed time of the worker's answers, in seconds; None if it has none.
+        Smoothed latency of the worker, in seconds; None if unknown.
     """
     latest = HEDGE_TARGET_SHARE * route.target_seconds
     if usual_latency is None:
--- a/src/stagewalk/gateway/forwarding/inbound.py
+++ b/src/stagewalk/gateway/forwarding/inbound.py
@@ -1,7 +1,4 @@
-"""A caller's request as it is forwarded.
-
-Owns the type; `entry` builds it, the forwarders send it.
-"""
+"""A caller's request as it is forwarded: `entry` builds it, the forwarders send it."""
 
 from __future__ import annotations
 
@@ -17,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InboundRequest:
-    """A caller's request, whole.
+    """A caller's complete request.
 
     Attributes
     ----------
@@ -34,7 +31,7 @@
     priority: int | None = None
 
     content: RequestContent = field(init=False)
-    """What makes it the same request to a worker, whoever sends it."""
+    """The parts of the request that identify it to a worker, whoever sends it."""
 
     def __post_init__(self) -> None:
         host = next((value for name, value in self.headers if name.lower() == HOST_HEADER), "")
@@ -42,5 +39,5 @@
         object.__setattr__(self, "content", content)
 
     def scope(self, route: Route) -> RequestScope:
-        """Return what decides where it may run."""
+        """Return what determines its eligible workers."""
         return RequestScope(route, self.content, self.tenant)
--- a/src/stagewalk/gateway/forwarding/policy.py
+++ b/src/stagewalk/gateway/forwarding/policy.py
@@ -1,11 +1,8 @@
-"""Decides the attempts of one forwarded request: a pure state machine.
-
-Owns the rules by which a request is retried, hedged, moved and given up, all methods of
-`ForwardedRequest`: what has provably not run may go to another worker; what may have run is sent
-again only if its route lets it run more than once. Inputs are the route, the deadline, and how each
-attempt ended; times are seconds of the steady clock.
-Relies on `forwarding.hedging` for when a worker is late, on `eligibility.retry_after` for when the
-caller may retry. Where an attempt goes is `workers.selection`.
+"""Retry policy of a forwarded request: a pure state machine.
+
+`ForwardedRequest` decides whether a request is retried, hedged, moved or given up. A request that
+provably has not run may go to another worker; one that may have run is sent again only if its route
+allows repeated runs. Times are in seconds of the steady clock.
 """
 
 from __future__ import annotations
@@ -26,33 +23,32 @@
 SUCCESS_BELOW = 300
 
 DEADLINE_RESERVE_SECONDS = 0.02
-"""Taken off the time that a worker gets, since its answer has to travel back; no attempt begins
-later. Regions are 12 to 20 ms apart."""
+"""Subtracted from the deadline for the way of the answer to the caller; no attempt starts later.
+Regions are 12 to 20 ms apart."""
 
 MINIMUM_WORKER_SECONDS = 0.001
-"""Least time that a worker is given: keeps the deadline that it is sent positive."""
+"""Minimum of the deadline sent to a worker, which keeps it positive."""
 
 
 class Ending(StrEnum):
     """How a request ended without a worker's answer."""
 
     NOT_RUN = "not_run"
-    """No worker ran it, and none will."""
+    """No worker has run it, and none will."""
     UNKNOWN = "unknown"
     """A worker may have run it."""
     DEADLINE_EXCEEDED = "out_of_time"
-    """A worker may have run it, and its time is over."""
+    """A worker may have run it, and its deadline has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """A request without a worker's answer.
+    """A request that ended without a worker's answer.
 
     Attributes
     ----------
     retry_after_seconds
-        After how many seconds its caller may usefully send it again; None: nothing is known that
-        speaks for a retry.
+        Suggested delay before the caller retries; None to suggest no retry.
     """
 
     ending: Ending
@@ -60,29 +56,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evidence:
-    """What a worker was chosen by.
+class SelectionEvidence:
+    """State of a worker when it was chosen.
 
     Attributes
     ----------
     occupancy
         Requests per slot.
     load_age
-        Age in seconds of the load that the worker reported last, infinite if it reported none.
+        Age in seconds of the last reported load, infinite if there is none.
     """
 
     occupancy: float
     load_age: float
 
 
-def evidence_of(worker: Worker, now: float) -> Evidence:
-    """Return what a worker is chosen by now."""
-    return Evidence(worker.occupancy(now), now - worker.load_at)
+def selection_evidence(worker: Worker, now: float) -> SelectionEvidence:
+    """Return the state by which a worker is chosen now."""
+    return SelectionEvidence(worker.occupancy(now), now - worker.load_at)
 
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """Counts a request's attempts. Times are of the steady clock.
+    """State of a request's attempts. Times are of the steady clock.
 
     Attributes
     ----------
@@ -91,124 +87,130 @@
     started_at
         When the request arrived.
     tried
-        Workers it was sent to, or tried to be.
+        Workers for which an attempt was started.
     evidence
-        What each of them was chosen by, in the same order.
+        State of each of them when it was chosen, in the same order.
     attempts_used
-        Attempts that count against the route's limit: a worker that said it did not run the
-        request counts too, one that was never reached doesn't.
+        Attempts that count against the route's limit. Refused attempts count, attempts of which
+        nothing was sent don't.
     """
 
     route: Route
     deadline_at: float
     started_at: float
     tried: list[str] = field(default_factory=list)
-    evidence: list[Evidence] = field(default_factory=list)
+    evidence: list[SelectionEvidence] = field(default_factory=list)
     attempts_used: int = 0
-    under_way: int = 0
+    in_flight: int = 0
     may_have_run: bool = False
-    ran_from: float | None = None
-    """Start of the first attempt that a worker answered, as far as is known."""
-    may_have_run_from: float | None = None
-    """Start of the first attempt whose worker did not say whether it ran it."""
+    answered_from: float | None = None
+    """Start of the earliest attempt that a worker answered."""
+    unanswered_from: float | None = None
+    """Start of the first attempt that may have run but was not answered."""
     denied: Mapping[str, Denial] = field(default_factory=dict)
-    """Why it was denied each worker that it was denied, by worker, as one was chosen last."""
-    withheld: Denial | None = None
-    """Why it must not be sent to any worker at all."""
+    """Denials by worker, as of the last choice of a worker."""
+    content_denial: Denial | None = None
+    """Why its content must not be sent to any worker, None if it may be."""
     answered: bool = False
-    """Whether a worker ran an attempt to a whole answer."""
-    return_after_seconds: float | None = None
-    """When its caller may return, if its service had no place for it."""
-    suspected: bool = False
-    """Whether workers ended under its content: it is sent to one worker at a time then."""
-
-    def started(self, worker: str, evidence: Evidence) -> None:
-        """Count an attempt that begins at a worker."""
+    """Whether any attempt got a complete answer."""
+    admission_retry_seconds: float | None = None
+    """Retry delay for the caller if the service had no capacity, in seconds."""
+    crash_suspected: bool = False
+    """Whether workers crashed while running its content. If so, it is not hedged."""
+
+    def started(self, worker: str, evidence: SelectionEvidence) -> None:
+        """Record the start of an attempt at a worker."""
         self.tried.append(worker)
         self.evidence.append(evidence)
         self.attempts_used += 1
-        self.under_way += 1
+        self.in_flight += 1
 
     def failed(self, failure: AttemptFailure) -> None:
-        """Record an attempt that ended without an answer."""
-        self.under_way -= 1
+        """Record the end of an attempt without an answer."""
+        self.in_flight -= 1
         if failure.fault in (AttemptFault.NOT_SENT, AttemptFault.WITHHELD):
             self.attempts_used -= 1
         if not failure.fault.proves_not_run:
             self.may_have_run = True
 
     def record_run(self, began: float) -> None:
-        """Record that a worker answered an attempt that began at a time."""
-        self.ran_from = began if self.ran_from is None else min(self.ran_from, began)
+        """Record that a worker answered an attempt that started at `began`."""
+        self.answered_from = began if self.answered_from is None else min(self.answered_from, began)
 
     def record_unanswered(self, began: float) -> None:
-        """Record that an attempt that began at a time may have run."""
-        if self.may_have_run_from is None:
-            self.may_have_run_from = began
+        """Record that an attempt that started at `began` may have run."""
+        if self.unanswered_from is None:
+            self.unanswered_from = began
 
     @property
-    def began_running(self) -> float | None:
-        """Return when a worker began to run it, as far as is known, None if none did."""
-        return self.may_have_run_from if self.ran_from is None else self.ran_from
+    def run_started_at(self) -> float | None:
+        """Return when a worker first ran it, None if none is known to have run it.
+
+        An attempt that was answered is preferred to one that only may have run.
+        """
+        return self.unanswered_from if self.answered_from is None else self.answered_from
 
-    def may_try_again(self, now: float) -> bool:
-        """Whether another attempt is allowed now that none is under way."""
+    def may_retry(self, now: float) -> bool:
+        """Whether the deadline, the route and the attempt limit allow another attempt."""
         in_time = now < self.deadline_at - DEADLINE_RESERVE_SECONDS
         repeatable = self.route.repeatable or not self.may_have_run
         return in_time and repeatable and self.attempts_used < self.route.maximum_attempts
 
     def may_move(self, now: float) -> bool:
-        """Whether an attempt under way may be broken off to go on at another worker."""
-        return self.route.resumable and self.route.repeatable and self.may_try_again(now)
+        """Whether the current attempt may be cancelled and resumed at another worker."""
+        return self.route.resumable and self.route.repeatable and self.may_retry(now)
 
     def may_hedge(self, now: float) -> bool:
-        """Whether an attempt beside the one under way is allowed."""
+        """Whether a second attempt is allowed while one is in flight."""
         return (
             self.route.repeatable
-            and not self.suspected
-            and self.under_way == 1
-            and self.may_try_again(now)
+            and not self.crash_suspected
+            and self.in_flight == 1
+            and self.may_retry(now)
         )
 
     def hedge_after(self, usual_latency: float | None) -> float:
-        """Return after how many seconds without an answer to try a second worker."""
+        """Return after how many seconds without an answer the request is hedged."""
         return hedge_delay(self.route, usual_latency)
 
     def accepts(self, answer: WorkerAnswer, now: float) -> bool:
-        """Whether an answer is final; a worker's own failure may be worth another worker."""
+        """Whether an answer is final; after a server error another attempt may be allowed."""
         if answer.status < SERVER_ERROR:
             return True
         self.may_have_run = True
-        return not self.may_try_again(now)
+        return not self.may_retry(now)
+
+    def deadline_denial(self, now: float) -> Denial | None:
+        """Return the denial of a request whose deadline has passed, None before that.
 
-    def late(self, now: float) -> Denial | None:
-        """Return why it must not be sent at a time: a machine that slept finds its time over."""
+        Checked just before sending, since the machine may have been suspended in between.
+        """
         return Denial.DEADLINE_EXCEEDED if now >= self.deadline_at else None
 
-    def worker_seconds(self, now: float) -> float:
-        """Return how long a worker may still work on it."""
+    def worker_deadline_seconds(self, now: float) -> float:
+        """Return how long a worker may work on it, in seconds."""
         return max(MINIMUM_WORKER_SECONDS, self.deadline_at - now - DEADLINE_RESERVE_SECONDS)
 
     def ending(self, now: float) -> Ending:
-        """Return how it ends if no worker answers any more."""
-        if not self.may_have_run and self.under_way == 0:
+        """Return how it ends if there is no further answer."""
+        if not self.may_have_run and self.in_flight == 0:
             return Ending.NOT_RUN
         over = now >= self.deadline_at - DEADLINE_RESERVE_SECONDS
         return Ending.DEADLINE_EXCEEDED if over else Ending.UNKNOWN
 
     def unanswered(self, ending: Ending) -> Unanswered:
-        """Return how it ended, and when its caller may send it again."""
+        """Return how it ended, and the suggested retry delay."""
         if ending is not Ending.NOT_RUN:
             return Unanswered(ending)
-        if self.return_after_seconds is not None:
-            return Unanswered(ending, self.return_after_seconds)
-        if self.withheld is not None:
-            denials = {self.withheld}
+        if self.admission_retry_seconds is not None:
+            return Unanswered(ending, self.admission_retry_seconds)
+        if self.content_denial is not None:
+            denials = {self.content_denial}
         else:
             denials = set() if self.tried else set(self.denied.values())
         return Unanswered(ending, retry_after_seconds(denials))
 
 
 def is_success(status: int) -> bool:
-    """Whether a status is of the 2xx kind."""
+    """Whether a status is 2xx."""
     return SUCCESS_FROM <= status < SUCCESS_BELOW
--- a/src/stagewalk/gateway/forwarding/relay_buffer.py
+++ b/src/stagewalk/gateway/forwarding/relay_buffer.py
@@ -1,8 +1,7 @@
-"""Holds parts of a stream between its worker, read at the worker's pace, and its caller.
+"""Buffers the parts of a stream between its worker and a slower caller.
 
-Owns the order of the parts and the task that writes them. A worker whose answer stays unread cuts
-it off after seconds, so reading never waits for the caller. Relies on `held_memory.readers` for the
-bounds, by which a caller that is too far behind is cut off.
+A worker cuts off an answer that stays unread for seconds, so reading from it never waits for the
+caller. `held_memory.readers` bounds the buffers, and cuts off callers that are too far behind.
 """
 
 from __future__ import annotations
@@ -18,8 +17,7 @@
 from stagewalk.gateway.ports.workers import StreamHead, StreamPart
 
 PART_OVERHEAD_BYTES = 300
-"""Of an event besides its bytes: its objects and its place in the buffer. Events are mostly shorter
-than that."""
+"""Memory of a buffered part besides its data: its objects and its place in the buffer."""
 
 StreamConsumer = Callable[[StreamPart], Awaitable[None]]
 Produced = TypeVar("Produced")
@@ -31,9 +29,9 @@
     Parameters
     ----------
     consume
-        Writes a part to the caller, waiting while it reads slowly.
+        Writes a part to the caller; waits for a slow one.
     resumable
-        Whether the caller may ask for the rest of a stream that was cut off.
+        Whether the caller may resume a stream that was cut off.
     """
 
     def __init__(
@@ -49,23 +47,23 @@
 
     @property
     def was_cut_off(self) -> bool:
-        """Whether the caller was cut off: its answer must not look complete."""
+        """Whether the caller was cut off. If so, its answer must not look complete."""
         return self._reader.was_cut_off
 
     async def put(self, part: StreamPart) -> None:
-        """Have a part written to the caller; returns at once."""
+        """Queue a part for the caller; returns without waiting for it."""
         self._readers.buffer_part(self._reader, _held_bytes(part), steady_seconds())
         if not self._reader.was_cut_off:
             self._parts.append(part)
             self._changed.set()
 
     async def relay(self, produce: Callable[[], Awaitable[Produced]]) -> Produced | None:
-        """Write to the caller what `produce` puts, until it has ended and all is written.
+        """Run `produce`, and write the parts that it puts to the caller.
 
         Returns
         -------
         Produced or None
-            What `produce` returned, None if the caller was cut off before all was written.
+            Result of `produce` once all parts are written, None if the caller was cut off.
         """
         self._readers.add(self._reader)
         produced: Produced | None = None
@@ -93,7 +91,7 @@
 
 
 def _held_bytes(part: StreamPart) -> int:
-    """Return what a part takes in memory: an event is there as it came, and as text."""
+    """Return the memory that a part takes. An event is kept both raw and as text."""
     if isinstance(part, StreamHead):
         return PART_OVERHEAD_BYTES + sum(len(name) + len(value) for name, value in part.headers)
     return PART_OVERHEAD_BYTES + len(part.raw) + len(part.data)
--- a/src/stagewalk/gateway/forwarding/stream_forwarder.py
+++ b/src/stagewalk/gateway/forwarding/stream_forwarder.py
@@ -1,9 +1,8 @@
-"""Forwards streams of events as they arrive; where allowed, goes on at another worker.
+"""Forwards streams of events as they arrive; resumes them at another worker where allowed.
 
-Owns what a stream's caller has got, the order of its events, and streams that move away from a zone
-that is being evacuated. Relies on `forwarding.relay_buffer` to read workers whatever the callers'
-pace, on `forwarding.policy` for every decision, on `forwarding.attempts`
-for what each attempt does, and on the `WorkerClient` to send.
+Checks the order of events, and moves streams out of zones that are being evacuated. Decisions are
+made in `forwarding.policy`; the parts of an attempt common with buffered requests are in
+`forwarding.attempts`.
 """
 
 from __future__ import annotations
@@ -21,9 +20,9 @@
 from stagewalk.gateway.forwarding.attempts import (
     Attempt,
     Attempts,
-    BegunListener,
     Forwarding,
-    ignore_begun,
+    RunStartListener,
+    ignore_run_start,
     log_request_end,
     record_denied,
 )
@@ -49,17 +48,17 @@
 
 
 class OutOfOrderError(Exception):
-    """A worker sent an event that does not follow the last one."""
+    """A worker sent an event whose number does not follow the last one."""
 
 
 @dataclass(slots=True)
-class _Streamed(Forwarding):
-    """A request whose caller gets events as they arrive.
+class _StreamedRequest(Forwarding):
+    """A request whose events are passed on as they arrive.
 
     Attributes
     ----------
     started
-        Whether the caller has got the stream's head.
+        Whether the stream's head was passed on to the caller.
     last_event
         Number of the last event passed on, or of the one that the caller resumes after.
     """
@@ -71,27 +70,29 @@
 
 @dataclass(slots=True, eq=False)
 class _OpenStream:
-    """A stream under way at a worker; `moved` is cancelled to have it go on at another one."""
+    """A stream in flight; cancelling `move_scope` makes it resume at another worker."""
 
     worker: Worker
     state: ForwardedRequest
-    moved: anyio.CancelScope = field(default_factory=anyio.CancelScope)
+    move_scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
 
-_MOVED = AttemptFailure(AttemptFault.MAY_HAVE_RUN, "moved: the worker's zone is evacuated")
+_STREAM_MOVED = AttemptFailure(
+    AttemptFault.MAY_HAVE_RUN, "stream moved: zone of the worker is being evacuated"
+)
 
 
 def ignore_cut_off() -> None:
-    """Do nothing."""
+    """Ignore that a caller was cut off."""
 
 
 class StreamForwarder:
-    """Forwards streams. The head the caller sees is that of the first worker that answered.
+    """Forwards streams. The caller gets the head of the first worker that answered with 200.
 
     Parameters
     ----------
     readers
-        Counts what is held for slow callers; None: a worker is read at its caller's pace.
+        Bounds what is buffered for slow callers; None: no buffering, a slow caller slows reading.
     """
 
     def __init__(
@@ -102,7 +103,7 @@
         crashes: CrashReports,
         gate: AdmissionGate,
         *,
-        on_begun: BegunListener = ignore_begun,
+        on_begun: RunStartListener = ignore_run_start,
         readers: ResponseReaders | None = None,
     ) -> None:
         self._client = client
@@ -125,19 +126,19 @@
         *,
         on_cut_off: Callable[[], None] = ignore_cut_off,
     ) -> Result[StreamEnd, Unanswered]:
-        """Pass a stream on; return how the worker ended it, or how it ended without.
+        """Forward a stream; return the worker's end of it, or how it ended without one.
 
-        After an error the caller's answer, if it has begun, must not look complete.
+        After an error, an answer that has started must not look complete to the caller.
 
         Parameters
         ----------
         on_cut_off
-            Called if the caller read too slowly, once its stream has ended.
+            Called after the end of a stream whose caller was cut off for reading too slowly.
         """
         state = ForwardedRequest(route, deadline_at, steady_seconds())
         service = self._routes.choose_back_end(route).service
         buffer = self._open_buffer(request, route, consume)
-        streamed = _Streamed(
+        streamed = _StreamedRequest(
             request, state, service, consume if buffer is None else buffer.put, resume_after
         )
         attempts = partial(self._attempt_until_ended, streamed)
@@ -156,7 +157,7 @@
         if streamed.started and ending is Ending.NOT_RUN:
             ending = Ending.UNKNOWN
         if ending is Ending.NOT_RUN:
-            self._attempts.record_refused(streamed)
+            self._attempts.set_retry_delay(streamed)
         log_request_end(streamed, self._routes.version, ending.value)
         if buffer is not None and buffer.was_cut_off:
             on_cut_off()
@@ -165,13 +166,16 @@
     def _open_buffer(
         self, request: InboundRequest, route: Route, consume: StreamConsumer
     ) -> RelayBuffer | None:
-        """Return the buffer between a stream's workers and its caller, None if it has none."""
+        """Return a buffer between a stream's worker and its caller, None without buffering."""
         if self._readers is None:
             return None
         return RelayBuffer(self._readers, consume, request.request_id, resumable=route.resumable)
 
-    async def _attempt_until_ended(self, streamed: _Streamed) -> StreamEnd | None:
-        """Return how a worker ended the stream; its caller may still have to read the rest."""
+    async def _attempt_until_ended(self, streamed: _StreamedRequest) -> StreamEnd | None:
+        """Run attempts until a worker ends the stream; None if there is no further attempt.
+
+        The caller may still have buffered events to read.
+        """
         ended: StreamEnd | None = None
         try:
             while ended is None:
@@ -183,11 +187,13 @@
             self._attempts.release(streamed)
         return ended
 
-    async def _attempt(self, streamed: _Streamed, worker: Worker) -> StreamEnd | None:
+    async def _attempt(self, streamed: _StreamedRequest, worker: Worker) -> StreamEnd | None:
         state = streamed.state
         self._attempts.start(state, worker)
         attempt = self._attempts.prepare(streamed, worker, streamed.last_event or None)
-        permit = self._eligibility.permit(worker, attempt.scope, attempt.started_at, state.late)
+        permit = self._eligibility.permit(
+            worker, attempt.scope, attempt.started_at, state.deadline_denial
+        )
         if permit.is_error():
             record_denied(attempt, permit.error)
             return None
@@ -201,12 +207,12 @@
         return None
 
     async def _run(self, attempt: Attempt, stream: _Stream) -> Result[StreamEnd, AttemptFailure]:
-        """Run a stream until it ends, or is moved to another worker."""
+        """Run a stream until it ends or is to be moved to another worker."""
         opened = _OpenStream(attempt.worker, attempt.state)
         self._open[opened] = None
-        result: Result[StreamEnd, AttemptFailure] = Error(_MOVED)
+        result: Result[StreamEnd, AttemptFailure] = Error(_STREAM_MOVED)
         try:
-            with opened.moved:
+            with opened.move_scope:
                 result = await stream()
         except OutOfOrderError as error:
             result = Error(AttemptFailure(AttemptFault.MAY_HAVE_RUN, str(error)))
@@ -216,13 +222,13 @@
         return result
 
     def _zone_evacuated(self, zone: str, now: float) -> None:
-        """Move the streams of a zone's workers to other workers, where their routes allow it."""
+        """Cancel the streams at a zone's workers that may resume at other workers."""
         for stream in list(self._open):
             if stream.worker.announcement.zone == zone and stream.state.may_move(now):
-                stream.moved.cancel()
+                stream.move_scope.cancel()
 
-    async def _deliver(self, streamed: _Streamed, worker: Worker, part: StreamPart) -> None:
-        """Pass a part of a stream on to the caller: its first head, and each event once."""
+    async def _deliver(self, streamed: _StreamedRequest, worker: Worker, part: StreamPart) -> None:
+        """Pass a part of a stream on to the caller: the first head, and events in order."""
         if isinstance(part, StreamHead):
             worker.record_load(part.load, steady_seconds())
             if part.status == HTTP_OK and not streamed.started:
@@ -231,6 +237,6 @@
                 await streamed.consume(part)
             return
         if part.number != streamed.last_event + 1:
-            raise OutOfOrderError(f"event {part.number} after {streamed.last_event}")
+            raise OutOfOrderError(f"received event {part.number} after event {streamed.last_event}")
         streamed.last_event = part.number
         await streamed.consume(part)
--- a/tests/gateway/forwarding/test_hedging.py
+++ b/tests/gateway/forwarding/test_hedging.py
@@ -1,4 +1,4 @@
-"""A second worker is tried by the usual latency, within bounds."""
+"""The hedge delay follows the worker's usual latency, within bounds."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class HedgeDelayTests(testtools.TestCase):
-    def test_four_usual_latencies(self) -> None:
+    def test_delay_is_four_usual_latencies(self) -> None:
         self.assertAlmostEqual(0.08, hedge_delay(ROUTE, 0.02))
 
-    def test_not_at_once_however_fast_the_worker_is(self) -> None:
+    def test_delay_has_a_minimum(self) -> None:
         self.assertEqual(HEDGE_MINIMUM_SECONDS, hedge_delay(ROUTE, 0.001))
 
-    def test_early_enough_for_the_target_however_slow_it_is(self) -> None:
+    def test_delay_is_bounded_by_the_target(self) -> None:
         self.assertAlmostEqual(LATEST, hedge_delay(ROUTE, 5.0))
         self.assertAlmostEqual(LATEST, hedge_delay(ROUTE, None))
