--- a/src/stagewalk/gateway/quarantine/__init__.py
+++ b/src/stagewalk/gateway/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the workers that run them: found, published to all nodes, held back."""
+"""Quarantine of requests that crash the workers that run them."""
--- a/src/stagewalk/gateway/quarantine/content.py
+++ b/src/stagewalk/gateway/quarantine/content.py
@@ -1,7 +1,4 @@
-"""What makes two requests the same to a worker, whoever sends them. Pure.
-
-Owns the digest by which crashes are counted, logged and published.
-"""
+"""Content of a request, and the digest by which its crashes are counted and published. Pure."""
 
 from __future__ import annotations
 
@@ -9,18 +6,18 @@
 from dataclasses import dataclass, field
 
 DIGEST_BYTES = 16
-"""Nobody can find two requests with one digest of this length (2**64 tries for a chance of a half),
-so a caller can't have a request taken for another one."""
+"""Long enough that a caller can't construct two requests with the same digest: a collision takes
+about 2**64 attempts."""
 
 _PURPOSE = b"request content"
 
 
 @dataclass(slots=True)
 class RequestContent:
-    """Method, host, path with query and body: what a worker's run depends on.
+    """The parts of a request that a worker's behavior depends on.
 
-    Identifiers, deadlines and the place from which a stream goes on differ from attempt to attempt,
-    and a request that crashes a worker does so for any caller. So none of these counts.
+    Request identifiers, deadlines and resume positions are left out because they differ between
+    attempts; the caller is left out because a crashing request crashes workers for any caller.
     """
 
     method: str
@@ -31,11 +28,7 @@
 
     @property
     def digest(self) -> str:
-        """Return its digest in hexadecimal, computed on first use.
-
-        It takes 4 us, and 2.7 us for each kilobyte of body: none is computed before any crash is
-        known.
-        """
+        """Return the hexadecimal digest, computed on first use."""
         if not self._digest:
             hashed = hashlib.blake2b(digest_size=DIGEST_BYTES, person=_PURPOSE)
             for part in (self.method, self.host.lower(), self.target):
--- a/src/stagewalk/gateway/quarantine/core.py
+++ b/src/stagewalk/gateway/quarantine/core.py
@@ -1,8 +1,7 @@
-"""Which requests crash the workers that run them, as far as one node knows. Pure.
+"""Crash records of all nodes, as known to one node, and the contents quarantined by them. Pure.
 
-Owns the crash records of each content, of this node and of others, and which contents are held back
-now. Relies on `quarantine.hold_rule` for how many crashes it takes and for how long a content is
-held back; `nodes.crash_watch` supplies the records.
+How many crashes it takes, and for how long a content is held back, is in `quarantine.hold_rule`.
+`nodes.crash_watch` supplies the records.
 """
 
 from __future__ import annotations
@@ -13,51 +12,51 @@
 from stagewalk.gateway.quarantine.content import RequestContent
 from stagewalk.gateway.quarantine.hold_rule import (
     crashes_needed,
-    hold_seconds,
-    jittered,
-    remembered_seconds,
+    hold_duration_seconds,
+    retention_seconds,
+    with_jitter,
 )
 from stagewalk.gateway.quarantine.records import CrashRecord
 
 MAXIMUM_CRASH_RECORDS = 2048
-"""Crash records remembered: of 0.65 KB each."""
+"""Maximum number of crash records in memory, of 0.65 KB each."""
 
 KEPT_CRASHES = MAXIMUM_CRASH_RECORDS * 7 // 8
-"""How many of them stay once there are more: making room for one would sort all for each."""
+"""Number of records kept by an eviction. It evicts many at once because it sorts all contents."""
 
 
 @dataclass(slots=True)
 class _Suspect:
-    """Crashes of one content, by the start of the worker that ended."""
+    """Crashes of one content, by the incarnation of the worker that crashed."""
 
     crashes: dict[str, CrashRecord] = field(default_factory=dict)
     consecutive: int = 0
     newest_milliseconds: int = 0
 
-    def renew(self) -> None:
+    def refresh(self) -> None:
         self.consecutive = max((crash.consecutive for crash in self.crashes.values()), default=0)
         times = (crash.at_milliseconds for crash in self.crashes.values())
         self.newest_milliseconds = max(times, default=0)
 
     @property
-    def newest_seconds(self) -> float:
+    def newest_at_seconds(self) -> float:
         return self.newest_milliseconds / 1000.0
 
     @property
-    def one_address(self) -> bool:
+    def has_one_address(self) -> bool:
         return len({crash.address for crash in self.crashes.values()}) == 1
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantinedContent:
-    """A request that is held back, for operators.
+    """A quarantined content, as shown to operators.
 
     Attributes
     ----------
     level
         Consecutive crashes.
     seconds_left
-        Until this node runs it once more.
+        Time until this node may send it again.
     """
 
     content: str
@@ -68,12 +67,12 @@
 
 
 class CrashHistory:
-    """The contents that workers ended under, and whether each is held back.
+    """Crash records by content; decides which contents are quarantined.
 
     Parameters
     ----------
     node
-        This node: nodes end a hold at different times.
+        This node's name, which determines its jitter.
     """
 
     def __init__(self, node: str) -> None:
@@ -83,47 +82,47 @@
 
     @property
     def any(self) -> bool:
-        """Whether anything is known of any content: without that no request needs a digest."""
+        """Whether there are any crash records. If not, no request needs a digest."""
         return bool(self._suspects)
 
     @property
     def count(self) -> int:
-        """Return the number of crash records remembered."""
+        """Return the number of crash records."""
         return self._count
 
     def __contains__(self, digest: object) -> bool:
-        """Whether any crash is remembered of the content of a digest."""
+        """Whether there are crash records of the content with a digest."""
         return digest in self._suspects
 
     def consecutive_crashes(self, content: RequestContent) -> int:
-        """Return the number of consecutive crashes known of a content."""
+        """Return the number of known consecutive crashes of a content."""
         if not self._suspects:
             return 0
         suspect = self._suspects.get(content.digest)
         return 0 if suspect is None else suspect.consecutive
 
     def crashes(self, content: RequestContent) -> list[CrashRecord]:
-        """Return the crashes known of a content."""
+        """Return the known crashes of a content."""
         suspect = self._suspects.get(content.digest)
         return [] if suspect is None else list(suspect.crashes.values())
 
     def held(self, content: RequestContent, unix_seconds: float, *, item: bool = False) -> bool:
-        """Whether a request must not be sent to any worker now.
+        """Whether a content is quarantined, and must not be sent to any worker now.
 
         Parameters
         ----------
         item
-            Whether it is an item of a batch.
+            Whether the request is an item of a batch.
         """
         if not self._suspects:
             return False
         suspect = self._suspects.get(content.digest)
-        if suspect is None or not _reached(suspect, item):
+        if suspect is None or not _threshold_reached(suspect, item):
             return False
         return unix_seconds < self._held_until(content.digest, suspect, item)
 
     def quarantined_contents(self, unix_seconds: float) -> list[QuarantinedContent]:
-        """Return what is held back now."""
+        """Return the contents that are quarantined now."""
         return [
             QuarantinedContent(
                 content,
@@ -133,22 +132,22 @@
                 self._held_until(content, suspect, item=False) - unix_seconds,
             )
             for content, suspect in sorted(self._suspects.items())
-            if _reached(suspect, item=False)
+            if _threshold_reached(suspect, item=False)
             and unix_seconds < self._held_until(content, suspect, item=False)
         ]
 
     def add(self, crash: CrashRecord) -> bool:
-        """Record a crash; return whether its content is held back from now on because of it."""
+        """Add a crash; return whether it is the one that quarantines its content."""
         suspect = self._suspects.setdefault(crash.content, _Suspect())
-        before = _reached(suspect, item=False)
+        before = _threshold_reached(suspect, item=False)
         self._count += crash.worker not in suspect.crashes
         suspect.crashes[crash.worker] = crash
-        suspect.renew()
-        self._forget_oldest()
-        return _reached(suspect, item=False) and not before
+        suspect.refresh()
+        self._evict()
+        return _threshold_reached(suspect, item=False) and not before
 
     def drop(self, key: str) -> None:
-        """Forget a crash, by the key of its record."""
+        """Remove a crash by the key of its record."""
         content = key.split("/")[1] if key.count("/") == 2 else ""
         suspect = self._suspects.get(content)
         if suspect is None:
@@ -157,12 +156,12 @@
         for worker in gone:
             del suspect.crashes[worker]
             self._count -= 1
-        suspect.renew()
+        suspect.refresh()
         if not suspect.crashes:
             del self._suspects[content]
 
     def clear(self, content: str) -> list[CrashRecord]:
-        """Forget all crashes of a content; return them."""
+        """Remove and return all crashes of a content."""
         suspect = self._suspects.pop(content, None)
         if suspect is None:
             return []
@@ -177,47 +176,47 @@
             self.add(crash)
 
     def expired(self, unix_seconds: float) -> list[CrashRecord]:
-        """Forget what no longer matters; return it, for its records to be dropped.
+        """Remove and return expired crashes, so that their records can be deleted from the log.
 
-        Nodes forget at different times: the first one drops the records, which spares the others
-        the same call.
+        Expiry is jittered by node, so that usually one node deletes the records for all.
         """
-        faded = [
+        expired_contents = [
             content
             for content, suspect in self._suspects.items()
             if unix_seconds
-            > suspect.newest_seconds + self._jittered(content, self._remembered_seconds(suspect))
+            > suspect.newest_at_seconds
+            + self._with_jitter(content, self._retention_seconds(suspect))
         ]
-        return [crash for content in faded for crash in self.clear(content)]
+        return [crash for content in expired_contents for crash in self.clear(content)]
 
     def _held_until(self, content: str, suspect: _Suspect, item: bool) -> float:
-        seconds = hold_seconds(suspect.consecutive - _needed_crashes(suspect, item))
-        return suspect.newest_seconds + self._jittered(content, seconds)
+        seconds = hold_duration_seconds(suspect.consecutive - _needed_crashes(suspect, item))
+        return suspect.newest_at_seconds + self._with_jitter(content, seconds)
 
-    def _jittered(self, content: str, seconds: float) -> float:
-        return jittered(seconds, f"{self._node}/{content}")
+    def _with_jitter(self, content: str, seconds: float) -> float:
+        return with_jitter(seconds, f"{self._node}/{content}")
 
     @staticmethod
-    def _remembered_seconds(suspect: _Suspect) -> float:
-        return remembered_seconds(suspect.consecutive - _needed_crashes(suspect, item=False))
+    def _retention_seconds(suspect: _Suspect) -> float:
+        return retention_seconds(suspect.consecutive - _needed_crashes(suspect, item=False))
 
-    def _forget_oldest(self) -> None:
-        """Make room: contents that are not held back go first, the oldest of them before others."""
+    def _evict(self) -> None:
+        """Evict contents if there are too many records: unquarantined first, then by age."""
         if self._count <= MAXIMUM_CRASH_RECORDS:
             return
-        for content in sorted(self._suspects, key=self._worth_keeping):
+        for content in sorted(self._suspects, key=self._eviction_priority):
             if self._count <= KEPT_CRASHES:
                 return
             self.clear(content)
 
-    def _worth_keeping(self, content: str) -> tuple[bool, int]:
+    def _eviction_priority(self, content: str) -> tuple[bool, int]:
         suspect = self._suspects[content]
-        return _reached(suspect, item=False), suspect.newest_milliseconds
+        return _threshold_reached(suspect, item=False), suspect.newest_milliseconds
 
 
 def _needed_crashes(suspect: _Suspect, item: bool) -> int:
-    return crashes_needed(one_address=suspect.one_address, item=item)
+    return crashes_needed(has_one_address=suspect.has_one_address, item=item)
 
 
-def _reached(suspect: _Suspect, item: bool) -> bool:
+def _threshold_reached(suspect: _Suspect, item: bool) -> bool:
     return suspect.consecutive >= _needed_crashes(suspect, item)
--- a/src/stagewalk/gateway/quarantine/crash_reports.py
+++ b/src/stagewalk/gateway/quarantine/crash_reports.py
@@ -1,7 +1,7 @@
-"""Port by which senders report crashes, and ask whether a request is held back.
+"""Port by which senders report crashes and check for quarantined requests.
 
-Owns the types of such reports; `nodes.crash_watch` implements them. Relied on by every sender:
-forwarded requests, streams, items and score calls.
+Used for forwarded requests, streams, batch items and score calls; implemented by
+`nodes.crash_watch`.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from stagewalk.gateway.workers.worker import Worker
 
 MINIMUM_CRASHES_TO_PUBLISH = 2
-"""Consecutive crashes from which a runner publishes those of its items and score calls. It goes on
-with them itself, so one crash matters to no other node, and an engine that ends loses up to sixteen
-items."""
+"""Consecutive crashes from which a runner publishes the crashes of an item or score call. A single
+crash matters to no other node, since the runner itself retries; and each engine crash loses up to
+sixteen items."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     Attributes
     ----------
     known_crashes
-        Consecutive crashes that were known of its content.
+        Consecutive crashes of its content that were known when it was sent.
     sent_at
         Steady time.
     """
@@ -44,15 +44,15 @@
     """Crash reports of senders."""
 
     def known_crashes(self, content: RequestContent) -> int:
-        """Return the number of consecutive crashes known of a content.
+        """Return the number of known consecutive crashes of a content.
 
-        A content with any is sent to one worker at a time.
+        If there are any, the content must be sent to one worker at a time only.
         """
 
     async def denial(self, content: RequestContent, *, item: bool = False) -> Denial | None:
         """Return why a request must not be sent, None if it may be.
 
-        For a content with crashes the records of other nodes are read first.
+        For a content with known crashes, the records of other nodes are read first.
 
         Parameters
         ----------
@@ -61,13 +61,13 @@
         """
 
     async def connection_lost(self, sent: SentRequest, failure: AttemptFailure) -> None:
-        """Record that the connection to a worker was lost; find out whether the worker ended."""
+        """Record a lost connection to a worker, and check whether the worker crashed."""
 
     def answered(self, content: RequestContent) -> None:
-        """Record that a worker ran a request to an answer: it crashes not every worker."""
+        """Record that a worker answered a request, which clears the crashes of its content."""
 
     def publish(self, content: RequestContent, from_crashes: int = 1) -> None:
-        """Publish the crashes of a content to other nodes, if there are at least so many."""
+        """Publish a content's crashes to other nodes if there are at least `from_crashes`."""
 
     async def wait_published(self, content: RequestContent) -> None:
-        """Wait until what `publish` was asked for is in the log, for a short time at most."""
+        """Wait, for a short time at most, until published crashes are in the log."""
--- a/src/stagewalk/gateway/quarantine/hold_rule.py
+++ b/src/stagewalk/gateway/quarantine/hold_rule.py
@@ -1,14 +1,10 @@
-"""How many crashes hold a request back, and for how long. Pure.
+"""Number of crashes that quarantine a request, and duration of the quarantine. Pure.
 
-A worker runs several requests as its process ends, and all of them lose it; a rack that loses power
-ends many workers at once. So what counts is not the number of crashes that a content was part of,
-but of consecutive ones: each was sent when the crash before it was known, and nothing of that
-content ran whole in between. The count of a request that crashes every worker grows with each run;
-that of a bystander is cleared by its first answer.
-
-Inputs: consecutive crashes, whether all were at one address, whether it is an item of a batch.
-Outputs are in seconds after the newest crash. What it refuses, beside a count of crashes without
-regard to their order, is in `docs/design/0150`.
+A crashing worker takes all its requests with it, and a rack that loses power takes many workers. To
+spare the other requests, only consecutive crashes count: the request was sent with the crash before
+already known, and its content was not answered in between. The count of a request that crashes
+every worker grows with each run; that of any other is cleared by its first answer. See
+`docs/design/0150`.
 """
 
 from __future__ import annotations
@@ -18,72 +14,72 @@
 from stagewalk.gateway.quarantine.records import MAXIMUM_CONSECUTIVE_CRASHES
 
 HELD_AFTER_CRASHES = 3
-"""Consecutive crashes after which a request is held back: the bound that users set on it."""
+"""Consecutive crashes after which a request is quarantined, as required by users."""
 
 HELD_AFTER_CRASHES_OF_ITEM = 5
-"""The same for an item of a batch, whose whole group is lost with it: within the three further runs
-that users forgive."""
+"""The same for an item of a batch; higher since its whole group is lost with it. Users tolerate up
+to three further runs."""
 
 HELD_AFTER_CRASHES_AT_ONE_ADDRESS = 5
-"""The same where all crashes were at one address: that worker may be at fault, but a service may
-also have only one."""
+"""The same if all crashes were at one address. The worker may be at fault, but it may also be the
+only one of its service."""
 
 CRASHES_REMEMBERED_SECONDS = 600.0
-"""How long crashes count of a content that is not held back: long enough for a caller that retries
-every few seconds, or minutes; too short for a request that lost a worker twice a day."""
+"""How long the crashes of a content that is not quarantined count: long enough for callers that
+retry within minutes, too short for a request that loses a worker twice a day."""
 
 FIRST_HOLD_SECONDS = 15.0
 LATER_HOLD_SECONDS = 6 * 3600.0
 LATER_HOLD_FACTOR = 4.0
-"""A request that is held back is run once more soon, in case it was only unlucky: a
-popular one is served again then (60 s in place of 15 s refused 2.9 times as many requests in
-seeded losses of all workers). If that run crashes its worker too, the next comes after six hours,
-then after a day."""
+"""The first quarantine is short, so that a request that was quarantined by mistake is soon served
+again. If its next run crashes a worker too, it is quarantined for six hours, then for a day."""
 
 MAXIMUM_LATER_HOLDS = 4
-"""After so many the length grows no more: 64 days."""
+"""Maximum exponent of `LATER_HOLD_FACTOR`: the duration grows up to 64 days."""
 
 HOLD_JITTER = 0.5
-"""A node's hold is up to this part of its length longer, each node's by another amount, so that not
-all nodes try at once: the first one publishes the outcome."""
+"""Maximum share by which a node extends a quarantine. The jitter differs by node, so that one node
+runs the request first and publishes the outcome to the others."""
 
 
 def next_crash_count(known: int) -> int:
-    """Return the consecutive crashes with one more, whose request was sent when `known` were."""
+    """Return the consecutive crashes after one more of a request sent with `known` crashes."""
     return min(known + 1, MAXIMUM_CONSECUTIVE_CRASHES)
 
 
-def crashes_needed(*, one_address: bool, item: bool) -> int:
-    """Return how many consecutive crashes it takes for a content to be held back."""
+def crashes_needed(*, has_one_address: bool, item: bool) -> int:
+    """Return the number of consecutive crashes that quarantines a content."""
     needed = HELD_AFTER_CRASHES_OF_ITEM if item else HELD_AFTER_CRASHES
-    return max(needed, HELD_AFTER_CRASHES_AT_ONE_ADDRESS) if one_address else needed
+    return max(needed, HELD_AFTER_CRASHES_AT_ONE_ADDRESS) if has_one_address else needed
 
 
-def hold_seconds(further: int) -> float:
-    """Return how many seconds a request is held back.
+def hold_duration_seconds(extra_crashes: int) -> float:
+    """Return the duration of a quarantine, in seconds after the newest crash.
 
     Parameters
     ----------
-    further
-        Consecutive crashes beyond those that it took to be held back.
+    extra_crashes
+        Consecutive crashes beyond those that it took to quarantine the request.
     """
-    if further <= 0:
+    if extra_crashes <= 0:
         return FIRST_HOLD_SECONDS
-    return LATER_HOLD_SECONDS * LATER_HOLD_FACTOR ** min(further - 1, MAXIMUM_LATER_HOLDS)
+    return LATER_HOLD_SECONDS * LATER_HOLD_FACTOR ** min(extra_crashes - 1, MAXIMUM_LATER_HOLDS)
 
 
-def remembered_seconds(further: int) -> float:
-    """Return how many seconds a content's crashes count: twice as long as they may hold it back.
+def retention_seconds(extra_crashes: int) -> float:
+    """Return how long a content's crashes count: at least twice its maximum quarantine.
 
     Parameters
     ----------
-    further
-        As in `hold_seconds`; below 0 if the content is not held back.
+    extra_crashes
+        As in `hold_duration_seconds`; negative if the content is not quarantined.
     """
-    return max(CRASHES_REMEMBERED_SECONDS, 2.0 * (1.0 + HOLD_JITTER) * hold_seconds(further))
+    return max(
+        CRASHES_REMEMBERED_SECONDS, 2.0 * (1.0 + HOLD_JITTER) * hold_duration_seconds(extra_crashes)
+    )
 
 
-def jittered(seconds: float, key: str) -> float:
-    """Return a time that differs from key to key, and is up to `HOLD_JITTER` longer."""
+def with_jitter(seconds: float, key: str) -> float:
+    """Return a duration extended by up to `HOLD_JITTER`, deterministically by key."""
     share = zlib.crc32(key.encode()) / 2**32
     return seconds * (1.0 + HOLD_JITTER * share)
--- a/src/stagewalk/gateway/quarantine/lost_connections.py
+++ b/src/stagewalk/gateway/quarantine/lost_connections.py
@@ -1,9 +1,8 @@
-"""Whether a worker to which the connection was lost has ended, by what is seen of it later. Pure.
+"""Lost connections whose worker may have crashed, pending evidence. Pure.
 
-Owns the lost connections that wait for evidence. A connection also breaks where a worker damages an
-answer, refuses a surplus connection, or a link is reset. The worker has ended if nobody listens at
-its address any more (`nodes.crash_watch` probes that), or if its entry is gone, or replaced by
-another start, soon after. Relies on the worker table for entries.
+A connection may also be lost because of a damaged answer, a refused surplus connection or a network
+reset. The worker has crashed if nothing listens at its address any more, which `nodes.crash_watch`
+probes, or if its entry disappears or is replaced by another incarnation soon afterwards.
 """
 
 from __future__ import annotations
@@ -14,16 +13,16 @@
 from stagewalk.gateway.workers.worker import Worker
 
 LOSS_EVIDENCE_SECONDS = 6.0
-"""How long a worker's entry may still show that it ended: one that is silent goes after three
-heartbeats (3.6 s), one that starts again is listed some seconds later, and news takes up to 2 s."""
+"""How long a change of the worker's entry counts as evidence of a crash. Entries expire after three
+heartbeats (3.6 s), and updates take up to 2 s to arrive."""
 
 MAXIMUM_PENDING_LOSSES = 256
-"""Losses that wait for evidence; beyond that the oldest are forgotten."""
+"""Maximum number of pending losses; beyond that the oldest is dropped."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerIncarnation:
-    """One start of a worker, and where it listened."""
+    """An incarnation of a worker, and the address where it listened."""
 
     worker: str
     address: str
@@ -31,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LostConnection:
-    """A request whose worker may have ended while it ran it.
+    """A request whose worker may have crashed while running it.
 
     Attributes
     ----------
     content
         Digest of the request's content.
     known_crashes
-        Consecutive crashes known of the content as it was sent.
+        Consecutive crashes of the content that were known when it was sent.
     sent_at, lost_at
         Steady times.
     unix_seconds
@@ -56,37 +55,37 @@
 
 
 class PendingLosses:
-    """Lost connections that wait for evidence."""
+    """Lost connections that are pending evidence, by content and worker."""
 
     def __init__(self) -> None:
         self._pending: dict[tuple[str, str], LostConnection] = {}
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of pending losses."""
         return len(self._pending)
 
     def add(self, loss: LostConnection) -> None:
-        """Add a loss that waits for evidence."""
+        """Add a loss, unless there is one of the same content and worker."""
         self._pending.setdefault((loss.content, loss.start.worker), loss)
         if len(self._pending) > MAXIMUM_PENDING_LOSSES:
             del self._pending[next(iter(self._pending))]
 
     def answered(self, content: str) -> None:
-        """Drop a content's losses: one of its requests was answered, so they had other causes."""
+        """Drop a content's losses, as it did not cause them: one of its requests was answered."""
         self._take([key for key in self._pending if key[0] == content])
 
     def ended(self, worker: str) -> list[LostConnection]:
-        """Remove and return the losses that a worker's end explains."""
+        """Remove and return the losses at a worker that is known to have ended."""
         return self._take([key for key in self._pending if key[1] == worker])
 
     def due(self, workers: WorkerTable, now: float) -> list[LostConnection]:
-        """Return losses whose worker's entry shows its end; forget those it speaks against."""
+        """Remove and return losses whose worker is no longer listed; drop refuted and old ones."""
         ended: list[tuple[str, str]] = []
         for key, loss in list(self._pending.items()):
             worker = workers.worker(loss.start.worker)
             if worker is None:
                 ended.append(key)
-            elif _explained(worker, loss) or now - loss.lost_at > LOSS_EVIDENCE_SECONDS:
+            elif _is_refuted(worker, loss) or now - loss.lost_at > LOSS_EVIDENCE_SECONDS:
                 del self._pending[key]
         return self._take(ended)
 
@@ -94,7 +93,7 @@
         return [self._pending.pop(key) for key in keys]
 
 
-def _explained(worker: Worker, loss: LostConnection) -> bool:
-    """Whether a worker leaves as planned, or has answered since the connection was lost."""
+def _is_refuted(worker: Worker, loss: LostConnection) -> bool:
+    """Whether the worker is draining, or has answered since the connection was lost."""
     answered_at = max(worker.load_at, worker.latency_at)
     return worker.announcement.draining or answered_at > loss.lost_at
--- a/src/stagewalk/gateway/quarantine/records.py
+++ b/src/stagewalk/gateway/quarantine/records.py
@@ -1,7 +1,6 @@
-"""Records that nodes publish of requests that may crash workers: one keyed record a crash.
+"""Crash records as published in the log: one keyed record for each crash.
 
-Owns their keys and their form. The log keeps them, so the words in them (`crash-strike/`, `strike`)
-stay as they are.
+The key prefix `crash-strike/` and the tag `strike` are part of the stored format.
 """
 
 from __future__ import annotations
@@ -12,31 +11,31 @@
 import msgspec
 
 CRASH_KEY_PREFIX = "crash-strike/"
-"""Prefix of the keys of crash records among the records that all nodes follow."""
+"""Prefix of the keys of crash records in the log."""
 
 MAXIMUM_CONSECUTIVE_CRASHES = 64
-"""No node publishes more, so a record that claims more was not written by this product."""
+"""Upper bound of the published count; records with a higher one are invalid."""
 
 CrashCount = Annotated[int, msgspec.Meta(ge=1, le=MAXIMUM_CONSECUTIVE_CRASHES)]
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True, tag="strike"):
-    """A worker's process ended while it ran a request of some content.
+    """Crash of a worker while it ran a request of some content.
 
     Attributes
     ----------
     content
         Digest of the request's content.
     worker
-        Identity of the start of the worker that ended.
+        Incarnation of the worker that crashed.
     address
-        Where it listened.
+        Address where it listened.
     consecutive
-        Consecutive crashes with this one: one more than its sender knew of as it sent the request.
+        Consecutive crashes including this one: one more than were known when the request was sent.
     at_milliseconds
-        When it ended, in Unix time of the node that lost it.
+        When the connection was lost, in Unix time of the node that lost it.
     node, route
-        Node that lost it, and route of the request.
+        Node that lost the connection, and route of the request.
     """
 
     content: str
@@ -49,7 +48,7 @@
 
     @property
     def key(self) -> str:
-        """Return the key of its record, of a bounded length whatever the worker is called."""
+        """Return the key of the record. The worker is hashed to bound the key's length."""
         worker = hashlib.blake2b(self.worker.encode(), digest_size=8).hexdigest()
         return f"{CRASH_KEY_PREFIX}{self.content}/{worker}"
 
@@ -59,7 +58,7 @@
 
 
 def decode_crash_record(value: bytes) -> CrashRecord | None:
-    """Return the crash record in a value, None if it holds none."""
+    """Return the crash record encoded in a value, None if it is not a valid one."""
     try:
         return msgspec.msgpack.decode(value, type=CrashRecord)
     except msgspec.DecodeError:
--- a/tests/gateway/quarantine/support.py
+++ b/tests/gateway/quarantine/support.py
@@ -1,4 +1,4 @@
-"""Fakes of what finds requests that crash workers."""
+"""Fakes for tests of crash reports."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NoCrashes:
-    """Crash reports of a world in which nothing crashes."""
+    """Crash reports that never contain a crash."""
 
     def known_crashes(self, _content: RequestContent) -> int:
         return 0
--- a/tests/gateway/quarantine/test_lost_connections.py
+++ b/tests/gateway/quarantine/test_lost_connections.py
@@ -1,4 +1,4 @@
-"""Whether a worker that contact was lost with has ended."""
+"""A lost connection counts as a crash only if there is evidence that the worker has ended."""
 
 from __future__ import annotations
 
@@ -24,53 +24,53 @@
     )
 
 
-class LossWatchTests(testtools.TestCase):
+class PendingLossesTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.table = WorkerTable()
         self.table.announce(announcement("a"), 0.0)
-        self.watch = PendingLosses()
-        self.watch.add(loss())
+        self.pending = PendingLosses()
+        self.pending.add(loss())
 
     def test_a_worker_whose_entry_is_gone_has_ended(self) -> None:
-        self.assertEqual([], self.watch.due(self.table, 11.0))
+        self.assertEqual([], self.pending.due(self.table, 11.0))
         self.table.remove("a", 12.0, disturbed_at=0.0)
-        self.assertEqual([loss()], self.watch.due(self.table, 12.0))
-        self.assertEqual([], self.watch.due(self.table, 12.1))
+        self.assertEqual([loss()], self.pending.due(self.table, 12.0))
+        self.assertEqual([], self.pending.due(self.table, 12.1))
 
     def test_a_worker_that_answers_has_not_ended(self) -> None:
         worker = self.table.worker("a")
         assert worker is not None
         worker.record_load(WorkerLoad(0, 0, 4), 10.5)
-        self.watch.due(self.table, 10.6)
+        self.pending.due(self.table, 10.6)
         self.table.remove("a", 12.0, disturbed_at=0.0)
-        self.assertEqual([], self.watch.due(self.table, 12.0))
+        self.assertEqual([], self.pending.due(self.table, 12.0))
 
-    def test_a_worker_that_leaves_as_planned_has_not_crashed(self) -> None:
+    def test_a_draining_worker_has_not_crashed(self) -> None:
         worker = self.table.worker("a")
         assert worker is not None
         self.table.announce(replace(worker.announcement, draining=True), 11.0)
-        self.watch.due(self.table, 11.0)
+        self.pending.due(self.table, 11.0)
         self.table.remove("a", 12.0, disturbed_at=0.0)
-        self.assertEqual([], self.watch.due(self.table, 12.0))
+        self.assertEqual([], self.pending.due(self.table, 12.0))
 
-    def test_an_end_long_after_has_another_cause(self) -> None:
+    def test_end_long_after_the_loss_is_no_evidence(self) -> None:
         late = 10.0 + LOSS_EVIDENCE_SECONDS + 0.1
-        self.watch.due(self.table, late)
+        self.pending.due(self.table, late)
         self.table.remove("a", late, disturbed_at=0.0)
-        self.assertEqual([], self.watch.due(self.table, late))
+        self.assertEqual([], self.pending.due(self.table, late))
 
-    def test_an_end_explains_all_losses_at_that_worker_and_no_others(self) -> None:
-        self.watch.add(loss("d"))
-        self.watch.add(loss("e", "b"))
-        self.assertEqual([loss(), loss("d")], self.watch.ended("a"))
-        self.assertEqual(1, len(self.watch))
+    def test_end_of_a_worker_is_evidence_for_all_losses_at_it_and_no_others(self) -> None:
+        self.pending.add(loss("d"))
+        self.pending.add(loss("e", "b"))
+        self.assertEqual([loss(), loss("d")], self.pending.ended("a"))
+        self.assertEqual(1, len(self.pending))
 
-    def test_an_answer_to_the_request_explains_its_losses(self) -> None:
-        self.watch.answered("c")
-        self.assertEqual([], self.watch.ended("a"))
+    def test_an_answer_drops_the_losses_of_its_content(self) -> None:
+        self.pending.answered("c")
+        self.assertEqual([], self.pending.ended("a"))
 
-    def test_only_so_many_losses_wait(self) -> None:
+    def test_number_of_pending_losses_is_bounded(self) -> None:
         for n in range(2 * MAXIMUM_PENDING_LOSSES):
-            self.watch.add(loss(f"c{n}"))
-        self.assertEqual(MAXIMUM_PENDING_LOSSES, len(self.watch))
+            self.pending.add(loss(f"c{n}"))
+        self.assertEqual(MAXIMUM_PENDING_LOSSES, len(self.pending))
