--- a/src/stagewalk/gateway/cold_starts/__init__.py
+++ b/src/stagewalk/gateway/cold_starts/__init__.py
@@ -1,1 +1,1 @@
-"""Cold starts: workers that withstand few requests a second, and who may send them."""
+"""Rate limiting of requests to cold workers, across all nodes."""
--- a/src/stagewalk/gateway/cold_starts/core.py
+++ b/src/stagewalk/gateway/cold_starts/core.py
@@ -1,11 +1,10 @@
-"""Which workers are cold, and whether this node may send to one of them now. Pure.
-
-Owns that judgement, and which leases this node should win because requests wait for them. A worker
-is cold as long as its entry says; after an evacuation of its zone, for as long as its service
-states; and while this node can't know: after the first listing of workers, after its views were
-old, and while they are. Relies on `cold_starts.leases` for who may send, on `cold_starts.rate` for
-how much. Why these bounds hold is in `docs/design/0142`, with the measurement of all of them
-together.
+"""Decides which workers are cold, and whether this node may send to them. Pure.
+
+A worker is cold for the time that its entry states, and after an evacuation of its zone for the
+time that its service states. Workers also count as cold while this node can't know better: after
+the first listing of workers, and while or shortly after its views are outdated. One node at a time
+may send to a cold worker (`cold_starts.leases`), at a limited rate (`cold_starts.rate`). See
+`docs/design/0142`.
 """
 
 from __future__ import annotations
@@ -21,47 +20,44 @@
 from stagewalk.gateway.workers.worker import Worker
 
 COLD_MARGIN_SECONDS = 0.3
-"""Added to the time that an entry states: entries are read a moment after they were written."""
+"""Added to the time that an entry states, since entries are read some time after being written."""
 
 VIEW_SETTLE_SECONDS = 1.5
-"""Workers count as cold until views were read this long after they were current again: a worker
-writes its entry every 1.2 s, so one that became cold before says so by then."""
+"""Workers count as cold until this long after views are current again. Workers write their entries
+every 1.2 s, so all that are cold have stated it by then."""
 
 OLDEST_VIEW_SECONDS = 3.0
-"""With older views of workers or operators' records any worker may have become cold unseen. Views
-are read anew every 2.1 s at the latest while the log answers; an evacuation, after which workers
-are cold, is seen unless it lasts less than this."""
+"""With older views of workers or operators' records, all workers count as cold. Views are read at
+least every 2.1 s while the log is available. An evacuation shorter than this may go unseen."""
 
 LEASE_REQUEST_VALID_SECONDS = 1.0
-"""How long after a request could have used a cold worker its lease is sought."""
+"""How long a node tries to acquire a cold worker's lease after a request needed it."""
 
 FIRST_CHOICE_HEAD_START_SECONDS = 0.3
-"""How long the lease of a cold worker is left to the node whose first choice it is; the others seek
-it then."""
+"""How long other nodes leave a lease to the node whose first choice the worker is."""
 
 MAXIMUM_SECOND_CHOICES = 2
-"""Most workers of another node's first choice whose leases are sought at a time: the rest is left
-to other nodes."""
+"""Maximum number of leases that a node acquires at a time on other nodes' first choices."""
 
 ViewAge = Callable[[float], float]
-"""Returns the age of the views by which workers are known to be warm, at a time; in seconds."""
+"""Returns the age of the node's views at a time, in seconds."""
 
 
 @dataclass(slots=True)
 class _LeaseRequest:
-    """Requests wait for a cold worker; steady times."""
+    """Period during which requests wait for a cold worker, in steady time."""
 
     since: float
     until: float
 
 
 class ColdStarts:
-    """Judges sends to workers of services that state what a cold worker withstands.
+    """Decides about sends to workers of services that state a `cold_rate`.
 
     Parameters
     ----------
     leases
-        Who may send to which cold worker.
+        Leases on cold workers.
     view_age
         Returns the age of the views at a time, in seconds.
     on_request
@@ -75,33 +71,33 @@
         self._view_age = view_age
         self._renewed_at = -math.inf
         self._cold_until = -math.inf
-        """No worker is known to be cold after this."""
+        """Latest time until which any worker is known to be cold."""
         self._windows: dict[str, SlidingWindow] = {}
         self._requests: dict[str, _LeaseRequest] = {}
         """By worker."""
         self._on_request = on_request
 
     def views_renewed(self, now: float) -> None:
-        """Record that views are current again, or for the first time, after a gap."""
+        """Record that views are current, for the first time or again after a gap."""
         self._renewed_at = now
 
     def mark_cold(self, worker: Worker, seconds: float, now: float) -> None:
-        """Record that a worker stays cold for some seconds."""
+        """Record that a worker stays cold for `seconds` more."""
         worker.cold_until = max(worker.cold_until, now + seconds + COLD_MARGIN_SECONDS)
         self._cold_until = max(self._cold_until, worker.cold_until)
 
     def any(self, service: Service, now: float) -> bool:
-        """Whether any worker of a service may be cold: otherwise all may be sent to."""
+        """Whether any worker of a service may be cold."""
         if service.cold_rate <= 0.0:
             return False
-        return now < self._cold_until or self._unknown(now)
+        return now < self._cold_until or self._views_uncertain(now)
 
     def cold(self, worker: Worker, now: float) -> bool:
-        """Whether a worker is cold, as far as this node can know."""
-        return now < worker.cold_until or self._unknown(now)
+        """Whether a worker is known to be cold, or may be."""
+        return now < worker.cold_until or self._views_uncertain(now)
 
     def denial(self, worker: Worker, service: Service, now: float) -> Denial | None:
-        """Return why nothing may be sent to a worker now, None if something may."""
+        """Return why this node may not send to a worker now, None if it may."""
         if not self.any(service, now) or not self.cold(worker, now):
             return None
         name = worker.announcement.worker
@@ -112,7 +108,13 @@
         return None
 
     def reserve(self, worker: Worker, service: Service, now: float) -> float | None:
-        """Count a request that is about to be sent; None if the worker is not cold."""
+        """Reserve a request in the worker's window.
+
+        Returns
+        -------
+        float or None
+            The reservation, to be passed to `confirm`; None if the worker is not cold.
+        """
         if not self.any(service, now) or not self.cold(worker, now):
             return None
         return self._window(worker.announcement.worker, service).reserve(now)
@@ -120,7 +122,7 @@
     def confirm(
         self, worker: Worker, service: Service, reserved_at: float | None, now: float
     ) -> Denial | None:
-        """Judge a request whose first byte is about to go, and count it if it may go."""
+        """Decide about a request just before its first byte is sent, and count it if allowed."""
         if not self.any(service, now) or not self.cold(worker, now):
             return None
         name = worker.announcement.worker
@@ -132,7 +134,7 @@
         return None
 
     def request_leases(self, workers: Iterable[str], now: float) -> None:
-        """Request the leases of cold workers that waiting requests could use."""
+        """Request leases on cold workers that are needed by waiting requests."""
         for worker in workers:
             request = self._requests.get(worker)
             if request is None or now >= request.until:
@@ -142,23 +144,25 @@
         self._on_request()
 
     def leases_to_acquire(self, now: float, first_choice: Callable[[str], bool]) -> list[str]:
-        """Return the workers whose lease this node should win now.
+        """Return the workers whose leases this node should acquire now.
 
         Parameters
         ----------
         first_choice
-            Returns whether this node comes first for a worker, among those that run batches.
+            Returns whether a worker's first choice, of the nodes that run batches, is this node.
         """
-        self._requests = {w: asked for w, asked in self._requests.items() if now < asked.until}
+        self._requests = {
+            w: request for w, request in self._requests.items() if now < request.until
+        }
         due = [worker for worker in self._requests if self._leases.due(worker, now)]
-        own = [w for w in due if self._leases.may_send(w, now) or first_choice(w)]
-        waited = [
+        preferred = [w for w in due if self._leases.may_send(w, now) or first_choice(w)]
+        second_choices = [
             worker
             for worker in due
-            if worker not in own
+            if worker not in preferred
             and now - self._requests[worker].since >= FIRST_CHOICE_HEAD_START_SECONDS
         ]
-        return own + waited[:MAXIMUM_SECOND_CHOICES]
+        return preferred + second_choices[:MAXIMUM_SECOND_CHOICES]
 
     @property
     def idle(self) -> bool:
@@ -166,12 +170,12 @@
         return not self._requests
 
     def keep_only(self, workers: Container[str], now: float) -> None:
-        """Forget workers that are gone, and leases that are over."""
+        """Drop the windows of all other workers, and expired leases."""
         self._windows = {w: window for w, window in self._windows.items() if w in workers}
         self._leases.forget(now)
 
-    def _unknown(self, now: float) -> bool:
-        """Whether workers may have become cold without this node's knowledge."""
+    def _views_uncertain(self, now: float) -> bool:
+        """Whether workers may have become cold unnoticed, since views are or were outdated."""
         age = self._view_age(now)
         return age > OLDEST_VIEW_SECONDS or now - age < self._renewed_at + VIEW_SETTLE_SECONDS
 
--- a/src/stagewalk/gateway/cold_starts/leases.py
+++ b/src/stagewalk/gateway/cold_starts/leases.py
@@ -1,11 +1,9 @@
-"""Who may send to a cold worker: leases kept as records of a log partition. Pure.
-
-Owns the records of leases and one process's view of them. What a cold worker withstands is a sum
-over all senders, and their number and views differ. So one node at a time may send to it at all. A
-lease is won by conditional append, hence by one node, whatever others believe; times are of each
-process's own steady clock: the holder counts from before it sent its record, the others from when
-they read it, so the holder always stops first.
-Relies on the log for the condition (`cold_lease_service` appends).
+"""Leases on cold workers, kept as records of a log partition. Pure.
+
+The rate limit of a cold worker applies to all senders together, so only the node that holds its
+lease may send to it. A lease is acquired by a conditional append, which only one node can win.
+Each process uses its own steady clock: the holder counts from before it sent the record, the others
+from when they read it, so the holder always stops first.
 """
 
 from __future__ import annotations
@@ -17,18 +15,18 @@
 import msgspec
 
 COLD_LEASE_SECONDS = 4.0
-"""How long a holder may send after it sent its record: a cold start of 3 s in one lease."""
+"""Duration of a lease, counted from when the holder sent its record; covers a cold start of 3 s."""
 
 RENEW_BEFORE_SECONDS = 1.5
-"""A holder that still needs a worker renews its lease so long before the end."""
+"""How long before its end a lease is renewed by a holder that still needs it."""
 
 HANDOVER_SECONDS = 1.2
-"""How much longer others wait: a worker's requests count over any span of one second. With another
-0.2 s for requests under way no such span holds requests of two holders."""
+"""How long after a lease others may acquire it. The rate limit applies to any span of one second;
+with 0.2 s for requests in flight, no such span has requests of two holders."""
 
 
 class ColdLease(msgspec.Struct, frozen=True, array_like=True, tag="cold"):
-    """Record of a lease: its holder alone may send to some cold workers."""
+    """Record of a lease: only its holder may send to the cold workers."""
 
     holder: str
     workers: tuple[str, ...]
@@ -39,7 +37,7 @@
 
 
 def decode_cold_lease(payload: bytes) -> ColdLease | None:
-    """Return the lease in a payload, None if it holds none."""
+    """Return the lease encoded in a payload, None if it is not a valid one."""
     try:
         return msgspec.msgpack.decode(payload, type=ColdLease)
     except msgspec.DecodeError:
@@ -55,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldLease:
     holder: str
     blocked_until: float
 
@@ -65,62 +63,62 @@
 
     Parameters
     ----------
-    own
-        Identity of this start of the process.
+    holder_id
+        Unique identity of this process, different after each restart.
     """
 
-    def __init__(self, own: str) -> None:
-        self._own = own
-        self._held: dict[str, _Held] = {}
+    def __init__(self, holder_id: str) -> None:
+        self._holder = holder_id
+        self._held: dict[str, _HeldLease] = {}
         self._valid_until: dict[str, float] = {}
         self._gap_until = -math.inf
 
     def may_send(self, worker: str, now: float) -> bool:
-        """Whether this process has the right to send to a worker at a time."""
+        """Whether this process holds the lease on a worker."""
         return now < self._valid_until.get(worker, -math.inf)
 
     def held(self, now: float) -> int:
-        """Return the number of workers that this process may send to."""
+        """Return the number of workers whose leases this process holds."""
         return sum(now < until for until in self._valid_until.values())
 
     def apply(self, record: ColdLease, now: float) -> None:
-        """Apply a record that was read."""
+        """Apply a record read from the log."""
         blocked_until = now + COLD_LEASE_SECONDS + HANDOVER_SECONDS
         for worker in record.workers:
-            self._held[worker] = _Held(record.holder, blocked_until)
-            if record.holder != self._own:
+            self._held[worker] = _HeldLease(record.holder, blocked_until)
+            if record.holder != self._holder:
                 self._valid_until.pop(worker, None)
 
     def record_gap(self, now: float) -> None:
-        """Record that records were dropped unread: others may hold any of the leases."""
+        """Record that records were lost unread, so that others may hold any lease."""
         self._gap_until = now + COLD_LEASE_SECONDS + HANDOVER_SECONDS
 
     def record_won(self, record: ColdLease, sent_at: float) -> None:
-        """Record that the log appended a lease that this process sent at a time."""
+        """Record that a lease of this process, sent at `sent_at`, was appended."""
         for worker in record.workers:
             self._valid_until[worker] = sent_at + COLD_LEASE_SECONDS
 
     def due(self, worker: str, now: float) -> bool:
-        """Whether this process may win a worker's lease, and has none that lasts."""
+        """Whether this process may acquire a worker's lease, or should renew it."""
         if self._valid_until.get(worker, -math.inf) - now > RENEW_BEFORE_SECONDS:
             return False
         if now < self._gap_until:
             return self.may_send(worker, now)
         held = self._held.get(worker)
-        return held is None or held.holder == self._own or now >= held.blocked_until
+        return held is None or held.holder == self._holder or now >= held.blocked_until
 
     def acquire(self, workers: Collection[str], end: int, now: float) -> AcquireLeases | None:
-        """Return the record to append for those of the workers that are due, None for none.
+        """Return the record to append for those of the workers that are due, None if none is.
 
         Parameters
         ----------
         end
-            Up to where all records were read: the append fails if there is another one since.
+            Offset up to which all records were read. The append fails if there are later ones.
         """
         due = tuple(sorted(worker for worker in workers if self.due(worker, now)))
-        return AcquireLeases(end, ColdLease(self._own, due)) if due else None
+        return AcquireLeases(end, ColdLease(self._holder, due)) if due else None
 
     def forget(self, now: float) -> None:
-        """Forget leases that are over."""
+        """Drop expired leases."""
         self._held = {w: held for w, held in self._held.items() if now < held.blocked_until}
         self._valid_until = {w: until for w, until in self._valid_until.items() if now < until}
--- a/src/stagewalk/gateway/cold_starts/rate.py
+++ b/src/stagewalk/gateway/cold_starts/rate.py
@@ -1,7 +1,4 @@
-"""How many requests one node sends to a cold worker in any span of time. Pure.
-
-Owns the count of one worker's requests, against the rate that its service states.
-"""
+"""Sliding-window rate limit of one node's requests to a cold worker. Pure."""
 
 from __future__ import annotations
 
@@ -9,36 +6,36 @@
 
 
 class SlidingWindow:
-    """Admits a number of requests in any span of the window's length.
+    """Limits the number of requests in any span of the window's length.
 
-    A request counts from its reservation, and anew from when it is sent: one that waits long for a
-    connection is not sent on top of those that were admitted meanwhile.
+    A request counts from its reservation until it is sent, then from the time of sending, since it
+    may have waited for a connection while others were sent.
 
     Parameters
     ----------
     rate
-        Requests a second that the worker withstands. Below one a second, one request goes in each
-        span of `1 / rate` seconds.
+        Maximum requests per second. Below one, the window is extended to one request in each span
+        of `1 / rate` seconds.
     """
 
     def __init__(self, rate: float) -> None:
-        self._most = max(1, int(rate))
-        self._seconds = self._most / rate
+        self._maximum_requests = max(1, int(rate))
+        self._window_seconds = self._maximum_requests / rate
         self._times: deque[float] = deque()
 
     def has_room(self, now: float) -> bool:
-        """Whether one more request may be admitted."""
-        while self._times and now - self._times[0] >= self._seconds:
+        """Whether one more request is allowed."""
+        while self._times and now - self._times[0] >= self._window_seconds:
             self._times.popleft()
-        return len(self._times) < self._most
+        return len(self._times) < self._maximum_requests
 
     def reserve(self, now: float) -> float:
-        """Count a request that is about to be sent; return what to confirm it by."""
+        """Count a request that is about to be sent; return its reservation for `confirm`."""
         self._times.append(now)
         return now
 
     def confirm(self, reserved_at: float, now: float) -> bool:
-        """Count a reserved request as sent now; return whether there is room for it."""
+        """Count a reserved request as sent now; return whether it is allowed."""
         if reserved_at in self._times:
             self._times.remove(reserved_at)
         if not self.has_room(now):
--- a/tests/gateway/cold_starts/senders.py
+++ b/tests/gateway/cold_starts/senders.py
@@ -1,4 +1,4 @@
-"""Many nodes that send to one cold worker, on a virtual clock; their views differ."""
+"""Simulation of many nodes with different views that send to one cold worker."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 WORKER = "w"
 
 COLD_AT = 10.0
-"""When the evacuation of the worker's zone ends: it is cold from then on."""
+"""When the evacuation of the worker's zone ends, and the worker becomes cold."""
 
 END = COLD_AT + 6.0
-LATEST_NEWS = 2.0
+MAXIMUM_VIEW_INTERVAL_SECONDS = 2.0
 MAXIMUM_CONNECT_SECONDS = 0.9
-TRY_SECONDS = 0.03
+SEND_INTERVAL_SECONDS = 0.03
 
 
 @dataclass
 class SharedLog:
-    """Records of leases, appended under the condition that nothing was appended since."""
+    """Log of lease records with conditional append."""
 
     records: list[ColdLease] = field(default_factory=list)
 
@@ -44,12 +44,14 @@
 
 
 class Sender:
-    """One node: it hears of the evacuation and its end late, and may stand still or be cut off.
+    """One node, whose views are delayed; it may be disconnected from the log, or suspended.
 
     Attributes
     ----------
-    deaf
-        From when until when it reads and appends nothing.
+    disconnected
+        Start and end of the time during which it reads and appends nothing.
+    suspended
+        Whether it doesn't run during that time.
     """
 
     def __init__(self, world: World, number: int, make_leases: Callable[[str], ColdLeases]) -> None:
@@ -64,24 +66,26 @@
         self.first_choice = number == world.first_choice
         kind = self.random.random()
         begin = COLD_AT + self.random.uniform(-9.0, 2.0)
-        self.deaf = (begin, begin + self.random.uniform(2.0, 9.0)) if kind < 0.2 else (0.0, 0.0)
-        self.frozen = kind < 0.08
+        self.disconnected = (
+            (begin, begin + self.random.uniform(2.0, 9.0)) if kind < 0.2 else (0.0, 0.0)
+        )
+        self.suspended = kind < 0.08
         self.first_read = self.random.uniform(COLD_AT - 1.0, COLD_AT + 2.0) if kind > 0.95 else 0.0
 
     def view_age(self, now: float) -> float:
         return now - self.read_at
 
-    def hears(self, now: float) -> bool:
-        return not self.deaf[0] <= now < self.deaf[1]
+    def is_connected(self, now: float) -> bool:
+        return not self.disconnected[0] <= now < self.disconnected[1]
 
-    def runs(self, now: float) -> bool:
-        return now >= self.first_read and (self.hears(now) or not self.frozen)
+    def is_running(self, now: float) -> bool:
+        return now >= self.first_read and (self.is_connected(now) or not self.suspended)
 
     def read(self) -> None:
-        """Bring the view of operators' records and workers up to now."""
+        """Read operators' records and the worker's entry."""
         now = self.world.now
-        self.world.after(self.random.uniform(0.2, LATEST_NEWS), self.read)
-        if not self.hears(now) or not self.runs(now):
+        self.world.after(self.random.uniform(0.2, MAXIMUM_VIEW_INTERVAL_SECONDS), self.read)
+        if not self.is_connected(now) or not self.is_running(now):
             return
         if now - self.read_at > self.world.gap_seconds or self.read_at == 0.0:
             self.cold.views_renewed(now)
@@ -96,10 +100,10 @@
                 self.cold.mark_cold(self.worker, left, now)
 
     def lease(self) -> None:
-        """Win the lease, as the service that looks after it does."""
+        """Try to acquire the lease, as `cold_lease_service` does."""
         now = self.world.now
         self.world.after(0.1, self.lease)
-        if not self.hears(now) or not self.runs(now):
+        if not self.is_connected(now) or not self.is_running(now):
             return
         if not self.cold.leases_to_acquire(now, lambda _worker: self.first_choice):
             return
@@ -119,10 +123,10 @@
             self.world.after(answer, lambda: self.leases.record_won(acquire.record, sent_at))
 
     def send(self) -> None:
-        """Try to send a request, whose connection may come up late."""
+        """Try to send a request, whose connection may take long to open."""
         now = self.world.now
-        self.world.after(TRY_SECONDS * self.random.uniform(0.5, 1.5), self.send)
-        if not self.runs(now) or self.evacuated:
+        self.world.after(SEND_INTERVAL_SECONDS * self.random.uniform(0.5, 1.5), self.send)
+        if not self.is_running(now) or self.evacuated:
             return
         denial = self.cold.denial(self.worker, SERVICE, now)
         if denial is Denial.COLD_WITHOUT_LEASE:
@@ -135,7 +139,7 @@
 
     def confirm(self, reserved: float | None) -> None:
         now = self.world.now
-        if not self.runs(now):
+        if not self.is_running(now):
             self.world.after(0.05, lambda: self.confirm(reserved))
         elif not self.evacuated and self.world.confirm(self, reserved) is None:
             self.world.arrivals.append(now + self.random.uniform(0.0, 0.005))
@@ -180,8 +184,8 @@
         return self
 
     @property
-    def most_in_a_second(self) -> int:
-        """Return the most requests that arrived in any second while the worker was cold."""
+    def maximum_per_second(self) -> int:
+        """Return the maximum number of arrivals in any second while the worker was cold."""
         cold = sorted(at for at in self.arrivals if COLD_AT <= at < COLD_AT + COLD_SECONDS)
         ends = (bisect.bisect_left(cold, at + 1.0) for at in cold)
         return max((end - begin for begin, end in enumerate(ends)), default=0)
--- a/tests/gateway/cold_starts/test_rate.py
+++ b/tests/gateway/cold_starts/test_rate.py
@@ -1,4 +1,4 @@
-"""A cold worker's requests within any span of one second."""
+"""The rate limit of a cold worker holds in any span of one second."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 class SlidingWindowTests(testtools.TestCase):
     @given(GAPS, WAITS)
-    def test_no_span_holds_more_however_long_requests_wait(
+    def test_limit_holds_in_any_span_however_long_requests_wait(
         self, gaps: list[float], waits: list[float]
     ) -> None:
         window = SlidingWindow(4.0)
@@ -32,7 +32,7 @@
         for begin in sent:
             self.assertLessEqual(sum(begin <= at < begin + 1.0 for at in sent), 4)
 
-    def test_a_request_that_waited_counts_from_when_it_goes(self) -> None:
+    def test_request_that_waited_counts_from_when_it_is_sent(self) -> None:
         window = SlidingWindow(2.0)
         late = window.reserve(0.0)
         self.assertTrue(window.confirm(late, 0.9))
@@ -40,13 +40,13 @@
         self.assertFalse(window.has_room(1.1))
         self.assertTrue(window.has_room(1.95))
 
-    def test_a_reservation_that_came_to_nothing_is_over_after_a_second(self) -> None:
+    def test_unconfirmed_reservation_expires_after_a_second(self) -> None:
         window = SlidingWindow(1.0)
         window.reserve(0.0)
         self.assertFalse(window.has_room(0.9))
         self.assertTrue(window.has_room(1.0))
 
-    def test_less_than_one_a_second(self) -> None:
+    def test_rate_below_one_request_per_second(self) -> None:
         window = SlidingWindow(0.25)
         self.assertTrue(window.confirm(window.reserve(0.0), 0.0))
         self.assertFalse(window.has_room(3.9))
