--- a/src/stagewalk/gateway/scoring/__init__.py
+++ b/src/stagewalk/gateway/scoring/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of services that score samples: when, where, how often and with which deadline."""
+"""Score calls: requests to services that score samples, with retries and hedging."""
--- a/src/stagewalk/gateway/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -1,8 +1,6 @@
-"""Keeps the score calls that samples wait for; decides which attempts begin and stop. Pure.
+"""State machine of pending score calls; decides which attempts start and stop. Pure.
 
-Owns the calls without a score and their attempts under way. Relies on `retry_rules` for retries,
-hedges and giving up, on `eligibility` for the workers a call may go to, and on `workers.selection`
-for the choice.
+The rules for retries, hedging and giving up are in `retry_rules`.
 """
 
 from __future__ import annotations
@@ -28,38 +26,38 @@
 from stagewalk.gateway.scoring.records import ScoreCall
 from stagewalk.gateway.scoring.retry_rules import (
     AnswerMeaning,
-    attempt_seconds,
-    judge_answer,
-    most_attempts,
-    pause_seconds,
+    attempt_timeout_seconds,
+    classify_answer,
+    maximum_attempts_in_flight,
+    retry_delay_seconds,
 )
 from stagewalk.gateway.workers.selection import choose_worker
 from stagewalk.gateway.workers.worker import Worker
 
-_NO_FAULT_OF_THE_WORKER = (AttemptFault.NOT_RUN, AttemptFault.WITHHELD)
+_WORKER_NOT_AT_FAULT = (AttemptFault.NOT_RUN, AttemptFault.WITHHELD)
 
 
 class ScoreOutcome(StrEnum):
-    """What an answer means for its sample."""
+    """Outcome of a sample's score call after an answer."""
 
     SCORED = "scored"
     FAILED = "failed"
-    """It failed as often as its route allows: the sample has no score."""
+    """It failed too often, so the sample gets no score."""
     PENDING = "pending"
 
 
 @dataclass(frozen=True, slots=True)
 class ScoreResult:
-    """What became of a sample's score call with an answer.
+    """State of a sample's score call after an answer.
 
     Attributes
     ----------
     batch, item
-        The sample.
+        Identity of the sample.
     score
-        What the service signed, empty unless the outcome is `SCORED`.
+        The service's signature, empty unless the outcome is `SCORED`.
     failures
-        Answers so far in which a worker said that it failed.
+        Number of server errors so far.
     """
 
     batch: str
@@ -73,13 +71,13 @@
 class _Attempt:
     worker: Worker
     started_at: float
-    late_after: float
-    """When another one is begun beside it."""
+    hedge_at: float
+    """When another attempt may start while this one is in flight."""
 
 
 @dataclass(slots=True)
 class _PendingCall:
-    """A call without its score. Times are of the steady clock."""
+    """A call without a score yet. Times are of the steady clock."""
 
     batch: str
     item: str
@@ -88,43 +86,43 @@
     batch_attempts: int
     failures: int
     tenant: str | None = None
-    under_way: dict[int, _Attempt] = field(default_factory=dict)
+    in_flight: dict[int, _Attempt] = field(default_factory=dict)
     tried: list[str] = field(default_factory=list)
-    """Workers of this round: none is asked again before all were."""
-    failed_in_a_row: int = 0
-    """Attempts in a row that ended without any answer that counts."""
-    not_before: float = -math.inf
+    """Workers tried in this round; a new round starts once all were tried."""
+    consecutive_failures: int = 0
+    """Number of attempts that ended without a score."""
+    retry_at: float = -math.inf
 
     def allowed_failures(self, route: Route) -> int:
-        """Return how many answers that say it failed leave the sample without a score."""
+        """Return the number of server errors after which the sample gets no score."""
         return max(self.batch_attempts, route.maximum_attempts)
 
 
 RouteLookup = Callable[[str, str], Route | None]
-"""Finds the route in force for a host and a path."""
+"""Returns the current route of a host and a path."""
 
 ServiceChooser = Callable[[Route], str]
-"""Chooses the service whose turn it is on a route."""
+"""Chooses one of the services of a route."""
 
 MayStart = Callable[[str, float], bool]
-"""Whether something of a batch may be sent to a worker at a time of the steady clock."""
+"""Returns whether requests of a batch may be sent at a steady time."""
 
 
 class ScoreCalls:
-    """The score calls of samples whose text is whole.
+    """Pending score calls of samples whose text is complete.
 
     Parameters
     ----------
     eligibility
         Decides which workers a call may be sent to.
     route_of, service_of
-        Which route a call takes, and which of its services.
+        Choose the route of a call, and the service of a route.
     numbers
-        Numbers of attempts, shared with the attempts at items.
+        Attempt numbers, shared with the attempts at batch items.
     policy
-        Which mechanisms of decision are in use.
+        Determines whether calls are hedged.
     may_start
-        Whether calls for a batch may be sent now.
+        Whether calls of a batch may be sent now.
     """
 
     def __init__(
@@ -148,7 +146,7 @@
 
     @property
     def pending(self) -> int:
-        """Return the number of samples that wait for their score."""
+        """Return the number of samples waiting for a score."""
         return len(self._calls)
 
     def begin(
@@ -161,16 +159,16 @@
         *,
         tenant: str | None = None,
     ) -> None:
-        """Begin to call for a sample's score; its text must be whole.
+        """Add the score call of a sample, whose text must be complete.
 
         Parameters
         ----------
         batch_attempts
-            Failures that the batch's own route allows; the call's route may allow more.
+            Failures that the batch's route allows; the call's route may allow more.
         failures
-            Answers that said so before, on nodes that ran the item until now.
+            Server errors so far, on nodes that ran the item before.
         tenant
-            Whose batch it is.
+            Tenant of the batch.
         """
         pending = _PendingCall(
             batch, item, call, score_content(call), batch_attempts, failures, tenant
@@ -178,54 +176,54 @@
         self._calls.setdefault((batch, item), pending)
 
     def drop(self, batch: str, item: str, reason: str) -> list[StopScore]:
-        """Stop calling for a sample's score."""
+        """Remove a sample's score call; return the attempts to stop."""
         pending = self._calls.pop((batch, item), None)
         return [] if pending is None else self._stop_attempts(pending, reason)
 
     def due(self, now: float) -> list[SendScore]:
-        """Return the attempts to begin now."""
+        """Start the attempts that are due, and return them."""
         sends = [self._next_attempt(pending, now) for pending in self._calls.values()]
         return [send for send in sends if send is not None]
 
     def answered(
         self, event: ScoreAnswered, now: float
     ) -> tuple[ScoreResult | None, list[StopScore]]:
-        """Handle an answer; return what it means, and the attempts it makes needless."""
+        """Handle an answer; return the state of the call, and the attempts to stop."""
         pending = self._attempts.pop(event.attempt, None)
         if pending is None:
             return None, []
-        attempt = pending.under_way.pop(event.attempt)
+        attempt = pending.in_flight.pop(event.attempt)
         attempt.worker.record_ended()
         attempt.worker.record_load(event.answer.load, now)
         signature = event.answer.signature
-        meaning = judge_answer(event.answer.status, signed=bool(signature))
+        meaning = classify_answer(event.answer.status, signed=bool(signature))
         if meaning is AnswerMeaning.NO_SCORE:
             attempt.worker.record_failure(now)
-            self._pause(pending, now)
+            self._delay_retry(pending, now)
             return self._result(pending, ScoreOutcome.PENDING), []
         attempt.worker.record_success(now - attempt.started_at, now)
         if meaning is AnswerMeaning.SCORED:
-            return self._settle(pending, ScoreOutcome.SCORED, signature, "scored")
+            return self._finish(pending, ScoreOutcome.SCORED, signature, "scored")
         pending.failures += 1
         route = self._route_of(pending.call.host, pending.call.path)
         if route is not None and pending.failures >= pending.allowed_failures(route):
-            return self._settle(pending, ScoreOutcome.FAILED, "", "failed too often")
-        self._pause(pending, now)
+            return self._finish(pending, ScoreOutcome.FAILED, "", "failed too often")
+        self._delay_retry(pending, now)
         return self._result(pending, ScoreOutcome.PENDING), []
 
     def broken(self, event: ScoreAttemptFailed, now: float) -> None:
-        """Handle the end of an attempt that brought no whole answer."""
+        """Handle the end of an attempt without a complete answer."""
         pending = self._attempts.pop(event.attempt, None)
         if pending is None:
             return
-        attempt = pending.under_way.pop(event.attempt)
+        attempt = pending.in_flight.pop(event.attempt)
         attempt.worker.record_ended()
         attempt.worker.record_load(event.failure.load, now)
-        if event.failure.fault not in _NO_FAULT_OF_THE_WORKER:
+        if event.failure.fault not in _WORKER_NOT_AT_FAULT:
             attempt.worker.record_failure(now)
-        self._pause(pending, now)
+        self._delay_retry(pending, now)
 
-    def _settle(
+    def _finish(
         self, pending: _PendingCall, outcome: ScoreOutcome, score: str, reason: str
     ) -> tuple[ScoreResult, list[StopScore]]:
         del self._calls[(pending.batch, pending.item)]
@@ -236,27 +234,27 @@
         return ScoreResult(pending.batch, pending.item, outcome, score, pending.failures)
 
     @staticmethod
-    def _pause(pending: _PendingCall, now: float) -> None:
-        """Wait a little before the next attempt if no other is under way, longer each time."""
-        pending.failed_in_a_row += 1
-        pending.not_before = now + pause_seconds(pending.failed_in_a_row)
+    def _delay_retry(pending: _PendingCall, now: float) -> None:
+        """Delay the next attempt unless another one is in flight, with exponential backoff."""
+        pending.consecutive_failures += 1
+        pending.retry_at = now + retry_delay_seconds(pending.consecutive_failures)
 
     def _stop_attempts(self, pending: _PendingCall, reason: str) -> list[StopScore]:
-        for number, attempt in pending.under_way.items():
+        for number, attempt in pending.in_flight.items():
             del self._attempts[number]
             attempt.worker.record_ended()
-        return [StopScore(number, reason) for number in pending.under_way]
+        return [StopScore(number, reason) for number in pending.in_flight]
 
     def _next_attempt(self, pending: _PendingCall, now: float) -> SendScore | None:
         route = self._route_of(pending.call.host, pending.call.path)
-        if route is None or not self._may_begin(pending, route, now):
+        if route is None or not self._may_start_attempt(pending, route, now):
             return None
         worker = self._choose(pending, route, now)
         if worker is None:
             return None
         number = next(self._numbers)
-        late_after = now + hedge_delay(route, worker.recent_latency(now))
-        pending.under_way[number] = _Attempt(worker, now, late_after)
+        hedge_at = now + hedge_delay(route, worker.recent_latency(now))
+        pending.in_flight[number] = _Attempt(worker, now, hedge_at)
         pending.tried.append(worker.announcement.worker)
         self._attempts[number] = pending
         worker.record_sent()
@@ -266,30 +264,32 @@
             pending.item,
             pending.call,
             worker.announcement.worker,
-            attempt_seconds(route),
+            attempt_timeout_seconds(route),
             pending.tenant,
         )
 
-    def _may_begin(self, pending: _PendingCall, route: Route, now: float) -> bool:
-        """Whether an attempt may begin: the first one, or one beside others that are late."""
+    def _may_start_attempt(self, pending: _PendingCall, route: Route, now: float) -> bool:
+        """Whether an attempt may start: a retry, or a hedge if all others are slow."""
         if not self._may_start(pending.batch, now):
             return False
-        under_way = pending.under_way.values()
+        in_flight = pending.in_flight.values()
         allowed = pending.allowed_failures(route)
-        if len(under_way) >= most_attempts(allowed, pending.failures, hedges=self._hedges):
+        if len(in_flight) >= maximum_attempts_in_flight(
+            allowed, pending.failures, hedges=self._hedges
+        ):
             return False
-        if not under_way:
-            return now >= pending.not_before
-        return all(now >= attempt.late_after for attempt in under_way)
+        if not in_flight:
+            return now >= pending.retry_at
+        return all(now >= attempt.hedge_at for attempt in in_flight)
 
     def _choose(self, pending: _PendingCall, route: Route, now: float) -> Worker | None:
-        """Return the worker for the next attempt, of those not tried in this round."""
+        """Return a worker that was not tried in this round; start a new round if all were."""
         scope = RequestScope(route, pending.content, pending.tenant)
         found = self._eligibility.candidates(self._service_of(route), scope, now)
         self._eligibility.request_leases(found, now)
         proximity, rng = self._eligibility.proximity, self._eligibility.rng
         chosen = choose_worker(found.workers, now, proximity, pending.tried, rng=rng)
-        if chosen is None and not pending.under_way:
+        if chosen is None and not pending.in_flight:
             pending.tried.clear()
             chosen = choose_worker(found.workers, now, proximity, rng=rng)
         return chosen
--- a/src/stagewalk/gateway/scoring/messages.py
+++ b/src/stagewalk/gateway/scoring/messages.py
@@ -1,8 +1,4 @@
-"""Events and instructions of the score calls, and the request content of a call.
-
-Owns the types that `core` and the shell exchange. Relies on the ports of workers for answers and
-failures.
-"""
+"""Events and instructions that `core` exchanges with the sender of score calls."""
 
 from __future__ import annotations
 
@@ -16,13 +12,13 @@
 
 
 def score_content(call: ScoreCall) -> RequestContent:
-    """Return what decides how a worker runs a score call."""
+    """Return the request content of a score call."""
     return RequestContent(SCORE_METHOD, call.host, call.path, call.body)
 
 
 @dataclass(frozen=True, slots=True)
 class ScoreAnswered:
-    """A worker answered an attempt at a score call, whatever it said."""
+    """A worker answered an attempt at a score call, with any status."""
 
     attempt: int
     answer: WorkerAnswer
@@ -30,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoreAttemptFailed:
-    """An attempt at a score call ended without a whole answer."""
+    """An attempt at a score call ended without a complete answer."""
 
     attempt: int
     failure: AttemptFailure
@@ -38,9 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendScore:
-    """Send a score call to a worker, which may work on it for so many seconds.
-
-    `tenant` is whose batch the sample belongs to, see `BatchHeader`.
+    """Send a score call to a worker.
+
+    Attributes
+    ----------
+    deadline_seconds
+        How long the worker may work on it.
+    tenant
+        Tenant of the sample's batch, as in `BatchHeader`.
     """
 
     attempt: int
--- a/src/stagewalk/gateway/scoring/records.py
+++ b/src/stagewalk/gateway/scoring/records.py
@@ -1,7 +1,6 @@
-"""The stored form of a score call: the request by which a sample is scored.
+"""Stored form of a score call, as part of a batch's items in the log (`batches.records`).
 
-Owns the record that a batch's items carry in the log (`batches.records`). Relies on `msgspec` only,
-so that `batches` may import `scoring` and never the other way round.
+Imports nothing of `batches`, since `batches` imports `scoring`.
 """
 
 from __future__ import annotations
@@ -10,12 +9,12 @@
 
 
 class ScoreCall(msgspec.Struct, frozen=True, array_like=True):
-    """The request that has a sample scored: a `POST` by the route of its host and path.
+    """Request that scores a sample: a `POST`, routed by its host and path.
 
     Attributes
     ----------
     call
-        Its own id, under which the service that scores sees it.
+        Request identifier, as seen by the scoring service.
     """
 
     call: str
--- a/src/stagewalk/gateway/scoring/retry_rules.py
+++ b/src/stagewalk/gateway/scoring/retry_rules.py
@@ -1,10 +1,7 @@
-"""Decides when a score call is tried again, beside a late attempt or after one, and given up. Pure.
+"""Rules for retrying, hedging and giving up score calls. Pure.
 
-Owns the bounds of attempts at one call. Relies on the route of the call for `maximum_attempts` and
-on `forwarding.hedging.hedge_delay` for when an attempt counts as late.
-
-A call may be repeated, so it goes to another worker at once where one is late. Only what a worker
-itself answers with 500 counts against the sample: after so many it has no score.
+Score calls are repeatable, so slow ones are hedged. Only answers with status 500 count against the
+sample; after a maximum number of them it gets no score.
 """
 
 from __future__ import annotations
@@ -15,64 +12,63 @@
 from stagewalk.gateway.routes.route import Route
 
 MAXIMUM_ATTEMPT_SECONDS = 1.5
-"""What a worker may take: little of the time a step has, so that another attempt still counts."""
+"""Maximum duration of an attempt, short compared with a step to leave time for another one."""
 
 MAXIMUM_CONCURRENT_ATTEMPTS = 3
-"""Attempts at one call under way together: each next one is begun beside a late one."""
+"""Maximum number of attempts at one call in flight, including hedges."""
 
 SCORE_RETRY_DELAY_SECONDS = 0.05
 MAXIMUM_SCORE_RETRY_DELAY_SECONDS = 0.8
-"""How long a call waits after a failed attempt; twice as long after each further one, up to the
-longest."""
+"""Delay after a failed attempt, doubled after each further one up to the maximum."""
 
 _MAXIMUM_DOUBLINGS = 8
-"""Bounds the power; the longest pause is reached after four."""
+"""Bounds the exponent; the maximum delay is reached after four doublings."""
 
 
 class AnswerMeaning(Enum):
-    """What a worker's answer says of the sample."""
+    """Meaning of a worker's answer for the sample."""
 
     SCORED = auto()
     FAILED = auto()
-    """The worker ran the call and failed: counted against the sample."""
+    """The worker ran the call and failed; this counts against the sample."""
     NO_SCORE = auto()
-    """Not what a service that scores says: it neither scored nor failed the sample."""
+    """Any other answer; it does not count against the sample."""
 
 
-def judge_answer(status: int, *, signed: bool) -> AnswerMeaning:
-    """Return what an answer means.
+def classify_answer(status: int, *, signed: bool) -> AnswerMeaning:
+    """Return the meaning of an answer.
 
     Parameters
     ----------
     signed
-        Whether it carries the service's signature, which is the score.
+        Whether the answer carries the service's signature, which is the score.
     """
     if is_success(status) and signed:
         return AnswerMeaning.SCORED
     return AnswerMeaning.FAILED if status == SERVER_ERROR else AnswerMeaning.NO_SCORE
 
 
-def pause_seconds(failed_in_a_row: int) -> float:
-    """Return how long a call waits after this many failed attempts in a row, at least one."""
-    doubled = SCORE_RETRY_DELAY_SECONDS * 2.0 ** min(failed_in_a_row - 1, _MAXIMUM_DOUBLINGS)
-    return min(MAXIMUM_SCORE_RETRY_DELAY_SECONDS, doubled)
+def retry_delay_seconds(consecutive_failures: int) -> float:
+    """Return the delay after a number of consecutive failed attempts, at least one."""
+    delay = SCORE_RETRY_DELAY_SECONDS * 2.0 ** min(consecutive_failures - 1, _MAXIMUM_DOUBLINGS)
+    return min(MAXIMUM_SCORE_RETRY_DELAY_SECONDS, delay)
 
 
-def most_attempts(allowed_failures: int, failures: int, *, hedges: bool) -> int:
-    """Return how many attempts may be under way: no more than may all fail.
+def maximum_attempts_in_flight(allowed_failures: int, failures: int, *, hedges: bool) -> int:
+    """Return the maximum number of attempts in flight: no more than may still fail.
 
     Parameters
     ----------
     allowed_failures
-        How many answers that say it failed leave the sample without a score.
+        Number of server errors after which the sample gets no score.
     failures
-        How many came already.
+        Number of server errors so far.
     hedges
-        Whether a second attempt is begun beside a late one at all.
+        Whether calls are hedged.
     """
     return min(MAXIMUM_CONCURRENT_ATTEMPTS if hedges else 1, allowed_failures - failures)
 
 
-def attempt_seconds(route: Route) -> float:
-    """Return how long one attempt at a call of a route may take."""
+def attempt_timeout_seconds(route: Route) -> float:
+    """Return the timeout of an attempt at a call of a route."""
     return min(MAXIMUM_ATTEMPT_SECONDS, route.timeout_seconds)
--- a/tests/gateway/scoring/test_core.py
+++ b/tests/gateway/scoring/test_core.py
@@ -1,4 +1,4 @@
-"""Score calls reach their score across failing, late and silent services, and no more often."""
+"""Each score call gets one score, also with failing, slow and unresponsive services."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Bench:
-    """Score calls over services whose answers the test gives."""
+    """Score calls to workers whose answers are given by the test."""
 
     def __init__(self, scorers: int = 4) -> None:
         self.now = 0.0
@@ -78,21 +78,21 @@
             self.results.append(result)
         self.stopped += stops
 
-    def break_off(self, send: SendScore, fault: AttemptFault) -> None:
+    def fail(self, send: SendScore, fault: AttemptFault) -> None:
         self.calls.broken(
             ScoreAttemptFailed(send.attempt, AttemptFailure(fault, "scripted", LOAD)), self.now
         )
 
 
 class ScoreCallTests(testtools.TestCase):
-    def test_a_signed_success_is_the_score(self) -> None:
+    def test_signature_of_a_successful_answer_is_the_score(self) -> None:
         bench = Bench()
         bench.begin()
         bench.answer(bench.sent[0], 200, "sig")
         self.assertEqual([ScoreResult("b", "x", ScoreOutcome.SCORED, "sig", 0)], bench.results)
         self.assertEqual(0, bench.calls.pending)
 
-    def test_a_success_without_a_signature_is_no_score_and_no_failure(self) -> None:
+    def test_unsigned_success_is_neither_a_score_nor_a_failure(self) -> None:
         bench = Bench()
         bench.begin()
         bench.answer(bench.sent[0], 200)
@@ -101,12 +101,12 @@
         bench.wait(0.1)
         self.assertEqual(2, len(bench.sent))
 
-    def test_a_deadline_leaves_time_for_others(self) -> None:
+    def test_deadline_of_an_attempt_leaves_time_for_others(self) -> None:
         bench = Bench()
         bench.begin()
         self.assertEqual(MAXIMUM_ATTEMPT_SECONDS, bench.sent[0].deadline_seconds)
 
-    def test_a_late_service_gets_another_one_beside_it_up_to_a_bound(self) -> None:
+    def test_slow_call_is_hedged_up_to_a_bound(self) -> None:
         bench = Bench()
         bench.begin()
         bench.wait(0.02)
@@ -116,7 +116,7 @@
         self.assertEqual(MAXIMUM_CONCURRENT_ATTEMPTS, len(bench.sent))
         self.assertEqual(MAXIMUM_CONCURRENT_ATTEMPTS, len({send.worker for send in bench.sent}))
 
-    def test_the_first_score_counts_and_the_others_are_stopped(self) -> None:
+    def test_first_score_counts_and_other_attempts_are_stopped(self) -> None:
         bench = Bench()
         bench.begin()
         bench.wait(0.2)
@@ -127,7 +127,7 @@
         self.assertEqual(["second"], [result.score for result in bench.results])
         self.assertEqual([0] * 4, [worker.in_flight for worker in bench.workers.all()])
 
-    def test_an_answer_to_another_samples_attempt_scores_only_that_sample(self) -> None:
+    def test_answer_scores_only_the_sample_of_its_attempt(self) -> None:
         bench = Bench()
         bench.begin("x")
         bench.begin("y")
@@ -136,7 +136,7 @@
         self.assertEqual([("y", "for y")], [(r.item, r.score) for r in bench.results])
         self.assertEqual(1, bench.calls.pending)
 
-    def test_it_is_given_up_after_exactly_the_failures_its_route_allows(self) -> None:
+    def test_call_is_given_up_after_the_failures_that_its_route_allows(self) -> None:
         bench = Bench()
         bench.begin()
         for _ in range(20):
@@ -156,29 +156,29 @@
         bench.answer(bench.sent[0], 500)
         self.assertEqual(ScoreOutcome.FAILED, bench.results[0].outcome)
 
-    def test_what_broke_is_no_failure_of_the_sample(self) -> None:
+    def test_lost_connection_is_no_failure_of_the_sample(self) -> None:
         bench = Bench()
         bench.begin()
         for _ in range(30):
             for send in bench.sent[-1:]:
-                bench.break_off(send, AttemptFault.MAY_HAVE_RUN)
+                bench.fail(send, AttemptFault.MAY_HAVE_RUN)
             bench.wait(1.0)
         self.assertEqual([], bench.results)
         self.assertEqual(1, bench.calls.pending)
         bench.answer(bench.sent[-1], 200, "sig")
         self.assertEqual("sig", bench.results[0].score)
 
-    def test_a_refusal_is_taken_elsewhere_after_a_pause_that_grows(self) -> None:
+    def test_refused_call_is_retried_after_a_bounded_delay(self) -> None:
         bench = Bench(scorers=2)
         bench.begin()
         for count in range(2, 8):
-            bench.break_off(bench.sent[-1], AttemptFault.NOT_RUN)
+            bench.fail(bench.sent[-1], AttemptFault.NOT_RUN)
             bench.wait(0.0)
             self.assertEqual(count - 1, len(bench.sent))
             bench.wait(0.81)
             self.assertEqual(count, len(bench.sent))
 
-    def test_without_a_route_or_a_worker_it_waits(self) -> None:
+    def test_call_waits_for_a_route_and_a_worker(self) -> None:
         bench = Bench(scorers=0)
         bench.begin()
         bench.wait(5.0)
@@ -191,7 +191,7 @@
         bench.wait(1.0)
         self.assertEqual(["s9"], [send.worker for send in bench.sent])
 
-    def test_a_dropped_call_is_stopped_and_heard_no_more(self) -> None:
+    def test_dropped_call_is_stopped_and_its_answer_ignored(self) -> None:
         bench = Bench()
         bench.begin()
         stops = bench.calls.drop("b", "x", "ended")
