--- a/src/stagewalk/gateway/nodes/__init__.py
+++ b/src/stagewalk/gateway/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways know of each other."""
+"""Membership: how gateway nodes announce themselves and judge each other's state."""
--- a/src/stagewalk/gateway/nodes/crash_watch.py
+++ b/src/stagewalk/gateway/nodes/crash_watch.py
@@ -1,7 +1,7 @@
-"""Detects requests that crash workers, and exchanges the worker ends with the other nodes.
+"""Detects requests that crash workers, and exchanges crash reports with the other nodes.
 
-Owns this node's evidence, its pace of appends, and when a suspect may be sent. Relies on
-`quarantine` for the decisions and on the nodes' partition, which every node follows anyway.
+Owns this node's evidence, the rate limit of its appends, and whether a suspected request may be
+sent. Relies on `quarantine` for the decisions and on the nodes' partition, which all nodes follow.
 """
 
 from __future__ import annotations
@@ -33,49 +33,47 @@
 from stagewalk.gateway.workers.worker import Worker
 
 Probe = Callable[[WorkerTarget], Awaitable[bool | None]]
-"""Returns whether anybody listens at a worker's address; None if that is unknown."""
+"""Returns whether a process listens at a worker's address; None if that is unknown."""
 
 RenewView = Callable[[float, float], Awaitable[bool]]
-"""Returns whether the nodes' partition is known as of so many seconds ago; reads, within the second
-time, if it isn't."""
+"""Returns whether the view of the nodes' partition is at most this many seconds old. Reads the
+partition if it is older, for at most the number of seconds in the second argument."""
 
 MAXIMUM_SUSPECT_VIEW_AGE_SECONDS = 0.0
 SUSPECT_READ_SECONDS = 0.3
-"""A suspect is sent only after one more read of other nodes' reports: its caller retries within a
-fifth of a second, and the views of nodes are up to 1.2 s old. Without an answer in 0.3 s it isn't
-sent: in a soak whose store answered late, nine workers ended under one, five too late."""
+"""A suspected request is sent only after another read of the other nodes' reports, since callers
+retry within 0.2 s and a node's view is up to 1.2 s old. This is the read's time-out."""
 
 MAXIMUM_UNVERIFIED_CRASHES = 1
-"""Most consecutive crashes of a content that is sent although nothing newer could be read, and only
-within the try in which the worker ended: most of those are bystanders, whose second attempt is
-served."""
+"""Number of consecutive crashes up to which a request is sent although that read failed, and only
+within the call during which the worker crashed. Most such requests did not cause the crash, and
+their second attempt succeeds."""
 
 PUBLISH_WAIT_SECONDS = 0.25
-"""How long a caller's answer waits for the report to be in the log, so that its next try meets it.
-The log answers within 0.01 s."""
+"""How long an answer to a caller is delayed until the crash report is in the log, so that all nodes
+know of it when the caller retries. The log answers within 0.01 s."""
 
 RETRY_SECONDS = 0.25
-"""Between two tries of a failed append."""
+"""Delay before a failed append is retried."""
 
 MAXIMUM_UNAPPENDED = 256
-"""Reports that wait for the log at most; the oldest are dropped first."""
+"""Maximum number of reports waiting to be appended; the oldest are dropped first."""
 
 BURST_APPENDS = 8.0
 APPENDS_PER_SECOND = 4.0
-"""Bounds what a node appends while many workers end at once. A node that serves 8 requests a second
-has one or two under way as a zone loses power."""
+"""Limits a node's appends while many workers crash at once, such as in a power loss of a zone."""
 
 ENDED_SECONDS = 1.0
-"""How long a worker that was found ended needs no other probe: requests lost together share one. A
-node that was cut off is refused at workers that live, so it probes again after that."""
+"""How long a worker found to have ended isn't probed again, so that requests lost together share a
+probe. It is short because a node that was cut off is refused by workers that are still alive."""
 
 EXPIRE_SECONDS = 10.0
-"""Between two searches for expired ends: one over 2,048 ends takes some 4 ms."""
+"""Interval between searches for expired crash records; searching 2,048 records takes 4 ms."""
 
 
 @dataclass(slots=True)
-class _AppendPace:
-    """A token bucket of appends."""
+class _AppendRateLimit:
+    """Token bucket for appends."""
 
     tokens: float = BURST_APPENDS
     refilled_at: float = field(default_factory=steady_seconds)
@@ -89,14 +87,14 @@
 
 
 class CrashWatch:
-    """This node's part in finding requests that crash workers; see `quarantine.crash_reports`.
+    """Finds requests that crash workers, together with the other nodes; see `quarantine`.
 
     Parameters
     ----------
     partition
-        Compacted partition that all nodes follow anyway.
+        Compacted partition that all nodes follow.
     renew_view
-        Reads that partition again.
+        Reads that partition if the view of it is too old.
     """
 
     def __init__(
@@ -120,22 +118,25 @@
         self._losses = PendingLosses()
         self._unpublished: dict[str, list[CrashRecord]] = {}
         self._unappended: dict[str, bytes] = {}
-        """By key the value to set, empty to drop it."""
-        self._pace = _AppendPace()
+        """Values to append, by key; an empty value deletes the key."""
+        self._rate_limit = _AppendRateLimit()
         self._work = anyio.Event()
         self._idle = anyio.Event()
         self._idle.set()
         self._ended_at: dict[str, float] = {}
         self._expired_at = -math.inf
 
-    # Senders' side.
+    # Called by senders of requests.
 
     def known_crashes(self, content: RequestContent) -> int:
         """Return the number of consecutive crashes known of a content."""
         return self._suspects.consecutive_crashes(content)
 
     async def denial(self, content: RequestContent, *, item: bool = False) -> Denial | None:
-        """Return why a request must not be sent; a suspect's reports are read first."""
+        """Return why a request must not be sent, None if it may be sent.
+
+        For a suspected request the other nodes' reports are read first.
+        """
         if self._suspects.consecutive_crashes(content) == 0:
             return None
         if self._suspects.held(content, time.time(), item=item):
@@ -143,15 +144,17 @@
         renewed = await self._renew_view(MAXIMUM_SUSPECT_VIEW_AGE_SECONDS, SUSPECT_READ_SECONDS)
         if self._suspects.held(content, time.time(), item=item):
             return Denial.CRASHES_WORKERS
-        return None if renewed or self._in_first_try(content) else Denial.CRASH_REPORTS_TOO_OLD
+        return (
+            None if renewed or self._may_send_unverified(content) else Denial.CRASH_REPORTS_TOO_OLD
+        )
 
     async def connection_lost(self, sent: SentRequest, failure: AttemptFailure) -> None:
         """Record that the connection to a worker was lost; find out whether the worker ended."""
         announcement = sent.worker.announcement
         listed = self._workers.lists(announcement.listed_as)
         closed = failure.contact_loss is ContactLoss.CLOSED
-        # A leaving worker is listed as draining, or no more, before its connections close. One that
-        # is listed under another start has ended.
+        # A worker that shuts down is listed as draining, or no longer listed, before it closes its
+        # connections. A worker that is listed under another incarnation has crashed.
         leaves = announcement.draining or (closed and not listed)
         if failure.contact_loss is None or leaves:
             return
@@ -171,44 +174,44 @@
                 self._record_crash(explained)
 
     def answered(self, content: RequestContent) -> None:
-        """Handle a request's answer: it doesn't crash workers, so its ends are forgotten."""
+        """Record that a request was answered: it doesn't crash workers, so drop its crashes."""
         if not self._suspects.any and not self._losses:
             return
         self._losses.answered(content.digest)
         self._retract(content.digest, "answered")
 
     def publish(self, content: RequestContent, from_crashes: int = 1) -> None:
-        """Publish the crashes of a content to other nodes, if there are at least so many."""
+        """Publish a content's crashes to other nodes if at least `from_crashes` are known."""
         if self._unpublished and self._suspects.consecutive_crashes(content) >= from_crashes:
             for crash in self._unpublished.pop(content.digest, ()):
                 self._append(crash.key, crash.encode())
 
     async def wait_published(self, content: RequestContent) -> None:
-        """Wait until what `publish` was asked for is in the log, for a short time at most."""
+        """Wait up to `PUBLISH_WAIT_SECONDS` until published crashes are in the log."""
         if self._suspects.consecutive_crashes(content):
             with anyio.move_on_after(PUBLISH_WAIT_SECONDS):
                 await self._idle.wait()
 
-    # Operators' side.
+    # Called on behalf of operators.
 
     @property
     def suspects(self) -> int:
-        """Return the number of worker ends remembered."""
+        """Return the number of crash records kept."""
         return self._suspects.count
 
     def quarantined_contents(self) -> list[QuarantinedContent]:
-        """Return the contents held back now."""
+        """Return the contents in quarantine now."""
         return self._suspects.quarantined_contents(time.time())
 
     def clear_quarantine(self, content: str) -> bool:
-        """Retract the worker ends of a content at all nodes; return whether any were known."""
+        """Retract a content's crash reports at all nodes; return whether any were known."""
         return self._retract(content, "lifted")
 
-    # Other nodes' reports.
+    # Reports read from the log.
 
     @staticmethod
     def owns(record: KeyedRecord) -> bool:
-        """Whether a record is a report of worker ends."""
+        """Whether a record is a crash report."""
         return record.key.startswith(CRASH_KEY_PREFIX)
 
     def apply(self, record: KeyedRecord) -> None:
@@ -220,10 +223,10 @@
         if crash is None or crash.key != record.key:
             log_event("crash_strike_unreadable", "warning", key=record.key, offset=record.offset)
             return
-        self._take(crash)
+        self._add_crash(crash)
 
     def replace(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Replace all reports; those that this node has still to append stay in force."""
+        """Replace all reports, except for changes that this node has not appended yet."""
         self._suspects.replace(())
         for record in records:
             self.apply(record)
@@ -232,15 +235,15 @@
             if crash is None:
                 self._suspects.drop(key)
             else:
-                self._take(crash)
+                self._add_crash(crash)
         for crashes in self._unpublished.values():
             for crash in crashes:
-                self._take(crash)
+                self._add_crash(crash)
 
     # Periodic work.
 
     def step(self, now: float) -> None:
-        """Look for evidence about lost workers, and expire what no longer matters."""
+        """Record lost connections whose worker's entry is gone as crashes; expire old records."""
         if self._losses:
             for loss in self._losses.due(self._workers, now):
                 self._record_crash(loss)
@@ -255,24 +258,24 @@
             }
 
     async def run(self) -> None:
-        """Append reports for other nodes, for ever."""
+        """Append queued reports until cancelled."""
         while True:
             await self._work.wait()
             while self._unappended:
-                await anyio.sleep(self._pace.seconds_until_next(steady_seconds()))
+                await anyio.sleep(self._rate_limit.seconds_until_next(steady_seconds()))
                 await self._append_first()
             self._work = anyio.Event()
             self._idle.set()
 
     async def _append_first(self) -> None:
-        # Reports of ends go before retractions of old suspicions.
+        # Crash reports are appended before retractions.
         key = next(
             (key for key, value in self._unappended.items() if value), next(iter(self._unappended))
         )
         value = self._unappended[key]
         answer = await self._log.append_keyed(self._partition, key, value)
         if answer.is_error():
-            # Setting a key twice changes nothing, so an append without an answer is made again.
+            # Setting a key is idempotent, so an append without an answer is repeated.
             log_event("crash_strike_not_told", "warning", key=key, fault=answer.error.fault)
             await anyio.sleep(RETRY_SECONDS)
         elif self._unappended.get(key) is value:
@@ -285,8 +288,11 @@
         self._idle = anyio.Event() if self._idle.is_set() else self._idle
         self._work.set()
 
-    def _in_first_try(self, content: RequestContent) -> bool:
-        """Whether all that is known of a content was seen here, in the try that is under way."""
+    def _may_send_unverified(self, content: RequestContent) -> bool:
+        """Whether a content may be sent although other nodes' reports could not be read.
+
+        It may if all its crashes belong to the call under way: they aren't published yet.
+        """
         unpublished = {crash.worker for crash in self._unpublished.get(content.digest, ())}
         known = {crash.worker for crash in self._suspects.crashes(content)}
         return (
@@ -305,7 +311,7 @@
             loss.route,
         )
         self._unpublished.setdefault(loss.content, []).append(crash)
-        self._take(crash)
+        self._add_crash(crash)
         log_event(
             "worker_ended_under_request",
             "warning",
@@ -318,7 +324,7 @@
             ran_seconds=loss.lost_at - loss.sent_at,
         )
 
-    def _take(self, crash: CrashRecord) -> None:
+    def _add_crash(self, crash: CrashRecord) -> None:
         if self._suspects.add(crash):
             log_event(
                 "request_held_back",
@@ -340,7 +346,7 @@
         return bool(crashes)
 
     async def _has_ended(self, worker: Worker) -> bool:
-        """Whether nobody listens at a worker's address; probed once for all requests lost there."""
+        """Whether no process listens at a worker's address; `ENDED_SECONDS` limits the probes."""
         name, now = worker.announcement.worker, steady_seconds()
         self._ended_at = {w: at for w, at in self._ended_at.items() if now - at < ENDED_SECONDS}
         if name not in self._ended_at:
--- a/src/stagewalk/gateway/nodes/identity.py
+++ b/src/stagewalk/gateway/nodes/identity.py
@@ -1,4 +1,4 @@
-"""Identity of one start of a node: its name and incarnation.
+"""Identity of a node's process: the node's name and the incarnation.
 
 Owns the text form, which is stored in records.
 """
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class ProcessId:
-    """A node's name and the number of this start, which grows with each start.
+    """A node's name, and a number that grows with each start of its process.
 
     `incarnation` may be raised until the node has first announced itself.
     """
@@ -25,7 +25,7 @@
 
 
 def parse_process_id(text: str) -> ProcessId | None:
-    """Return the identity a text spells, None if it spells none."""
+    """Parse an identity; return None if the text isn't one."""
     node, separator, incarnation = text.rpartition(SEPARATOR)
     if not separator or not incarnation.isdecimal():
         return None
--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -1,7 +1,7 @@
 """Announces this node through the log and follows the other nodes' announcements.
 
 Owns the partition's follower and this node's own announcement. Relies on `directory` for roles and
-listings, on `runner_state` and `relay_choice` for what is concluded of other nodes.
+listings, and on `runner_state` and `relay_choice` to judge other nodes.
 """
 
 from __future__ import annotations
@@ -46,27 +46,27 @@
 from stagewalk.gateway.zones.allowed_regions import AllowedRegions, allows
 
 READ_WAIT_SECONDS = 1.0
-"""How long a read waits for a first announcement."""
+"""How long a read waits for the first new announcement."""
 
 OUTAGE_SECONDS = 0.6
-"""A view not confirmed for longer than a pause, a wait and this has missed announcements."""
+"""The log counts as unavailable if the view isn't confirmed for this long beyond the pause between
+two reads and the wait of a read."""
 
 SETTLE_SECONDS = 0.5
 """How long a node that finds no replica of the ledger anywhere waits for others to announce
-themselves: when all start at once, each would see itself alone and take every role. Machines of one
-strength were seen to start within 0.3 s of each other."""
+themselves. Without it, when all nodes start at once, each would take every role."""
 
 
 @dataclass(frozen=True, slots=True)
 class Roles:
-    """Roles of a node; it serves all callers that connect, with or without them.
+    """Roles of a node; it serves callers with or without them.
 
     Attributes
     ----------
     replica
-        Hold a replica of the batch ledger.
+        Whether it holds a replica of the batch ledger.
     listed
-        Be named to the callers of its zone by the directory.
+        Whether the directory returns it to the callers of its zone.
     """
 
     replica: bool
@@ -79,12 +79,12 @@
     Parameters
     ----------
     own
-        This node; its state is changed here only.
+        This node; its state is changed only by this class.
     batch_regions
         Returns the regions in which batches may be kept and run.
     worker_ends
-        Handles the reports of worker ends. They stand beside the announcements, which every node
-        reads before it serves, so they cost no reads of their own.
+        Handles crash reports. They are in the same partition as the announcements, which every
+        node reads before it serves, so they need no reads of their own.
     """
 
     def __init__(
@@ -116,12 +116,12 @@
         self._view_at = -math.inf
         self._known = anyio.Event()
         self._settled = anyio.Event()
-        self._alone = False
+        self._started_alone = False
         self._wake = anyio.Event()
         self._announced_early = False
         self._roles = Roles(replica=False, listed=False)
         self._roles_as_of = -math.inf
-        self._living = 1
+        self._alive_nodes = 1
         self._calls = CallRate(steady_seconds())
         self._liveness = RunnerLiveness()
         self._worker_ends = worker_ends
@@ -144,7 +144,7 @@
     @property
     def started_without_replicas(self) -> bool:
         """Whether no replica of the ledger was alive anywhere when this process started."""
-        return self._alone
+        return self._started_alone
 
     @property
     def listed(self) -> bool:
@@ -156,11 +156,11 @@
         self._calls.count()
 
     async def refresh(self) -> None:
-        """Read announcements once more if the view of them is too old to name nodes to a caller."""
+        """Read announcements again if the view is too old to answer a caller's look-up."""
         await self._follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_TIMEOUT_SECONDS)
 
     async def renew(self, oldest_seconds: float, timeout_seconds: float) -> bool:
-        """Return whether all that nodes wrote so long ago is known; read if it isn't."""
+        """Return whether the view is at most `oldest_seconds` old; read again if it is older."""
         return await self._follower.renew(oldest_seconds, timeout_seconds)
 
     def set_serving(self, serving: bool) -> None:
@@ -175,11 +175,11 @@
         self.set_serving(False)
 
     def set_pause(self, seconds: float) -> None:
-        """Set how long announcements gather between two reads, in seconds."""
+        """Set the pause between two reads of announcements, in seconds."""
         self._follower.pause_seconds = seconds
 
     def set_listed(self, listed: bool) -> None:
-        """Set whether the directory names this node to callers, and announce it."""
+        """Set whether the directory returns this node to callers, and announce it."""
         if listed != self._own.listed:
             self._own.listed = listed
             self._wake.set()
@@ -191,10 +191,10 @@
             self._wake.set()
 
     def set_claims(self, claims: tuple[ServiceClaims, ...] | None) -> None:
-        """Set what the items run here ask of engines.
+        """Set the claims on engines of the items run here.
 
-        It is announced with the next renewal; at once if other nodes know of much less, but only
-        once before that renewal.
+        They are announced with the next renewal, or at once if they exceed the announced claims by
+        much, but at most once before that renewal.
         """
         self._own.claims = claims
         announced = self._table.known(self._identity.node)
@@ -204,10 +204,10 @@
             self._wake_early()
 
     def claims_of_others(self) -> PeerClaims:
-        """Return what the other nodes that run batches announced of their claims.
+        """Return the claims announced by the other nodes that run batches.
 
-        A process that stops has handed its batches over, and one that is gone has lost them: what
-        it asked for is asked for by its successors.
+        Processes that stop or are gone are left out: other nodes run their batches and announce
+        the claims of these.
         """
         running = [
             node
@@ -227,11 +227,11 @@
 
     @property
     def liveness(self) -> RunnerLiveness:
-        """Return what direct probes of runners showed."""
+        """Return the results of direct probes of runners."""
         return self._liveness
 
     def peer_address_of(self, process: str) -> Address | None:
-        """Return where the node of a process serves other nodes, None if unknown."""
+        """Return the address at which a process's node serves other nodes, None if unknown."""
         identity = parse_process_id(process)
         known = None if identity is None else self._table.known(identity.node)
         return None if known is None else known.peer_address
@@ -239,11 +239,11 @@
     def target_roles(self) -> Roles:
         """Return the roles that this node should have, by its view of the others.
 
-        All nodes are ranked for it, so that is done once for each view of them.
+        They are computed once for each view, since all nodes have to be ranked.
         """
         if self.settled and self._roles_as_of < self._view_at:
             candidates = self._role_candidates()
-            self._living = len(candidates)
+            self._alive_nodes = len(candidates)
             self._roles_as_of = self._view_at
             self._roles = Roles(
                 replica=should_hold_replica(
@@ -254,9 +254,9 @@
         return self._roles
 
     def _role_candidates(self) -> list[NodeAnnouncement]:
-        """Return the nodes that roles are given to.
+        """Return the nodes that roles are assigned to, this one included.
 
-        Starting nodes are among them, and this one: a replica is followed before its node serves.
+        Nodes that don't serve yet are included: a node follows the batches before it serves.
         """
         others = [node for node in self._others() if not node.stopping]
         return [*others, self._announcement()]
@@ -266,15 +266,15 @@
         await self._known.wait()
 
     async def wait_until_settled(self) -> None:
-        """Wait until roles can be given to the nodes that are there."""
+        """Wait until the other nodes are known and have had time to announce themselves."""
         await self._known.wait()
-        if self._alone:
+        if self._started_alone:
             await anyio.sleep(SETTLE_SECONDS)
             await self._follower.refresh(0.0, REFRESH_TIMEOUT_SECONDS)
         self._settled.set()
 
     def replicas(self) -> list[NodeAnnouncement]:
-        """Return the serving nodes that hold a replica, this one by its own state."""
+        """Return the serving nodes that hold a replica; for this node its own state counts."""
         holders = [node for node in self.serving() if node.ledger_replica]
         return self._in_batch_regions(holders)
 
@@ -288,22 +288,22 @@
         return nodes if regions is None else [n for n in nodes if allows(regions, n.region)]
 
     def serving_nodes(self, caller: CallerLocation, most: int) -> list[str]:
-        """Return the addresses of the nodes to name to a caller, nearest first."""
-        alive = select_nodes_for_caller(self.serving(), caller, most)
-        return [announcement.front for announcement in alive]
+        """Return the addresses of the nodes that a caller should use, nearest first."""
+        selected = select_nodes_for_caller(self.serving(), caller, most)
+        return [announcement.front for announcement in selected]
 
     def serving(self) -> list[NodeAnnouncement]:
-        """Return the nodes that serve, this one by its own state."""
+        """Return the nodes that serve; for this node its own state counts."""
         others = [node for node in self._others() if node.serving]
         return [*others, self._announcement()] if self._own.serving else others
 
     def peers(self) -> RelayPeers:
-        """Return where other living nodes serve relayed calls of the log."""
+        """Return the addresses of other alive nodes that relay calls of the log."""
         others = self._others()
         return choose_relay_peers(others, self._own.placement.region, self._batch_regions())
 
     def runner_state(self, process: str) -> RunnerState:
-        """Return the state of a process that is to run a batch."""
+        """Return the state of a process to which a batch is assigned."""
         return judge_runner(
             process,
             self._identity,
@@ -319,7 +319,7 @@
         return [node for node in alive if node.node != self._identity.node]
 
     def _announcement(self) -> NodeAnnouncement:
-        return self._own.announcement(self._living)
+        return self._own.announcement(self._alive_nodes)
 
     async def _announce(self) -> None:
         await self._known.wait()
@@ -341,7 +341,7 @@
                     self._announced_early = False
 
     def _view_confirmed(self, confirmed_at: float) -> None:
-        """Move the view's time on; after an outage, restart every living node's failure timeout."""
+        """Update the view's time; after an outage, restart the failure timeout of alive nodes."""
         longest = self._follower.pause_seconds + READ_WAIT_SECONDS + OUTAGE_SECONDS
         if -math.inf < self._view_at < confirmed_at - longest:
             self._table.restart_timeouts(confirmed_at, self._view_at)
@@ -364,7 +364,7 @@
         if previous is not None:
             later = previous.incarnation + 1
             self._identity.incarnation = max(self._identity.incarnation, later)
-        self._alone = not any(node.ledger_replica for node in self._table.alive(now))
+        self._started_alone = not any(node.ledger_replica for node in self._table.alive(now))
         self._known.set()
 
     def _apply(self, record: KeyedRecord) -> None:
@@ -389,7 +389,7 @@
 
 
 def _decode(record: KeyedRecord) -> NodeAnnouncement | None:
-    """Return a record's announcement; one that can't be decoded is logged and left out."""
+    """Return a record's announcement, None if it has none; log one that can't be decoded."""
     if record.value is None:
         return None
     announcement = decode_announcement(record.value)
--- a/src/stagewalk/gateway/nodes/own_node.py
+++ b/src/stagewalk/gateway/nodes/own_node.py
@@ -1,6 +1,6 @@
 """State of this node, and the announcement of it. Pure.
 
-Owns what only this node decides of itself; the other nodes know it from the announcement.
+Only this node changes the state; the other nodes know it from the announcement.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 
 @dataclass(slots=True)
 class OwnNode:
-    """This node as it knows itself.
+    """State of this node.
 
     Attributes
     ----------
     front, peer
         Where callers and other nodes connect; `peer` is None if other nodes can't.
     capacity
-        How fast its processor is, in cores of the usual speed.
+        Speed of its processor, in multiples of a standard core.
     serving
         Whether callers may be sent here.
     replica, listed
-        Its roles: a replica of the batch ledger, and being named to its zone's callers.
+        Its roles: holding a replica of the batch ledger, and being listed for its zone's callers.
     stopping
         Whether a planned stop has begun.
     beat
-        Announcements made.
+        Number of announcements made.
     calls_per_second
         Rate of callers' requests, smoothed.
     claims
-        What the items run here ask of engines; None: other nodes aren't told.
+        Claims on engines of the items run here; None: they aren't announced.
     """
 
     identity: ProcessId
@@ -51,8 +51,8 @@
     calls_per_second: float = 0.0
     claims: tuple[ServiceClaims, ...] | None = None
 
-    def announcement(self, living: int) -> NodeAnnouncement:
-        """Return the announcement of this node, one of so many living nodes."""
+    def announcement(self, alive_nodes: int) -> NodeAnnouncement:
+        """Return the announcement of this node, given the number of alive nodes."""
         return NodeAnnouncement(
             node=self.identity.node,
             incarnation=self.identity.incarnation,
@@ -64,7 +64,7 @@
             beat=self.beat,
             ledger_replica=self.replica,
             capacity=self.capacity,
-            renewal_seconds=renewal_seconds(self.listed or self.replica, living),
+            renewal_seconds=renewal_seconds(self.listed or self.replica, alive_nodes),
             listed=self.listed,
             stopping=self.stopping,
             calls_per_second=round(self.calls_per_second, 1),
@@ -72,7 +72,7 @@
         )
 
     def matches(self, announced: NodeAnnouncement) -> bool:
-        """Whether an announcement still has this node's roles and whether it serves."""
+        """Whether an announcement has this node's current roles and serving state."""
         return (announced.serving, announced.ledger_replica, announced.listed) == (
             self.serving,
             self.replica,
--- a/src/stagewalk/gateway/nodes/relay_choice.py
+++ b/src/stagewalk/gateway/nodes/relay_choice.py
@@ -1,7 +1,7 @@
 """Chooses the nodes that may relay this node's calls of the log. Pure.
 
-What is relayed may be a batch, so it goes to no region that is neither one of the batches' regions
-nor this node's own.
+A relayed call may carry a batch, so it goes only to this node's region and to regions in which
+batches are allowed.
 """
 
 from __future__ import annotations
@@ -17,14 +17,15 @@
 def choose_relay_peers(
     others: Sequence[NodeAnnouncement], own_region: str, batch_regions: AllowedRegions
 ) -> RelayPeers:
-    """Return where other nodes serve relayed calls.
+    """Return the addresses of nodes that relay calls.
 
-    Nodes with a role are returned alone where there are any: they announced themselves lately.
+    If any nodes have a role, only these are returned: they announce themselves often, so they are
+    more likely to be alive.
 
     Parameters
     ----------
     others
-        Living nodes but for this one.
+        Alive nodes other than this one.
     """
     chosen = [node for node in others if node.has_role] or others
     same_region = [node for node in chosen if node.region == own_region]
--- a/src/stagewalk/gateway/nodes/runner_state.py
+++ b/src/stagewalk/gateway/nodes/runner_state.py
@@ -1,6 +1,6 @@
-"""Judges whether the process that is to run a batch still does. Pure.
+"""Decides whether the process to which a batch is assigned still runs it. Pure.
 
-Owns the rule; relies on the table of nodes, and on what direct probes of runners showed.
+Owns the rule; relies on the table of nodes and on the results of direct probes of runners.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
     view_at: float,
     now: float,
 ) -> RunnerState:
-    """Return the state of a process that is to run a batch.
+    """Return the state of a process to which a batch is assigned.
 
-    A process that no longer follows the batches doesn't run them.
+    A process whose node no longer follows the batches doesn't run them.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
         Identity of this process.
     view_at, now
         When the view of nodes was last complete, and now, in seconds of the steady clock. Nodes are
-        judged as of the former, probes as of the latter.
+        judged at the former time, probes at the latter.
     """
     identity = parse_process_id(process)
     if identity is None:
--- a/tests/gateway/nodes/test_crash_watch.py
+++ b/tests/gateway/nodes/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""What a node still has to tell of worker ends, while the log is away or listed anew."""
+"""Crash reports that a node has not appended yet, while the log is down or listed again."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
             renew_view=mock.AsyncMock(return_value=False),
         )
 
-    async def end(self, worker: str, content: RequestContent = CONTENT) -> None:
-        """Have a worker end under a request."""
+    async def crash_worker(self, worker: str, content: RequestContent = CONTENT) -> None:
+        """Simulate a worker's crash while it runs a request."""
         self.table.announce(announcement(worker), 0.0)
         known = self.table.worker(worker)
         assert known is not None
@@ -49,7 +49,7 @@
         sent = SentRequest("q", content, known, "r", level, steady_seconds())
         await self.watch.connection_lost(sent, CLOSED)
 
-    def test_an_end_counts_though_the_next_start_is_listed_by_then(self) -> None:
+    def test_a_crash_counts_if_the_next_incarnation_is_listed_already(self) -> None:
         async def scenario() -> None:
             self.table.announce(announcement("a", born=1_000), 0.0)
             before = self.table.worker("a@1000")
@@ -61,9 +61,9 @@
 
         anyio.run(scenario)
 
-    def test_what_is_still_to_be_told_outlasts_a_listing(self) -> None:
+    def test_a_listing_keeps_reports_that_are_not_appended_yet(self) -> None:
         async def scenario() -> None:
-            await self.end("a")
+            await self.crash_worker("a")
             self.watch.replace(())
             self.assertEqual(1, self.watch.known_crashes(CONTENT))
             self.watch.publish(CONTENT)
@@ -72,9 +72,9 @@
 
         anyio.run(scenario)
 
-    def test_what_was_cleared_and_not_yet_dropped_does_not_come_back(self) -> None:
+    def test_a_listing_does_not_restore_reports_whose_retraction_is_pending(self) -> None:
         async def scenario() -> None:
-            await self.end("a")
+            await self.crash_worker("a")
             (crash,) = self.suspects.crashes(CONTENT)
             self.watch.publish(CONTENT)
             self.watch.answered(CONTENT)
@@ -83,9 +83,9 @@
 
         anyio.run(scenario)
 
-    def test_a_record_under_another_ones_key_is_none(self) -> None:
+    def test_records_with_a_wrong_key_or_value_are_ignored(self) -> None:
         async def scenario() -> None:
-            await self.end("a")
+            await self.crash_worker("a")
             (crash,) = self.suspects.crashes(CONTENT)
             self.watch.answered(CONTENT)
             self.watch.apply(KeyedRecord(crash.key + "x", crash.encode(), 1))
@@ -94,11 +94,11 @@
 
         anyio.run(scenario)
 
-    def test_what_waits_is_bounded_however_many_contents_there_are(self) -> None:
+    def test_pending_reports_are_bounded_for_any_number_of_contents(self) -> None:
         async def scenario() -> None:
             for n in range(MAXIMUM_CRASH_RECORDS + 300):
                 content = RequestContent("POST", "h", "/x", str(n).encode())
-                await self.end(f"w{n % 7}", content)
+                await self.crash_worker(f"w{n % 7}", content)
                 if n % 2:
                     self.watch.publish(content)
             self.watch.step(steady_seconds())
@@ -108,13 +108,13 @@
 
         anyio.run(scenario)
 
-    def test_an_end_is_told_before_old_suspicions_are_dropped(self) -> None:
+    def test_crash_reports_are_appended_before_retractions(self) -> None:
         async def scenario() -> None:
             other = RequestContent("POST", "h", "/y", b"")
-            await self.end("a", other)
+            await self.crash_worker("a", other)
             self.watch.publish(other)
             self.watch.answered(other)
-            await self.end("b")
+            await self.crash_worker("b")
             self.watch.publish(CONTENT)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.watch.run)
--- a/tests/gateway/nodes/test_crashing_requests.py
+++ b/tests/gateway/nodes/test_crashing_requests.py
@@ -1,20 +1,7 @@
 """A request that crashes each worker that runs it stops reaching workers, at every node.
 
-What users saw: workers of one service ended three at a time, were back after three seconds and
-ended again, in rounds four seconds apart, for as long as one caller came back with its request.
-Meanwhile other callers of that service got 503, since all of its workers were down.
-
-Order of events: a node sends the request to a worker, whose process ends 0.1 s later; the node
-sends it to a second worker, which ends too, and answers 502. The caller's retry reaches another
-node, which knows nothing of it and ends a third worker. Four seconds later the caller comes back,
-and all of this begins anew.
-
-Cause: what an attempt taught was forgotten with its try. A worker that ended counted as one more
-broken connection, and nothing told one request's tries at several nodes from different requests.
-
-Evidence: in the logs of one such day 26 workers closed a connection without an answer 0.1 s after
-a request had been sent, refused connections from then on, and no try went beyond its limit of
-attempts.
+Guards against a caller that retries such a request at different nodes and so crashes all workers of
+a service again and again, while other callers of the service get 503.
 """
 
 from __future__ import annotations
@@ -34,14 +21,14 @@
 
 CRASHING = b"crashes whoever runs it"
 RESTART_SECONDS = 0.3
-VISITS = 7
-ASKED = RequestContent("POST", HOST, "/ask/x", CRASHING)
-MOST_CRASHES = 6
-"""Three workers until the request is known for what it is, and three more that are forgiven."""
+CALLS = 7
+CRASHING_CONTENT = RequestContent("POST", HOST, "/ask/x", CRASHING)
+MAXIMUM_CRASHES = 6
+"""Three workers until the request is quarantined, and a tolerance of three more."""
 
 
 class Restarts:
-    """Has workers that crash start again after a while, under new identities."""
+    """Restarts crashed workers after a delay, under new identities."""
 
     def __init__(self, site: Site, tasks: anyio.abc.TaskGroup) -> None:
         self._site = site
@@ -61,8 +48,10 @@
         workers[name].answer_seconds = workers[worker].answer_seconds
 
 
-async def visit(site: Site, nodes: list[Running], number: int, path: str = "/ask/x") -> int:
-    """Send the request to a node, and once more to the next one if it got no answer."""
+async def call_with_retry(
+    site: Site, nodes: list[Running], number: int, path: str = "/ask/x"
+) -> int:
+    """Send the request to a node, and again to the next node if the first call fails."""
     first, second = nodes[number % len(nodes)], nodes[(number + 1) % len(nodes)]
     answer = await site.call(first, "POST", path, CRASHING, stagewalk_request_id=f"v{number}")
     if answer.status_code != httpx.codes.OK:
@@ -81,8 +70,10 @@
     await until(served)
 
 
-async def until_known(site: Site, nodes: list[Running], digest: str = ASKED.digest) -> None:
-    """Wait until all nodes hold the request back."""
+async def until_quarantined(
+    site: Site, nodes: list[Running], digest: str = CRASHING_CONTENT.digest
+) -> None:
+    """Wait until all nodes have the request in quarantine."""
 
     async def known() -> bool:
         return all(
@@ -100,7 +91,7 @@
 def scenario(
     body: Callable[[Site, list[Running]], Awaitable[None]], nodes: int = 2, workers: int = 3
 ) -> None:
-    """Run a test over gateways and workers that start again after a crash."""
+    """Run a test with gateways and with workers that are restarted after a crash."""
 
     async def main(site: Site) -> None:
         async with anyio.create_task_group() as tasks:
@@ -115,16 +106,16 @@
 
 
 class CrashingRequestTests(testtools.TestCase):
-    def test_a_request_that_crashed_three_workers_stops_reaching_them_at_any_node(self) -> None:
+    def test_a_request_that_crashed_three_workers_is_sent_by_no_node(self) -> None:
         async def scenario(site: Site) -> None:
             async with anyio.create_task_group() as tasks:
                 Restarts(site, tasks)
                 site.add_worker("a3", "app")
                 nodes = [await site.start(name) for name in ("n1", "n2", "n3")]
-                for number in range(VISITS):
-                    await visit(site, nodes, number)
+                for number in range(CALLS):
+                    await call_with_retry(site, nodes, number)
                     await until_served(site, nodes)
-                self.assertLessEqual(len(site.workers.crashes), MOST_CRASHES)
+                self.assertLessEqual(len(site.workers.crashes), MAXIMUM_CRASHES)
 
         run(scenario)
 
@@ -135,7 +126,7 @@
                 site.add_worker("a3", "app")
                 nodes = [await site.start(name) for name in ("n1", "n2")]
                 for number in range(3):
-                    await visit(site, nodes, number)
+                    await call_with_retry(site, nodes, number)
                     await until_served(site, nodes)
                 crashes = len(site.workers.crashes)
                 late = await site.start("n3")
@@ -145,23 +136,23 @@
 
         run(scenario)
 
-    def test_a_caller_that_comes_back_at_once_meets_the_news_of_its_last_try(self) -> None:
-        """Nodes read each other's news every 0.8 s; a suspect is sent after one more read only."""
+    def test_an_immediate_retry_is_judged_with_the_crashes_of_the_last_call(self) -> None:
+        """Nodes read reports every 0.8 s; a suspected request is sent only after another read."""
 
         async def body(site: Site, nodes: list[Running]) -> None:
-            await visit(site, nodes, 0)
+            await call_with_retry(site, nodes, 0)
             await until_served(site, nodes)
             crashes = len(site.workers.crashes)
             for number in range(1, 5):
-                await visit(site, nodes, number)
+                await call_with_retry(site, nodes, number)
             self.assertEqual(crashes + 1, len(site.workers.crashes))
 
         scenario(body)
 
-    def test_its_caller_is_told_at_once_that_it_has_not_run_and_when_to_come_back(self) -> None:
+    def test_a_quarantined_request_gets_503_with_retry_after_at_once(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             for number in range(2):
-                await visit(site, nodes, number)
+                await call_with_retry(site, nodes, number)
                 await until_served(site, nodes)
             reached = len(site.workers.log)
             answer = await site.call(nodes[0], "POST", "/ask/x", CRASHING)
@@ -171,7 +162,7 @@
 
         scenario(body)
 
-    def test_a_try_under_which_a_worker_ended_is_not_told_as_not_run(self) -> None:
+    def test_a_call_that_crashed_a_worker_is_not_answered_as_not_run(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             answer = await site.call(nodes[0], "POST", "/once/x", CRASHING)
             self.assertEqual(502, answer.status_code)
@@ -179,21 +170,21 @@
 
         scenario(body)
 
-    def test_requests_that_run_once_a_try_are_found_too(self) -> None:
+    def test_requests_with_one_attempt_per_call_are_detected_too(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             for number in range(6):
-                await visit(site, nodes, number, "/once/x")
+                await call_with_retry(site, nodes, number, "/once/x")
                 await until_served(site, nodes)
             self.assertLessEqual(len(site.workers.crashes), 4)
 
         scenario(body)
 
-    def test_streams_and_their_resumptions_are_found_too(self) -> None:
+    def test_streams_and_their_resumptions_are_detected_too(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             for number in range(6):
-                await visit(site, nodes, number, "/resume/x")
+                await call_with_retry(site, nodes, number, "/resume/x")
                 await until_served(site, nodes, "/stream/y")
-            self.assertLessEqual(len(site.workers.crashes), MOST_CRASHES)
+            self.assertLessEqual(len(site.workers.crashes), MAXIMUM_CRASHES)
             resumed = await site.call(
                 nodes[0], "POST", "/resume/x", CRASHING, stagewalk_last_event="2"
             )
@@ -217,12 +208,12 @@
 
         scenario(body)
 
-    def test_an_item_handed_in_again_in_another_batch_stays_away_from_engines(self) -> None:
+    def test_an_item_submitted_again_in_another_batch_is_not_sent_to_engines(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             site.workers.crashing.add(b"body bad")
             await site.submit(nodes[0], "b1", "bad")
             content = RequestContent("POST", HOST, "/run/bad", b"body bad")
-            await until_known(site, nodes, content.digest)
+            await until_quarantined(site, nodes, content.digest)
 
             async def found() -> bool:
                 return len(site.workers.crashes) >= HELD_AFTER_CRASHES_OF_ITEM
@@ -241,16 +232,16 @@
             await site.submit(nodes[0], "b1", "x", scored_by="/score/x")
 
             call = RequestContent("POST", HOST, "/score/x", b"judge")
-            await until_known(site, nodes, call.digest)
+            await until_quarantined(site, nodes, call.digest)
             await until_served(site, nodes)
             crashes = len(site.workers.crashes)
-            self.assertLessEqual(crashes, MOST_CRASHES)
+            self.assertLessEqual(crashes, MAXIMUM_CRASHES)
             await anyio.sleep(4 * RESTART_SECONDS)
             self.assertEqual(crashes, len(site.workers.crashes))
 
         scenario(body)
 
-    def test_a_node_whose_log_refuses_it_alone_learns_of_it_through_others(self) -> None:
+    def test_a_node_cut_off_from_the_log_learns_of_crashes_through_others(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             cut = nodes[1]
 
@@ -261,9 +252,9 @@
             await until(known)
             cut.log.faults.down = True
             for number in (0, 2):
-                await visit(site, nodes[:1], number)
+                await call_with_retry(site, nodes[:1], number)
                 await until_served(site, nodes[:1])
-            await until_known(site, nodes)
+            await until_quarantined(site, nodes)
             crashes = len(site.workers.crashes)
             answer = await site.call(cut, "POST", "/ask/x", CRASHING)
             self.assertEqual(503, answer.status_code)
@@ -271,7 +262,9 @@
 
         scenario(body)
 
-    def test_while_the_log_is_away_a_suspect_waits_once_its_try_has_ended(self) -> None:
+    def test_while_the_log_is_down_a_suspected_request_is_refused_after_its_first_call(
+        self,
+    ) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             (node,) = nodes
             node.log.faults.down = True
@@ -283,7 +276,9 @@
 
         scenario(body, nodes=1)
 
-    def test_while_the_log_is_away_a_bystander_is_served_by_its_second_attempt(self) -> None:
+    def test_while_the_log_is_down_an_innocent_request_is_served_by_its_second_attempt(
+        self,
+    ) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             (node,) = nodes
             node.log.faults.down = True
@@ -303,23 +298,23 @@
 
         scenario(body, nodes=1)
 
-    def test_what_a_node_could_not_tell_it_tells_once_the_log_takes_it(self) -> None:
+    def test_crash_reports_are_published_once_the_log_is_up_again(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             for node in nodes:
                 node.log.faults.down = True
-            await visit(site, nodes[:1], 0)
+            await call_with_retry(site, nodes[:1], 0)
             await until_served(site, nodes)
             for node in nodes:
                 node.log.faults.down = False
 
             async def learnt() -> bool:
-                return nodes[1].gateway._crashes.known_crashes(ASKED) > 0
+                return nodes[1].gateway._crashes.known_crashes(CRASHING_CONTENT) > 0
 
             await until(learnt)
 
         scenario(body)
 
-    def test_a_worker_whose_machine_falls_silent_is_seen_by_its_entry(self) -> None:
+    def test_a_crash_without_a_closed_connection_is_detected_by_the_workers_entry(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             site.workers.silent_crashes = True
             answer = await site.call(
@@ -328,7 +323,7 @@
             self.assertEqual(504, answer.status_code)
 
             async def learnt() -> bool:
-                content = replace(ASKED, target="/once/x")
+                content = replace(CRASHING_CONTENT, target="/once/x")
                 return all(node.gateway._crashes.known_crashes(content) == 1 for node in nodes)
 
             await until(learnt)
@@ -337,7 +332,7 @@
 
 
 async def running_worker(site: Site) -> str:
-    """Return a worker that runs a request, once there is one: news may be read before."""
+    """Wait until a worker runs a request; return its name."""
 
     async def running() -> bool:
         return any(worker.running for worker in site.workers.workers.values())
@@ -346,9 +341,9 @@
     return next(name for name, worker in site.workers.workers.items() if worker.running)
 
 
-class BystanderTests(testtools.TestCase):
-    def test_a_request_that_was_only_there_is_served_and_forgotten(self) -> None:
-        """Workers end under it one after the other, and each time it has an answer before long."""
+class InnocentRequestTests(testtools.TestCase):
+    def test_a_request_that_did_not_cause_the_crashes_is_served_and_cleared(self) -> None:
+        """Workers crash while they run it, and each time it is answered at its next call."""
 
         async def body(site: Site, nodes: list[Running]) -> None:
             for worker in site.workers.workers.values():
@@ -369,8 +364,8 @@
 
         scenario(body)
 
-    def test_workers_that_end_at_the_same_moment_count_once(self) -> None:
-        """As where a rack loses power, and a popular request is under way at each of them."""
+    def test_workers_that_crash_at_the_same_time_count_once(self) -> None:
+        """As in a power loss of a rack whose workers all run the same popular request."""
 
         async def body(site: Site, nodes: list[Running]) -> None:
             apps = ("a1", "a2", "a3")
@@ -384,7 +379,7 @@
                 for name in apps:
                     site.workers.crash(name)
             self.assertEqual(3, len(running))
-            popular = replace(ASKED, target="/once/y", body=b"popular")
+            popular = replace(CRASHING_CONTENT, target="/once/y", body=b"popular")
             for node in nodes:
                 self.assertEqual(1, node.gateway._crashes.known_crashes(popular))
             await until_served(site, nodes, "/once/z")
@@ -393,8 +388,8 @@
 
         scenario(body)
 
-    def test_a_worker_that_left_without_saying_so_has_not_crashed(self) -> None:
-        """Its entry goes first; it serves what it has for a while, and closes its connections."""
+    def test_a_worker_that_left_without_draining_has_not_crashed(self) -> None:
+        """It drops its entry, finishes requests under way, and then closes its connections."""
 
         async def body(site: Site, nodes: list[Running]) -> None:
             for name in ("a2", "a3"):
@@ -416,7 +411,7 @@
 
         scenario(body)
 
-    def test_a_broken_answer_of_a_worker_that_lives_is_no_end(self) -> None:
+    def test_a_broken_answer_of_a_worker_that_is_alive_is_no_crash(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             for name in ("a1", "a2", "a3"):
                 site.workers.workers[name].faults = [AttemptFault.MAY_HAVE_RUN] * 6
@@ -432,19 +427,19 @@
 
 
 class OperatorTests(testtools.TestCase):
-    def test_what_is_held_back_is_listed_and_lifted_where_metrics_are_read(self) -> None:
+    def test_operators_list_and_clear_the_quarantine_at_the_metrics_address(self) -> None:
         async def body(site: Site, nodes: list[Running]) -> None:
             metrics = free_address()
             watched = await site.start("n9", metrics=metrics)
             everywhere = [*nodes, watched]
             for number in range(2):
-                await visit(site, nodes, number)
+                await call_with_retry(site, nodes, number)
                 await until_served(site, nodes)
-            await until_known(site, everywhere)
+            await until_quarantined(site, everywhere)
             operators = replace(watched, url=f"http://{metrics}")
             (held,) = (await site.call(operators, "GET", "/held-requests")).json()
-            self.assertEqual(ASKED.digest, held["content"])
-            path = f"/held-requests/{ASKED.digest}"
+            self.assertEqual(CRASHING_CONTENT.digest, held["content"])
+            path = f"/held-requests/{CRASHING_CONTENT.digest}"
             self.assertEqual(404, (await site.call(watched, "DELETE", path)).status_code)
             self.assertEqual(200, (await site.call(operators, "DELETE", path)).status_code)
             self.assertEqual(404, (await site.call(operators, "DELETE", path)).status_code)
--- a/tests/gateway/nodes/test_node_service.py
+++ b/tests/gateway/nodes/test_node_service.py
@@ -1,4 +1,4 @@
-"""A node's view of the others: roles, rests, and announcements that are wrong or doubled."""
+"""A node's view of the others: roles, renewals, and malformed or repeated announcements."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
 
 class NodeServiceTests(testtools.TestCase):
     def test_replicas_and_relays_of_batches_stay_in_their_regions(self) -> None:
-        """A relay may carry a batch: only this node's own region is as good as a home."""
+        """A relayed call may carry a batch, so it stays in allowed regions or this node's own."""
         for regions, replica, hosts in (
             (None, True, {"10.0.0.1", "10.0.0.2", "10.0.0.3"}),
             (frozenset({"r2"}), False, {"10.0.0.1", "10.0.0.2"}),
@@ -123,7 +123,7 @@
     def logged(self, event: str) -> list[dict[str, object]]:
         return [fields for name, fields in self.events if name == event]
 
-    def test_on_a_large_site_a_slow_node_has_no_role_and_renews_seldom(self) -> None:
+    def test_in_a_large_deployment_a_slow_node_has_no_role_and_renews_rarely(self) -> None:
         for number in range(194):
             put(self.log, other(number))
         nodes = service(self.log)
@@ -133,17 +133,17 @@
             self.assertFalse(roles.replica or roles.listed)
             nodes.set_serving(True)
 
-            async def told() -> bool:
+            async def is_announced() -> bool:
                 own = self.announced()
                 return own is not None and own.serving
 
-            await until(told)
+            await until(is_announced)
             self.assertGreater(self.announced().renewal_seconds, 9.0)
 
         run(nodes, scenario)
 
-    def test_an_announcement_that_the_log_refused_is_made_again_soon(self) -> None:
-        """A resting node renews so seldom that the others would not know it for half a minute."""
+    def test_an_announcement_that_the_log_refused_is_retried_soon(self) -> None:
+        """A node without a role renews so rarely that it would stay unknown for up to 30 s."""
         for number in range(194):
             put(self.log, other(number))
         client = self.log.client()
@@ -156,33 +156,35 @@
             await anyio.sleep(0.2)
             client.faults.down = False
 
-            async def told() -> bool:
+            async def is_announced() -> bool:
                 own = self.announced()
                 return own is not None and own.serving
 
             with anyio.fail_after(3 * RENEWAL_INTERVAL_SECONDS):
-                await until(told)
+                await until(is_announced)
 
         run(nodes, scenario)
 
-    def test_claims_of_runners_are_known_but_not_of_those_that_stop_or_are_gone(self) -> None:
-        stated = claims(demand(BETA, 30))
-        put(self.log, msgspec.structs.replace(other(1), claims=stated))
-        put(self.log, msgspec.structs.replace(other(2), claims=stated, stopping=True))
-        put(self.log, msgspec.structs.replace(other(3), claims=stated))
+    def test_claims_of_stopping_and_dead_runners_are_left_out(self) -> None:
+        announced_claims = claims(demand(BETA, 30))
+        put(self.log, msgspec.structs.replace(other(1), claims=announced_claims))
+        put(self.log, msgspec.structs.replace(other(2), claims=announced_claims, stopping=True))
+        put(self.log, msgspec.structs.replace(other(3), claims=announced_claims))
         put(self.log, other(4))
         put(self.log, msgspec.structs.replace(other(5), ledger_replica=False))
         nodes = service(self.log)
 
         async def scenario() -> None:
-            self.assertEqual([stated, stated, None], list(nodes.claims_of_others().claims))
+            self.assertEqual(
+                [announced_claims, announced_claims, None], list(nodes.claims_of_others().claims)
+            )
             self.assertFalse(nodes.claims_of_others().complete)
             with mock.patch.object(nodes.liveness, "gone", lambda process, _: process[6] in "34"):
-                self.assertEqual([stated], list(nodes.claims_of_others().claims))
+                self.assertEqual([announced_claims], list(nodes.claims_of_others().claims))
 
         run(nodes, scenario)
 
-    def test_a_runner_that_was_replaced_counts_once(self) -> None:
+    def test_claims_of_a_restarted_runner_count_once(self) -> None:
         put(self.log, msgspec.structs.replace(other(1), claims=claims(demand(BETA, 30))))
         nodes = service(self.log)
 
@@ -197,7 +199,7 @@
 
         run(nodes, scenario)
 
-    def test_a_step_that_begins_is_announced_before_the_renewal_and_once(self) -> None:
+    def test_a_significant_increase_of_claims_is_announced_early_and_once(self) -> None:
         nodes = service(self.log)
 
         async def scenario() -> None:
@@ -213,11 +215,11 @@
             began = self.announced().beat
             nodes.set_claims(claims(demand(ALPHA, 50)))
 
-            async def told() -> bool:
+            async def is_announced() -> bool:
                 return self.announced().claims == claims(demand(ALPHA, 50))
 
             with anyio.fail_after(RENEWAL_INTERVAL_SECONDS / 2):
-                await until(told)
+                await until(is_announced)
             for items in (100, 200, 400):
                 nodes.set_claims(claims(demand(ALPHA, items)))
                 await anyio.sleep(0.05)
@@ -232,16 +234,16 @@
             nodes.set_claims(())
             nodes.set_serving(True)
 
-            async def told() -> bool:
+            async def is_announced() -> bool:
                 own = self.announced()
                 return own is not None and own.serving
 
-            await until(told)
+            await until(is_announced)
             self.assertIsNone(self.announced().claims)
 
         run(nodes, scenario)
 
-    def test_a_role_is_told_at_once_and_renewed_often(self) -> None:
+    def test_a_role_is_announced_at_once_and_renewed_often(self) -> None:
         for number in range(194):
             put(self.log, other(number))
         nodes = service(self.log)
@@ -250,17 +252,17 @@
             nodes.target_roles()
             nodes.set_listed(True)
 
-            async def told() -> bool:
+            async def is_announced() -> bool:
                 own = self.announced()
                 return own is not None and own.listed
 
-            await until(told)
+            await until(is_announced)
             self.assertEqual(RENEWAL_INTERVAL_SECONDS, self.announced().renewal_seconds)
 
         run(nodes, scenario)
 
-    def test_a_node_that_was_gone_long_before_this_start_is_not_believed_alive(self) -> None:
-        """The first view is no end of an outage: it restarts no timeouts."""
+    def test_a_node_that_died_long_before_this_start_does_not_count_as_alive(self) -> None:
+        """The first view must not restart timeouts, as the first one after an outage does."""
         put(self.log, other(1))
         for beat in range(40):
             put(self.log, msgspec.structs.replace(other(2), beat=beat))
@@ -271,7 +273,7 @@
 
         run(nodes, scenario)
 
-    def test_an_unreadable_announcement_is_logged_and_costs_nothing_else(self) -> None:
+    def test_an_unreadable_announcement_is_logged_and_skipped(self) -> None:
         put(self.log, other(1))
         self.log.put_key(NODES, "other-9", b"\xc1 nonsense")
         nodes = service(self.log)
@@ -289,7 +291,7 @@
         unreadable = [fields["other"] for fields in self.logged("announcement_unreadable")]
         self.assertEqual(["other-9", "other-8"], unreadable)
 
-    def test_a_replaced_machine_is_known_by_its_new_address_and_the_old_one_changes_nothing(
+    def test_a_replaced_node_is_known_by_its_new_address_and_late_announcements_are_ignored(
         self,
     ) -> None:
         put(self.log, other(1, incarnation=5, address="10.0.0.1:1"))
@@ -305,20 +307,20 @@
             await until(replaced)
 
         run(nodes, scenario)
-        told = [fields["address"] for fields in self.logged("node_replaced")]
-        self.assertEqual(["10.0.0.99:1"], told)
+        addresses = [fields["address"] for fields in self.logged("node_replaced")]
+        self.assertEqual(["10.0.0.99:1"], addresses)
 
-    def test_a_start_of_this_name_that_is_listed_is_followed_by_a_later_one(self) -> None:
-        """The clock may stand before the predecessor's: its announcements would hide this one."""
+    def test_a_node_takes_a_higher_incarnation_than_the_one_that_is_listed(self) -> None:
+        """A clock behind that of the previous start would hide this one's announcements."""
         put(self.log, NodeAnnouncement("own", 900, "10.0.9.9:1", "", "z1", "r1", True, 5))
         nodes = service(self.log, incarnation=7)
 
         async def scenario() -> None:
-            async def told() -> bool:
+            async def is_announced() -> bool:
                 own = self.announced()
                 return own is not None and own.front == "10.0.1.1:1"
 
-            await until(told)
+            await until(is_announced)
 
         run(nodes, scenario)
         self.assertEqual(901, self.announced().incarnation)
--- a/tests/gateway/nodes/test_runner_state.py
+++ b/tests/gateway/nodes/test_runner_state.py
@@ -1,4 +1,4 @@
-"""Whether the process that is to run a batch still does, by what is known of its node."""
+"""Whether the process to which a batch is assigned still runs it, by the state of its node."""
 
 from __future__ import annotations
 
@@ -46,19 +46,19 @@
         self.assertEqual(RunnerState.GONE, self.judge("no identity"))
         self.assertEqual(RunnerState.GONE, self.judge("other#1"))
 
-    def test_a_node_that_follows_the_batches_no_more_runs_none(self) -> None:
+    def test_a_node_without_a_replica_runs_no_batches(self) -> None:
         self.announce(replica=False)
         self.assertEqual(RunnerState.GONE, self.judge("other#1"))
 
-    def test_a_node_that_announces_nothing_is_gone(self) -> None:
+    def test_a_node_whose_announcement_timed_out_is_gone(self) -> None:
         self.announce(at=NOW - FAILURE_TIMEOUT_SECONDS)
         self.assertEqual(RunnerState.GONE, self.judge("other#1"))
 
-    def test_a_later_start_of_its_node_has_returned(self) -> None:
+    def test_an_earlier_incarnation_of_a_restarted_node_has_returned(self) -> None:
         self.announce(incarnation=2)
         self.assertEqual(RunnerState.RETURNED, self.judge("other#1"))
 
-    def test_probes_count_before_the_table(self) -> None:
+    def test_probes_take_precedence_over_the_table(self) -> None:
         self.announce()
         self.liveness.record_answer("other#1", "other#2", NOW)
         self.assertEqual(RunnerState.RETURNED, self.judge("other#1"))
