--- a/src/stagewalk/gateway/directory/__init__.py
+++ b/src/stagewalk/gateway/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Directory: which nodes serve, as the nodes themselves announce through the log."""
+"""Directory: which nodes serve callers, as the nodes announce through the log."""
--- a/src/stagewalk/gateway/directory/call_rate.py
+++ b/src/stagewalk/gateway/directory/call_rate.py
@@ -1,13 +1,14 @@
-"""How many requests a second callers send to this node. Pure.
+"""Rate of the requests that callers send to this node. Pure.
 
-Owns the smoothing; nodes announce the rate, and a zone lists nodes by the sum of the rates.
+Owns the smoothing. Nodes announce the rate; the sum of a zone's rates determines how many of its
+nodes are listed.
 """
 
 from __future__ import annotations
 
 SMOOTHING = 0.5
-"""Weight of the newest interval: after three announcements of a listed node, 2.7 s, an eighth of
-what was before is left."""
+"""Weight of the newest interval: after three announcements (2.7 s at a listed node), older
+intervals have a weight of an eighth."""
 
 
 class CallRate:
@@ -16,7 +17,7 @@
     Parameters
     ----------
     now
-        Steady time from which requests are counted, in seconds.
+        Time from which requests are counted, in seconds of the steady clock.
     """
 
     def __init__(self, now: float) -> None:
--- a/src/stagewalk/gateway/directory/ledger_replicas.py
+++ b/src/stagewalk/gateway/directory/ledger_replicas.py
@@ -1,10 +1,8 @@
 """Which nodes hold a replica of the batch ledger. Pure.
 
-Each replica reads all batches, so what that costs must grow with the batches, not with the
-nodes: a bounded number of nodes does it, and the others pass calls about batches on to them.
-Nobody has to agree on who holds one: a node
-decides for itself from the nodes it knows and announces it; a replica that finds a batch without
-a living runner may take it over.
+Each replica reads all batches, so their number is bounded; the other nodes forward calls about
+batches to them. No agreement is needed on who holds a replica: each node decides for itself from
+the nodes it knows, and announces it. A replica may take over a batch without an alive runner.
 """
 
 from __future__ import annotations
@@ -19,53 +17,53 @@
 from stagewalk.gateway.policy import DEFAULT_POLICY, Policy
 
 MAXIMUM_LEDGER_REPLICAS = 12
-"""Replicas where the policy `few_replicas` is off."""
+"""Number of replicas if the policy `few_replicas` is off."""
 
 LEDGER_REPLICAS = 6
-"""Enough that some are left when several fail at once, and that several trainers' steps spread; few
-enough that after a restart of all, the log's reads are soon done and results are shown again."""
+"""Number of replicas otherwise: enough to survive several failures at once and to spread the load
+of several trainers, and few enough that they read the log quickly after a restart of all nodes."""
 
 FAST_SHARE = 0.5
-"""A node with less than this part of the fastest one's capacity holds a replica only if there are
+"""A node with less than this share of the fastest node's capacity holds a replica only if there are
 not enough others."""
 
 LINGER_SECONDS = 6.0
-"""How long a node goes on following after it announced that it holds no replica any more: batches
-that were given to it meanwhile are found."""
+"""How long a node follows the batches after it announced that it no longer holds a replica, so that
+it finds batches assigned to it in the meantime."""
 
 
 def rank_for_replicas(nodes: Sequence[NodeAnnouncement]) -> list[NodeAnnouncement]:
     """Return nodes in the order in which they should hold replicas.
 
-    Fast ones first, since replicas run the batches; of these each zone's first one before any
-    second one, so that callers find a replica in their zone and the loss of a zone leaves some;
-    among equals by a hash of the name, so that a node that comes or goes changes the place of few.
+    Fast nodes come first, since replicas run the batches. They are taken from the zones in turn, so
+    that callers find a replica in their zone and the loss of a zone leaves some. Nodes of equal
+    capacity are ordered by a hash of the name, so that a node that joins or leaves moves few.
     """
     fastest = max((node.capacity for node in nodes), default=0.0)
 
-    def place(node: NodeAnnouncement) -> tuple[float, int]:
+    def sort_key(node: NodeAnnouncement) -> tuple[float, int]:
         return -round(node.capacity, 1), xxhash.xxh64_intdigest(f"replica/{node.node}".encode())
 
-    turns: Counter[str] = Counter()
+    ranked_by_zone: Counter[str] = Counter()
     ranked: list[tuple[bool, int, int, NodeAnnouncement]] = []
-    for index, node in enumerate(sorted(nodes, key=place)):
+    for index, node in enumerate(sorted(nodes, key=sort_key)):
         slow = node.capacity < FAST_SHARE * fastest
-        ranked.append((slow, turns[node.zone], index, node))
-        turns[node.zone] += 1
+        ranked.append((slow, ranked_by_zone[node.zone], index, node))
+        ranked_by_zone[node.zone] += 1
     return [node for *_, node in sorted(ranked, key=lambda entry: entry[:3])]
 
 
 def should_hold_replica(
     node: str, serving: Sequence[NodeAnnouncement], policy: Policy = DEFAULT_POLICY
 ) -> bool:
-    """Whether a node should hold a replica, given the nodes that serve, itself among them."""
+    """Whether a node should hold a replica, given the nodes that serve, itself included."""
     count = LEDGER_REPLICAS if policy.few_replicas else MAXIMUM_LEDGER_REPLICAS
     chosen = rank_for_replicas(serving)[:count]
     return any(candidate.node == node for candidate in chosen)
 
 
 class ReplicaRole:
-    """Whether this node holds a replica now. Times are of the steady clock."""
+    """Whether this node holds a replica. Times are of the steady clock, in seconds."""
 
     def __init__(self) -> None:
         self._announced = False
@@ -81,10 +79,15 @@
         return self._announced or now - self._released_at < LINGER_SECONDS
 
     def update(self, required: bool, busy: bool, now: float) -> bool:
-        """Apply whether a replica is required here and whether it is in use; return whether that
-        changed the role.
-
-        A node that runs batches, or orders engines, keeps its replica until it is done.
+        """Update the role; return whether it changed.
+
+        Parameters
+        ----------
+        required
+            Whether this node should hold a replica.
+        busy
+            Whether it runs batches or sends orders to engines: it keeps its replica until it is
+            done.
         """
         announced = required or busy
         if announced == self._announced:
--- a/src/stagewalk/gateway/directory/node_table.py
+++ b/src/stagewalk/gateway/directory/node_table.py
@@ -1,6 +1,7 @@
 """Nodes that announce themselves, and which of them count as alive. Pure.
 
-Owns the record of an announcement (wired: its fields and their order stay) and failure timeouts.
+Owns failure timeouts, and the record of an announcement; its fields and their order are part of the
+wire format.
 """
 
 from __future__ import annotations
@@ -19,21 +20,22 @@
 from stagewalk.gateway.place_shares.claims import ServiceClaims
 
 FAILURE_TIMEOUT_SECONDS = 3.0
-"""A node that announced nothing for this long, while the log answers, counts as dead: three
-renewals of a node with a role (0.9 s) fit in."""
+"""A node without an announcement for this long, while the log answers, counts as dead. Longer than
+three renewal intervals of a node with a role (0.9 s each)."""
 
 FAILURE_TIMEOUT_RENEWALS = 2.5
-"""The same in renewals, for nodes that announce themselves seldom: one may be lost, the next one
-late."""
+"""The same in renewal intervals, for nodes that announce themselves rarely: one renewal may be lost
+and the next one late."""
 
 RenewalSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=MAXIMUM_RENEWAL_INTERVAL_SECONDS)]
 
 STALE_ROUNDS = 8
-"""A node that did not announce itself while the others did so this often counts as dead."""
+"""When all announcements are listed, a node counts as dead if its own is this many rounds (one
+record of each node) older than the newest."""
 
 
 class NodeAnnouncement(msgspec.Struct, frozen=True, array_like=True):
-    """State of a node, announced again and again by itself.
+    """State of a node, as the node announces it at regular intervals.
 
     Attributes
     ----------
@@ -50,9 +52,9 @@
     ledger_replica
         Whether it follows all batches: it may run them, and answers calls about them.
     capacity
-        How fast its processor is, in cores of the usual speed.
+        Speed of its processor, in multiples of a standard core.
     renewal_seconds
-        When it will announce itself again at the latest.
+        Maximum time until its next announcement.
     listed
         Whether it is one of the nodes that callers of its zone are sent to.
     stopping
@@ -60,7 +62,7 @@
     calls_per_second
         Rate of callers' requests that it received, smoothed.
     claims
-        What the items that it runs ask of engines; None: it says nothing of that. The last field.
+        Claims on engines of the items that it runs; None: not announced. Must be the last field.
     """
 
     node: str
@@ -86,23 +88,23 @@
 
     @property
     def has_role(self) -> bool:
-        """Whether it has a role that others rely on: then it announces itself and reads often."""
+        """Whether it has a role that others rely on; such a node announces itself often."""
         return self.listed or self.ledger_replica
 
     @property
     def peer_address(self) -> Address | None:
-        """Return where other nodes connect, None if they can't."""
+        """Return the address other nodes connect to, None if there is none."""
         host, _, port = self.peer.rpartition(":")
         return Address(host, int(port)) if host and port.isdecimal() else None
 
     def encode(self) -> bytes:
-        """Return the record's value; claims that aren't stated take no byte of it."""
+        """Return the record's value; without claims their field is left out."""
         fields = msgspec.structs.astuple(self)
         return msgspec.msgpack.encode(fields if self.claims is not None else fields[:-1])
 
 
 def decode_announcement(value: bytes) -> NodeAnnouncement | None:
-    """Return an announcement, None if the value is none."""
+    """Return the announcement, None if the value can't be decoded."""
     try:
         return msgspec.msgpack.decode(value, type=NodeAnnouncement)
     except msgspec.DecodeError:
@@ -110,7 +112,7 @@
 
 
 class NodeTable:
-    """Nodes by name. Times are of this process's steady clock."""
+    """Nodes by name. Times are of this process's steady clock, in seconds."""
 
     def __init__(self, own: NodeName) -> None:
         self._own = own
@@ -118,7 +120,7 @@
         self._alive_until: dict[str, float] = {}
 
     def announce(self, announcement: NodeAnnouncement, now: float) -> None:
-        """Apply a node's announcement; one of an earlier start is ignored."""
+        """Apply a node's announcement, unless a later one is known."""
         known = self._nodes.get(announcement.node)
         if known is not None and _order(announcement) <= _order(known):
             return
@@ -126,10 +128,10 @@
         self._alive_until[announcement.node] = now + announcement.alive_seconds
 
     def apply_listing(self, listing: Mapping[int, NodeAnnouncement], now: float) -> None:
-        """Apply a listing of the newest announcements, by their offsets.
+        """Apply the newest announcement of each node, by offset.
 
-        Every living node announces itself again and again, so one whose announcement lies many
-        rounds back was gone long before.
+        Nodes whose announcement is much older than the newest one count as dead, since alive nodes
+        renew theirs; see `STALE_ROUNDS`.
         """
         oldest = max(listing, default=0) - STALE_ROUNDS * len(listing)
         for offset, announcement in listing.items():
@@ -138,7 +140,7 @@
     def restart_timeouts(self, now: float, view_at: float) -> None:
         """Restart the failure timeout of each node that was alive when the view was last complete.
 
-        During an outage none could announce itself; one that was gone before is still gone.
+        During an outage of the log no node can announce itself. Nodes dead before it stay dead.
         """
         for node in self.alive(view_at):
             self._alive_until[node.node] = now + node.alive_seconds
@@ -152,7 +154,7 @@
         ]
 
     def process_alive(self, node: str, incarnation: int, view_at: float) -> bool:
-        """Whether a certain start of a node counts as alive."""
+        """Whether an incarnation of a node counts as alive."""
         known = self._nodes.get(node)
         if known is None or known.incarnation > incarnation:
             return False
--- a/src/stagewalk/gateway/directory/poll_intervals.py
+++ b/src/stagewalk/gateway/directory/poll_intervals.py
@@ -1,6 +1,6 @@
-"""How often a node reads what others write, by its roles. Pure.
+"""How often a node reads from the log, by its roles. Pure.
 
-Owns the three paces, and how old a view may be that a request is served from.
+Owns the three sets of intervals, and the maximum age of a view from which requests are served.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
     Attributes
     ----------
     nodes_pause_seconds
-        Between reads of nodes' announcements.
+        Pause between reads of nodes' announcements.
     workers_pause_seconds
-        Between reads of workers' entries.
+        Pause between reads of workers' entries.
     configuration_wait_seconds
-        How long a read waits for a configuration or a named version: the bound on how far a node
-        lags where the log fails to wake it.
+        How long a read waits for a configuration or a named version. Bounds how far a node lags if
+        the log fails to wake the read.
     housekeeping_interval_seconds
-        Between looks at what this node should do.
+        Interval between checks of this node's roles and duties.
     """
 
     nodes_pause_seconds: float
@@ -32,29 +32,28 @@
 
 
 REPLICA_POLL_INTERVALS = PollIntervals(0.4, 0.1, 0.5, 0.25)
-"""Of a node that follows the batches: it runs them, orders engines and takes batches over."""
+"""For a node that follows the batches: it runs them, orders engines and takes batches over."""
 
 LISTED_POLL_INTERVALS = PollIntervals(0.8, 0.5, 1.0, 0.25)
-"""Of a node that callers are sent to: it stops using a worker that leaves within a second, half of
-the shortest bound on that (2 s)."""
+"""For a node that callers are sent to: it stops using a leaving worker within a second, half of the
+shortest drain time of a worker (2 s)."""
 
 IDLE_POLL_INTERVALS = PollIntervals(1.6, 1.6, 1.0, 0.5)
-"""Of any other node, which reads once more before it serves a request: as seldom as a gap in the
-view isn't taken for an outage (3 s), but for configurations, which any node may be asked for. An
-idle node of 195 took 0.0385 of a core and 15.2 calls a second at a replica's pace, and 0.0113 and
-2.5 at this one, with renewals by role."""
+"""For any other node, which reads again before it serves a request. The pauses are short enough not
+to be taken for an outage (3 s). Configurations are read more often, since any node may be asked for
+them."""
 
 OLDEST_VIEW_SECONDS = 1.2
-"""A view of workers or nodes that is older is read again before a request is served from it; a node
-that is listed reads more often than that."""
+"""Maximum age of a view of workers or nodes from which a request is served; an older one is read
+again first. A listed node reads more often than that."""
 
 REFRESH_TIMEOUT_SECONDS = 0.08
-"""How long a request waits for that: twenty times what the log takes to answer. Without an answer
-it is served from the view there is, as during any outage."""
+"""How long a request waits for that read: twenty times what the log takes to answer. After that it
+is served from the old view, as during an outage of the log."""
 
 
 def poll_intervals(following: bool, listed: bool) -> PollIntervals:
-    """Return the pace of a node.
+    """Return the intervals for a node.
 
     Parameters
     ----------
--- a/src/stagewalk/gateway/directory/renewals.py
+++ b/src/stagewalk/gateway/directory/renewals.py
@@ -1,34 +1,32 @@
 """How often a node announces itself. Pure.
 
-Were every node to announce itself as often as a batch's runner does, what each node reads would
-grow with the nodes, and what all of them read with their square. So nodes without a role renew
-their announcement the less often the more nodes there are: all of them together write a bounded
-number of records a second.
+If every node announced itself as often as the runner of a batch, the records read by all nodes
+would grow with the square of their number. So the renewal interval of nodes without a role grows
+with the number of nodes: together they write a bounded number of records a second.
 """
 
 from __future__ import annotations
 
 RENEWAL_INTERVAL_SECONDS = 0.9
-"""Of a node with a role: three of its announcements fit in the time after which it counts as
-dead."""
+"""Renewal interval of a node with a role: three of them are shorter than its failure timeout."""
 
 IDLE_RENEWALS_PER_SECOND = 20.0
-"""Announcements a second by all nodes without a role: some 2 KB/s for each reader, half of
-the 4 KB/s that a node of 420 may use for control."""
+"""Announcements a second by all nodes without a role: 2 KB/s for each reader, half of the 4 KB/s
+that a node in a deployment of 420 nodes may use for control traffic."""
 
 MAXIMUM_RENEWAL_INTERVAL_SECONDS = 30.0
-"""Bound of the renewals; 420 nodes without a role need 21 s."""
+"""Upper limit of the renewal interval; 420 nodes without a role use 21 s."""
 
 
 def renewal_seconds(has_role: bool, nodes: int) -> float:
-    """Return how long a node may wait until it announces itself again.
+    """Return a node's renewal interval.
 
     Parameters
     ----------
     has_role
-        Whether it holds a role that others rely on.
+        Whether it has a role that others rely on.
     nodes
-        Living nodes, itself among them.
+        Number of alive nodes, itself included.
     """
     if has_role:
         return RENEWAL_INTERVAL_SECONDS
--- a/tests/gateway/directory/test_caller_subset.py
+++ b/tests/gateway/directory/test_caller_subset.py
@@ -1,4 +1,4 @@
-"""Callers of a zone are sent to few of its nodes, enough for their load; on small sites to all."""
+"""Callers of a zone use as few of its nodes as their load needs; in small regions they use all."""
 
 from __future__ import annotations
 
@@ -52,17 +52,17 @@
 
 
 class CallerSubsetTests(testtools.TestCase):
-    def test_on_a_small_site_all_nodes_take_callers(self) -> None:
+    def test_in_a_small_region_all_nodes_are_listed(self) -> None:
         nodes = [node(n) for n in range(SMALL_REGION_NODES)]
         self.assertTrue(all(should_be_listed(n.node, nodes) for n in nodes))
 
-    def test_a_zone_has_as_many_whatever_its_size(self) -> None:
+    def test_the_number_of_listed_nodes_does_not_depend_on_the_size_of_the_zone(self) -> None:
         for count in (84, 195, 420):
             nodes = [node(n) for n in range(count)]
             for zone in range(ZONES):
                 self.assertEqual(MINIMUM_LISTED_NODES, len(chosen(nodes, f"z{zone}")))
 
-    def test_more_are_chosen_as_the_load_grows(self) -> None:
+    def test_more_nodes_are_listed_as_the_load_grows(self) -> None:
         busy = Changes(calls=2.0 * CALLS_PER_CAPACITY)
         nodes = [node(n, busy if n < 5 * ZONES else Changes()) for n in range(195)]
         self.assertEqual(10, len(chosen(nodes, "z0")))
@@ -71,7 +71,7 @@
         nodes = [node(n, Changes(capacity=2.15 if n < 50 else 0.5)) for n in range(195)]
         self.assertEqual({2.15}, {n.capacity for n in chosen(nodes, "z1")})
 
-    def test_one_that_leaves_is_replaced_by_one(self) -> None:
+    def test_a_node_that_leaves_is_replaced_by_one(self) -> None:
         nodes = [node(n) for n in range(195)]
         before = chosen(nodes, "z2")
         after = chosen([n for n in nodes if n is not before[0]], "z2")
@@ -83,8 +83,8 @@
     def order(self, nodes: list[NodeAnnouncement], zone: str) -> list[str]:
         return [n.node for n in select_nodes_for_caller(nodes, CallerLocation("r1", zone), MOST)]
 
-    def test_a_caller_is_told_the_listed_nodes_of_its_zone_and_a_few_of_others(self) -> None:
-        """A zone lost at once leaves its callers an address that answers."""
+    def test_a_caller_gets_the_listed_nodes_of_its_zone_and_a_few_of_others(self) -> None:
+        """If the zone fails, its callers still have an address that answers."""
         nodes = [node(n, Changes(listed=n < 20)) for n in range(195)]
         named = self.order(nodes, "z0")
         self.assertEqual(["n0", "n10", "n15", "n5"], sorted(named[:MINIMUM_LISTED_NODES]))
@@ -93,7 +93,7 @@
         self.assertEqual(SPARES_NAMED, len({n.zone for n in spares} - {"z0"}))
         self.assertTrue(all(n.listed for n in spares))
 
-    def test_an_evacuated_zone_is_left_to_its_nodes_only_if_there_are_no_others(self) -> None:
+    def test_nodes_of_evacuated_zones_are_returned_only_if_there_are_no_others(self) -> None:
         nodes = [node(n, Changes(listed=n < 20)) for n in range(195)]
         zones = {n.node: n.zone for n in nodes}
         away = CallerLocation("r1", "z0", frozenset({"z0"}))
@@ -103,8 +103,8 @@
         named = [n.node for n in select_nodes_for_caller(nodes, all_zones, MOST)]
         self.assertEqual("z0", zones[named[0]])
 
-    def test_a_small_region_is_named_whole_and_no_other(self) -> None:
-        """Regions lie 12 ms apart: callers that choose at random must not be led across."""
+    def test_of_a_small_region_all_nodes_are_returned_and_none_of_others(self) -> None:
+        """Regions are 12 ms apart, so callers must not choose at random between them."""
         here = [node(n) for n in range(20)]
         beyond = [msgspec.structs.replace(node(n), region="r2") for n in range(20, 61)]
         named = [
@@ -115,15 +115,15 @@
         lone = select_nodes_for_caller(here[:1] + beyond, CallerLocation("r1", "z0"), MOST)
         self.assertEqual(("r1", "r2"), (lone[0].region, lone[1].region))
 
-    def test_callers_are_led_to_the_homes_of_their_host(self) -> None:
-        """A caller elsewhere may stay at its own region's nodes, which send on what they may."""
+    def test_callers_are_sent_to_the_home_regions_of_their_host(self) -> None:
+        """Callers in other regions may use their own region's nodes, which forward the requests."""
         nodes = [msgspec.structs.replace(node(n), region=f"r{n % 3}") for n in range(60)]
         for region, expected in (("r0", {"r0"}), ("r1", {"r1"}), ("r9", {"r0"})):
             caller = CallerLocation(region, "z9", homes=frozenset({"r0"}))
             named = {n.region for n in select_nodes_for_caller(nodes, caller, MOST)}
             self.assertEqual(expected, named)
 
-    def test_with_a_zone_gone_those_of_other_zones_are_named(self) -> None:
+    def test_if_a_zone_has_failed_nodes_of_other_zones_are_returned(self) -> None:
         nodes = [
             node(n, Changes(listed=n < 20, serving=n % ZONES != 0 or n == 5)) for n in range(195)
         ]
@@ -131,10 +131,10 @@
         self.assertEqual("n5", named[0])
         self.assertEqual(16, len(named) - 1)
 
-    def test_with_nobody_listed_yet_all_that_serve_are_named(self) -> None:
+    def test_if_no_node_is_listed_all_serving_nodes_are_returned(self) -> None:
         nodes = [node(n) for n in range(40)]
         self.assertEqual(40, len(self.order(nodes, "z0")))
 
-    def test_a_stopping_node_is_named_to_nobody(self) -> None:
+    def test_a_stopping_node_is_returned_to_no_caller(self) -> None:
         nodes = [node(n, Changes(listed=n < 20, serving=n != 0)) for n in range(195)]
         self.assertNotIn("n0", self.order(nodes, "z0"))
--- a/tests/gateway/directory/test_ledger_replicas.py
+++ b/tests/gateway/directory/test_ledger_replicas.py
@@ -1,4 +1,4 @@
-"""A bounded number of nodes holds replicas, and losing or gaining a node moves few of them."""
+"""A bounded number of nodes holds replicas, and a node that joins or leaves moves few of them."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class ReplicaRankTests(testtools.TestCase):
-    def test_in_a_small_deployment_every_node_holds_one(self) -> None:
+    def test_in_a_small_deployment_every_node_holds_a_replica(self) -> None:
         nodes = [node(n) for n in range(LEDGER_REPLICAS)]
         self.assertEqual({n.node for n in nodes}, holders(nodes))
 
-    def test_their_number_does_not_grow_with_the_nodes(self) -> None:
+    def test_the_number_of_replicas_does_not_grow_with_the_nodes(self) -> None:
         for count in (13, 81, 420):
             self.assertEqual(LEDGER_REPLICAS, len(holders([node(n) for n in range(count)])))
 
@@ -49,29 +49,31 @@
             self.assertEqual(LEDGER_REPLICAS, len(after))
         self.assertLessEqual(len(before - holders([*nodes, node(77)])), 1)
 
-    def test_every_zone_has_one_before_any_has_more_than_its_part(self) -> None:
+    def test_replicas_are_spread_evenly_over_the_zones(self) -> None:
         nodes = [node(n, zone=f"z{n % 4}") for n in range(13)]
         zones = sorted(n.zone for n in nodes if n.node in holders(nodes))
         self.assertEqual(4, len(set(zones)))
         self.assertLessEqual(max(map(zones.count, zones)), -(-LEDGER_REPLICAS // 4))
 
-    def test_a_zone_of_slow_nodes_only_holds_none_while_fast_ones_are_enough(self) -> None:
+    def test_a_zone_of_slow_nodes_holds_no_replica_if_there_are_enough_fast_nodes(self) -> None:
         fast = [node(n, capacity=2.15, zone="z1") for n in range(10)]
         slow = [node(100 + n, capacity=0.5, zone="z2") for n in range(10)]
         self.assertTrue(all(int(name[1:]) < 100 for name in holders(fast + slow)))
 
-    def test_every_node_ranks_the_same(self) -> None:
+    def test_the_ranking_does_not_depend_on_the_order_of_the_nodes(self) -> None:
         nodes = [node(n) for n in range(30)]
         self.assertEqual(rank_for_replicas(nodes), rank_for_replicas(nodes[::-1]))
 
 
 class ReplicaRoleTests(testtools.TestCase):
-    def test_a_node_that_is_not_wanted_follows_nothing(self) -> None:
+    def test_a_node_without_the_role_does_not_follow_the_batches(self) -> None:
         role = ReplicaRole()
         self.assertFalse(role.update(False, False, 0.0))
         self.assertFalse(role.following(0.0))
 
-    def test_it_follows_on_for_a_while_after_it_told_the_others(self) -> None:
+    def test_it_follows_the_batches_for_a_while_after_it_announced_the_end_of_the_role(
+        self,
+    ) -> None:
         role = ReplicaRole()
         self.assertTrue(role.update(True, False, 0.0))
         self.assertTrue(role.announced and role.following(0.0))
@@ -86,7 +88,7 @@
         self.assertFalse(role.update(False, True, 1.0))
         self.assertTrue(role.announced)
 
-    def test_a_batch_found_meanwhile_makes_it_a_replica_again(self) -> None:
+    def test_a_batch_found_while_lingering_makes_it_a_replica_again(self) -> None:
         role = ReplicaRole()
         role.update(True, False, 0.0)
         role.update(False, False, 1.0)
--- a/tests/gateway/directory/test_node_table.py
+++ b/tests/gateway/directory/test_node_table.py
@@ -1,4 +1,4 @@
-"""Nodes are believed alive while they announce themselves, and while nobody can."""
+"""Nodes count as alive while they announce themselves, and during outages of the log."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     "9ea26e37cf000001a237538cbbab31302e302e302e373a3830ab31302e302e302e373a3831a27a31a27231c3"
     "29c3cb4000000000000000cb3feccccccccccccdc3c2cb400c000000000000"
 )
-"""An announcement as the build before claims wrote it."""
+"""An announcement encoded by the last build without claims."""
 
 
 class EarlierAnnouncement(msgspec.Struct, frozen=True, array_like=True):
-    """The fields that the build before claims reads."""
+    """The fields that the last build without claims reads."""
 
     node: str
     incarnation: int
@@ -53,17 +53,17 @@
 
 
 class ClaimsOfOtherBuildsTests(testtools.TestCase):
-    def test_an_announcement_of_the_earlier_build_states_no_claims(self) -> None:
+    def test_an_announcement_of_the_earlier_build_has_no_claims(self) -> None:
         found = decode_announcement(EARLIER_BUILD)
         assert found is not None
         self.assertEqual(("n7", 41, 3.5), (found.node, found.beat, found.calls_per_second))
         self.assertIsNone(found.claims)
         self.assertEqual(EARLIER_BUILD, found.encode())
 
-    def test_the_earlier_build_passes_claims_over(self) -> None:
+    def test_the_earlier_build_ignores_claims(self) -> None:
         found = decode_announcement(EARLIER_BUILD)
-        for stated in ((), claims(demand(ALPHA, 12), demand(BETA, 300))):
-            announced = replace(found, claims=stated)
+        for announced_claims in ((), claims(demand(ALPHA, 12), demand(BETA, 300))):
+            announced = replace(found, claims=announced_claims)
             earlier = msgspec.msgpack.decode(announced.encode(), type=EarlierAnnouncement)
             self.assertEqual(("n7", 3.5), (earlier.node, earlier.calls_per_second))
             self.assertEqual(announced, decode_announcement(announced.encode()))
@@ -78,30 +78,30 @@
     def alive(self, view_at: float) -> list[str]:
         return [announcement.node for announcement in self.table.alive(view_at)]
 
-    def test_a_node_that_falls_silent_is_dead_as_of_the_view(self) -> None:
+    def test_a_node_that_stops_announcing_itself_is_dead_after_the_timeout(self) -> None:
         self.assertEqual(["a"], self.alive(FAILURE_TIMEOUT_SECONDS - 0.1))
         self.assertEqual([], self.alive(FAILURE_TIMEOUT_SECONDS + 0.1))
 
-    def test_an_outage_kills_nobody(self) -> None:
+    def test_nodes_stay_alive_through_an_outage(self) -> None:
         self.table.restart_timeouts(60.0, view_at=1.0)
         self.assertEqual(["a"], self.alive(61.0))
 
-    def test_an_outage_brings_nobody_back_who_was_gone_before(self) -> None:
-        """Found on trouble-3: a batch was given to a node that was removed 23 s earlier."""
+    def test_nodes_dead_before_an_outage_stay_dead(self) -> None:
+        """Otherwise a batch could be assigned to a node that was removed before the outage."""
         self.table.announce(node("b"), 10.0)
         self.table.restart_timeouts(60.0, view_at=10.5)
         self.assertEqual(["b"], self.alive(60.1))
 
-    def test_a_listing_tells_who_was_gone_long_before(self) -> None:
+    def test_a_listing_shows_which_nodes_died_long_before(self) -> None:
         listing = {2: node("gone"), 95: node("b"), 98: node("c"), 99: node("d")}
         self.table.apply_listing(listing, 50.0)
         self.assertEqual(["b", "c", "d"], sorted(self.alive(50.1)))
 
-    def test_after_a_quiet_start_of_all_everyone_is_alive(self) -> None:
+    def test_nodes_with_one_announcement_each_are_all_alive(self) -> None:
         self.table.apply_listing({n: node(f"n{n}") for n in range(30)}, 50.0)
         self.assertEqual(30, len(self.alive(50.1)))
 
-    def test_a_restart_ends_the_process_before(self) -> None:
+    def test_after_a_restart_the_earlier_process_is_dead(self) -> None:
         self.table.announce(node("a", incarnation=2), 1.0)
         self.assertFalse(self.table.process_alive("a", 1, 1.0))
         self.assertTrue(self.table.process_alive("a", 2, 1.0))
@@ -111,7 +111,7 @@
         self.table.announce(node("a", incarnation=1, beat=99), 2.0)
         self.assertTrue(self.table.process_alive("a", 2, 2.0))
 
-    def test_nearest_first_and_only_who_serves(self) -> None:
+    def test_serving_nodes_are_returned_nearest_first(self) -> None:
         nodes = [node("far", zone="z2"), node("left", serving=False), node("near")]
         order = [n.node for n in select_nodes_for_caller(nodes, CallerLocation("r1", "z1"), 64)]
         self.assertEqual(["near", "far"], order)
@@ -128,10 +128,10 @@
         before = decode_announcement(msgspec.msgpack.encode(fields[:10]))
         self.assertEqual((True, False), (before.listed, before.stopping))
 
-    def test_nobody_can_ask_to_be_believed_alive_for_ever(self) -> None:
+    def test_the_announced_renewal_interval_is_bounded(self) -> None:
         self.assertIsNone(decode_announcement(replace(node("a"), renewal_seconds=1e9).encode()))
 
-    def test_a_node_that_renews_seldom_is_given_as_long(self) -> None:
+    def test_the_failure_timeout_grows_with_the_renewal_interval(self) -> None:
         self.table.announce(replace(node("b"), renewal_seconds=8.0), 0.0)
         self.assertEqual(["b"], self.alive(FAILURE_TIMEOUT_SECONDS + 0.1))
         self.assertEqual([], self.alive(FAILURE_TIMEOUT_RENEWALS * 8.0 + 0.1))
--- a/tests/gateway/directory/test_renewals.py
+++ b/tests/gateway/directory/test_renewals.py
@@ -14,7 +14,7 @@
 
 TARGET_NODES = 420
 READ_BYTES_PER_SECOND = 7_000
-"""More than the 4,000 that users allow a node for control: open in design note 0120."""
+"""Above the budget of 4,000 bytes a second for a node's control traffic, which is not met yet."""
 
 ROLES_AT_TARGET = 34
 """Six replicas, and four listed nodes in each of seven zones."""
@@ -35,30 +35,30 @@
 
 
 class RenewalTests(testtools.TestCase):
-    def test_a_node_with_a_role_renews_often_however_many_there_are(self) -> None:
+    def test_a_node_with_a_role_renews_often_for_any_number_of_nodes(self) -> None:
         for nodes in (1, 13, 195, 420, 5_000):
             self.assertEqual(RENEWAL_INTERVAL_SECONDS, renewal_seconds(True, nodes))
 
-    def test_on_a_small_site_all_renew_as_often(self) -> None:
+    def test_in_a_small_deployment_all_nodes_renew_equally_often(self) -> None:
         self.assertEqual(RENEWAL_INTERVAL_SECONDS, renewal_seconds(False, 13))
 
-    def test_what_the_others_write_does_not_grow_with_them(self) -> None:
+    def test_the_renewals_a_second_do_not_grow_with_the_nodes(self) -> None:
         for nodes in (84, 195, 420):
             rate = nodes / renewal_seconds(False, nodes)
             self.assertLessEqual(rate, IDLE_RENEWALS_PER_SECOND + 1e-9)
 
-    def test_what_a_node_reads_of_420_nodes_is_bounded(
+    def test_the_bytes_read_from_420_nodes_are_bounded(
         self,
     ) -> None:
-        rest = renewal_seconds(False, TARGET_NODES)
-        records = ROLES_AT_TARGET / RENEWAL_INTERVAL_SECONDS + TARGET_NODES / rest
-        read = records * len(announcement(rest).encode())
+        interval = renewal_seconds(False, TARGET_NODES)
+        records = ROLES_AT_TARGET / RENEWAL_INTERVAL_SECONDS + TARGET_NODES / interval
+        read = records * len(announcement(interval).encode())
         self.assertLess(read, READ_BYTES_PER_SECOND)
 
-    def test_nobody_is_silent_for_longer_than_an_announcement_may_say(self) -> None:
+    def test_the_renewal_interval_has_an_upper_limit(self) -> None:
         self.assertEqual(MAXIMUM_RENEWAL_INTERVAL_SECONDS, renewal_seconds(False, 100_000))
 
-    def test_a_node_is_given_as_long_as_it_said(self) -> None:
+    def test_the_failure_timeout_follows_the_renewal_interval(self) -> None:
         self.assertEqual(
             FAILURE_TIMEOUT_SECONDS, announcement(RENEWAL_INTERVAL_SECONDS).alive_seconds
         )
