--- a/src/stagewalk/gateway/log_relay/messages.py
+++ b/src/stagewalk/gateway/log_relay/messages.py
@@ -1,7 +1,7 @@
-"""Calls of the log as nodes send them to each other, and their answers.
+"""Relayed calls of the log and their answers, as nodes send them to each other.
 
-Owns the wire format between nodes: `msgspec` encodes the port's own types, so the names of their
-fields are part of it.
+Owns the wire format. `msgspec` encodes the types of the port, so the names of their fields are part
+of the format.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 class LogAnswer(msgspec.Struct, frozen=True):
-    """An answer: the one field that fits the call, or the failure."""
+    """An answer: either the field for the call's result or the failure is set."""
 
     offset: int | None = None
     page: RecordPage | None = None
@@ -85,7 +85,7 @@
 
 
 def decode_call(content: bytes) -> LogCall | None:
-    """Return the call that bytes encode, None if they encode none."""
+    """Return the decoded call, None if the bytes are malformed."""
     try:
         return _CALLS.decode(content)
     except msgspec.DecodeError:
@@ -93,7 +93,7 @@
 
 
 def decode_answer(content: bytes) -> LogAnswer | None:
-    """Return the answer that bytes encode, None if they encode none."""
+    """Return the decoded answer, None if the bytes are malformed."""
     try:
         return _ANSWERS.decode(content)
     except msgspec.DecodeError:
--- a/src/stagewalk/gateway/log_relay/path_choice.py
+++ b/src/stagewalk/gateway/log_relay/path_choice.py
@@ -1,7 +1,8 @@
-"""Decides whether a call of the log goes to it directly or through another node. Pure.
+"""Decides whether a call of the log is sent directly or relayed by another node. Pure.
 
-Inputs: outcomes of earlier calls by either path, and the time. Rule: directly, unless that failed
-last and a relay has worked since; then through the relay, with the direct path probed beside it.
+Inputs: outcomes of earlier calls by either path, and the time. Rule: calls are sent directly unless
+the last direct call failed and a relayed call succeeded since; then calls are relayed, and the
+direct path is probed at intervals.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from stagewalk.gateway.ports.partitioned_log import LogFailure, LogFault
 
 PROBE_INTERVAL_SECONDS = 1.0
-"""Between two probes of the direct path while calls are relayed."""
+"""Interval between probes of the direct path while calls are relayed."""
 
 CONCLUSIVE_FAULTS = frozenset(
     {LogFault.CONFLICT, LogFault.OUT_OF_SEQUENCE, LogFault.DROPPED, LogFault.REJECTED}
 )
-"""Failures that are the log's own answer: the other path would bring the same."""
+"""Failures reported by the log itself, so that the other path would give the same result."""
 
 
 class PathChoice:
@@ -29,7 +30,7 @@
 
     @property
     def direct_fails(self) -> bool:
-        """Whether the direct path did not work when it was last tried."""
+        """Whether the last call by the direct path failed."""
         return self._direct_failed_at > -math.inf
 
     @property
@@ -38,8 +39,10 @@
         return self._relay_worked_at > self._direct_failed_at > -math.inf
 
     def direct_first(self, now: float) -> bool:
-        """Whether to try the direct path first; while relaying, once every
-        `PROBE_INTERVAL_SECONDS`."""
+        """Whether to try the direct path first.
+
+        While calls are relayed, that is once every `PROBE_INTERVAL_SECONDS`.
+        """
         if not self.relaying:
             return True
         if now - self._probed_at < PROBE_INTERVAL_SECONDS:
@@ -48,7 +51,7 @@
         return True
 
     def record_direct(self, failure: LogFailure | None, now: float) -> bool:
-        """Record the outcome of a direct call; return whether it settles the call."""
+        """Record the outcome of a direct call; return whether it is final."""
         if failure is None or failure.fault in CONCLUSIVE_FAULTS:
             self._direct_failed_at = -math.inf
             return True
--- a/src/stagewalk/gateway/log_relay/relayed_log.py
+++ b/src/stagewalk/gateway/log_relay/relayed_log.py
@@ -1,7 +1,7 @@
-"""The log for a node that may be cut off from it: called directly, or through another node.
+"""Access to the log for a node that may be cut off from it: directly or through another node.
 
-Owns the race of the two paths and which outcome counts. Relies on `path_choice` for the path, on
-the peers' client for relayed calls.
+Owns hedged calls by both paths, and which of two outcomes is returned. Relies on `path_choice` for
+the path and on the client of peers for relayed calls.
 """
 
 from __future__ import annotations
@@ -46,46 +46,45 @@
 
 RELAY_PATH = "/log"
 RESPONSE_TIMEOUT_SECONDS = 1.5
-"""How long another node's answer may take beyond the time a read offers to wait."""
+"""Time-out of another node's answer, in addition to the wait of a read."""
 
 HEDGE_DELAY_SECONDS = 0.4
-"""A call that the log has not answered so long after it should have is relayed as well: a hundred
-times what the log takes, and well below the time-out of a call (1.2 s), after which a node would
-learn of a configuration too late."""
+"""Delay, in addition to the wait of a read, after which an unanswered direct call is relayed as
+well: a hundred times the log's response time, and well below the time-out of a call (1.2 s)."""
 
 PEERS_ASKED = 3
-"""Nodes asked in turn while each replies that it is cut off too."""
+"""Maximum number of nodes asked in turn if each replies that it is cut off too."""
 
 _NO_ANSWER = LogFailure(LogFault.UNKNOWN, "no answer yet")
-_NOT_TAKEN = LogFailure(LogFault.REFUSED, "the asked node takes no connection")
+_NOT_CONNECTED = LogFailure(LogFault.REFUSED, "the asked node accepts no connection")
 
 
 @dataclass(frozen=True, slots=True)
 class RelayPeers:
-    """Where other nodes serve relayed calls: in this node's region, and in others."""
+    """Addresses of nodes that relay calls, in this node's region and in others."""
 
     same_region: Sequence[Address] = ()
     other_regions: Sequence[Address] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
-    """A node that was asked, and its answer; None if none came."""
+class _PeerAnswer:
+    """A node that was asked, and its answer; None if it did not answer."""
 
     peer: Address
     answer: LogAnswer | None
 
 
 Peers = Callable[[], RelayPeers]
-"""Returns the nodes that serve relayed calls now."""
+"""Returns the nodes that relay calls at present."""
 
 
 class RelayedLog:
-    """Calls the log directly, or through another node, and remembers which path works.
+    """Calls the log directly or through another node, and remembers which path works.
 
-    Only calls that may be carried out twice are sent by both paths: appends carry their sequence,
-    keyed ones set the same value. An `append_at` without an answer is left to its caller, who
-    reads. While the relay works, the direct path is probed beside it.
+    Only idempotent calls are sent by both paths: appends carry a sequence number, keyed appends set
+    the same value again. An `append_at` is sent by one path only; without an answer its caller has
+    to read the partition. While calls are relayed, the direct path is probed.
     """
 
     def __init__(self, direct: PartitionedLog, peers: Peers, client: PeerClient) -> None:
@@ -99,7 +98,7 @@
         self, partition: Partition, payloads: Sequence[bytes], sequence: ProducerSequence
     ) -> Result[int, LogFailure]:
         """Append all records or none, once."""
-        return await self._either(
+        return await self._call(
             lambda: self._direct.append(partition, payloads, sequence),
             AppendCall(partition, list(payloads), sequence),
             lambda answer: answer.offset,
@@ -118,7 +117,7 @@
         self, partition: Partition, key: str, value: bytes
     ) -> Result[int, LogFailure]:
         """Set a key of a compacted topic."""
-        return await self._either(
+        return await self._call(
             lambda: self._direct.append_keyed(partition, key, value),
             AppendKeyedCall(partition, key, value),
             lambda answer: answer.offset,
@@ -128,7 +127,7 @@
         self, partition: Partition, offset: int, wait_seconds: float
     ) -> Result[RecordPage, LogFailure]:
         """Read from an offset on."""
-        return await self._either(
+        return await self._call(
             lambda: self._direct.read(partition, offset, wait_seconds),
             ReadCall(partition, offset, wait_seconds),
             lambda answer: answer.page,
@@ -139,7 +138,7 @@
         self, partition: Partition, offset: int, wait_seconds: float
     ) -> Result[KeyedPage, LogFailure]:
         """Read changes of a compacted topic."""
-        return await self._either(
+        return await self._call(
             lambda: self._direct.read_keyed(partition, offset, wait_seconds),
             ReadKeyedCall(partition, offset, wait_seconds),
             lambda answer: answer.keyed,
@@ -148,39 +147,41 @@
 
     async def newest(self, partition: Partition) -> Result[KeyedPage, LogFailure]:
         """Read the newest record of each key."""
-        return await self._either(
+        return await self._call(
             lambda: self._direct.newest(partition),
             NewestCall(partition),
             lambda answer: answer.keyed,
         )
 
-    async def _either(
+    async def _call(
         self,
         direct: Callable[[], Awaitable[Result[Value, LogFailure]]],
         call: LogCall,
-        pick: Callable[[LogAnswer], Value | None],
+        extract: Callable[[LogAnswer], Value | None],
         wait_seconds: float = 0.0,
     ) -> Result[Value, LogFailure]:
         relaying = self._choice.relaying
         if not self._choice.direct_first(steady_seconds()):
-            relayed = await self._relay(call, pick, wait_seconds)
+            relayed = await self._relay(call, extract, wait_seconds)
             if relayed.is_ok():
                 return relayed
             answer = await direct()
             self._choice.record_direct(_error_of(answer), steady_seconds())
             return _outcome(answer, relayed)
         relay_after = 0.0 if relaying else wait_seconds + HEDGE_DELAY_SECONDS
-        return await self._race(direct, lambda: self._relay(call, pick, wait_seconds), relay_after)
+        return await self._call_hedged(
+            direct, lambda: self._relay(call, extract, wait_seconds), relay_after
+        )
 
-    async def _race(
+    async def _call_hedged(
         self,
         direct: Callable[[], Awaitable[Result[Value, LogFailure]]],
         relay: Callable[[], Awaitable[Result[Value, LogFailure]]],
         relay_after: float,
     ) -> Result[Value, LogFailure]:
-        """Call directly, and through another node once that failed or was silent for a time.
+        """Call directly, and through another node once that failed or took longer than a delay.
 
-        The first success counts; without any, see `_outcome`.
+        The first success is returned; without any, see `_outcome`.
         """
         answers: list[Result[Value, LogFailure]] = []
         relayed: list[Result[Value, LogFailure]] = []
@@ -211,43 +212,45 @@
         return _outcome(answers[0], relayed[0]) if answers else relayed[0]
 
     async def _relay(
-        self, call: LogCall, pick: Callable[[LogAnswer], Value | None], wait_seconds: float
+        self, call: LogCall, extract: Callable[[LogAnswer], Value | None], wait_seconds: float
     ) -> Result[Value, LogFailure]:
-        """Send a call through another node, always the same one while it answers."""
+        """Relay a call through another node, the same one as long as it answers."""
         before = self._choice.relaying
         asked = await self._ask_peers(call, wait_seconds + RESPONSE_TIMEOUT_SECONDS)
         if asked is None:
             return Error(LogFailure(LogFault.REFUSED, "no other node is known"))
         peer, answer = asked.peer, asked.answer
         failure = _failure_of(answer)
-        worked = answer is not None and (failure is None or failure.fault not in _UNSETTLED)
+        worked = answer is not None and (
+            failure is None or failure.fault not in _INCONCLUSIVE_FAULTS
+        )
         self._choice.record_relay(worked, steady_seconds())
         self._peer = peer if worked else None
         if worked and not before:
             log_event("log_relayed", through=str(peer))
         if answer is None or failure is not None:
             return Error(failure or LogFailure(LogFault.UNKNOWN, f"no answer through {peer}"))
-        value = pick(answer)
+        value = extract(answer)
         if value is None:
-            return Error(LogFailure(LogFault.UNKNOWN, f"a wrong answer through {peer}"))
+            return Error(LogFailure(LogFault.UNKNOWN, f"unexpected answer through {peer}"))
         return Ok(value)
 
-    async def _ask_peers(self, call: LogCall, seconds: float) -> _Asked | None:
-        """Return the last asked node's answer: the next one is asked while nodes are cut off too.
+    async def _ask_peers(self, call: LogCall, seconds: float) -> _PeerAnswer | None:
+        """Ask nodes in turn until one isn't cut off; return the last answer.
 
-        None: no node is known.
+        None if no node is known.
         """
-        asked: _Asked | None = None
+        asked: _PeerAnswer | None = None
         for peer in self._candidates():
-            asked = _Asked(peer, await self._send(peer, call, seconds))
+            asked = _PeerAnswer(peer, await self._send(peer, call, seconds))
             if _failure_of(asked.answer) != RELAY_CUT_OFF:
                 break
         return asked
 
     def _candidates(self) -> list[Address]:
-        """Return the nodes to ask in order: the last one first, then near ones.
+        """Return the nodes to ask in order: the last one used, then those of this region.
 
-        One of another region is among them: a whole region may be cut off from the log.
+        One of another region is included, since a whole region may be cut off from the log.
         """
         known = self._peers()
         same_region = [peer for peer in known.same_region if peer != self._peer]
@@ -260,37 +263,37 @@
 
     @property
     def direct_path_failing(self) -> bool:
-        """Whether the direct path to the log did not work when it was last tried."""
+        """Whether the last call by the direct path failed."""
         return self._choice.direct_fails
 
     async def _send(self, peer: Address, call: LogCall, seconds: float) -> LogAnswer | None:
         message = encode_message(call)
         answer = await self._client.exchange(peer, RELAY_PATH, message, seconds)
         if answer.is_error():
-            return LogAnswer(failure=_NOT_TAKEN) if answer.error is PeerFault.NOT_SENT else None
+            return LogAnswer(failure=_NOT_CONNECTED) if answer.error is PeerFault.NOT_SENT else None
         return decode_answer(answer.ok)
 
 
-_UNSETTLED = frozenset({LogFault.REFUSED, LogFault.UNKNOWN})
+_INCONCLUSIVE_FAULTS = frozenset({LogFault.REFUSED, LogFault.UNKNOWN})
 
 
 def _outcome(
     direct: Result[Value, LogFailure], relayed: Result[Value, LogFailure]
 ) -> Result[Value, LogFailure]:
-    """Return the outcome of a call that was sent by both paths: the one that proves most.
+    """Return the more conclusive outcome of a call that was sent by both paths.
 
-    A success, else the log's own failure by either path, such as that records are gone. Another
-    node that did not answer may have passed the call on: a refusal of the direct path proves
-    nothing then, and a caller that relied on it would report that what is in the log is not, and
-    use its sequence for something else.
+    That is a success, else a failure reported by the log itself, such as dropped records, else
+    `UNKNOWN`. A relay that did not answer may have forwarded the call, so a refusal of the direct
+    path doesn't prove that nothing was appended; the caller would reuse the sequence number for
+    another append.
     """
-    return min(direct, relayed, key=_certainty)
+    return min(direct, relayed, key=_outcome_rank)
 
 
-def _certainty(answer: Result[Value, LogFailure]) -> int:
+def _outcome_rank(answer: Result[Value, LogFailure]) -> int:
     if answer.is_ok():
         return 0
-    if answer.error.fault not in _UNSETTLED:
+    if answer.error.fault not in _INCONCLUSIVE_FAULTS:
         return 1
     return 2 if answer.error.fault is LogFault.UNKNOWN else 3
 
--- a/src/stagewalk/gateway/log_relay/server.py
+++ b/src/stagewalk/gateway/log_relay/server.py
@@ -1,6 +1,6 @@
-"""Serves other nodes' calls of the log, by this node's direct path to it.
+"""Serves calls of the log that other nodes relay, by this node's direct path to the log.
 
-Relies on `messages` for the encoding; a call is never relayed twice.
+Relies on `messages` for the encoding. A call is never relayed twice.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
     Parameters
     ----------
     direct_path_failing
-        Whether this node's own calls of the log fail: then it replies so at once, and the caller
-        asks another node.
+        Whether this node's own direct calls fail: it then answers `RELAY_CUT_OFF` at once, and the
+        caller asks another node.
     """
 
     def __init__(self, direct: PartitionedLog, direct_path_failing: Callable[[], bool]) -> None:
@@ -41,7 +41,7 @@
         self._cut_off = direct_path_failing
 
     async def handle(self, content: bytes) -> bytes | None:
-        """Carry out a call and return the encoded answer; None if the bytes are no call."""
+        """Execute a call and return the encoded answer, None if the bytes are malformed."""
         call = decode_call(content)
         if call is None:
             return None
--- a/tests/gateway/log_relay/test_lost_answers.py
+++ b/tests/gateway/log_relay/test_lost_answers.py
@@ -1,7 +1,7 @@
-"""An append that another node may have carried out is never told as not done.
+"""An append that a relay may have forwarded is never reported as not appended.
 
-The straight way refuses at once where a node is cut off; the way through another node has no answer
-if that node is lost after it passed the append on. Of the two outcomes the unsure one counts.
+The direct path refuses the call, and the relay is lost after it forwarded the append, without an
+answer: the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from stagewalk.gateway.ports.partitioned_log import LogFault, Partition, ProducerSequence
 from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
-PLACE = Partition("t", 0)
+PARTITION = Partition("t", 0)
 PEER = Address("10.0.0.1", 1)
 CALL_BYTES = 10_000
 APPEND_SECONDS = 0.5
 
 
 class LostPeer:
-    """Another node that is lost once it has passed one call on; satisfies the client of peers."""
+    """Client of peers; forwards one call and loses its answer, then fails."""
 
     def __init__(self, relay: LogRelay) -> None:
         self._relay = relay
@@ -41,7 +41,9 @@
 
 
 class LostAnswerTests(testtools.TestCase):
-    def play(self, scenario: Callable[[RelayedLog, MemoryLogClient], Awaitable[None]]) -> None:
+    def run_scenario(
+        self, scenario: Callable[[RelayedLog, MemoryLogClient], Awaitable[None]]
+    ) -> None:
         self.memory = MemoryLog()
 
         async def main() -> None:
@@ -52,33 +54,33 @@
 
         anyio.run(main)
 
-    def test_a_relayed_append_without_an_answer_is_not_refused(self) -> None:
+    def test_a_relayed_append_without_an_answer_is_unknown(self) -> None:
         async def scenario(log: RelayedLog, _own: MemoryLogClient) -> None:
-            answer = await log.append(PLACE, [b"1"], ProducerSequence("p", 1, 1))
-            self.assertEqual([b"1"], self.memory.payloads(PLACE))
+            answer = await log.append(PARTITION, [b"1"], ProducerSequence("p", 1, 1))
+            self.assertEqual([b"1"], self.memory.payloads(PARTITION))
             self.assertIs(LogFault.UNKNOWN, answer.error.fault)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_what_may_be_in_the_log_is_not_told_as_not_appended(self) -> None:
-        """A trainer would be told 503, that its batch does not run; but it is there, and runs."""
+    def test_the_appender_does_not_report_it_as_not_appended(self) -> None:
+        """Otherwise a trainer gets 503 for a batch that is in the log and runs."""
 
         async def scenario(log: RelayedLog, _own: MemoryLogClient) -> None:
-            appender = PartitionAppender(log, PLACE, "p", CALL_BYTES)
+            appender = PartitionAppender(log, PARTITION, "p", CALL_BYTES)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(appender.run)
                 outcome = await appender.append([b"1"], APPEND_SECONDS)
                 tasks.cancel_scope.cancel()
-            self.assertEqual([b"1"], self.memory.payloads(PLACE))
+            self.assertEqual([b"1"], self.memory.payloads(PARTITION))
             self.assertIs(AppendFailure.UNKNOWN, outcome.error)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_what_is_told_as_appended_is_in_the_log(self) -> None:
-        """The sequence of what was believed not done would be used again for something else."""
+    def test_the_sequence_number_of_an_unknown_append_is_not_reused(self) -> None:
+        """Otherwise the log takes the next append for a repetition and drops it."""
 
         async def scenario(log: RelayedLog, own: MemoryLogClient) -> None:
-            appender = PartitionAppender(log, PLACE, "p", CALL_BYTES)
+            appender = PartitionAppender(log, PARTITION, "p", CALL_BYTES)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(appender.run)
                 await appender.append([b"1"], APPEND_SECONDS)
@@ -87,6 +89,6 @@
                 outcome = await appender.append([b"2"], 10 * APPEND_SECONDS)
                 tasks.cancel_scope.cancel()
             self.assertTrue(outcome.is_ok())
-            self.assertEqual([b"1", b"2"], self.memory.payloads(PLACE))
+            self.assertEqual([b"1", b"2"], self.memory.payloads(PARTITION))
 
-        self.play(scenario)
+        self.run_scenario(scenario)
--- a/tests/gateway/log_relay/test_relayed_log.py
+++ b/tests/gateway/log_relay/test_relayed_log.py
@@ -1,4 +1,4 @@
-"""A log that is silent for this node alone is read through another one, soon."""
+"""A log that does not answer this node is read through another node after a short delay."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from stagewalk.gateway.ports.partitioned_log import Partition
 from tests.gateway.memory_log import MemoryLog
 
-PLACE = Partition("keyed.t", 0)
+PARTITION = Partition("keyed.t", 0)
 TIMEOUT_SECONDS = 2.0
 
 
 class SilentLog:
-    """Answers nothing before a call's time is out."""
+    """Log that does not answer before a call times out."""
 
     def __init__(self, log) -> None:
         self._log = log
@@ -36,7 +36,7 @@
 
 
 class Peers:
-    """Other nodes, by address; satisfies the client of peers."""
+    """Client of peers; passes calls to other nodes by address."""
 
     def __init__(self, nodes: dict[Address, LogRelay]) -> None:
         self.nodes = nodes
@@ -52,10 +52,10 @@
 
 
 class RelayedLogTests(testtools.TestCase):
-    def play(self, direct_path_failing: list[bool], scenario) -> None:
+    def run_scenario(self, direct_path_failing: list[bool], scenario) -> None:
         async def main() -> None:
             memory = MemoryLog()
-            memory.put_key(PLACE, "k", b"v")
+            memory.put_key(PARTITION, "k", b"v")
             own = SilentLog(memory.client())
             nodes = {
                 address(n): LogRelay(memory.client(), lambda cut=cut: cut)
@@ -66,47 +66,47 @@
 
         anyio.run(main)
 
-    def test_a_silent_log_is_left_before_the_call_times_out(self) -> None:
+    def test_a_call_is_relayed_before_the_direct_call_times_out(self) -> None:
         async def scenario(log: RelayedLog, own: SilentLog, peers: Peers) -> None:
             began = time.monotonic()
-            page = await log.read_keyed(PLACE, 0, 0.1)
+            page = await log.read_keyed(PARTITION, 0, 0.1)
             self.assertEqual(["k"], [record.key for record in page.ok.records])
             self.assertLess(time.monotonic() - began, TIMEOUT_SECONDS)
             self.assertGreaterEqual(time.monotonic() - began, HEDGE_DELAY_SECONDS)
             self.assertTrue(log.direct_path_failing)
 
-        self.play([False], scenario)
+        self.run_scenario([False], scenario)
 
-    def test_trying_the_silent_way_again_holds_nobody_up(self) -> None:
+    def test_probes_of_a_silent_direct_path_do_not_delay_calls(self) -> None:
         async def scenario(log: RelayedLog, own: SilentLog, peers: Peers) -> None:
-            await log.read_keyed(PLACE, 0, 0.0)
+            await log.read_keyed(PARTITION, 0, 0.0)
             began = time.monotonic()
             for _ in range(3):
-                self.assertTrue((await log.read_keyed(PLACE, 0, 0.0)).is_ok())
+                self.assertTrue((await log.read_keyed(PARTITION, 0, 0.0)).is_ok())
             self.assertLess(time.monotonic() - began, HEDGE_DELAY_SECONDS)
             self.assertEqual(2, own.calls)
 
-        self.play([False], scenario)
+        self.run_scenario([False], scenario)
 
-    def test_the_straight_way_is_taken_again_once_it_answers(self) -> None:
+    def test_the_direct_path_is_used_again_once_it_answers(self) -> None:
         async def scenario(log: RelayedLog, own: SilentLog, peers: Peers) -> None:
-            await log.read_keyed(PLACE, 0, 0.0)
+            await log.read_keyed(PARTITION, 0, 0.0)
             own.silent = False
             peers.nodes.clear()
-            await log.read_keyed(PLACE, 0, 0.0)
+            await log.read_keyed(PARTITION, 0, 0.0)
             self.assertFalse(log.direct_path_failing)
 
-        self.play([False], scenario)
+        self.run_scenario([False], scenario)
 
-    def test_a_node_that_is_cut_off_too_says_so_and_another_one_is_asked(self) -> None:
+    def test_if_the_asked_node_is_cut_off_too_another_one_is_asked(self) -> None:
         async def scenario(log: RelayedLog, own: SilentLog, peers: Peers) -> None:
             for _ in range(3):
-                self.assertTrue((await log.read_keyed(PLACE, 0, 0.0)).is_ok())
+                self.assertTrue((await log.read_keyed(PARTITION, 0, 0.0)).is_ok())
             self.assertEqual(address(2), peers.asked[-1])
 
-        self.play([True, True, False], scenario)
+        self.run_scenario([True, True, False], scenario)
 
-    def test_the_refusal_is_told_from_one_of_the_log(self) -> None:
+    def test_the_refusal_of_a_cut_off_node_survives_its_encoding(self) -> None:
         decoded = msgspec.msgpack.decode(
             encode_message(LogAnswer(failure=RELAY_CUT_OFF)), type=LogAnswer
         )
