--- a/src/stagewalk/gateway/partitioned_log/__init__.py
+++ b/src/stagewalk/gateway/partitioned_log/__init__.py
@@ -1,1 +1,1 @@
-"""Using a partitioned log: following partitions and appending to them exactly once."""
+"""Clients of the partitioned log: followers of partitions and exactly-once appends."""
--- a/src/stagewalk/gateway/partitioned_log/appender.py
+++ b/src/stagewalk/gateway/partitioned_log/appender.py
@@ -1,8 +1,8 @@
-"""Appends to one partition exactly once, several callers' records in one call.
+"""Appends to one partition exactly once, with several callers' records in one call.
 
-An append whose answer was lost is sent again under the same sequence until the log has settled
-it; only then is the next one sent. So a record is never doubled, and never overtaken by a later
-one of the same process. Owns the queue, the producer's epoch and sequence, and the retries.
+An append whose answer was lost is sent again with the same sequence number until its outcome is
+known; only then is the next one sent. So records are neither duplicated nor reordered. Owns the
+queue, the producer's epoch and sequence number, and the retries.
 """
 
 from __future__ import annotations
@@ -27,27 +27,27 @@
 RETRY_SECONDS = 0.1
 SLOW_RETRY_SECONDS = 0.3
 QUICK_RETRIES = 5
-"""Pauses before a failed append is sent again: of the first retries, and once so many failed in a
-row."""
+"""Delays before a failed append is retried: for the first `QUICK_RETRIES` failures in a row, and
+after them."""
 
 RECORD_OVERHEAD_BYTES = 4
-"""Bytes of a call beside each record: its length."""
+"""Bytes that a call needs for a record in addition to its payload: the length field."""
 
 
 class AppendFailure(StrEnum):
     """Why an append has no offset."""
 
     NOT_APPENDED = "not_appended"
-    """Never sent, and it never will be."""
+    """It is not in the log, and it will not be appended later."""
     UNKNOWN = "unknown"
-    """It may be in the log, or may come to be there."""
+    """It may be in the log, or may be appended later."""
 
 
 @dataclass(slots=True)
 class _Pending:
     payloads: tuple[bytes, ...]
     settled: anyio.Event = field(default_factory=anyio.Event)
-    may_land: bool = False
+    may_be_appended: bool = False
     abandoned: bool = False
     rejected: bool = False
     offset: int | None = None
@@ -72,7 +72,7 @@
         self._queue: deque[_Pending] = deque()
         self._arrived = anyio.Event()
         self.failing_since: float | None = None
-        """Since when (steady clock) the log has accepted no append; None: it accepts them."""
+        """Time of the first failure since the last accepted append (steady clock), or None."""
 
     async def append(
         self, payloads: Sequence[bytes], timeout_seconds: float
@@ -87,32 +87,32 @@
             return Ok(pending.offset)
         if pending.rejected:
             return Error(AppendFailure.NOT_APPENDED)
-        if pending.may_land:
+        if pending.may_be_appended:
             return Error(AppendFailure.UNKNOWN)
         pending.abandoned = True
         return Error(AppendFailure.NOT_APPENDED)
 
     def post(self, payloads: Sequence[bytes]) -> None:
-        """Append records without waiting for it."""
+        """Queue records without waiting for the outcome."""
         self._queue.append(_Pending(tuple(payloads)))
         self._arrived.set()
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is left to append."""
+        """Whether the queue is empty."""
         return not self._queue
 
     async def run(self) -> None:
-        """Append what is queued, for ever."""
+        """Append queued records until cancelled."""
         while True:
             await self._arrived.wait()
             self._arrived = anyio.Event()
-            while together := self._take():
-                await self._append_together(together)
+            while group := self._next_group():
+                await self._append_group(group)
 
-    def _take(self) -> list[_Pending]:
+    def _next_group(self) -> list[_Pending]:
         """Return the oldest appends that fit in one call; they stay queued until settled."""
-        together: list[_Pending] = []
+        group: list[_Pending] = []
         size = 0
         while self._queue and self._queue[0].abandoned:
             self._queue.popleft()
@@ -120,56 +120,56 @@
             if pending.abandoned:
                 break
             size += pending.size
-            if together and size > self._call_bytes:
+            if group and size > self._call_bytes:
                 break
-            together.append(pending)
-        return together
+            group.append(pending)
+        return group
 
-    async def _append_together(self, together: list[_Pending]) -> None:
-        """Send until the log has settled it.
+    async def _append_group(self, group: list[_Pending]) -> None:
+        """Send a call until its outcome is known.
 
-        While the log has refused every call, nothing of it can land, so appends that nobody
-        waits for any more are left out of the next call under the same sequence.
+        As long as every call was refused, nothing of it can be in the log, so appends whose caller
+        has timed out are left out of the next call with the same sequence number.
         """
         self._sequence += 1
         failures = 0
-        unsettled = False
-        while together:
-            for pending in together:
-                pending.may_land = True
-            payloads = [payload for pending in together for payload in pending.payloads]
+        may_have_run = False
+        while group:
+            for pending in group:
+                pending.may_be_appended = True
+            payloads = [payload for pending in group for payload in pending.payloads]
             sequence = ProducerSequence(self._producer, self._epoch, self._sequence)
             answer = await self._log.append(self._partition, payloads, sequence)
             if answer.is_ok():
                 self._record_success()
-                self._finish(together, answer.ok)
+                self._finish(group, answer.ok)
                 return
             failures += 1
             fault = answer.error.fault
             self._record_failure(fault, answer.error.detail, failures)
             if fault is LogFault.REJECTED:
-                self._finish(together, None)
+                self._finish(group, None)
                 return
             if fault is LogFault.OUT_OF_SEQUENCE:
-                # A new epoch may begin at any sequence; what was doubled, readers drop.
+                # A new epoch may begin at any sequence number; readers drop duplicates.
                 self._epoch += 1
                 self._sequence = 1
-            unsettled = unsettled or fault is not LogFault.REFUSED
-            for pending in together:
-                pending.may_land = unsettled
+            may_have_run = may_have_run or fault is not LogFault.REFUSED
+            for pending in group:
+                pending.may_be_appended = may_have_run
             await anyio.sleep(RETRY_SECONDS if failures < QUICK_RETRIES else SLOW_RETRY_SECONDS)
-            if not unsettled:
-                together = self._without_abandoned(together)
+            if not may_have_run:
+                group = self._without_abandoned(group)
         self._sequence -= 1
 
-    def _without_abandoned(self, together: list[_Pending]) -> list[_Pending]:
-        for pending in together:
+    def _without_abandoned(self, group: list[_Pending]) -> list[_Pending]:
+        for pending in group:
             if pending.abandoned:
                 self._queue.remove(pending)
-        return [pending for pending in together if not pending.abandoned]
+        return [pending for pending in group if not pending.abandoned]
 
-    def _finish(self, together: list[_Pending], offset: int | None) -> None:
-        for pending in together:
+    def _finish(self, group: list[_Pending], offset: int | None) -> None:
+        for pending in group:
             self._queue.remove(pending)
             pending.offset = offset
             pending.rejected = offset is None
--- a/src/stagewalk/gateway/partitioned_log/follower.py
+++ b/src/stagewalk/gateway/partitioned_log/follower.py
@@ -1,7 +1,7 @@
 """Follows a partition of the log: each record is applied once, in order.
 
-Owns how long reads wait, and what happens where records were dropped unread. Relies on the port of
-the log, and on a callback that applies records.
+Owns how long reads wait, and the handling of records that were dropped before they were read.
+Relies on the port of the log, and on a callback that applies records.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
 
 ACTIVE_WAIT_SECONDS = 0.25
 IDLE_WAIT_SECONDS = 1.0
-"""How long a read waits for a first record. A log may fail to wake a waiting read, most of all
-for a record that closely follows another (seen to last until the wait was over); so the wait is
-the bound on how far a view may lag, and short where records have come lately."""
+"""How long a read waits for a first record. The log may fail to wake a waiting read, especially for
+a record that closely follows another one. So the wait bounds how far a view may lag, and it is
+shorter after recent records."""
 
 ACTIVE_SECONDS = 6.0
-"""After a record, reads wait `ACTIVE_WAIT_SECONDS` for this long."""
+"""How long after a record reads use `ACTIVE_WAIT_SECONDS`."""
 
 
 class PartitionFollower:
-    """Applies the records of a partition from its oldest kept one on.
+    """Applies the records of a partition, from the oldest one kept.
 
-    `catch_up` and the loop may read at the same time; a record is applied by whichever comes
-    first, and the other one skips it.
+    `catch_up` and the loop may read concurrently: a record is applied by whichever reads it first,
+    and skipped by the other.
 
     Parameters
     ----------
     on_gap
-        Called once records were dropped before they were read: their content is lost to this view.
+        Called when records were dropped before they were read, so that this view lacks them.
     """
 
     def __init__(
@@ -74,11 +74,11 @@
             self._resumed = anyio.Event()
 
     def resume(self) -> None:
-        """Resume following where it stopped."""
+        """Resume reading from the last position."""
         self._resumed.set()
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the partition until cancelled."""
         failures = 0
         while True:
             await self._resumed.wait()
@@ -90,7 +90,7 @@
                 await anyio.sleep(retry_pause(failures))
 
     async def catch_up(self, timeout_seconds: float) -> bool:
-        """Apply all that the partition holds now; return whether that was done in time."""
+        """Read to the end of the partition; return whether that was done in time."""
         with anyio.move_on_after(timeout_seconds):
             while not await self._read(0.0):
                 await anyio.sleep(RETRY_SECONDS)
@@ -104,7 +104,7 @@
         return ACTIVE_WAIT_SECONDS if quiet < ACTIVE_SECONDS else IDLE_WAIT_SECONDS
 
     async def _read(self, wait_seconds: float) -> bool:
-        """Read once, and on to the end if there is more; return whether the log answered."""
+        """Read up to the end of the partition; return whether the log answered."""
         while True:
             began = steady_seconds()
             answer = await self._log.read(self._partition, self.next_offset, wait_seconds)
--- a/src/stagewalk/gateway/partitioned_log/freshness.py
+++ b/src/stagewalk/gateway/partitioned_log/freshness.py
@@ -1,4 +1,4 @@
-"""How current a follower's view of its partition is, and since when the log answers.
+"""How current a follower's view of its partition is, and when the log last failed.
 
 Owns when the log counts as lost and as regained for one partition; logs both.
 """
@@ -12,10 +12,10 @@
 from stagewalk.common.steady_clock import steady_seconds
 
 LOST_AFTER_FAILURES = 3
-"""Failed calls in a row after which the log counts as lost."""
+"""Number of consecutive failed calls after which the log counts as lost."""
 
 OUTAGE_GAP_SECONDS = 3.0
-"""A longer time without any answer counts as an outage, even if no call failed."""
+"""A longer time without an answer counts as an outage, even if no call failed."""
 
 
 class Freshness:
@@ -45,7 +45,7 @@
 
     @property
     def name(self) -> str:
-        """Return what it is the view of."""
+        """Return the name of the partition."""
         return self._name
 
     @property
--- a/src/stagewalk/gateway/partitioned_log/keyed_follower.py
+++ b/src/stagewalk/gateway/partitioned_log/keyed_follower.py
@@ -1,7 +1,7 @@
-"""Follows a compacted partition: the newest record of each key, then its changes.
+"""Follows a compacted partition: the newest record of each key, then the changes.
 
-Owns when the whole partition is listed anew, and when a view is renewed at a caller's request.
-Relies on the port of the log, and on callbacks that apply listings and changes.
+Owns when the whole partition is listed again, and reads at a caller's request. Relies on the port
+of the log, and on callbacks that apply listings and changes.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 )
 
 KEYED_WAIT_SECONDS = 0.5
-"""How long a read of a compacted partition waits for a first change, unless its user says."""
+"""Default time that a read of a compacted partition waits for a first change."""
 
 
 class KeyedFollower:
-    """Applies the newest record of each key of a compacted partition, then its changes.
+    """Applies the newest record of each key of a compacted partition, then the changes.
 
-    `replace` takes a whole listing: keys that are not in it are gone. A listing is read at the
-    start and whenever changes were dropped before they could be read.
+    `replace` receives a whole listing: keys that are not in it have been deleted. The partition is
+    listed at the start and whenever changes were dropped before they were read.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
     Attributes
     ----------
     pause_seconds
-        How long it lets changes gather between two reads; may be changed at any time.
+        Pause between two reads; may be changed at any time.
     wait_seconds
         How long a read waits for a first change; may be changed at any time.
     """
@@ -64,14 +64,14 @@
         self.wait_seconds = wait_seconds
         self._next_offset: int | None = None
         self._highest_offset = 0
-        """Up to where the partition was ever read: an older listing would take changes back."""
-        self._read_now: anyio.Event | None = None
-        self._asked_at = -math.inf
-        """When the last read was sent that brought the view up to date."""
+        """Highest offset read up to; a listing that ends before it would undo changes."""
+        self._read_under_way: anyio.Event | None = None
+        self._read_sent_at = -math.inf
+        """When the last successful read was sent."""
         self.freshness = Freshness(str(partition), on_confirm)
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the partition until cancelled."""
         failures = 0
         while True:
             if await self._step(self.wait_seconds):
@@ -82,48 +82,48 @@
                 await anyio.sleep(retry_pause(failures))
 
     async def refresh(self, oldest_seconds: float, timeout_seconds: float) -> None:
-        """Renew a view that is older than a time, if the log answers soon enough.
+        """Read again if the view is older than a limit; give up after a time-out.
 
-        Concurrent callers wait for the read that is under way. While the log fails, nobody
-        waits: the loop that follows finds out when it answers again.
+        Concurrent callers wait for the read that is under way. While the log fails, this returns at
+        once: `run` finds out when the log answers again.
         """
         fresh = self.freshness.age(steady_seconds()) <= oldest_seconds
         if fresh or self.freshness.failing:
             return
         with anyio.move_on_after(timeout_seconds):
-            if self._read_now is not None:
-                await self._read_now.wait()
+            if self._read_under_way is not None:
+                await self._read_under_way.wait()
                 return
             await self._read_at_once()
 
     async def renew(self, oldest_seconds: float, timeout_seconds: float) -> bool:
-        """Return whether the view holds all that the log held so many seconds ago; read if needed.
+        """Return whether the view is at most `oldest_seconds` old; read again if it is older.
 
-        Stricter than `refresh`: a read counts from when it was sent, since its answer may have
-        waited here unread while the process was suspended, and it is tried also while the log
-        fails. Concurrent callers share one read.
+        Stricter than `refresh`: the view is as old as the read's request, since its answer may have
+        stayed unread while the process was suspended. It also reads while the log fails. Concurrent
+        callers share a read.
         """
         sent_after = steady_seconds() - oldest_seconds
         with anyio.move_on_after(timeout_seconds):
-            while self._asked_at < sent_after:
-                if self._read_now is not None:
-                    await self._read_now.wait()
+            while self._read_sent_at < sent_after:
+                if self._read_under_way is not None:
+                    await self._read_under_way.wait()
                 elif not await self._read_at_once():
                     break
-        return self._asked_at >= sent_after
+        return self._read_sent_at >= sent_after
 
     async def _read_at_once(self) -> bool:
-        self._read_now = anyio.Event()
+        self._read_under_way = anyio.Event()
         try:
             return await self._step(0.0)
         finally:
-            self._read_now.set()
-            self._read_now = None
+            self._read_under_way.set()
+            self._read_under_way = None
 
     async def _step(self, wait_seconds: float) -> bool:
         began = steady_seconds()
         if await self._read(wait_seconds):
-            self._asked_at = max(self._asked_at, began)
+            self._read_sent_at = max(self._read_sent_at, began)
             return True
         return False
 
@@ -146,7 +146,7 @@
 
     def _apply_page(self, page: KeyedPage, next_offset: int) -> None:
         for record in page.records:
-            # Another read, begun earlier or later, may have brought the same records.
+            # A concurrent read may have applied the same records already.
             if record.offset >= next_offset:
                 next_offset = record.offset + 1
                 self._next_offset = next_offset
@@ -161,7 +161,7 @@
             self.freshness.fail(listing.error.detail)
             return False
         if self._next_offset is None and listing.ok.next_offset < self._highest_offset:
-            self.freshness.fail("a listing older than what was read")
+            self.freshness.fail("the listing is older than records read before")
             return False
         if self._next_offset is None or self._next_offset <= listing.ok.next_offset:
             self._replace(listing.ok.records)
--- a/src/stagewalk/gateway/partitioned_log/measured_log.py
+++ b/src/stagewalk/gateway/partitioned_log/measured_log.py
@@ -1,6 +1,6 @@
-"""The log with each call counted and timed, for metrics.
+"""Wrapper of the log that counts and times each call for metrics.
 
-Owns what is timed: a call's seconds without the wait that a read offers.
+Owns what is timed: a call's duration without the time that a read may wait for records.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 ANSWERED = "answered"
 
 CallObserver = Callable[[str, str, float], None]
-"""Receives a call's operation, its outcome (`ANSWERED` or a fault) and its seconds."""
+"""Receives a call's operation, outcome (`ANSWERED` or a fault) and duration in seconds."""
 
 
 class MeasuredLog:
-    """Forwards calls to a log and times them; a read's offered wait is subtracted."""
+    """Forwards calls to a log and times them; the wait of a read is subtracted."""
 
     def __init__(self, log: PartitionedLog, observe: CallObserver) -> None:
         self._log = log
--- a/tests/gateway/partitioned_log/test_follower.py
+++ b/tests/gateway/partitioned_log/test_follower.py
@@ -22,9 +22,9 @@
 )
 from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
-PLACE = Partition("t", 0)
+PARTITION = Partition("t", 0)
 LONGEST_LAG_SECONDS = 0.5
-"""Half of what a reader may be shown an older view after a position was read elsewhere."""
+"""Half of the time for which a reader may get an older view than one it read at another node."""
 
 
 async def until(condition) -> None:
@@ -39,18 +39,18 @@
         self.log = MemoryLog()
         self.client = self.log.client()
         self.seen: list[bytes] = []
-        self.follower = PartitionFollower(self.client, PLACE, self.note)
+        self.follower = PartitionFollower(self.client, PARTITION, self.record_payload)
 
-    def note(self, record: PartitionRecord) -> None:
+    def record_payload(self, record: PartitionRecord) -> None:
         self.seen.append(record.payload)
 
     async def append(self, *payloads: bytes) -> None:
         writer = self.log.client()
         for payload in payloads:
-            end = self.log.kept(PLACE).end
-            await writer.append_at(PLACE, payload, end)
+            end = self.log.kept(PARTITION).end
+            await writer.append_at(PARTITION, payload, end)
 
-    def test_catching_up_beside_the_loop_applies_nothing_twice(self) -> None:
+    def test_catching_up_concurrently_with_the_loop_applies_no_record_twice(self) -> None:
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.follower.run)
@@ -70,10 +70,10 @@
         self.assertFalse(anyio.run(main))
         self.assertEqual(math.inf, self.follower.freshness.age(time.monotonic()))
 
-    def test_it_goes_on_after_dropped_history(self) -> None:
+    def test_it_continues_after_dropped_history(self) -> None:
         async def main() -> None:
             await self.append(b"a", b"b", b"c")
-            self.log.drop_history(PLACE, 2)
+            self.log.drop_history(PARTITION, 2)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.follower.run)
                 await until(lambda: self.seen == [b"c"])
@@ -81,7 +81,7 @@
 
         anyio.run(main)
 
-    def test_a_record_whose_wake_up_was_lost_is_read_when_the_short_wait_is_over(self) -> None:
+    def test_a_record_that_woke_no_read_is_read_after_the_short_wait(self) -> None:
         async def main() -> None:
             self.client.faults.sleep_through = True
             async with anyio.create_task_group() as tasks:
@@ -95,27 +95,27 @@
         anyio.run(main)
         self.assertLessEqual(max(self.client.waits), LONGEST_LAG_SECONDS)
 
-    def test_an_answer_that_lay_unread_while_the_process_was_paused_is_not_fresh(self) -> None:
-        """Found on khareeta hunt-3fd7-11: a thawed replica answered from before it was frozen."""
-        paused = 0.4
+    def test_an_answer_that_was_unread_while_the_process_was_suspended_is_not_fresh(self) -> None:
+        """Otherwise a process that resumes serves a view from before it was suspended."""
+        suspended = 0.4
 
-        class PausedClient(MemoryLogClient):
+        class SuspendedClient(MemoryLogClient):
             async def read(
                 self, partition: Partition, offset: int, wait_seconds: float
             ) -> Result[RecordPage, LogFailure]:
                 answer = await super().read(partition, offset, wait_seconds)
-                await anyio.sleep(paused)
+                await anyio.sleep(suspended)
                 return answer
 
         async def main() -> float:
-            follower = PartitionFollower(PausedClient(self.log), PLACE, self.note)
+            follower = PartitionFollower(SuspendedClient(self.log), PARTITION, self.record_payload)
             await self.append(b"1")
             await follower._read(0.0)
             await self.append(b"2")
             await follower._read(5.0)
             return follower.freshness.age(time.monotonic())
 
-        self.assertGreaterEqual(anyio.run(main), paused)
+        self.assertGreaterEqual(anyio.run(main), suspended)
         self.assertEqual([b"1", b"2"], self.seen)
 
     def test_an_outage_marks_the_view_as_disturbed(self) -> None:
@@ -145,30 +145,32 @@
         else:
             self.values[record.key] = record.value
 
-    def test_a_listing_replaces_what_was_missed_when_changes_were_dropped(self) -> None:
-        follower = KeyedFollower(self.client, PLACE, self.replace, self.apply, wait_seconds=0.05)
+    def test_after_dropped_changes_a_listing_replaces_the_view(self) -> None:
+        follower = KeyedFollower(
+            self.client, PARTITION, self.replace, self.apply, wait_seconds=0.05
+        )
 
         async def main() -> None:
-            self.log.put_key(PLACE, "a", b"1")
-            self.log.put_key(PLACE, "b", b"1")
+            self.log.put_key(PARTITION, "a", b"1")
+            self.log.put_key(PARTITION, "b", b"1")
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(follower.run)
                 await until(lambda: set(self.values) == {"a", "b"})
                 self.client.faults.down = True
                 await anyio.sleep(0.1)
-                self.log.drop_key(PLACE, "a")
-                self.log.put_key(PLACE, "c", b"2")
-                self.log.drop_history(PLACE, 4)
-                self.log.put_key(PLACE, "d", b"3")
-                self.log.drop_history(PLACE, 5)
+                self.log.drop_key(PARTITION, "a")
+                self.log.put_key(PARTITION, "c", b"2")
+                self.log.drop_history(PARTITION, 4)
+                self.log.put_key(PARTITION, "d", b"3")
+                self.log.drop_history(PARTITION, 5)
                 self.client.faults.down = False
                 await until(lambda: set(self.values) == {"b", "c", "d"})
                 tasks.cancel_scope.cancel()
 
         anyio.run(main)
 
-    def test_a_listing_older_than_what_was_read_takes_nothing_back(self) -> None:
-        """The log dropped its history, and what it lists first lags behind what it gave before."""
+    def test_a_listing_older_than_the_view_undoes_no_changes(self) -> None:
+        """After it dropped its history, the log's first listing is older than earlier reads."""
 
         class LaggingClient(MemoryLogClient):
             lists = 0
@@ -180,13 +182,13 @@
 
         async def scenario() -> None:
             client = LaggingClient(self.log)
-            follower = KeyedFollower(client, PLACE, self.replace, self.apply, wait_seconds=0.05)
-            self.log.put_key(PLACE, "a", b"1")
+            follower = KeyedFollower(client, PARTITION, self.replace, self.apply, wait_seconds=0.05)
+            self.log.put_key(PARTITION, "a", b"1")
             self.assertTrue(await follower.renew(0.0, 1.0))
-            self.log.put_key(PLACE, "b", b"2")
+            self.log.put_key(PARTITION, "b", b"2")
             self.assertTrue(await follower.renew(0.0, 1.0))
-            self.log.put_key(PLACE, "c", b"3")
-            self.log.drop_history(PLACE, 3)
+            self.log.put_key(PARTITION, "c", b"3")
+            self.log.drop_history(PARTITION, 3)
             await follower.renew(0.0, 0.5)
             self.assertFalse(await follower.renew(0.0, 0.5))
             self.assertIn("b", self.values)
@@ -195,16 +197,16 @@
 
         anyio.run(scenario)
 
-    def test_a_view_that_is_too_old_is_read_again_at_once(self) -> None:
+    def test_a_view_that_is_too_old_is_refreshed_at_once(self) -> None:
         follower = KeyedFollower(
-            self.client, PLACE, self.replace, self.apply, pause_seconds=60.0, wait_seconds=0.0
+            self.client, PARTITION, self.replace, self.apply, pause_seconds=60.0, wait_seconds=0.0
         )
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(follower.run)
                 await until(lambda: follower.freshness.ever_confirmed)
-                self.log.put_key(PLACE, "a", b"1")
+                self.log.put_key(PARTITION, "a", b"1")
                 await follower.refresh(60.0, 1.0)
                 self.assertEqual({}, self.values)
                 await follower.refresh(0.0, 1.0)
@@ -213,12 +215,12 @@
 
         anyio.run(main)
 
-    def test_many_who_ask_at_once_share_one_read(self) -> None:
-        follower = KeyedFollower(self.client, PLACE, self.replace, self.apply)
+    def test_concurrent_refreshes_share_one_read(self) -> None:
+        follower = KeyedFollower(self.client, PARTITION, self.replace, self.apply)
 
         async def main() -> None:
             await follower.refresh(0.0, 1.0)
-            self.log.put_key(PLACE, "a", b"1")
+            self.log.put_key(PARTITION, "a", b"1")
             before = self.client.calls
             await follower.refresh(0.0, 1.0)
             one_read = self.client.calls - before
@@ -231,8 +233,8 @@
 
         anyio.run(main)
 
-    def test_nobody_waits_for_a_log_that_fails(self) -> None:
-        follower = KeyedFollower(self.client, PLACE, self.replace, self.apply)
+    def test_a_refresh_does_not_wait_for_a_log_that_fails(self) -> None:
+        follower = KeyedFollower(self.client, PARTITION, self.replace, self.apply)
 
         async def main() -> None:
             await follower.refresh(0.0, 1.0)
@@ -245,8 +247,8 @@
 
         anyio.run(main)
 
-    def test_an_overlapping_read_takes_nothing_back(self) -> None:
-        """Two reads may bring the same records: the later one must not undo what came since."""
+    def test_a_concurrent_read_undoes_no_changes(self) -> None:
+        """Two reads may return the same records: the later one must not undo newer changes."""
         late = anyio.Event()
 
         class LateClient(MemoryLogClient):
@@ -263,15 +265,15 @@
 
         async def main() -> None:
             client = LateClient(self.log)
-            follower = KeyedFollower(client, PLACE, self.replace, self.apply)
-            self.log.put_key(PLACE, "a", b"1")
+            follower = KeyedFollower(client, PARTITION, self.replace, self.apply)
+            self.log.put_key(PARTITION, "a", b"1")
             await follower.refresh(0.0, 1.0)
-            self.log.drop_key(PLACE, "a")
+            self.log.drop_key(PARTITION, "a")
             client.held = True
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(follower._step, 0.0)
                 await anyio.sleep(0.01)
-                self.log.put_key(PLACE, "a", b"2")
+                self.log.put_key(PARTITION, "a", b"2")
                 await follower.refresh(0.0, 1.0)
                 self.assertEqual({"a": b"2"}, self.values)
                 late.set()
@@ -279,30 +281,30 @@
 
         anyio.run(main)
 
-    def test_an_answer_that_lay_unread_while_the_process_was_paused_is_not_fresh(self) -> None:
-        """Workers and nodes are judged by the time as of which their list is known."""
-        paused = 0.4
+    def test_an_answer_that_was_unread_while_the_process_was_suspended_is_not_fresh(self) -> None:
+        """Workers and nodes are judged by the time of the view."""
+        suspended = 0.4
 
-        class PausedClient(MemoryLogClient):
+        class SuspendedClient(MemoryLogClient):
             async def read_keyed(
                 self, partition: Partition, offset: int, wait_seconds: float
             ) -> Result[KeyedPage, LogFailure]:
                 answer = await super().read_keyed(partition, offset, wait_seconds)
-                await anyio.sleep(paused)
+                await anyio.sleep(suspended)
                 return answer
 
         async def main() -> float:
-            client = PausedClient(self.log)
-            follower = KeyedFollower(client, PLACE, self.replace, self.apply)
+            client = SuspendedClient(self.log)
+            follower = KeyedFollower(client, PARTITION, self.replace, self.apply)
             await follower._step(0.0)
-            self.log.put_key(PLACE, "a", b"1")
+            self.log.put_key(PARTITION, "a", b"1")
             await follower._step(0.0)
             return follower.freshness.age(time.monotonic())
 
-        self.assertGreaterEqual(anyio.run(main), paused)
+        self.assertGreaterEqual(anyio.run(main), suspended)
 
-    def test_a_read_that_did_not_reach_the_end_does_not_make_the_view_current(self) -> None:
-        """A read brings 256 KB at most: what gathered during an outage may be more."""
+    def test_a_read_that_did_not_reach_the_end_does_not_confirm_the_view(self) -> None:
+        """A read returns at most 256 KB; after an outage there may be more to read."""
 
         class PagedClient(MemoryLogClient):
             async def read_keyed(
@@ -318,14 +320,14 @@
                 )
 
         async def main() -> None:
-            follower = KeyedFollower(PagedClient(self.log), PLACE, self.replace, self.apply)
+            follower = KeyedFollower(PagedClient(self.log), PARTITION, self.replace, self.apply)
             self.assertTrue(await follower.renew(0.0, 1.0))
             for number in range(5):
-                self.log.put_key(PLACE, "key", b"%d" % number)
+                self.log.put_key(PARTITION, "key", b"%d" % number)
             asked_at = time.monotonic()
             current = await follower.renew(0.0, 1.0)
             newest = self.values.get("key") == b"4"
-            self.assertTrue(newest or not current, "an old view was called current")
+            self.assertTrue(newest or not current, "an old view was reported as current")
             self.assertTrue(newest or follower.freshness.confirmed_at < asked_at)
 
         anyio.run(main)
