--- a/src/stagewalk/gateway/leases/__init__.py
+++ b/src/stagewalk/gateway/leases/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's lease on a partition of the log."""
+"""A lease that is kept in a partition of the log."""
--- a/src/stagewalk/gateway/leases/log_lease.py
+++ b/src/stagewalk/gateway/leases/log_lease.py
@@ -1,9 +1,9 @@
 """A lease kept as records of a log partition, acquired by conditional append. Pure.
 
-Owns the rule of who may act as the holder, and when others may acquire the lease. The fence is the
-offset of the acquiring record, so it only grows. Times are in seconds of each process's own steady
-clock: the holder counts from before it sent a renewal, the others from when they read it, so the
-holder always stops first.
+Owns the rules for who may act as the holder and when others may acquire the lease. The fence
+(fencing token) is the offset of the acquiring record, so it only grows. Times are in seconds of
+each process's own steady clock. The holder counts from when it sent a renewal, the others from when
+they read it, so the lease expires at the holder first.
 """
 
 from __future__ import annotations
@@ -14,33 +14,32 @@
 import msgspec
 
 LEASE_SECONDS = 1.6
-"""How long a holder may act after it sent a renewal that the log accepted: three renewals and
-0.1 s. Nobody acts until a dead holder's lease and the quiet time are over: with 2.0 s, 7 s passed
-without an order after all processes had been killed."""
+"""How long a holder may act after it sent a renewal that the log accepted: three renewal intervals
+and 0.1 s. After a holder's failure nobody acts until its lease and the quiet time are over."""
 
 RENEW_SECONDS = 0.5
-"""Between two renewals: two may be lost before the lease expires."""
+"""Interval between renewals: two may be lost before the lease expires."""
 
 EXPIRY_MARGIN_SECONDS = 0.4
-"""How much longer others wait before one of them competes for the lease."""
+"""How much longer than the lease other processes wait before they try to acquire it."""
 
 JITTER_STEPS = 8
 JITTER_STEP_SECONDS = 0.15
-"""Acquire jitter: a process waits a random number of steps, fewer than `JITTER_STEPS`, beyond the
-expiry before it competes, so that replicas seldom append at once. A step is far longer than an
-append (some 10 ms)."""
+"""Acquire jitter: after the expiry a process waits a random number of steps, less than
+`JITTER_STEPS`, before it tries to acquire the lease, so that processes rarely do so at the same
+time. A step is far longer than an append (about 10 ms)."""
 
 NO_FENCE = -1
 MACHINE_SEPARATOR = "#"
 
 
 def acquire_jitter_seconds(random_number: int) -> float:
-    """Return the acquire jitter of one start of a process, drawn from a random number."""
+    """Return a process's acquire jitter, derived from a random number."""
     return JITTER_STEP_SECONDS * (random_number % JITTER_STEPS)
 
 
 def new_holder_id(machine: str, nonce: str) -> str:
-    """Return the identity of one start of the only process of its kind on a machine."""
+    """Return the identity of a process; at most one such process runs on a machine at a time."""
     return f"{machine}{MACHINE_SEPARATOR}{nonce}"
 
 
@@ -50,10 +49,10 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
-    """A step of a lease's history.
+    """Acquisition, renewal or release of a lease.
 
-    `fence` is `NO_FENCE` in a record that acquires the lease; a renewal or release names the one
-    it belongs to, and is void under any other.
+    `fence` is `NO_FENCE` in a record that acquires the lease. A renewal or release has the fence
+    under which it was written, and is ignored under any other.
     """
 
     holder: str
@@ -66,14 +65,14 @@
 
 
 class DutyRecord(msgspec.Struct, frozen=True, array_like=True, tag="duty"):
-    """What the holder is about to do, announced so that other processes expect its effects.
+    """An order that the holder is about to send, announced so that other processes expect it.
 
     Attributes
     ----------
     subject
-        The engine that is ordered.
+        The engine that gets the order.
     detail, number
-        The model, and the version it is brought to.
+        The model, and the version to load.
     """
 
     subject: str
@@ -86,15 +85,15 @@
 
 
 class PlanRecord(msgspec.Struct, frozen=True, array_like=True, tag="plan"):
-    """What a holder decided, written down before it is carried out.
+    """A decision of a holder, written to the log before it is executed.
 
-    Void unless `fence` is in force at its place in the log: of two holders' plans all processes
-    apply the same one.
+    Ignored unless `fence` is the current one at the record's offset, so all processes apply the
+    same one of two holders' plans.
 
     Attributes
     ----------
     subject
-        What it is about.
+        What is decided, with the prefix of the duty's service.
     content
         The decision, encoded by the service of the duty.
     """
@@ -113,7 +112,7 @@
 
 
 def decode_lease_record(payload: bytes) -> LeaseTopicRecord | None:
-    """Return a payload's record, None if it is none."""
+    """Return the decoded record, None if the payload is malformed."""
     try:
         return _DECODER.decode(payload)
     except msgspec.DecodeError:
@@ -122,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Append an acquiring record if the partition ends at `end`."""
+    """Action: append an acquiring record if the partition ends at `end`."""
 
     end: int
     record: LeaseRecord
@@ -130,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """Append a renewal or release."""
+    """Action: append a renewal or release."""
 
     record: LeaseRecord
 
@@ -141,9 +140,9 @@
     Parameters
     ----------
     holder
-        Identity of this start of the process, see `new_holder_id`.
+        Identity of this process, see `new_holder_id`.
     quiet_seconds
-        How long nobody may act between two holders.
+        Time between two holders during which nobody may act.
     jitter_seconds
         Acquire jitter, see `acquire_jitter_seconds`.
     """
@@ -164,12 +163,12 @@
 
     @property
     def holder(self) -> str:
-        """Return who holds the lease, or held it last."""
+        """Return the identity of the current or last holder."""
         return self._holder
 
     @property
     def fence(self) -> int:
-        """Return the fence of the holder."""
+        """Return the fence of the current or last holder."""
         return self._fence
 
     @property
@@ -178,11 +177,11 @@
         return self._holder == self._own and not self._released
 
     def set_quiet_seconds(self, seconds: float) -> None:
-        """Set how long nobody may act between two holders, from the next one on."""
+        """Set the quiet time between two holders; it applies from the next holder on."""
         self._quiet = seconds
 
     def may_act(self, now: float) -> bool:
-        """Whether this process may act as the holder at this moment."""
+        """Whether this process may act as the holder now."""
         return self.held and self._may_act_from <= now < self._valid_until
 
     def apply(self, offset: int, record: LeaseRecord, now: float) -> None:
@@ -197,18 +196,24 @@
             self._apply_unseen_holder(record, now)
 
     def skip(self, next_offset: int) -> None:
-        """Record that the partition ends further on."""
+        """Record that the partition ends at `next_offset` or later."""
         self._end = max(self._end, next_offset)
 
     def record_gap(self, now: float) -> None:
-        """Record that records were dropped before they were read: somebody may hold the lease.
+        """Record that records were dropped before they were read: the holder may have changed.
 
-        A holder that lives is known by its next renewal.
+        An alive holder becomes known by its next renewal.
         """
         self._gap_at = now
 
     def decide(self, now: float, current: bool) -> Acquire | Renew | None:
-        """Return what to append now; `current`: whether all records were read just now."""
+        """Return what to append now, if anything.
+
+        Parameters
+        ----------
+        current
+            Whether the view of the lease's records is up to date.
+        """
         if self.held:
             if now - self._renewed_at < RENEW_SECONDS:
                 return None
@@ -219,39 +224,39 @@
         return Acquire(self._end, LeaseRecord(self._own, NO_FENCE))
 
     def record_accepted(self, sent_at: float, fence: int) -> None:
-        """Extend the lease: the log accepted a renewal, or the acquiring record, sent at a time."""
+        """Extend the lease: the log accepted a renewal or an acquiring record sent at `sent_at`."""
         if fence == self._fence and self._holder == self._own:
             self._valid_until = max(self._valid_until, sent_at + LEASE_SECONDS)
 
     def handle_fenced(self, fence: int) -> None:
         """Stop acting under a fence, since a receiver has seen a higher one.
 
-        The record by which that holder acquired the lease came after this process's last read, so
-        it reads again and, if the lease is free then, acquires it under a fence higher still.
+        Another holder's acquiring record must follow this process's last read. The process reads
+        on and, once the lease is free, acquires it again under a higher fence.
         """
         if fence == self._fence and self._holder == self._own:
             self._released = True
             self._valid_until = -math.inf
 
     def release(self) -> Renew | None:
-        """Release the lease; return the record of it, None if it isn't held."""
+        """Release the lease; return the record to append, None if the lease isn't held."""
         if not self.held:
             return None
         self._released = True
         return Renew(LeaseRecord(self._own, self._fence, released=True))
 
     def _apply_acquired(self, offset: int, record: LeaseRecord, now: float) -> None:
-        """Apply a new holder: nobody acts until the last one's orders are long past."""
+        """Apply a new holder: it may act once the quiet time after the last holder is over."""
         quiet_from = (
             self._renewal_read_at if self._released else self._renewal_read_at + LEASE_SECONDS
         )
-        # A holder in records that were not read may have renewed until they were dropped.
+        # An unknown holder, in the dropped records, may have renewed until they were dropped.
         quiet_from = max(quiet_from, self._gap_at + LEASE_SECONDS)
-        certain = self._gap_at == -math.inf
+        no_gap = self._gap_at == -math.inf
         first = self._holder == ""
-        # A process before on the same machine is gone for sure: one machine is one holder.
+        # At most one process runs on a machine, so an earlier one there no longer runs.
         same_machine = machine_of(record.holder) == machine_of(self._holder)
-        at_once = certain and (first or same_machine)
+        at_once = no_gap and (first or same_machine)
         self._may_act_from = now if at_once else max(now, quiet_from + self._quiet)
         self._gap_at = -math.inf
         self._holder = record.holder
@@ -262,7 +267,7 @@
         self._renewed_at = -math.inf
 
     def _apply_unseen_holder(self, record: LeaseRecord, now: float) -> None:
-        """Apply a holder whose acquisition was not read: only the holder renews under its fence."""
+        """Apply a renewal or release by a holder whose acquiring record was not read."""
         self._gap_at = -math.inf
         self._holder = record.holder
         self._fence = record.fence
