--- a/src/stagewalk/gateway/duties/autoscale_service.py
+++ b/src/stagewalk/gateway/duties/autoscale_service.py
@@ -1,6 +1,6 @@
 """Orders workers from the platform while this process holds the lease on duties.
 
-Relies on `autoscaling` for the counts. Each order is written down under the fence before it is
+Relies on `autoscaling` for the counts. Each order is written to the log as a plan before it is
 sent, so that the next holder continues from it.
 """
 
@@ -27,17 +27,17 @@
 
 PLAN_PREFIX = "workers"
 POLL_INTERVAL_SECONDS = 0.25
-"""Between two decisions on what to order."""
+"""Interval between decisions on what to order."""
 
 MAXIMUM_CURRENT_VIEW_AGE_SECONDS = 1.5
-"""With an older view of the workers none are ordered: what looks lost may be there."""
+"""With an older view of the workers none are ordered: workers that seem lost may still run."""
 
 OpenBatches = Callable[[], list[Batch]]
 """Returns the batches that have unfinished items."""
 
 
 class AutoscaleService:
-    """Sends the orders that the autoscaler decides; each is written down under the fence first."""
+    """Sends the orders that the autoscaler decides, and writes each to the log as a plan first."""
 
     def __init__(
         self,
--- a/src/stagewalk/gateway/duties/duty_lease.py
+++ b/src/stagewalk/gateway/duties/duty_lease.py
@@ -1,7 +1,7 @@
-"""Competes for the lease on duties, renews it while held, and writes down its holder's plans.
+"""Acquires and renews the lease on duties, and writes its holder's plans to the log.
 
 Owns the partition of the lease: one follower and one appender. Relies on `leases.log_lease` for the
-decisions; services of duties ask `may_act` before each call they make.
+decisions. Services of duties check `may_act` before each call they make.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 LEASES_TOPIC = "leases"
 DUTIES_PARTITION = 0
 POLL_INTERVAL_SECONDS = 0.1
-"""Between two decisions on the lease: a fifth of the time between renewals."""
+"""Interval between decisions on the lease: a fifth of the renewal interval."""
 
 MAXIMUM_CURRENT_VIEW_AGE_SECONDS = 1.0
-"""The lease is competed for only with a view of its records at most this old."""
+"""The lease is acquired only with a view of its records at most this old."""
 
 APPEND_SECONDS = 3.0
-"""How long a renewal or a plan may wait for the log."""
+"""Time-out of appending a renewal or a plan."""
 
 CATCH_UP_TIMEOUT_SECONDS = 0.5
-"""How long reading all records may take before a decision."""
+"""Time-out of reading all records before a decision."""
 
 READ_PAUSE_SECONDS = 0.02
-"""Between two reads of the records."""
+"""Pause between two reads of the records."""
 
 READ_BACK_SECONDS = 0.02
-"""Between two looks whether a renewal was read back, as often as the records are read."""
+"""Interval between checks whether a renewal was read back; equal to `READ_PAUSE_SECONDS`."""
 
 OrderListener = Callable[[DutyRecord], None]
 PlanListener = Callable[[str, bytes], None]
@@ -53,10 +53,11 @@
 
 
 class DutyLease:
-    """Competes for the lease on duties and, while holding it, renews it.
+    """Acquires the lease on duties and renews it while it is held.
 
-    All duties go together: the node that orders engines also reports usage and orders workers. Each
-    duty's service asks `may_act` before each call, with the fence under which it decided.
+    There is one lease for all duties: its holder sends orders to engines, orders workers and
+    reports usage. Each duty's service checks `may_act` before each call, with the fence under which
+    it decided.
     """
 
     def __init__(
@@ -88,17 +89,17 @@
 
     @property
     def held(self) -> bool:
-        """Whether this process holds the lease, or held it last and nobody acquired it since."""
+        """Whether this process is the current or last holder and has not released the lease."""
         return self._lease.held
 
     @property
     def fence(self) -> int:
-        """Return the fence of the holder."""
+        """Return the fence of the current or last holder."""
         return self._lease.fence
 
     @property
     def stopping(self) -> bool:
-        """Whether this process competes no more."""
+        """Whether this process has stopped acquiring the lease."""
         return self._stopping
 
     def may_act(self, fence: int | None = None) -> bool:
@@ -107,15 +108,15 @@
         return same and self._lease.may_act(steady_seconds())
 
     def handle_fenced(self, fence: int) -> None:
-        """Handle that a receiver has seen a higher fence than this one."""
+        """Stop acting under a fence, since a receiver has seen a higher one."""
         self._lease.handle_fenced(fence)
 
     def listen_to_orders(self, listener: OrderListener) -> None:
-        """Call a listener with each order to an engine that a holder announced."""
+        """Register a listener for the orders to engines that a holder announces."""
         self._order_listeners.append(listener)
 
     def listen_to_plans(self, prefix: str, listener: PlanListener) -> None:
-        """Call a listener with plans whose subject begins with a prefix and a slash."""
+        """Register a listener for plans whose subject begins with a prefix and a slash."""
         self._plan_listeners[prefix] = listener
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -126,7 +127,7 @@
         tasks.start_soon(self._run)
 
     def set_following(self, following: bool) -> None:
-        """Start or stop following the lease's records and competing for it."""
+        """Start or stop following the lease's records and acquiring the lease."""
         if following:
             self._follower.resume()
             self._followed.set()
@@ -136,15 +137,15 @@
 
     @property
     def following(self) -> bool:
-        """Whether the lease's records are followed."""
+        """Whether this process follows the lease's records."""
         return self._followed.is_set()
 
     def set_quiet_seconds(self, seconds: float) -> None:
-        """Set how long nobody acts between two holders, in seconds."""
+        """Set the quiet time between two holders, in seconds."""
         self._lease.set_quiet_seconds(seconds)
 
     def stop(self) -> None:
-        """Release the lease and compete for it no more."""
+        """Release the lease and stop acquiring it."""
         self._stopping = True
         released = self._lease.release()
         if released is not None:
@@ -152,7 +153,7 @@
             log_event("lease_released", fence=self._lease.fence)
 
     def announce(self, record: DutyRecord) -> None:
-        """Announce to the other processes what is about to be ordered."""
+        """Announce an order to the other processes before it is sent."""
         self._appender.post([record.encode()])
 
     async def wait_until_active(self) -> None:
@@ -160,9 +161,9 @@
         await self._followed.wait()
 
     async def write(self, subject: str, content: bytes, fence: int) -> bool:
-        """Write a plan down under a fence; return whether it stands.
+        """Append a plan under a fence; return whether it is valid.
 
-        It stands if the log accepted it and, as read back beyond its place, nobody else had
+        It is valid if the log accepted it and, as the records up to it show, no other process had
         acquired the lease by then.
         """
         record = PlanRecord(fence, subject, content)
@@ -178,9 +179,9 @@
             await anyio.sleep(POLL_INTERVAL_SECONDS)
             await self._followed.wait()
             if not self._stopping:
-                await self._keep(steady_seconds())
+                await self._maintain(steady_seconds())
 
-    async def _keep(self, now: float) -> None:
+    async def _maintain(self, now: float) -> None:
         assert self._tasks is not None
         age = self._follower.freshness.age(now)
         step = self._lease.decide(now, current=age < MAXIMUM_CURRENT_VIEW_AGE_SECONDS)
@@ -210,7 +211,7 @@
             self._lease.record_accepted(sent_at, step.record.fence)
 
     async def _has_read(self, offset: int) -> bool:
-        """Wait until the records up to an offset were read: another holder may stand before it."""
+        """Wait until the records up to an offset were read, which may include another holder's."""
         with anyio.move_on_after(LEASE_SECONDS):
             while self._follower.next_offset <= offset:
                 await anyio.sleep(READ_BACK_SECONDS)
--- a/src/stagewalk/gateway/duties/order_service.py
+++ b/src/stagewalk/gateway/duties/order_service.py
@@ -1,6 +1,6 @@
 """Sends load commands to engines while this process holds the lease on duties.
 
-Relies on `version_rollouts` for which engine is ordered and when, and on the lease for the fence.
+Relies on `version_rollouts` for which engine to order and when, and on the lease for the fence.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from stagewalk.gateway.workers.table import WorkerTable
 
 POLL_INTERVAL_SECONDS = 0.1
-"""Between two decisions on what to order."""
+"""Interval between decisions on what to order."""
 
 
 class OrderService:
-    """Sends load commands to engines while this process holds the lease, with its fencing token."""
+    """Sends load commands to engines, with the fence of the lease, while this process holds it."""
 
     def __init__(
         self,
--- a/src/stagewalk/gateway/duties/usage_service.py
+++ b/src/stagewalk/gateway/duties/usage_service.py
@@ -1,6 +1,6 @@
 """Counts requests that begin to run here; reports all nodes' usage while the lease is held.
 
-Owns the log's topic of counts. Relies on `usage` for sums and for when a window is reported.
+Owns the topic of usage counts. Relies on `usage` for sums and for when a window is reported.
 """
 
 from __future__ import annotations
@@ -28,22 +28,21 @@
 USAGE_PARTITION = Partition("usage", 0)
 PLAN_PREFIX = "usage"
 APPEND_PAUSE_SECONDS = 0.25
-"""How long counts gather before they are appended to the log: what a killed process loses, a
-twentieth of a window of 5 s."""
+"""How long counts are collected before they are appended to the log. A killed process loses at most
+the counts of this time, a twentieth of a window of 5 s."""
 
 POLL_INTERVAL_SECONDS = 0.25
-"""Between two decisions on what to report."""
+"""Interval between decisions on what to report."""
 
 READ_PAUSE_SECONDS = 0.5
-"""Between two reads of the counts."""
+"""Pause between two reads of the counts."""
 
 SETTLE_SECONDS = 1.5
-"""After a failed read or an outage of the log, other nodes' counts may still be on their way for
-this long."""
+"""How long after a failed read or an outage of the log other nodes' counts may still be missing."""
 
 
 class UsageService:
-    """The counts of this process, and the account of all while it holds the lease."""
+    """Counts this process's requests; reports all nodes' counts while it holds the lease."""
 
     def __init__(
         self,
@@ -81,7 +80,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether all that was counted is in the log."""
+        """Whether all counts are in the log."""
         return self._appender.idle and not self._meter.changed
 
     def count(self, tenant: str | None, began: float) -> None:
@@ -91,7 +90,7 @@
             self._counted.set()
 
     def sample_clock(self) -> None:
-        """Compare the time of day with the steady clock."""
+        """Sample the time of day and the steady clock."""
         self._clock.sample(time.time(), steady_seconds())
 
     async def _append_counts(self) -> None:
@@ -121,7 +120,7 @@
     async def _step(self) -> None:
         now = steady_seconds()
         for step in self._reporting.decide(
-            self._account, self._clock.at(now), now, self._seen_to(now)
+            self._account, self._clock.at(now), now, self._counts_complete_until(now)
         ):
             match step:
                 case WriteReport():
@@ -129,8 +128,8 @@
                 case SendReport():
                     self._send_soon(step)
 
-    def _seen_to(self, now: float) -> float:
-        """Return the time of day as of which the counts of all nodes are here."""
+    def _counts_complete_until(self, now: float) -> float:
+        """Return the time of day up to which the counts of all nodes are known."""
         freshness = self._follower.freshness
         if not freshness.ever_confirmed or now - freshness.disturbed_at < SETTLE_SECONDS:
             return -math.inf
--- a/tests/gateway/duties/test_duties.py
+++ b/tests/gateway/duties/test_duties.py
@@ -1,4 +1,4 @@
-"""Usage and orders for workers through whole gateways, while holders come and go."""
+"""Usage reports and orders for workers by whole gateways, while the holder changes."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class UsageTests(testtools.TestCase):
-    def test_requests_are_reported_by_tenant_once_over_all_nodes_and_items_are_not(self) -> None:
+    def test_requests_of_all_nodes_are_reported_once_by_tenant_and_items_are_not(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A, B))
             nodes = [await start(site, name) for name in ("n1", "n2")]
@@ -75,7 +75,7 @@
 
         run(scenario)
 
-    def test_windows_follow_each_other_without_a_gap(self) -> None:
+    def test_windows_are_reported_without_gaps(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A,))
             await start(site, "n1")
@@ -90,7 +90,7 @@
 
         run(scenario)
 
-    def test_a_report_without_an_answer_is_repeated_exactly(self) -> None:
+    def test_a_report_without_an_answer_is_repeated_unchanged(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A,))
             site.duties.outcomes = [
@@ -105,7 +105,7 @@
 
         run(scenario)
 
-    def test_what_a_node_counted_is_reported_after_it_stopped(self) -> None:
+    def test_counts_of_a_stopped_node_are_reported(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A,))
             nodes = {name: await start(site, name) for name in ("n1", "n2")}
@@ -134,7 +134,7 @@
 
 
 class WorkerOrderTests(testtools.TestCase):
-    def test_workers_are_ordered_for_the_items_that_are_open_and_kept_if_a_zone_has_none(
+    def test_workers_are_ordered_for_open_items_and_kept_if_a_zone_has_none(
         self,
     ) -> None:
         async def scenario(site: Site) -> None:
@@ -150,21 +150,21 @@
                 return site.duties.ordered.get(WorkerGroup("engines", "z1", True), 0) == 2
 
             await until(ordered)
-            found = WorkerGroup("engines", "z1", False)
-            self.assertEqual(2, site.duties.ordered[found])
+            group = WorkerGroup("engines", "z1", False)
+            self.assertEqual(2, site.duties.ordered[group])
             self.assertNotIn(WorkerGroup("engines", "z2", True), site.duties.ordered)
 
         run(scenario)
 
-    def test_a_worker_that_was_lost_is_ordered_again_by_the_next_holder(self) -> None:
+    def test_a_lost_worker_is_ordered_again_by_the_next_holder(self) -> None:
         async def scenario(site: Site) -> None:
             site.services = (site.services[0], SCALED)
             site.publish(2)
             nodes = {name: await start(site, name, mode="restore") for name in ("n1", "n2")}
-            found = WorkerGroup("engines", "z1", False)
+            group = WorkerGroup("engines", "z1", False)
 
             async def ordered() -> bool:
-                return site.duties.ordered.get(found, 0) == 2
+                return site.duties.ordered.get(group, 0) == 2
 
             await until(ordered)
             holder = await holder_of(nodes)
@@ -176,7 +176,7 @@
 
         run(scenario)
 
-    def test_nothing_is_ordered_where_it_is_switched_off(self) -> None:
+    def test_nothing_is_ordered_if_autoscaling_is_off(self) -> None:
         async def scenario(site: Site) -> None:
             site.services = (site.services[0], SCALED)
             site.publish(2)
@@ -192,6 +192,6 @@
 
         run(scenario)
 
-    def test_entries_tell_which_workers_may_be_taken_away(self) -> None:
+    def test_entries_show_whether_a_worker_is_a_spot_worker(self) -> None:
         entry = msgspec.json.encode(announcement("e9", service="engines"))
         self.assertIn(b'"spot":false', entry)
--- a/tests/gateway/duties/test_usage_views.py
+++ b/tests/gateway/duties/test_usage_views.py
@@ -1,4 +1,4 @@
-"""A window's usage is not summed from a view that lacks a part of the counts or of the plans."""
+"""A window's usage is not summed from a view that lacks some of the counts or plans."""
 
 from __future__ import annotations
 
@@ -29,8 +29,9 @@
 CALL_BYTES = 100_000
 WINDOW_SECONDS = 0.5
 DUE_SECONDS = 4.0
-AWAY_SECONDS = 2.5
-"""Longer than a report is waited for (due less the reserve of 2 s), and well before it is due."""
+DOWNTIME_SECONDS = 2.5
+"""Longer than a report waits for late counts (until 2 s before it is due), and shorter than
+`DUE_SECONDS`."""
 
 
 class UsageViewTests(testtools.TestCase):
@@ -42,7 +43,7 @@
         await self.log.client().append_at(partition, payload, self.log.kept(partition).end)
 
     async def report(self, duties: MemoryDuties, window: int) -> None:
-        """Run the service in a new process of the machine that held the lease, until it reports."""
+        """Run the service in a new process on the holder's machine until it reports a window."""
         lease = DutyLease(
             log=self.log.client(),
             lease=LogLease(new_holder_id("n1", "new"), 0.0, 0.0),
@@ -70,10 +71,10 @@
             await until(reported)
             tasks.cancel_scope.cancel()
 
-    def test_the_holder_that_starts_again_reports_what_was_counted_meanwhile(self) -> None:
-        """Its new process may act as soon as it has the lease, and has read no counts by then."""
+    def test_a_restarted_holder_reports_what_was_counted_meanwhile(self) -> None:
+        """Its new process may act once it holds the lease, before it has read any counts."""
         duties = MemoryDuties()
-        window = window_of(time.time() - AWAY_SECONDS, WINDOW_SECONDS)
+        window = window_of(time.time() - DOWNTIME_SECONDS, WINDOW_SECONDS)
 
         async def scenario() -> None:
             await self.append(LEASES, LeaseRecord(OLD, NO_FENCE).encode())
@@ -85,10 +86,10 @@
         anyio.run(scenario)
         self.assertEqual({"a": 3}, duties.reports[window])
 
-    def test_a_report_written_under_a_win_that_was_dropped_is_not_made_anew(self) -> None:
-        """Two reports of a window are the same, also where a count came after the first."""
+    def test_a_plan_whose_acquiring_record_was_dropped_is_reported_unchanged(self) -> None:
+        """All reports of a window must be equal, even if a count arrives after the first one."""
         duties = MemoryDuties()
-        window = window_of(time.time() - AWAY_SECONDS, WINDOW_SECONDS)
+        window = window_of(time.time() - DOWNTIME_SECONDS, WINDOW_SECONDS)
 
         async def scenario() -> None:
             await self.append(LEASES, LeaseRecord(OLD, NO_FENCE).encode())
