--- a/src/stagewalk/gateway/peer_calls/__init__.py
+++ b/src/stagewalk/gateway/peer_calls/__init__.py
@@ -1,1 +1,1 @@
-"""Calls between nodes: one request, one answer, both of bytes."""
+"""Calls between nodes: a request and an answer, both opaque bytes."""
--- a/src/stagewalk/gateway/peer_calls/client.py
+++ b/src/stagewalk/gateway/peer_calls/client.py
@@ -1,6 +1,6 @@
 """Calls other nodes over pooled connections.
 
-Owns the bounds of connections, and what the lack of an answer proves (`PeerFault`).
+Owns the limits on connections, and the classification of failed calls (`PeerFault`).
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 from stagewalk.common.logs.lines import log_event
 
 CONNECT_TIMEOUT_SECONDS = 0.3
-"""A node that accepts no connection within this time is gone or cut off."""
+"""A node that accepts no connection within this time is down or cut off."""
 
 MAXIMUM_POOLS = 32
 PEER_CONNECTIONS = 16
 PEER_IDLE = 4
-"""Nodes with pooled connections at once, connections to one node, and idle ones of these that are
-kept."""
+"""Maximum numbers of nodes with pooled connections, of connections to a node, and of idle
+connections kept to a node."""
 
 KEEPALIVE_EXPIRY_SECONDS = 10.0
 """How long an idle connection is kept."""
 
 
 class PeerFault(StrEnum):
-    """Why a call of another node brought no answer."""
+    """Why a call to another node has no answer."""
 
     NOT_SENT = "not_sent"
     """The node accepted no connection: it received no byte of the call."""
     UNKNOWN = "unknown"
-    """It may have carried the call out."""
+    """The node may have executed the call."""
 
 
 class PeerClient:
-    """HTTP client of other nodes' listeners for peers."""
+    """HTTP client for calls to other nodes."""
 
     def __init__(self) -> None:
         self._pools = ConnectionPools(
@@ -49,23 +49,23 @@
     async def call(
         self, peer: Address, path: str, content: bytes, answer_seconds: float
     ) -> bytes | None:
-        """Return the answer's bytes, None if none came or the node refused; see `exchange`."""
+        """Return the answer's bytes, None if the call failed; see `exchange`."""
         answer = await self.exchange(peer, path, content, answer_seconds)
         return answer.ok if answer.is_ok() else None
 
     async def exchange(
         self, peer: Address, path: str, content: bytes, answer_seconds: float
     ) -> Result[bytes, PeerFault]:
-        """Return the answer's bytes, or what its absence proves.
+        """Return the answer's bytes, or whether the node may have executed the call.
 
         Parameters
         ----------
         peer
-            Where the node listens for other nodes.
+            Address at which the node listens for other nodes.
         path
-            Names the handler.
+            Path of the handler.
         answer_seconds
-            How long the answer may take.
+            Time-out of the answer.
         """
         timeout = httpx.Timeout(
             answer_seconds, connect=CONNECT_TIMEOUT_SECONDS, pool=CONNECT_TIMEOUT_SECONDS
--- a/src/stagewalk/gateway/peer_calls/server.py
+++ b/src/stagewalk/gateway/peer_calls/server.py
@@ -1,6 +1,6 @@
-"""Serves the calls of other nodes: one handler for each path.
+"""Serves calls from other nodes, with a handler for each path.
 
-Owns the bounds of a call's size and of calls under way.
+Owns the limits on the size of a call and on concurrent calls.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from stagewalk.common.http.lifespan import serve_lifespan
 
 MAXIMUM_CALL_BYTES = 8 * 1024 * 1024
-"""Above what the log accepts in one call (2 MiB)."""
+"""Above the maximum size of a call of the log (2 MiB)."""
 
 MAXIMUM_CALLS = 256
-"""Calls under way for other nodes; further ones are refused."""
+"""Maximum number of concurrent calls; further ones are refused."""
 
 PeerHandler = Callable[[bytes], Awaitable[bytes | None]]
 """Handles a call and returns its answer; None if the call can't be decoded."""
 
 
 class PeerApp:
-    """ASGI application of the listener for other nodes."""
+    """ASGI application that serves other nodes."""
 
     def __init__(self, handlers: Mapping[str, PeerHandler]) -> None:
         self._handlers = dict(handlers)
@@ -40,7 +40,7 @@
     async def _serve(
         self, scope: HTTPScope, receive: ASGIReceiveCallable, send: ASGISendCallable
     ) -> None:
-        content = await _body(receive)
+        content = await _read_body(receive)
         handler = self._handlers.get(scope["path"])
         if content is None or handler is None:
             await _respond(send, 400, b"")
@@ -56,7 +56,7 @@
         await _respond(send, 400 if answer is None else 200, answer or b"")
 
 
-async def _body(receive: ASGIReceiveCallable) -> bytes | None:
+async def _read_body(receive: ASGIReceiveCallable) -> bytes | None:
     body = bytearray()
     while True:
         message = await receive()
