--- a/tests/gateway/directory/test_caller_subset.py
+++ b/tests/gateway/directory/test_caller_subset.py
@@ -96,8 +96,8 @@
     def test_nodes_of_evacuated_zones_are_returned_only_if_there_are_no_others(self) -> None:
         nodes = [node(n, Changes(listed=n < 20)) for n in range(195)]
         zones = {n.node: n.zone for n in nodes}
-        away = CallerLocation("r1", "z0", frozenset({"z0"}))
-        named = [n.node for n in select_nodes_for_caller(nodes, away, MOST)]
+        evacuated = CallerLocation("r1", "z0", frozenset({"z0"}))
+        named = [n.node for n in select_nodes_for_caller(nodes, evacuated, MOST)]
         self.assertNotIn("z0", {zones[name] for name in named})
         all_zones = CallerLocation("r1", "z0", frozenset(zones.values()))
         named = [n.node for n in select_nodes_for_caller(nodes, all_zones, MOST)]
--- a/tests/gateway/nodes/test_crashing_requests.py
+++ b/tests/gateway/nodes/test_crashing_requests.py
@@ -444,10 +444,10 @@
             self.assertEqual(200, (await site.call(operators, "DELETE", path)).status_code)
             self.assertEqual(404, (await site.call(operators, "DELETE", path)).status_code)
 
-            async def lifted() -> bool:
+            async def cleared() -> bool:
                 return all(node.gateway._crashes.suspects == 0 for node in everywhere)
 
-            await until(lifted)
+            await until(cleared)
             site.workers.crashing.clear()
             answer = await site.call(nodes[0], "POST", "/ask/x", CRASHING)
             self.assertEqual(200, answer.status_code)
