--- a/tests/gateway/batches/test_ledger.py
+++ b/tests/gateway/batches/test_ledger.py
@@ -117,7 +117,7 @@
         self.assertEqual(1, len(self.batch.results))
 
     @given(st.randoms(use_true_random=False))
-    def test_replaying_the_records_gives_the_same_results(self, chooser: random.Random) -> None:
+    def test_every_node_folds_the_same_list_however_it_reads(self, chooser: random.Random) -> None:
         names = [f"i{number}" for number in range(6)]
         records: list[BatchRecord] = [submitted(*(item(name) for name in names))]
         for number in range(30):
--- a/tests/gateway/cold_starts/test_rate.py
+++ b/tests/gateway/cold_starts/test_rate.py
@@ -14,7 +14,7 @@
 
 class SlidingWindowTests(testtools.TestCase):
     @given(GAPS, WAITS)
-    def test_limit_holds_in_any_span_however_long_requests_wait(
+    def test_no_span_holds_more_however_long_requests_wait(
         self, gaps: list[float], waits: list[float]
     ) -> None:
         window = SlidingWindow(4.0)
--- a/tests/gateway/leases/test_log_lease.py
+++ b/tests/gateway/leases/test_log_lease.py
@@ -33,7 +33,7 @@
         self.acted: list[float] = []
 
 
-class Simulation:
+class World:
     """Simulates a log of lease records, and processes that pause, lose answers and lag."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -78,30 +78,28 @@
 
 class LogLeaseTests(testtools.TestCase):
     def test_without_failures_one_holder_acts_all_the_time(self) -> None:
-        simulation = Simulation(random.Random(1))
-        simulation.run(20.0, pauses=False)
-        actors = [process for process in simulation.processes if process.acted]
+        world = World(random.Random(1))
+        world.run(20.0, pauses=False)
+        actors = [process for process in world.processes if process.acted]
         self.assertEqual(1, len(actors))
         self.assertGreater(len(actors[0].acted), 150)
 
     @given(st.integers(min_value=0, max_value=100_000))
-    def test_a_quiet_time_lies_between_the_acts_of_two_holders(self, seed: int) -> None:
-        simulation = Simulation(random.Random(seed))
-        simulation.run(60.0, pauses=True)
-        acts = sorted(
-            (at, process.name) for process in simulation.processes for at in process.acted
-        )
+    def test_holders_never_take_turns_within_the_quiet_time(self, seed: int) -> None:
+        world = World(random.Random(seed))
+        world.run(60.0, pauses=True)
+        acts = sorted((at, process.name) for process in world.processes for at in process.acted)
         for (before, one), (after, other) in itertools.pairwise(acts):
             if one != other:
                 self.assertGreaterEqual(after - before, QUIET - STEP)
 
     def test_another_process_takes_over_from_a_failed_holder(self) -> None:
-        simulation = Simulation(random.Random(1))
-        simulation.run(5.0, pauses=False)
-        holder = next(process for process in simulation.processes if process.acted)
+        world = World(random.Random(1))
+        world.run(5.0, pauses=False)
+        holder = next(process for process in world.processes if process.acted)
         holder.paused = True
-        simulation.run(10.0, pauses=False)
-        others = [process for process in simulation.processes if process is not holder]
+        world.run(10.0, pauses=False)
+        others = [process for process in world.processes if process is not holder]
         self.assertTrue(any(process.acted for process in others))
 
     def test_a_holder_that_was_paused_past_its_lease_does_not_act(self) -> None:
@@ -113,11 +111,11 @@
         self.assertFalse(lease.may_act(LEASE_SECONDS + 0.1))
 
     def test_the_fence_increases_with_each_holder(self) -> None:
-        simulation = Simulation(random.Random(3))
+        world = World(random.Random(3))
         fences = []
         for _ in range(3):
-            simulation.run(12.0, pauses=False)
-            holder = next(p for p in simulation.processes if p.lease.may_act(simulation.now))
+            world.run(12.0, pauses=False)
+            holder = next(p for p in world.processes if p.lease.may_act(world.now))
             fences.append(holder.lease.fence)
             holder.paused = True
         self.assertEqual(sorted(set(fences)), fences)
--- a/tests/gateway/routes/test_table.py
+++ b/tests/gateway/routes/test_table.py
@@ -52,14 +52,14 @@
         self.assertIsNone(table.find("h.example", "a/"))
 
     @given(st.lists(st.text("ab/", max_size=6), max_size=8), st.text("ab/", max_size=8))
-    def test_lookup_agrees_with_trying_every_prefix(self, parts, rest) -> None:
+    def test_the_same_is_found_as_by_trying_every_prefix(self, parts, rest) -> None:
         prefixes = {f"/{part}/".replace("//", "/") for part in parts}
         table = RouteTable()
         table.apply(configuration(1, *(route(prefix, prefix) for prefix in sorted(prefixes))))
         path = f"/{rest}"
-        matching = [prefix for prefix in prefixes if path.startswith(prefix)]
+        fitting = [prefix for prefix in prefixes if path.startswith(prefix)]
         found = table.find("h.example", path)
-        self.assertEqual(max(matching, key=len, default=None), found and found.name)
+        self.assertEqual(max(fitting, key=len, default=None), found and found.name)
 
     def test_an_older_configuration_is_ignored(self) -> None:
         table = RouteTable()
