--- a/src/stagewalk/gateway/runners/attempt_tasks.py
+++ b/src/stagewalk/gateway/runners/attempt_tasks.py
@@ -1,7 +1,7 @@
-"""The tasks of attempts under way, which stop by their attempt's number.
+"""Runs each attempt in a task that can be cancelled by the attempt's number.
 
-Owns one cancel scope an attempt. Relies on the task group it is started in. An attempt that is
-cancelled reports nothing: the scheduler knows already.
+Owns one cancel scope per attempt. Relies on the task group it is started in. An attempt that is
+cancelled reports nothing: the scheduler asked for it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     Parameters
     ----------
     report
-        Handles how an attempt ended.
+        Called with the event that ends an attempt.
     """
 
     def __init__(self, report: Callable[[SchedulerEvent], None]) -> None:
@@ -33,7 +33,7 @@
         self._tasks = tasks
 
     def begin(self, attempt: int, run: Callable[[], Awaitable[SchedulerEvent]]) -> None:
-        """Begin an attempt."""
+        """Start an attempt in the background."""
         assert self._tasks is not None
         scope = anyio.CancelScope()
         self._scopes[attempt] = scope
--- a/src/stagewalk/gateway/runners/batch_assignments.py
+++ b/src/stagewalk/gateway/runners/batch_assignments.py
@@ -1,8 +1,8 @@
-"""Hands a batch that is in the log to the process that is to run it, and accepts such batches.
+"""Assigns a batch that is in the log to its runner, and accepts batches assigned to this process.
 
-Owns which place of a batch's records is noted, and by whom. Relies on `runner_calls` to notify the
-runner, on `batch_index` for the places, and on the batch store and the runner for batches accepted
-here.
+Owns which place of a batch is written to the batch index, and by which node. Relies on
+`runner_calls` to notify the runner, on `batch_index` for the places, and on the batch store and the
+runner for batches accepted here.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 from stagewalk.gateway.runners.runner_calls import RunnerClient
 from stagewalk.gateway.runners.runner_messages import RunBatch
 
-NOTED_SECONDS = 0.2
-"""How long the node that accepted a submission waits until the runner has noted the batch's place,
-before it notes one itself: two calls of the log and one between nodes take some 15 ms."""
+RUNNER_INDEX_TIMEOUT_SECONDS = 0.2
+"""How long the node that accepted a submission waits for the runner to index the batch's place,
+before it indexes one itself; the runner needs two calls to the log and one between nodes."""
 
 
 @dataclass(slots=True)
 class _Notification:
-    """What became of notifying a runner of its batch."""
+    """Outcome of notifying a runner of its batch."""
 
     noted: bool = False
     done: anyio.Event = field(default_factory=anyio.Event)
 
 
 class BatchAssignments:
-    """Notifies runners of their batches, and is notified of its own."""
+    """Notifies runners of their batches, and accepts the batches of this process."""
 
     def __init__(
         self,
@@ -63,25 +63,25 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Notify in a task group from now on."""
+        """Run notifications in a task group from now on."""
         self._tasks = tasks
 
     async def known_place(self, batch: str) -> Result[BatchPlace | None, LogFailure]:
-        """Return the place of a batch that was handed in before, maybe at another node."""
+        """Return the place of a batch that was submitted before, perhaps at another node."""
         return await self._open_batches.find(batch)
 
     async def notify(self, process: str, header: BatchHeader, offset: int) -> None:
-        """Notify the process that is to run a batch of where its records begin, and note that.
+        """Notify the process that is to run a batch, and index where the batch's records begin.
 
-        The batch may have been handed in at another node before, or even have ended: then its
-        records begin before this submission, and what is noted stays.
+        The batch may have been submitted at another node before, or even have ended: then its
+        records begin before this submission, and its index entry stays.
         """
         assert self._tasks is not None
         batch = header.batch
         found = await self._open_batches.find(batch)
         if found.is_error():
-            # From this submission on the log may show less than the whole batch: its runner waits
-            # until it has read all.
+            # The batch may begin before this submission, so a view read from here on may be
+            # incomplete: the runner waits until its own view of the log shows the batch.
             return
         known = found.ok
         if known is not None and (known.ended or known.offset <= offset):
@@ -91,7 +91,7 @@
         notification = _Notification()
         run = RunBatch(batch, place.partition, offset)
         self._tasks.start_soon(self._notify_runner, process, run, notification)
-        with anyio.move_on_after(NOTED_SECONDS):
+        with anyio.move_on_after(RUNNER_INDEX_TIMEOUT_SECONDS):
             await notification.done.wait()
         if not notification.noted:
             await self._open_batches.note(batch, place)
@@ -105,13 +105,13 @@
             ended=known.ended,
         )
         if known.ended:
-            # A node that reads the log from between the end and this submission sees an end too.
+            # Also shows the end to a node that reads the log from between the end and here on.
             self._store.post(batch, BatchEnded(batch))
 
     async def _notify_runner(
         self, process: str, run: RunBatch, notification: _Notification
     ) -> None:
-        """Notify a process of its batch; it notes the batch's place if its view is whole."""
+        """Notify a process of its batch; it indexes the batch's place if its view is complete."""
         peer = self._nodes.peer_address_of(process)
         if process == str(self._identity):
             notification.noted = await self.accept(run)
@@ -123,12 +123,12 @@
         notification.done.set()
 
     async def accept(self, run: RunBatch) -> bool:
-        """Begin to run a batch that was assigned to this process, without waiting for the log.
+        """Run a batch that was assigned to this process, even if its view of the log is behind.
 
         Returns
         -------
         bool
-            Whether the place where the batch's records begin was noted.
+            Whether the place where the batch's records begin was indexed.
         """
         now = steady_seconds()
         followed = self._store.is_current(run.batch, now)
@@ -141,7 +141,7 @@
         )
         if followed:
             await self._store.catch_up(run.batch)
-            return await self._record_certain(run)
+            return await self._index_certain_place(run)
         place = BatchPlace(run.partition, run.offset, str(self._identity))
         partial = self._store.read_from(place, self._runner.ahead_changed)
         if not await partial.read():
@@ -152,8 +152,8 @@
             self._runner.begin_ahead(batch, partial, batch.epoch)
         return False
 
-    async def _record_certain(self, run: RunBatch) -> bool:
-        """Note where a batch begins, if this node's view holds all that there ever was of it."""
+    async def _index_certain_place(self, run: RunBatch) -> bool:
+        """Index where a batch begins, if this node's view holds all records it ever had."""
         batch = self._store.ledger.get(run.batch)
         offset = self._store.first_offset(run.batch, steady_seconds())
         if batch is None or offset is None or batch.ended:
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -1,7 +1,7 @@
-"""Runs the batches whose runner is this process: opens, closes and hands over as the log says.
+"""Runs the batches whose runner is this process: opens, closes and releases them.
 
-Owns which batches run here. Relies on the batch store and on partial views for what the log says,
-on the scheduler for what is done of each batch, and on `scheduler_loop` to carry that out.
+Owns which batches run here. Relies on the batch store and on partial views for the changes in the
+log, on the scheduler for what to do next for each batch, and on `scheduler_loop` to carry that out.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from stagewalk.gateway.version_rollouts.core import VersionRollouts
 
 LOOK_UP_RETRY_SECONDS = 0.1
-"""Between two looks for a batch's mark while the log does not answer, as between two reads."""
+"""Delay between lookups of a batch's index entry while the log does not answer."""
 
 ENDED = "ended"
 
@@ -85,10 +85,10 @@
 
     @property
     def engine_tokens(self) -> dict[str, int]:
-        """Return the tokens that engines with attempts under way are expected to hold at most."""
+        """Return, by engine with attempts under way, the most tokens it is expected to hold."""
         return self._scheduler.engine_tokens(steady_seconds())
 
-    def items_of_others(self, trainer: str) -> int:
+    def attempts_for_other_trainers(self, trainer: str) -> int:
         """Return how many attempts are under way at items of other trainers."""
         return self._scheduler.running_for_other_trainers(trainer)
 
@@ -98,7 +98,7 @@
         return self._scheduler.scoring
 
     def hand_over(self) -> None:
-        """Stop running: record what was made so far, and release the batches to other nodes."""
+        """Stop running: record the progress so far, and release the batches to other nodes."""
         self._stopping = True
         for batch in sorted(self._scheduler.batches):
             self._loop.execute(self._scheduler.progress(batch))
@@ -107,9 +107,9 @@
             log_event("batch_released", batch=batch, runner=self._process)
 
     def ledger_changed(self, batch: Batch, change: LedgerChange) -> None:
-        """Apply what a record changed in this node's view: run, go on with or leave the batch."""
+        """Apply a change in this node's view: open, continue or stop running the batch."""
         name = batch.header.batch
-        mine = batch.runner == self._process and not self._stopping
+        assigned_here = batch.runner == self._process and not self._stopping
         if change is LedgerChange.OPENED:
             self._rollouts.record_minimum_version(batch.header.model, batch.header.minimum_version)
         if change is LedgerChange.RESULT_ADDED:
@@ -117,19 +117,22 @@
         elif change is LedgerChange.ENDED:
             self._end(name)
         elif change is LedgerChange.LOST:
-            self._lose(name)
+            self._release_lost_batch(name)
         elif batch.epoch < (self._views.ahead_epoch(name) or 0):
             return
-        elif mine and self._store.lacks_history(name, steady_seconds()):
+        elif assigned_here and self._store.lacks_history(name, steady_seconds()):
             assert self._tasks is not None
             self._tasks.start_soon(self._open_unless_ended, batch)
-        elif mine:
+        elif assigned_here:
             self._open(batch)
         else:
-            self._yield(batch)
+            self._stop_taken_over(batch)
 
     async def _open_unless_ended(self, batch: Batch) -> None:
-        """Run a batch whose end may lie in records that the log dropped before they were read."""
+        """Open a batch unless its index entry says that it ended.
+
+        Its end may be among records that the log dropped before they were read here.
+        """
         name = batch.header.batch
         while (place := await self._places.find(name)).is_error():
             await anyio.sleep(LOOK_UP_RETRY_SECONDS)
@@ -139,7 +142,7 @@
             self._open(batch)
 
     def ahead_changed(self, batch: Batch, change: LedgerChange) -> None:
-        """Apply what changed in a batch that was begun ahead, by its partial view."""
+        """Apply a change in the partial view of a batch that was begun ahead of this node's own."""
         name = batch.header.batch
         epoch = self._views.ahead_epoch(name)
         if epoch is None:
@@ -151,19 +154,19 @@
                 self._end(name)
             case LedgerChange.RUNNER_CHANGED:
                 if batch.epoch >= epoch and batch.runner != self._process:
-                    self._yield(batch)
+                    self._stop_taken_over(batch)
 
     def _end(self, batch: str) -> None:
         self._loop.execute(self._scheduler.progress(batch))
         self._close(batch, ENDED)
 
-    def _lose(self, batch: str) -> None:
-        """Release a batch that may have ended unread, for a node whose view is whole."""
+    def _release_lost_batch(self, batch: str) -> None:
+        """Release a batch whose end may have been missed, for a node whose view is complete."""
         if self.runs(batch):
             self._close(batch, "history lost")
             self._store.post(batch, BatchReleased(batch, self._process))
 
-    def _yield(self, batch: Batch) -> None:
+    def _stop_taken_over(self, batch: Batch) -> None:
         """Stop running a batch that another process took over."""
         name = batch.header.batch
         if self.runs(name):
@@ -181,21 +184,26 @@
         batch, partial
             The batch as a partial view shows it, and that view.
         epoch
-            The epoch of this process's claim to it, 0 if it was given the batch.
+            The epoch of this process's claim, or the batch's own if it was assigned to it.
         """
         name = batch.header.batch
-        if not batch.open or self.runs(name) or self._stopping or self._left(name, epoch):
+        if (
+            not batch.open
+            or self.runs(name)
+            or self._stopping
+            or self._is_closed_or_taken_over(name, epoch)
+        ):
             return
         assert self._tasks is not None
         self._views.begin_ahead(name, partial, epoch)
         self._begin(batch, partial.ledger.reusable_text)
-        self._tasks.start_soon(self._views.follow, name, self._lose)
+        self._tasks.start_soon(self._views.follow, name, self._release_lost_batch)
 
-    def _left(self, name: str, epoch: int) -> bool:
-        """Whether this node's own view shows that a batch isn't this process's to run.
+    def _is_closed_or_taken_over(self, name: str, epoch: int) -> bool:
+        """Whether this node's own view shows that a batch is closed or another process runs it.
 
-        It may be ahead of the partial view, and changes before the run begins are reported to
-        nobody.
+        The own view may be ahead of the partial one, and changes that it applied before the batch
+        was run here had no effect.
         """
         known = self._store.ledger.get(name)
         if known is None:
--- a/src/stagewalk/gateway/runners/batch_views.py
+++ b/src/stagewalk/gateway/runners/batch_views.py
@@ -1,4 +1,4 @@
-"""How old the news of each batch run here is, and whether its items may start or be sent.
+"""Tracks how old the view of each batch run here is, and whether its items may start or be sent.
 
 Owns the partial views of batches begun ahead of this node's own view, and since when a batch is
 suspended. Relies on `batches.view_lease` for the bounds, and on the batch store for the own view.
@@ -19,8 +19,8 @@
 from stagewalk.gateway.batches.view_lease import maximum_view_age, maximum_view_age_at_send
 from stagewalk.gateway.ports.denials import Denial
 
-FOLLOW_SECONDS = 0.25
-"""How often a partial view is read on, as often as a follower reads where records come."""
+FOLLOW_INTERVAL_SECONDS = 0.25
+"""How often a partial view is brought up to date."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 
 class BatchViews:
-    """The views by which batches run here are known to be open.
+    """The views that show whether batches run here are still open.
 
     Parameters
     ----------
@@ -45,26 +45,26 @@
         self._suspended_at: dict[str, float] = {}
 
     def begin_ahead(self, batch: str, partial: PartialLedger, epoch: int) -> None:
-        """Add a batch that is run by a partial view, ahead of this node's own, and its epoch."""
+        """Add a batch that is run from a partial view, before this node's own view shows it."""
         self._ahead[batch] = _Ahead(partial, epoch)
 
     def drop(self, batch: str) -> None:
-        """Forget a batch that is run here no more."""
+        """Forget a batch that is no longer run here."""
         self._ahead.pop(batch, None)
         self._suspended_at.pop(batch, None)
 
     def ahead_epoch(self, batch: str) -> int | None:
-        """Return the epoch of a batch that was begun ahead of this node's view; None if not so."""
+        """Return the epoch of a batch that was begun ahead of this node's view; None for others."""
         ahead = self._ahead.get(batch)
         return None if ahead is None else ahead.epoch
 
     def read_from(self, batch: str) -> int:
-        """Return the offset from which the view was read by which a batch was opened."""
+        """Return the first offset of the view from which a batch was opened."""
         ahead = self._ahead.get(batch)
         return 0 if ahead is None else ahead.partial.first_offset
 
     def age(self, batch: str, now: float) -> float:
-        """Return how long ago a view was complete that would show a batch's end, in seconds."""
+        """Return the age of the newest complete view that would show a batch's end, in seconds."""
         own = math.inf
         if self._store.ledger.get(batch) is not None:
             own = self._store.view_age(batch, now)
@@ -97,15 +97,15 @@
             now = steady_seconds()
             known = self._store.ledger.get(batch) is not None
             own = known and self._store.is_current(batch, now)
-            if not own and now - ahead.partial.confirmed_at >= FOLLOW_SECONDS:
+            if not own and now - ahead.partial.confirmed_at >= FOLLOW_INTERVAL_SECONDS:
                 await ahead.partial.read()
             if ahead.partial.lost and not known:
                 on_lost(batch)
                 return
-            await anyio.sleep(FOLLOW_SECONDS)
+            await anyio.sleep(FOLLOW_INTERVAL_SECONDS)
 
     def log_changes(self, batches: Iterable[str], now: float) -> None:
-        """Log batches whose items may start no more, or again."""
+        """Log batches whose items may no longer start, or may start again."""
         for batch in batches:
             suspended_at = self._suspended_at.get(batch)
             may_start = self.may_start(batch, now)
--- a/src/stagewalk/gateway/runners/checked_sends.py
+++ b/src/stagewalk/gateway/runners/checked_sends.py
@@ -1,8 +1,8 @@
 """Checks, just before an item or a score call is sent, that it may still go to its worker.
 
-The one place where runners ask for the permit of a send, and report a lost worker. Owns no state.
-Relies on the crash reports for contents that end their workers, on the batch views for how old the
-news of the batch is, and on `eligibility` for everything else; the permit stays bound to the send.
+The only place where runners obtain the permit for a send, and report a lost connection. Owns no
+state. Relies on the crash reports for contents that crash their workers, on the batch views for how
+old the batch's view is, and on `eligibility` for all other rules; a permit is bound to its send.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 class CheckedSends:
-    """Permits the sends of this node's batches."""
+    """Checks and permits the sends of this node's batches."""
 
     def __init__(
         self,
@@ -88,10 +88,13 @@
             return Error(AttemptFailure(AttemptFault.WITHHELD, denial.value))
         worker = self._workers.worker(planned.worker)
         if worker is None:
-            return Error(AttemptFailure(AttemptFault.NOT_SENT, "the worker is gone"))
+            return Error(
+                AttemptFailure(AttemptFault.NOT_SENT, "the worker is no longer in the worker table")
+            )
         now = steady_seconds()
         if not self._views.may_start(batch, now):
-            # Decided in time, but this task came to its turn late: the loop was busy or stopped.
+            # The view was recent when the start was decided, but this task ran late: the event loop
+            # was busy or the process was stopped.
             return Error(AttemptFailure(AttemptFault.WITHHELD, "the view of the log is too old"))
         scope = self._eligibility.scope(content.target, content, planned.tenant)
         permit = self._eligibility.permit(
@@ -110,10 +113,10 @@
         )
 
     def record_answer(self, sent: SentRequest) -> None:
-        """Record that a worker ran a request to an answer."""
+        """Record that a worker answered a request."""
         self._crashes.answered(sent.content)
 
-    async def record_loss(self, sent: SentRequest, failure: AttemptFailure) -> None:
-        """Record that contact with a worker may have been lost, for other nodes too."""
+    async def record_lost_connection(self, sent: SentRequest, failure: AttemptFailure) -> None:
+        """Record that the connection to a worker may have been lost, also for other nodes."""
         await self._crashes.connection_lost(sent, failure)
         self._crashes.publish(sent.content, MINIMUM_CRASHES_TO_PUBLISH)
--- a/src/stagewalk/gateway/runners/item_sender.py
+++ b/src/stagewalk/gateway/runners/item_sender.py
@@ -1,4 +1,4 @@
-"""Sends items of batches to engines, and reports heads, events and ends to the scheduler.
+"""Sends items of batches to engines, and reports response heads, events and ends.
 
 Owns no state. Relies on `checked_sends` for the permit of each send.
 """
@@ -47,21 +47,21 @@
         """Send an item to its engine; return how the attempt ended."""
         checked = await self._sends.check(_planned(start))
         if checked.is_error():
-            return _broken(start, checked.error)
-        delivery = _Delivery(start, self._report)
+            return _failed(start, checked.error)
+        delivery = _StreamReporter(start, self._report)
         result = await checked.ok.stream(_outbound(start), delivery.handle)
         if result.is_ok():
             self._sends.record_answer(checked.ok.sent)
             _log_end(start, result.ok)
             return AttemptEnded(start.attempt, result.ok.status)
         if not delivery.progressed:
-            # One that got further than before does not end each engine at the same place.
-            await self._sends.record_loss(checked.ok.sent, result.error)
-        return _broken(start, result.error)
+            # An item whose attempts make progress does not crash each engine at the same point.
+            await self._sends.record_lost_connection(checked.ok.sent, result.error)
+        return _failed(start, result.error)
 
 
-class _Delivery:
-    """Reports an attempt's head and events; knows whether any event came."""
+class _StreamReporter:
+    """Reports an attempt's head and events; tracks whether any event arrived."""
 
     def __init__(self, start: StartItem, report: Callable[[SchedulerEvent], None]) -> None:
         self._start = start
@@ -99,7 +99,7 @@
     )
 
 
-def _broken(start: StartItem, failure: AttemptFailure) -> ItemAttemptFailed:
+def _failed(start: StartItem, failure: AttemptFailure) -> ItemAttemptFailed:
     log_event(
         "item_attempt_failed",
         "warning",
--- a/src/stagewalk/gateway/runners/place_sharing.py
+++ b/src/stagewalk/gateway/runners/place_sharing.py
@@ -1,8 +1,8 @@
-"""Keeps the shares of engines' places in force: announces this node's demand, reads the others'.
+"""Applies the claimants' shares of engine places: announces this node's demand, reads the others'.
 
 Owns when shares are computed, and the log lines about them. Relies on the scheduler for the demand
-of the batches run here, on `nodes` for what other nodes announce, on the table of workers for the
-places that there are, and on `place_shares` for the rule.
+of the batches run here, on `nodes` for the demand that other nodes announce, on the worker table
+for the available places, and on `place_shares` for the rule.
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
 from stagewalk.gateway.zones.evacuations import Evacuations
 
 SHARE_INTERVAL_SECONDS = 0.25
-"""Between two computations of the shares: engines that are taken away, and demand that falls, count
-as soon as they are known."""
+"""Interval between two computations of the shares: it bounds how late removed engines and lower
+demand take effect."""
 
-LOG_SECONDS = 1.0
-"""At most so often are a change of a service's shares, and starts withheld of a batch, logged."""
+LOG_INTERVAL_SECONDS = 1.0
+"""Minimum interval between two log lines on the shares of a service, and between two on the
+withheld starts of a batch."""
 
-MARKED_LEVEL_SHARE = 0.25
-"""A level that changes by this part of it is worth a line."""
+SIGNIFICANT_LEVEL_CHANGE = 0.25
+"""A change of a level is logged if it exceeds this fraction of the level."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +45,7 @@
 
 
 class PlaceSharing:
-    """Computes the shares while batches run here, and announces what they ask for."""
+    """Computes the shares while batches run here, and announces the demand of these batches."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         self._withheld_at: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Compute the shares again and again."""
+        """Compute the shares periodically."""
         while True:
             self.update()
             await anyio.sleep(SHARE_INTERVAL_SECONDS)
@@ -97,8 +98,8 @@
             current = shares.get(service, ServiceShares.none())
             logged = self._logged.get(service)
             before = ServiceShares.none() if logged is None else logged.shares
-            recent = logged is not None and now - logged.at < LOG_SECONDS
-            if recent or not _changed_markedly(before.level, current.level):
+            recent = logged is not None and now - logged.at < LOG_INTERVAL_SECONDS
+            if recent or not _is_significant_change(before.level, current.level):
                 continue
             if current.in_force:
                 self._logged[service] = _LoggedShares(now, current)
@@ -121,7 +122,7 @@
             batch: at for batch, at in self._withheld_at.items() if batch in waiting
         }
         for starts in withheld:
-            if now - self._withheld_at.get(starts.batch, -math.inf) < LOG_SECONDS:
+            if now - self._withheld_at.get(starts.batch, -math.inf) < LOG_INTERVAL_SECONDS:
                 continue
             self._withheld_at[starts.batch] = now
             places = starts.places
@@ -137,8 +138,8 @@
             )
 
 
-def _changed_markedly(before: float, after: float) -> bool:
-    """Whether a level began or ceased to be in force, or changed by a good part."""
+def _is_significant_change(before: float, after: float) -> bool:
+    """Whether a level began or ceased to be in force, or changed enough to be logged."""
     if math.isinf(before) or math.isinf(after):
         return before != after
-    return abs(after - before) > MARKED_LEVEL_SHARE * before
+    return abs(after - before) > SIGNIFICANT_LEVEL_CHANGE * before
--- a/src/stagewalk/gateway/runners/runner_calls.py
+++ b/src/stagewalk/gateway/runners/runner_calls.py
@@ -1,6 +1,6 @@
 """Calls between nodes about runners: client and handler.
 
-Owns the time a call may take. Relies on `peer_calls` for the way there.
+Owns the response timeout. Relies on `peer_calls` for the transport.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 RUNNER_PATH = "/runner"
 RESPONSE_TIMEOUT_SECONDS = 0.3
-"""A process that takes longer than this to say who it is runs no batch well."""
+"""A process that takes longer than this to answer is too slow to run a batch."""
 
 
 class RunnerClient:
-    """Asks other nodes about their runner, and notifies them of batches that are theirs."""
+    """Asks other nodes about their runner, and notifies them of batches they are to run."""
 
     def __init__(self, client: PeerClient) -> None:
         self._client = client
@@ -53,9 +53,9 @@
     Parameters
     ----------
     describe
-        Returns this process, and how busy it is for others than a trainer.
+        Returns this process, whether it runs batches, and its load from all but one trainer.
     accept
-        Begins to run a batch; returns whether it noted the batch's place.
+        Runs a batch; returns whether it indexed the batch's place.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._accept = accept
 
     async def handle(self, content: bytes) -> bytes | None:
-        """Return the answer to a call; None if the bytes spell none."""
+        """Return the answer to a call; None if the bytes are no valid call."""
         call = decode_call(content)
         if call is None:
             return None
--- a/src/stagewalk/gateway/runners/runner_choice.py
+++ b/src/stagewalk/gateway/runners/runner_choice.py
@@ -1,8 +1,8 @@
-"""Chooses which process runs a batch that is handed in here.
+"""Chooses which process runs a batch that is submitted here.
 
 Owns how many nodes are asked. Inputs: the nodes that may hold the batch, in the order of
-`rendezvous_hash` to its trainer, and how many items of other trainers each of them runs. Relies on
-`runner_calls` to ask: a node that the list of nodes still names may be gone.
+`rendezvous_hash` for its trainer, and how many items of other trainers each of them runs. Relies on
+`runner_calls` to ask them, since a node that is still listed may be gone.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from stagewalk.gateway.runners.runner_messages import RunnerAnswer
 
 NODES_ASKED = 2
-"""Nodes that may be asked to run one batch: the trainer's usual one and the next."""
+"""Nodes that may be asked to run one batch: the trainer's preferred one and the next."""
 
 
 class RunnerChoice:
-    """Asks nodes whether they run a batch, and says whether this one would."""
+    """Asks nodes whether they would run a batch, and answers such calls for this node."""
 
     def __init__(
         self,
@@ -42,14 +42,14 @@
         self._policy = policy
 
     async def choose(self, header: BatchHeader) -> str | None:
-        """Return the process that is to run a batch which is handed in here now.
+        """Return the process that is to run a batch submitted here now.
 
-        None if no node that may hold it is known to live; `NO_RUNNER` leaves it to the node that
+        None if no live node that may hold it is known; `NO_RUNNER` leaves it to the node that
         claims it.
 
-        All batches of one trainer go to the same node while it lives: it has connections to the
-        engines open already, and sees all of the trainer's load. Where that node runs items of
-        other trainers, the next one is asked as well, and the less busy of the two is taken.
+        All batches of one trainer go to the same node while it is live: it has open connections to
+        the engines, and sees all of the trainer's load. If that node runs items of other trainers,
+        the next one is asked as well, and the less busy of the two is chosen.
         """
         trainer = header.trainer
         ranked = sorted(
@@ -70,9 +70,11 @@
         return NO_RUNNER if self._runner.stopping else str(self._identity)
 
     def describe(self, trainer: str) -> RunnerAnswer:
-        """Return whether this process runs batches, and how busy it is for other trainers."""
+        """Return whether this process runs batches, and its load from other trainers."""
         willing = not self._runner.stopping and self._nodes.known
-        return RunnerAnswer(str(self._identity), willing, self._runner.items_of_others(trainer))
+        return RunnerAnswer(
+            str(self._identity), willing, self._runner.attempts_for_other_trainers(trainer)
+        )
 
     async def _ask(self, node: NodeAnnouncement, trainer: str) -> RunnerAnswer | None:
         """Return a node's answer if it is willing to run a trainer's batch."""
--- a/src/stagewalk/gateway/runners/runner_messages.py
+++ b/src/stagewalk/gateway/runners/runner_messages.py
@@ -1,6 +1,6 @@
 """Messages between nodes about who runs batches.
 
-Owns their forms on the wire: fields keep their order, tags their names.
+Owns their wire format: the order of the fields and the names of the tags must not change.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class AskRunner(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """Ask a node which process it is, and whether that would run a batch.
+    """Ask a node which process it runs, and whether that process would run a batch.
 
     Attributes
     ----------
@@ -40,14 +40,14 @@
 
 
 class RunnerAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """Which process answers, and whether it runs batches that are given to it.
+    """Which process answers, and whether it runs batches assigned to it.
 
     Attributes
     ----------
     other_items
         Attempts at items of other trainers that it has under way.
     noted
-        Whether it has noted the place of the batch in the call.
+        Whether it has indexed the place of the batch in the call.
     """
 
     process: str
@@ -66,7 +66,7 @@
 
 
 def decode_call(content: bytes) -> RunnerCall | None:
-    """Return the call that bytes spell, None if they spell none."""
+    """Return the decoded call, None if the bytes are invalid."""
     try:
         return _CALLS.decode(content)
     except msgspec.DecodeError:
@@ -74,7 +74,7 @@
 
 
 def decode_answer(content: bytes) -> RunnerAnswer | None:
-    """Return the answer that bytes spell, None if they spell none."""
+    """Return the decoded answer, None if the bytes are invalid."""
     try:
         return _ANSWERS.decode(content)
     except msgspec.DecodeError:
--- a/src/stagewalk/gateway/runners/runner_probes.py
+++ b/src/stagewalk/gateway/runners/runner_probes.py
@@ -1,6 +1,6 @@
 """Probes the runners of open batches that this node would take over first.
 
-Owns the probes' pace. Relies on `runner_calls` for the call, and on `batches.runner_liveness` for
+Owns the probe interval. Relies on `runner_calls` for the call, and on `batches.runner_liveness` for
 what answers and failures mean.
 """
 
@@ -18,17 +18,17 @@
 from stagewalk.gateway.runners.runner_calls import RunnerClient
 
 PROBE_INTERVAL_SECONDS = 0.4
-"""Between two probes of one runner. Batches were opened 2.1 to 2.5 s late while only 3 s of silence
-in the list of nodes showed a dead one."""
+"""Interval between two probes of one runner: probes detect a dead one sooner than the list of
+nodes, which takes 3 s."""
 
 
 class RunnerProbes:
-    """Probes runners, one round after the other.
+    """Probes runners periodically.
 
     Parameters
     ----------
     targets
-        Returns the processes to probe now, and where each one's machine listens.
+        Returns the processes to probe now, and the peer address of each one's node.
     wait_until_active
         Returns once this node follows the batches.
     """
@@ -46,7 +46,7 @@
         self._wait_until_active = wait_until_active
 
     async def run(self) -> None:
-        """Probe for ever."""
+        """Probe all targets again and again."""
         while True:
             await anyio.sleep(PROBE_INTERVAL_SECONDS)
             await self._wait_until_active()
--- a/src/stagewalk/gateway/runners/runner_service.py
+++ b/src/stagewalk/gateway/runners/runner_service.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerAccess:
-    """What decides and carries out the sends to workers."""
+    """The services that decide about sends to workers, and carry them out."""
 
     client: WorkerClient
     workers: WorkerTable
@@ -53,7 +53,7 @@
 
 
 class RunnerService:
-    """The batches run on this node, and those that it may run.
+    """The services that choose, run and take over batches on this node.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
     batch_end_seconds
         Returns how long after a batch's end was acknowledged its items may still reach workers.
     on_item_started
-        Observes the age of the view by which an item was started, in seconds.
+        Called with the age of the view from which an item was started, in seconds.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
         )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start all of them."""
+        """Start all services."""
         self.runner.start(tasks)
         self.assignments.start(tasks)
         self.takeovers.start(tasks)
@@ -151,7 +151,7 @@
 
     @property
     def peer_handlers(self) -> dict[str, PeerHandler]:
-        """Return by path what answers other nodes' calls about runners."""
+        """Return the handlers of other nodes' calls about runners, by path."""
         handler = RunnerCallHandler(self.choice.describe, self.assignments.accept)
         return {RUNNER_PATH: handler.handle}
 
--- a/src/stagewalk/gateway/runners/scheduler_loop.py
+++ b/src/stagewalk/gateway/runners/scheduler_loop.py
@@ -1,4 +1,4 @@
-"""Feeds the scheduler with events and time, and carries its instructions out.
+"""Passes events and the time to the scheduler, and carries out its instructions.
 
 Owns the attempts' tasks and the tick. Relies on the scheduler for every decision, on the senders
 for each attempt, and on the batch store to append results.
@@ -34,7 +34,7 @@
 from stagewalk.gateway.scoring.messages import SendScore, StopScore
 
 TICK_SECONDS = 0.05
-"""How often the scheduler looks at what only time brings."""
+"""Interval at which the scheduler handles what depends on time alone."""
 
 
 class SchedulerLoop:
@@ -43,7 +43,7 @@
     Parameters
     ----------
     on_item_started
-        Observes the age of the view by which an item was started, in seconds.
+        Called with the age of the view from which an item was started, in seconds.
     on_opened
         Called before items of a batch that was opened are started.
     """
@@ -66,7 +66,7 @@
         self._items = ItemSender(sends, self.handle)
         self._scores = ScoreSender(sends)
         self._attempts = AttemptTasks(self.handle)
-        self._begun = anyio.Event()
+        self._batch_opened = anyio.Event()
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start the tick; attempts run in the same task group."""
@@ -74,17 +74,17 @@
         tasks.start_soon(self._tick)
 
     def wake(self) -> None:
-        """Let the scheduler look at a batch that was opened, without waiting for the tick."""
-        self._begun.set()
+        """Have the scheduler handle a newly opened batch without waiting for the next tick."""
+        self._batch_opened.set()
         self._on_opened()
         self.handle(Tick())
 
     def handle(self, event: SchedulerEvent) -> None:
-        """Apply an event."""
+        """Pass an event to the scheduler, and carry out what it decides."""
         self.execute(self._scheduler.handle(event, steady_seconds()))
 
     def execute(self, instructions: Iterable[SchedulerInstruction]) -> None:
-        """Carry instructions out, in their order."""
+        """Carry out instructions in order."""
         for instruction in instructions:
             match instruction:
                 case StartItem():
@@ -102,11 +102,11 @@
                     self._attempts.cancel(instruction.attempt)
 
     async def _tick(self) -> None:
-        """Let time pass for the scheduler while there are batches; sleep while there are none."""
+        """Tick while there are batches; wait while there are none."""
         while True:
             if not self._scheduler.batches:
-                self._begun = anyio.Event()
-                await self._begun.wait()
+                self._batch_opened = anyio.Event()
+                await self._batch_opened.wait()
             await anyio.sleep(TICK_SECONDS)
             self.handle(Tick())
             self._views.log_changes(self._scheduler.batches, steady_seconds())
--- a/src/stagewalk/gateway/runners/score_sender.py
+++ b/src/stagewalk/gateway/runners/score_sender.py
@@ -1,4 +1,4 @@
-"""Sends score calls to the workers that score; returns what became of each attempt.
+"""Sends score calls to the scoring workers, and returns how each attempt ended.
 
 Owns no state. Relies on `checked_sends` for the permit of each send.
 """
@@ -43,7 +43,7 @@
         if result.is_ok():
             self._sends.record_answer(checked.ok.sent)
             return ScoreAnswered(send.attempt, result.ok)
-        await self._sends.record_loss(checked.ok.sent, result.error)
+        await self._sends.record_lost_connection(checked.ok.sent, result.error)
         return ScoreAttemptFailed(send.attempt, result.error)
 
 
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -1,7 +1,7 @@
-"""Takes over batches whose runner is gone, and resumes those this machine ran before a restart.
+"""Takes over batches whose runner is gone, and resumes those this node ran before a restart.
 
-Owns the pace of both, and whom to probe. Relies on `batches.takeover` for which batches to claim
-and when, on the batch store for the open ones, and on the runner to run them.
+Owns the intervals of both, and which runners to probe. Relies on `batches.takeover` for which
+batches to claim and when, on the batch store for the open ones, and on the runner to run them.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from stagewalk.gateway.runners.batch_runner import BatchRunner
 
 ORPHAN_CHECK_INTERVAL_SECONDS = 0.1
-"""How often orphaned batches are looked for: below the step between two ranks (0.3 s)."""
+"""How often orphaned batches are looked for: less than the claim delay per rank (0.3 s)."""
 
-IDLE_SECONDS = 1.0
-"""The same for a node that doesn't follow the batches, and only forgets old ones."""
+IDLE_CHECK_INTERVAL_SECONDS = 1.0
+"""The same for a node that doesn't follow the batches, and only drops old ones."""
 
 READ_ATTEMPTS = 10
 READ_RETRY_SECONDS = 0.1
-"""How often a log that refuses is read for a batch that was run here; after that the node waits for
-its own view."""
+"""Number of attempts to read the records of a batch that was run here, and the delay between them;
+after that the node waits for its own view."""
 
-PROBERS = 2
-"""This many of the nodes that would take a batch over first probe its runner (docs/design/0110)."""
+PROBERS_PER_RUNNER = 2
+"""How many nodes probe a batch's runner: the first in the order of takeover (docs/design/0110)."""
 
 
 class TakeoverService:
@@ -61,15 +61,17 @@
         self._takeovers = Takeovers(identity.node, nodes.runner_state)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start looking after batches."""
+        """Start the periodic check for orphaned and old batches."""
         self._tasks = tasks
         tasks.start_soon(self._supervise)
 
     async def _supervise(self) -> None:
-        """Claim batches without a runner, for ever."""
+        """Claim orphaned batches and drop old ones periodically."""
         while True:
             await anyio.sleep(
-                ORPHAN_CHECK_INTERVAL_SECONDS if self._store.following else IDLE_SECONDS
+                ORPHAN_CHECK_INTERVAL_SECONDS
+                if self._store.following
+                else IDLE_CHECK_INTERVAL_SECONDS
             )
             now = steady_seconds()
             may_run = not self._runner.stopping and self._nodes.may_hold_batches
@@ -78,7 +80,7 @@
             self._forget(now)
 
     def _forget(self, now: float) -> None:
-        """Forget batches that ended long ago; one replica forgets their places for all."""
+        """Forget batches that ended long ago; one replica removes their index entries for all."""
         assert self._tasks is not None
         replicas = self._replicas()
         for name in self._store.ledger.forget(now):
@@ -86,12 +88,12 @@
                 self._tasks.start_soon(self._open_batches.drop, name)
 
     async def resume_own_batches(self) -> bool:
-        """Resume the batches of this machine's last process, before the whole log is read.
+        """Resume the batches of this node's previous process before the whole log is read.
 
         Returns
         -------
         bool
-            Whether any batch was open anywhere.
+            Whether the index lists any open batch.
         """
         assert self._tasks is not None
         if not self._policy.resume_first:
@@ -104,10 +106,10 @@
         return bool(places)
 
     def probe_targets(self) -> dict[str, Address]:
-        """Return the runners that this node should ask whether they still run."""
+        """Return the runners that this node should probe, and their addresses."""
         targets: dict[str, Address] = {}
-        asks = self._policy.probe_runners and self._store.following
-        if self._runner.stopping or not asks:
+        probing = self._policy.probe_runners and self._store.following
+        if self._runner.stopping or not probing:
             return targets
         replicas = self._replicas()
         for batch in self._store.ledger.open_batches():
@@ -115,12 +117,12 @@
             state = self._nodes.runner_state(batch.runner)
             rank = self._takeovers.rank(batch.header.batch, batch.runner, replicas)
             own = batch.runner == str(self._identity) or state is RunnerState.MINE_BEFORE
-            if peer is not None and not own and rank < PROBERS:
+            if peer is not None and not own and rank < PROBERS_PER_RUNNER:
                 targets[batch.runner] = peer
         return targets
 
     async def _resume(self, name: str, place: BatchPlace) -> None:
-        """Resume a batch from its place; an end of others that lie there may lie before it."""
+        """Resume a batch from its place; the view from there may lack the ends of other batches."""
         partial = self._store.read_from(place, self._runner.ahead_changed)
         for _ in range(READ_ATTEMPTS):
             if await partial.read():
@@ -141,12 +143,12 @@
 
     def _claim_orphans(self, now: float) -> None:
         batches = {b.header.batch: b for b in self._store.ledger.open_batches()}
-        seen = [
+        candidates = [
             OpenBatch(name, batch.runner, self._store.view_age(name, now))
             for name, batch in batches.items()
             if not self._runner.runs(name)
         ]
-        for name in self._takeovers.decide(seen, self._replicas(), now):
+        for name in self._takeovers.decide(candidates, self._replicas(), now):
             self._claim(batches[name], self._nodes.runner_state(batches[name].runner))
 
     def _claim(self, batch: Batch, state: RunnerState, place: BatchPlace | None = None) -> None:
@@ -160,5 +162,5 @@
         )
         self._store.post(name, BatchClaimed(name, str(self._identity), batch.epoch + 1))
         if place is not None and self._tasks is not None:
-            noted = msgspec.structs.replace(place, runner=str(self._identity))
-            self._tasks.start_soon(self._open_batches.note, name, noted)
+            claimed = msgspec.structs.replace(place, runner=str(self._identity))
+            self._tasks.start_soon(self._open_batches.note, name, claimed)
--- a/tests/gateway/runners/test_batch_views.py
+++ b/tests/gateway/runners/test_batch_views.py
@@ -1,4 +1,4 @@
-"""How old the news of a batch is that is run here: by the node's own view, or by a partial one."""
+"""The age of the view of a batch that is run here: the node's own view or a partial one."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 from tests.gateway.quarantine.support import NoCrashes
 from tests.gateway.workers.support import announcement
 
-PLACE = Partition("batches", 0)
-BOUND = 3.0
-LEASE = maximum_view_age(BOUND)
+PARTITION = Partition("batches", 0)
+BATCH_END_SECONDS = 3.0
+MAXIMUM_AGE = maximum_view_age(BATCH_END_SECONDS)
 
 
 class FakeStore:
-    """A node's own view, as old as a test says; it knows the batches named."""
+    """A node's own view of a given age that knows the given batches."""
 
     def __init__(self, age: float = math.inf, known: tuple[str, ...] = ()) -> None:
         self.age = age
@@ -57,10 +57,10 @@
 
 
 def views_of(store: FakeStore) -> BatchViews:
-    return BatchViews(store, lambda: BOUND)  # type: ignore[arg-type]
+    return BatchViews(store, lambda: BATCH_END_SECONDS)  # type: ignore[arg-type]
 
 
-class RunViewsTests(testtools.TestCase):
+class BatchViewsTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.log = MemoryLog()
@@ -69,36 +69,36 @@
 
     async def partial(self, seen: list[str]) -> PartialLedger:
         sequence = ProducerSequence("p", 1, 1)
-        await self.client.append(PLACE, [encode_record(submitted(item("x")))], sequence)
+        await self.client.append(PARTITION, [encode_record(submitted(item("x")))], sequence)
         partial = PartialLedger(
-            self.client, PLACE, 0, lambda _batch, change: seen.append(change.value)
+            self.client, PARTITION, 0, lambda _batch, change: seen.append(change.value)
         )
         self.assertTrue(await partial.read())
         return partial
 
-    def test_items_start_while_the_own_view_is_recent(self) -> None:
-        views = views_of(FakeStore(LEASE - 0.1, ("b",)))
+    def test_items_may_start_while_the_own_view_is_recent(self) -> None:
+        views = views_of(FakeStore(MAXIMUM_AGE - 0.1, ("b",)))
         self.assertTrue(views.may_start("b", 0.0))
-        self.assertFalse(views_of(FakeStore(LEASE + 0.1, ("b",))).may_start("b", 0.0))
+        self.assertFalse(views_of(FakeStore(MAXIMUM_AGE + 0.1, ("b",))).may_start("b", 0.0))
 
-    def test_an_own_view_that_does_not_know_the_batch_tells_nothing_of_its_end(self) -> None:
-        """The records of its beginning may be gone: an end would mean nothing to that view."""
+    def test_an_own_view_that_does_not_know_the_batch_does_not_count(self) -> None:
+        """If the batch's first records were dropped, that view would not show its end either."""
         self.assertFalse(views_of(FakeStore(0.0)).may_start("b", 0.0))
 
-    def test_a_batch_begun_ahead_lives_by_its_partial_view(self) -> None:
+    def test_a_batch_begun_ahead_depends_on_its_partial_view(self) -> None:
         async def scenario() -> None:
             views = views_of(FakeStore())
             partial = await self.partial([])
             views.begin_ahead("b", partial, 0)
             now = partial.confirmed_at
-            self.assertTrue(views.may_start("b", now + LEASE - 0.1))
-            self.assertFalse(views.may_start("b", now + LEASE + 0.1))
+            self.assertTrue(views.may_start("b", now + MAXIMUM_AGE - 0.1))
+            self.assertFalse(views.may_start("b", now + MAXIMUM_AGE + 0.1))
             views.drop("b")
             self.assertFalse(views.may_start("b", now))
 
         anyio.run(scenario)
 
-    def test_a_partial_view_is_read_on_and_tells_of_the_end(self) -> None:
+    def test_a_followed_partial_view_reports_the_end(self) -> None:
         async def scenario() -> None:
             seen: list[str] = []
             views = views_of(FakeStore())
@@ -107,17 +107,17 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(views.follow, "b", self.lost.append)
                 await self.client.append(
-                    PLACE, [encode_record(BatchEnded("b"))], ProducerSequence("p", 1, 2)
+                    PARTITION, [encode_record(BatchEnded("b"))], ProducerSequence("p", 1, 2)
                 )
                 with anyio.fail_after(5.0):
                     while "ended" not in seen:
                         await anyio.sleep(0.02)
-                self.assertLess(views.age("b", steady_seconds()), LEASE)
+                self.assertLess(views.age("b", steady_seconds()), MAXIMUM_AGE)
                 views.drop("b")
 
         anyio.run(scenario)
 
-    def test_a_partial_view_that_the_log_does_not_answer_lapses(self) -> None:
+    def test_a_partial_view_is_not_confirmed_while_the_log_does_not_answer(self) -> None:
         async def scenario() -> None:
             views = views_of(FakeStore())
             partial = await self.partial([])
@@ -138,28 +138,28 @@
             with anyio.move_on_after(0.6):
                 await views.follow("b", self.lost.append)
             self.assertEqual(calls, self.client.calls)
-            self.assertTrue(views.may_start("b", steady_seconds() + BOUND))
+            self.assertTrue(views.may_start("b", steady_seconds() + BATCH_END_SECONDS))
 
         anyio.run(scenario)
 
-    def test_a_partial_view_whose_records_were_dropped_unread_is_told_as_lost(self) -> None:
-        """Neither view would ever tell of the batch again, and nobody else would take it over."""
+    def test_a_partial_view_whose_records_were_dropped_unread_is_reported_lost(self) -> None:
+        """Neither view would ever show the batch again, and no other node would take it over."""
 
         async def scenario() -> None:
             views = views_of(FakeStore())
             partial = await self.partial([])
             views.begin_ahead("b", partial, 0)
             sequence = ProducerSequence("p", 1, 2)
-            await self.client.append(PLACE, [encode_record(BatchEnded("other"))], sequence)
-            self.log.drop_history(PLACE, self.log.kept(PLACE).end)
+            await self.client.append(PARTITION, [encode_record(BatchEnded("other"))], sequence)
+            self.log.drop_history(PARTITION, self.log.kept(PARTITION).end)
             with anyio.fail_after(5.0):
                 await views.follow("b", self.lost.append)
             self.assertEqual(["b"], self.lost)
 
         anyio.run(scenario)
 
-    def test_a_partial_view_is_as_old_as_the_question_that_was_answered(self) -> None:
-        """An answer may lie unread for long while the process is paused."""
+    def test_a_partial_view_is_as_old_as_the_read_request(self) -> None:
+        """A response may stay unread for long while the process is paused."""
         paused = 0.3
 
         class PausedClient(MemoryLogClient):
@@ -171,7 +171,7 @@
                 return answer
 
         async def scenario() -> None:
-            partial = PartialLedger(PausedClient(self.log), PLACE, 0)
+            partial = PartialLedger(PausedClient(self.log), PARTITION, 0)
             await partial.read()
             self.assertGreaterEqual(steady_seconds() - partial.confirmed_at, paused)
 
@@ -179,7 +179,7 @@
 
 
 class FakeViews:
-    """Views that are recent enough until they are not."""
+    """Views that are recent until a test changes that."""
 
     def __init__(self) -> None:
         self.recent = True
@@ -193,8 +193,8 @@
         return 0.0
 
 
-class WithheldTests(testtools.TestCase):
-    """The process may come late to an attempt that was decided in time."""
+class WithheldSendTests(testtools.TestCase):
+    """A send is withheld if the view becomes too old between the decision and the send."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -203,19 +203,19 @@
         self.workers = WorkerTable()
         self.workers.announce(announcement("e1", versions={"m": 1}), 0.0)
 
-    def test_an_item_is_not_sent_from_a_view_that_grew_old_since_it_was_decided(self) -> None:
+    def test_an_item_is_not_sent_if_the_view_became_too_old_since_the_decision(self) -> None:
         failure = self.failure_of(StartItem(1, "b", "h", item("x"), "e1", None))
         self.client.stream.assert_not_called()
         self.assertIs(AttemptFault.WITHHELD, failure.fault)
 
-    def test_a_score_call_is_not_sent_from_a_view_that_grew_old_since_it_was_decided(self) -> None:
+    def test_a_score_call_is_not_sent_if_the_view_became_too_old_since_the_decision(self) -> None:
         call = ScoreCall("c", "h", "/score/x", b"")
         failure = self.failure_of(SendScore(1, "b", "x", call, "e1", 1.0, None))
         self.client.send.assert_not_called()
         self.assertIs(AttemptFault.WITHHELD, failure.fault)
 
     def failure_of(self, instruction: StartItem | SendScore) -> AttemptFailure:
-        """Return how an attempt ends whose view grows old once it was decided."""
+        """Return the failure of an attempt whose view becomes too old after the decision."""
         scheduler = mock.Mock(batches=set())
         scheduler.handle.return_value = []
         views: BatchViews = self.views  # type: ignore[assignment]
@@ -232,11 +232,11 @@
                 tasks.cancel_scope.cancel()
 
         anyio.run(scenario)
-        ((broken, _now),) = [args for args, _ in scheduler.handle.call_args_list]
-        return broken.failure
+        ((failed, _now),) = [args for args, _ in scheduler.handle.call_args_list]
+        return failed.failure
 
-    def test_an_item_whose_connection_comes_up_after_the_bound_is_not_sent(self) -> None:
-        """A connection that turned out unusable makes it wait for another one."""
+    def test_an_item_is_not_sent_if_the_view_became_too_old_while_it_connected(self) -> None:
+        """An item whose connection is unusable waits for another one."""
         permit = unrestricted(self.workers).permit(
             self.workers.worker("e1"),
             RequestScope(batch_route(), RequestContent("POST", "h.example", "/run/x", b"")),
@@ -247,16 +247,16 @@
         self.views.recent = False
         self.assertIs(Denial.VIEW_TOO_OLD, permit.ok.confirm(0.2))
 
-    def test_the_view_at_the_send_may_be_older_by_what_a_send_takes(self) -> None:
+    def test_the_view_may_be_older_at_the_send_than_at_the_start(self) -> None:
         for age, start, send in (
-            (LEASE, True, True),
-            (LEASE + 0.5, False, True),
+            (MAXIMUM_AGE, True, True),
+            (MAXIMUM_AGE + 0.5, False, True),
             (2.8, False, False),
         ):
             views = views_of(FakeStore(age, ("b",)))
             self.assertEqual((start, send), (views.may_start("b", 0.0), views.may_send("b", 0.0)))
 
-    def test_the_worker_is_not_to_blame(self) -> None:
+    def test_a_withheld_send_is_not_a_failure_of_the_worker(self) -> None:
         worker = self.workers.worker("e1")
         withheld = AttemptFailure(AttemptFault.WITHHELD, "")
         with mock.patch.object(type(worker), "record_failure") as blamed:
--- a/tests/gateway/runners/test_lease_views.py
+++ b/tests/gateway/runners/test_lease_views.py
@@ -1,4 +1,4 @@
-"""Nobody takes or keeps the lease on duties by a view that lacks a part of the lease's records."""
+"""No node takes or keeps the duty lease from a view that lacks some of the lease's records."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 LEASES = Partition(LEASES_TOPIC, DUTIES_PARTITION)
 QUIET_SECONDS = 0.3
 CALL_BYTES = 100_000
-PATIENCE_SECONDS = 10.0
-WATCHED_SECONDS = 2.0
+TIMEOUT_SECONDS = 10.0
+OBSERVATION_SECONDS = 2.0
 STEP_SECONDS = 0.02
 
 Scenario = Callable[[anyio.abc.TaskGroup], Awaitable[None]]
 
 
 class NoReadsClient(MemoryLogClient):
-    """A client whose reads the log may refuse while it takes appends: each has its own rate."""
+    """A client whose reads can be refused while its appends succeed, as each has its own rate."""
 
     refuse_reads = False
 
@@ -49,7 +49,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    with anyio.fail_after(PATIENCE_SECONDS):
+    with anyio.fail_after(TIMEOUT_SECONDS):
         while not condition():
             await anyio.sleep(STEP_SECONDS)
 
@@ -67,13 +67,13 @@
         return duties
 
     async def assert_never_both(self, first: DutyLease, second: DutyLease) -> None:
-        until_time = steady_seconds() + WATCHED_SECONDS
+        until_time = steady_seconds() + OBSERVATION_SECONDS
         while steady_seconds() < until_time:
-            self.assertFalse(first.may_act() and second.may_act(), "two act as the holder")
+            self.assertFalse(first.may_act() and second.may_act(), "two nodes act as the holder")
             await anyio.sleep(STEP_SECONDS)
 
-    def test_a_lease_whose_win_was_dropped_from_the_log_is_not_free(self) -> None:
-        """A holder that renews since longer than history is kept; then another node begins."""
+    def test_a_lease_whose_acquisition_was_dropped_from_the_log_is_not_free(self) -> None:
+        """A holder has renewed for longer than the log keeps history, and another node starts."""
 
         async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             holder = self.start(tasks, "n1", self.log.client())
@@ -81,15 +81,15 @@
             fence = holder.fence
             await until(lambda: self.log.kept(LEASES).end > fence + 2)
             self.log.drop_history(LEASES, fence + 1)
-            newcomer = self.start(tasks, "n2", self.log.client())
-            await self.assert_never_both(holder, newcomer)
-            self.assertTrue(holder.may_act(), "a holder that renews has lost the lease")
-            self.assertFalse(newcomer.held)
+            new_node = self.start(tasks, "n2", self.log.client())
+            await self.assert_never_both(holder, new_node)
+            self.assertTrue(holder.may_act(), "a holder that renews lost the lease")
+            self.assertFalse(new_node.held)
 
         run(scenario)
 
     def test_a_holder_that_has_not_read_whether_it_was_replaced_does_not_act(self) -> None:
-        """Its renewal is void behind another's win, but the log takes it and says so."""
+        """The log accepts its renewal, though it is void after another node's acquisition."""
 
         async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             client = NoReadsClient(self.log)
@@ -105,8 +105,8 @@
 
         run(scenario)
 
-    def test_a_lease_that_is_not_renewed_passes_on(self) -> None:
-        """What the two tests above ask for leaves nobody without a holder."""
+    def test_a_lease_that_is_not_renewed_is_taken_by_another_node(self) -> None:
+        """The rules of the two tests above don't leave the lease without a holder."""
 
         async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             client = self.log.client()
--- a/tests/gateway/runners/test_runner_choice.py
+++ b/tests/gateway/runners/test_runner_choice.py
@@ -1,4 +1,4 @@
-"""Who runs a batch: the trainer's usual node, or the next one while that is busy for others."""
+"""Which node runs a batch: the trainer's preferred one, or the next if that is busier."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     encode_message,
 )
 
-TRAINER = BatchHeader("b1", "h.example", "/run/b1", 1, "m", 0, 4)
+HEADER = BatchHeader("b1", "h.example", "/run/b1", 1, "m", 0, 4)
 
 
 def replica(number: int) -> NodeAnnouncement:
@@ -31,16 +31,16 @@
 
 
 REPLICAS = sorted(
-    [replica(n) for n in range(6)], key=lambda node: rendezvous_hash(TRAINER.trainer, node.node)
+    [replica(n) for n in range(6)], key=lambda node: rendezvous_hash(HEADER.trainer, node.node)
 )
-USUAL, NEXT = REPLICAS[0], REPLICAS[1]
+PREFERRED, SECOND = REPLICAS[0], REPLICAS[1]
 
 
 class FakePeers:
-    """Answers as each node would; those without an answer are silent."""
+    """Answers for each node; a node whose number of attempts is None doesn't answer."""
 
-    def __init__(self, items_of_others: dict[str, int | None]) -> None:
-        self._items = items_of_others
+    def __init__(self, attempts_for_other_trainers: dict[str, int | None]) -> None:
+        self._items = attempts_for_other_trainers
         self.asked: list[str] = []
 
     async def call(
@@ -49,7 +49,7 @@
         node = next(n for n in REPLICAS if n.peer == str(peer))
         self.asked.append(node.node)
         call = decode_call(content)
-        assert isinstance(call, AskRunner) and call.trainer == TRAINER.trainer
+        assert isinstance(call, AskRunner) and call.trainer == HEADER.trainer
         items = self._items.get(node.node, 0)
         if items is None:
             return None
@@ -70,37 +70,37 @@
         calls=RunnerClient(peers),  # type: ignore[arg-type]
         policy=policy,
     )
-    return anyio.run(choice.choose, TRAINER)
+    return anyio.run(choice.choose, HEADER)
 
 
 class RunnerChoiceTests(testtools.TestCase):
-    def test_a_trainer_keeps_to_its_node_while_that_runs_for_nobody_else(self) -> None:
+    def test_a_trainer_keeps_its_node_while_that_runs_no_other_trainers(self) -> None:
         peers = FakePeers({})
-        self.assertEqual(f"{USUAL.node}#1", choose(peers))
-        self.assertEqual([USUAL.node], peers.asked)
+        self.assertEqual(f"{PREFERRED.node}#1", choose(peers))
+        self.assertEqual([PREFERRED.node], peers.asked)
 
-    def test_two_trainers_of_one_node_come_apart(self) -> None:
-        peers = FakePeers({USUAL.node: 80, NEXT.node: 0})
-        self.assertEqual(f"{NEXT.node}#1", choose(peers))
+    def test_two_trainers_with_the_same_preferred_node_are_spread(self) -> None:
+        peers = FakePeers({PREFERRED.node: 80, SECOND.node: 0})
+        self.assertEqual(f"{SECOND.node}#1", choose(peers))
 
-    def test_where_both_are_busy_the_less_busy_one_is_taken(self) -> None:
-        peers = FakePeers({USUAL.node: 80, NEXT.node: 90})
-        self.assertEqual(f"{USUAL.node}#1", choose(peers))
+    def test_if_both_nodes_are_busy_the_less_busy_one_is_chosen(self) -> None:
+        peers = FakePeers({PREFERRED.node: 80, SECOND.node: 90})
+        self.assertEqual(f"{PREFERRED.node}#1", choose(peers))
 
-    def test_a_silent_node_is_passed_over(self) -> None:
-        peers = FakePeers({USUAL.node: None})
-        self.assertEqual(f"{NEXT.node}#1", choose(peers))
+    def test_a_node_that_does_not_answer_is_skipped(self) -> None:
+        peers = FakePeers({PREFERRED.node: None})
+        self.assertEqual(f"{SECOND.node}#1", choose(peers))
 
-    def test_where_nobody_answers_the_node_that_took_the_batch_runs_it(self) -> None:
-        peers = FakePeers({USUAL.node: None, NEXT.node: None})
+    def test_if_no_node_answers_the_node_that_accepted_the_batch_runs_it(self) -> None:
+        peers = FakePeers({PREFERRED.node: None, SECOND.node: None})
         self.assertEqual("own#1", choose(peers))
 
     def test_a_batch_is_run_in_its_regions_or_refused(self) -> None:
-        """This node, to which the trainer connected, is in none of them."""
-        silent = FakePeers({USUAL.node: None, NEXT.node: None})
+        """The node that the trainer connected to is in none of these regions."""
+        silent = FakePeers({PREFERRED.node: None, SECOND.node: None})
         self.assertEqual("", choose(silent, may_hold=False))
         self.assertIsNone(choose(FakePeers({}), may_hold=False, replicas=[]))
 
-    def test_the_mechanism_can_be_switched_off(self) -> None:
-        peers = FakePeers({USUAL.node: 80})
-        self.assertEqual(f"{USUAL.node}#1", choose(peers, Policy(spread_trainers=False)))
+    def test_spreading_trainers_can_be_disabled(self) -> None:
+        peers = FakePeers({PREFERRED.node: 80})
+        self.assertEqual(f"{PREFERRED.node}#1", choose(peers, Policy(spread_trainers=False)))
--- a/tests/gateway/runners/test_scores.py
+++ b/tests/gateway/runners/test_scores.py
@@ -1,4 +1,4 @@
-"""Scored batches through whole gateways: text and score are one result, whatever fails."""
+"""Scored batches through complete gateways: text and score are one result despite failures."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.gateway.support import ROUTES, Running, Site, route, run, until
 
 TEXT, SCORE = 4, 6
-"""Places in a result."""
+"""Indexes of fields in a result row."""
 
 SERVER_ERROR = 500
 
@@ -39,7 +39,7 @@
 
         run(scenario)
 
-    def test_lost_wrong_and_failing_scores_are_asked_for_again(self) -> None:
+    def test_lost_and_failed_score_calls_are_retried(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for scorer in scorers(site):
@@ -51,7 +51,7 @@
 
         run(scenario)
 
-    def test_a_score_that_always_fails_gives_the_item_up_and_is_asked_no_more(self) -> None:
+    def test_an_item_whose_score_always_fails_fails_and_is_not_scored_again(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for scorer in scorers(site):
@@ -64,14 +64,14 @@
 
         run(scenario)
 
-    def test_another_node_has_the_text_scored_when_the_runner_is_gone(self) -> None:
+    def test_another_node_has_the_text_scored_if_the_runner_is_gone(self) -> None:
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
             for scorer in scorers(site):
                 scorer.answer_seconds = 30.0
             await site.submit(nodes["n1"], "b1", "x", scored_by="/score/")
 
-            async def told() -> bool:
+            async def text_recorded() -> bool:
                 ledgers = [node.gateway.store.ledger for node in nodes.values()]
                 batches = [batch for ledger in ledgers if (batch := ledger.get("b1"))]
                 kept = [
@@ -81,7 +81,7 @@
                 ]
                 return len(kept) > 0 and all(text is not None and text.whole for text in kept)
 
-            await until(told)
+            await until(text_recorded)
             ledger = nodes["n1"].gateway.store.ledger
             runner = ledger.get("b1").runner.split("#")[0]
             nodes[runner].scope.cancel()
@@ -94,7 +94,7 @@
 
         run(scenario)
 
-    def test_a_batch_whose_score_has_no_route_is_not_taken_and_is_told_why(self) -> None:
+    def test_a_batch_whose_score_has_no_route_is_refused_with_the_reason(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             refused = await site.submit(node, "b1", "x", scored_by="/judge/")
@@ -104,27 +104,27 @@
             judge = route("judge", "/judge/", ROUTES[0].kind, "app")
             site.publish(2, (*ROUTES, judge))
 
-            async def taken() -> bool:
+            async def accepted() -> bool:
                 answer = await site.submit(node, "b1", "x", scored_by="/judge/")
                 return answer.status_code == 202
 
             self.assertEqual(0, site.workers.arrivals["x"])
-            await until(taken)
+            await until(accepted)
             await site.until_listed(node, "b1", 1)
 
         run(scenario)
 
-    def test_an_ended_batch_has_nothing_scored_any_more(self) -> None:
+    def test_score_calls_of_an_ended_batch_are_stopped(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for scorer in scorers(site):
                 scorer.answer_seconds = 30.0
             await site.submit(node, "b1", "x", scored_by="/score/")
 
-            async def asked() -> bool:
+            async def score_requested() -> bool:
                 return site.workers.arrivals["x-score"] > 0
 
-            await until(asked)
+            await until(score_requested)
             await site.call(node, "DELETE", "/v1/batches/b1")
 
             async def stopped() -> bool:
--- a/tests/gateway/runners/test_takeover.py
+++ b/tests/gateway/runners/test_takeover.py
@@ -1,4 +1,4 @@
-"""Batches go on soon after their runner is gone, without waiting for the list of nodes to tell."""
+"""Batches resume soon after their runner is gone, before the list of nodes shows that."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         patched.start()
         self.addCleanup(patched.stop)
 
-    def test_a_batch_is_not_given_to_a_node_that_is_gone_but_listed(self) -> None:
+    def test_a_batch_is_not_assigned_to_a_node_that_is_gone_but_still_listed(self) -> None:
         self.patch("stagewalk.gateway.directory.node_table.FAILURE_TIMEOUT_SECONDS", NEVER)
 
         async def scenario(site: Site) -> None:
@@ -54,7 +54,7 @@
 
         run(scenario)
 
-    def test_a_runner_that_answers_no_more_is_replaced_before_the_list_tells(self) -> None:
+    def test_a_runner_that_stops_answering_is_replaced_while_it_is_still_listed(self) -> None:
         self.patch("stagewalk.gateway.directory.node_table.FAILURE_TIMEOUT_SECONDS", NEVER)
 
         async def scenario(site: Site) -> None:
@@ -69,17 +69,17 @@
 
         run(scenario)
 
-    def test_a_restarted_runner_goes_on_before_it_has_read_the_whole_log(self) -> None:
+    def test_a_restarted_runner_resumes_before_it_has_read_the_whole_log(self) -> None:
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
             make_slow(site)
             await site.submit(nodes["n1"], "b1", "x")
             runner = await runner_of(site, nodes, "b1")
 
-            async def noted() -> bool:
+            async def indexed() -> bool:
                 return "b1" in (await BatchIndex(nodes["n1"].log).list()).ok
 
-            await until(noted)
+            await until(indexed)
             for node in nodes.values():
                 node.scope.cancel()
             make_slow(site, seconds=0.01)
@@ -87,10 +87,10 @@
             with mock.patch("stagewalk.gateway.daemon.RESUME_LOG_RESERVE_SECONDS", NEVER):
                 again = await site.start(runner)
 
-                async def went_on() -> bool:
+                async def resumed() -> bool:
                     return site.workers.arrivals["x"] > before
 
-                await until(went_on)
+                await until(resumed)
                 self.assertFalse(again.gateway.store.following)
                 self.assertEqual(["x"], await site.until_listed(again, "b1", 1))
             answer = await site.call(again, "GET", "/v1/batches/b1")
@@ -98,7 +98,7 @@
 
         run(scenario)
 
-    def test_a_restarted_node_leaves_a_batch_alone_that_was_taken_over_meanwhile(self) -> None:
+    def test_a_restarted_node_does_not_resume_a_batch_that_was_taken_over(self) -> None:
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
             make_slow(site, events=20, seconds=0.2)
@@ -118,7 +118,7 @@
 
         run(scenario)
 
-    def test_a_runner_is_told_of_its_batch_although_the_log_wakes_nobody(self) -> None:
+    def test_a_runner_is_notified_of_its_batch_although_the_log_wakes_no_reader(self) -> None:
         self.patch("stagewalk.gateway.partitioned_log.follower.ACTIVE_WAIT_SECONDS", 1.0)
 
         async def scenario(site: Site) -> None:
