--- a/src/stagewalk/gateway/batch_service/batch_index.py
+++ b/src/stagewalk/gateway/batch_service/batch_index.py
@@ -1,8 +1,8 @@
-"""Where the records of each batch begin, and whether it has ended, in a small topic of its own.
+"""Index of batches in a keyed topic: where each one's records begin, and whether it has ended.
 
 A process that starts lists it first, and resumes what it ran before without reading the whole log.
-A node that has not read the whole log also learns here that a batch was handed in, or ended,
-before. Owns the stored places. Relies on the log's keyed topics.
+A node that has not read the whole log also learns here that a batch was submitted or ended before.
+Owns the stored places. Relies on the log's keyed topics.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 from stagewalk.gateway.ports.partitioned_log import LogFailure, Partition, PartitionedLog
 
 BATCH_INDEX_PARTITION = Partition("keyed.batches", 0)
-NOTE_SECONDS = 0.2
-"""How long a note may wait for the log: a late one is worth less."""
+INDEX_WRITE_TIMEOUT_SECONDS = 0.2
+"""How long a write of a place may wait for the log; it is not retried."""
 
 MARK_RETRY_SECONDS = 0.1
-"""Between two tries to mark an end, as between two of an append."""
+"""Delay between attempts to mark an end."""
 
 TOMBSTONE = b""
 
 
 class BatchPlace(msgspec.Struct, frozen=True, array_like=True):
-    """Where a batch's records begin, and the process that was to run it when this was noted.
+    """Where a batch's records begin, and its runner when this was written.
 
     Attributes
     ----------
     partition
         Number of its partition.
     offset
-        Of its first record; no end of the batch lies before it, unless `ended` says so.
+        Of its first record; unless `ended` is set, no end of the batch lies before it.
     ended
-        Whether the batch's end was asked for: its place means nothing then.
+        Whether an end of the batch was requested; its place has no meaning then.
     tenant
         Whose batch it is, see `BatchHeader`.
     certain
-        Whether `offset` is of the first record there ever was of the batch, as found by a node
-        whose view held all records: results read from there on stand at their own positions. The
-        first submission's note may be lost, and a second one's be the only place.
+        Whether `offset` is that of the batch's very first record, as found by a node whose view
+        held all records: results read from there have their final positions. Otherwise it may be
+        that of a second submission, if the place of the first one was never written.
     """
 
     partition: int
@@ -59,20 +59,20 @@
 
 
 class BatchIndex:
-    """Notes and lists the places of batches.
+    """Writes and lists the places of batches.
 
-    A view that begins at a noted place must show the batch's end, or the batch would be run again
-    after it. So places are noted in an order that proves that no end lies before them: a batch is
+    A view that begins at an indexed place must show the batch's end, or the batch would be run
+    again after it. The order of writes guarantees that no end lies before such a place: a batch is
     marked as ended before its end is appended, and the node that submits it looks for the mark
-    after its own submission was appended. Without a mark by then, the end comes after that
-    submission. A note that lands late may replace a mark, but its place lies before the end.
+    after its own submission was appended. If there is no mark by then, the end comes after that
+    submission. A delayed write may replace a mark, but its place lies before the end.
     """
 
     def __init__(self, log: PartitionedLog) -> None:
         self._log = log
 
-    async def note(self, batch: str, place: BatchPlace) -> bool:
-        """Note where a batch is and who runs it; return whether the log took it in time."""
+    async def record_place(self, batch: str, place: BatchPlace) -> bool:
+        """Write a batch's place and runner; return whether the log accepted it in time."""
         return await self._put(batch, msgspec.msgpack.encode(place))
 
     async def mark_ended(
@@ -111,11 +111,11 @@
         await self._put(batch, TOMBSTONE)
 
     async def find(self, batch: str) -> Result[BatchPlace | None, LogFailure]:
-        """Return the place of a batch, None if none is noted."""
+        """Return the place of a batch, None if it is not in the index."""
         return (await self.list()).map(lambda places: places.get(batch))
 
     async def list(self) -> Result[dict[str, BatchPlace], LogFailure]:
-        """Return the places of all batches noted."""
+        """Return the places of all batches in the index."""
         listing = await self._log.newest(BATCH_INDEX_PARTITION)
         if listing.is_error():
             log_event("open_batches_unknown", "warning", detail=listing.error.detail)
@@ -124,7 +124,7 @@
         return Ok({batch: place for batch, place in places.items() if place is not None})
 
     async def _put(self, batch: str, value: bytes) -> bool:
-        with anyio.move_on_after(NOTE_SECONDS):
+        with anyio.move_on_after(INDEX_WRITE_TIMEOUT_SECONDS):
             answer = await self._log.append_keyed(BATCH_INDEX_PARTITION, batch, value)
             if answer.is_error():
                 log_event("open_batch_not_noted", batch=batch, fault=answer.error.fault)
--- a/src/stagewalk/gateway/batch_service/batch_lookup.py
+++ b/src/stagewalk/gateway/batch_service/batch_lookup.py
@@ -1,8 +1,8 @@
-"""Finds the batch that a call is about in this node's view, or why it can't be known.
+"""Finds a call's batch in this node's view, or the reason why the view can't show it.
 
-Owns which batches' results are known to stand at their final positions. Relies on the batch
-store's view, on the places of open batches where records were lost unread, and on
-`open_batch_views` while the log has not been read to its end.
+Owns which batches' results are known to have their final positions. Relies on the batch store's
+view, on the batch index if records were dropped unread, and on `open_batch_views` while the log has
+not been read to its end.
 """
 
 from __future__ import annotations
@@ -33,9 +33,10 @@
     places
         Where the records of open batches begin.
     open_views
-        Finds open batches while the log has not been read to its end; None: nothing does.
+        Finds open batches while the log has not been read to its end, if given.
     starting
-        Whether the log is left to nodes that look for open batches: it isn't read on demand.
+        Whether reads of the log are reserved for nodes that look for open batches: the log isn't
+        read on demand then.
     """
 
     def __init__(
@@ -49,11 +50,14 @@
         self._places = places
         self._open_views = open_views
         self._starting = starting
-        self._whole_since: dict[str, float] = {}
-        """By batch whose results are known to be whole, the last loss of records at that time."""
+        self._positions_final_since: dict[str, float] = {}
+        """For batches with final positions, when their partition had last lost records."""
 
     async def find(self, call: LedgerCall) -> Result[Batch, LedgerAnswer]:
-        """Return a call's batch, or the answer if its tenant has none or that can't be known."""
+        """Return a call's batch, or an error answer if its tenant has none or the view is lacking.
+
+        A batch of another tenant is reported as missing.
+        """
         found = await self._look_up(call.batch)
         if found.is_ok() and not found.ok.header.belongs_to(call.tenant):
             return Error(deny(call))
@@ -61,29 +65,31 @@
 
     async def find_open(self, name: str) -> Batch | None:
         """Return an open batch while the log has not been read to its end."""
-        if self._open_views is None or self._store.read_whole(name):
+        if self._open_views is None or self._store.has_read_to_end(name):
             return None
         return await self._open_views.find(name)
 
     async def has_final_positions(self, batch: Batch) -> bool:
-        """Whether a batch's results stand here at the positions that they have for ever.
+        """Whether a batch's results have their final positions in this view.
 
-        Where the log dropped records before they were read here, the batch may have been handed in
-        before, and have had results there: then its place is noted before what is known of it.
+        If the log dropped records before they were read here, the batch may have had an earlier
+        submission and results among them: its indexed place then lies before the records known.
         """
         name = batch.header.batch
         if not self._store.lacks_history(name, steady_seconds()):
             return True
-        lost_at = self._store.lost_at(name)
-        if self._whole_since.get(name) == lost_at:
+        records_lost_at = self._store.records_lost_at(name)
+        if self._positions_final_since.get(name) == records_lost_at:
             return True
         place = (await self._places.find(name)).default_value(None)
         if place is None or place.offset < batch.first_offset:
             return False
-        self._whole_since = {
-            known: at for known, at in self._whole_since.items() if self._store.ledger.get(known)
+        self._positions_final_since = {
+            known: at
+            for known, at in self._positions_final_since.items()
+            if self._store.ledger.get(known)
         }
-        self._whole_since[name] = lost_at
+        self._positions_final_since[name] = records_lost_at
         return True
 
     async def _look_up(self, name: str) -> Result[Batch, LedgerAnswer]:
@@ -103,10 +109,10 @@
         return Error(refusal(404, NO_SUCH_BATCH))
 
     async def _is_absent(self, name: str) -> bool:
-        """Whether a batch that a current view doesn't know does not exist.
+        """Whether a batch that is missing from a current view does not exist.
 
-        It may have begun in records that the log dropped before they were read here; then its place
-        is still noted.
+        It may have begun in records that the log dropped before they were read here; then it is
+        still in the index.
         """
         if not self._store.lacks_history(name, steady_seconds()):
             return True
@@ -115,6 +121,6 @@
 
 
 def deny(call: LedgerCall) -> LedgerAnswer:
-    """Return the answer to a tenant that asks for another one's batch."""
+    """Return the answer to a tenant that asks for another tenant's batch."""
     log_event("batch_denied", "warning", batch=call.batch, tenant=call.tenant)
     return refusal(404, NO_SUCH_BATCH)
--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -1,8 +1,7 @@
 """This node's view of all batches, and appends to their partitions.
 
-Owns the ledger, one follower and one appender a partition, and when records were lost unread.
-Relies on `partitioned_log` for reading and appending, and on `batches.ledger` for what records
-mean.
+Owns the ledger, one follower and one appender per partition, and when records were dropped unread.
+Relies on `partitioned_log` for reading and appending, and on `batches.ledger` to apply records.
 """
 
 from __future__ import annotations
@@ -53,7 +52,7 @@
 """A followed view younger than this counts as current."""
 
 READ_PAUSE_SECONDS = 0.05
-"""How long records gather between two reads of a partition."""
+"""Pause between two reads of a partition, so that one read returns several records."""
 
 
 class BatchStore:
@@ -70,19 +69,19 @@
         self._record_bytes = record_bytes
         self.ledger = BatchLedger(self._changed)
         self._listener: ChangeListener = lambda _batch, _change: None
-        self._news: dict[str, anyio.Event] = {}
+        self._change_events: dict[str, anyio.Event] = {}
         numbers = [Partition(BATCHES_TOPIC, n) for n in range(min(PARTITIONS, partitions))]
         self._log = log
         self._followers = [
             PartitionFollower(
-                log, p, self._apply, READ_PAUSE_SECONDS, partial(self._lose, p.number)
+                log, p, self._apply, READ_PAUSE_SECONDS, partial(self._drop_partition, p.number)
             )
             for p in numbers
         ]
-        self._lost_at: dict[int, float] = {}
-        """By partition, when records of it were last found to be gone unread (steady clock)."""
+        self._records_lost_at: dict[int, float] = {}
+        """By partition, when records were last found to be dropped unread (steady clock)."""
         self._following = True
-        self._follows = anyio.Event()
+        self._following_event = anyio.Event()
         self.set_following(False)
         self._appenders = [PartitionAppender(log, p, producer, call_bytes) for p in numbers]
 
@@ -110,12 +109,12 @@
         return self._following
 
     def set_following(self, following: bool) -> None:
-        """Follow all partitions from now on, or only when asked for a batch."""
+        """Follow all partitions, or read a partition only when a call needs it."""
         self._following = following
         if following:
-            self._follows.set()
-        elif self._follows.is_set():
-            self._follows = anyio.Event()
+            self._following_event.set()
+        elif self._following_event.is_set():
+            self._following_event = anyio.Event()
         for follower in self._followers:
             if following:
                 follower.resume()
@@ -124,7 +123,7 @@
 
     async def wait_until_following(self) -> None:
         """Wait until all partitions are followed."""
-        await self._follows.wait()
+        await self._following_event.wait()
 
     @property
     def freshness(self) -> list[Freshness]:
@@ -133,10 +132,10 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits to be appended."""
+        """Whether no records are waiting to be appended."""
         return all(appender.idle for appender in self._appenders)
 
-    def read_whole(self, batch: str) -> bool:
+    def has_read_to_end(self, batch: str) -> bool:
         """Whether a batch's partition was read to its end since this process started."""
         return self._follower(batch).freshness.ever_confirmed
 
@@ -145,7 +144,7 @@
         return self._follower(batch).freshness.age(now)
 
     async def catch_up(self, batch: str) -> bool:
-        """Bring the view of a batch's partition up to now; return whether that worked."""
+        """Bring the view of a batch's partition up to date; return whether that succeeded."""
         return await self._follower(batch).catch_up(CATCH_UP_TIMEOUT_SECONDS)
 
     async def submit(
@@ -164,9 +163,10 @@
         return await self._appender(batch).append([payload], timeout_seconds)
 
     def post(self, batch: str, record: BatchRecord) -> None:
-        """Append a record without waiting for it.
+        """Append a record without waiting for the log.
 
-        A large result is split; a text so far that is too large is left out, it only saves time.
+        A large result is split; the text of an unfinished item is skipped if it is too large, since
+        it only saves time.
         """
         if isinstance(record, ItemFinished):
             payloads = split_result(record, uuid.uuid4().hex, self._record_bytes)
@@ -182,27 +182,27 @@
         return _partition_of(batch, len(self._followers))
 
     def read_from(self, place: BatchPlace, on_change: ChangeListener) -> PartialLedger:
-        """Return a ledger of the batches of a partition that begin at a place or later."""
+        """Return a ledger of the partition's batches that begin at a place or later."""
         return PartialLedger(
             self._log, Partition(BATCHES_TOPIC, place.partition), place.offset, on_change
         )
 
     def is_current(self, batch: str, now: float) -> bool:
-        """Whether the view of a batch's partition is followed and was complete just now."""
+        """Whether the view of a batch's partition is followed and was complete recently."""
         return self._following and self.view_age(batch, now) < MAXIMUM_CURRENT_VIEW_AGE_SECONDS
 
     def appends_stalled_since(self, batch: str) -> float | None:
-        """Return since when the batch's partition takes no appends, None if it does."""
+        """Return since when appends to the batch's partition have failed, None if they succeed."""
         return self._appender(batch).failing_since
 
-    async def wait_for_news(self, batch: str, timeout_seconds: float) -> None:
-        """Wait until something of a batch changes."""
-        event = self._news.setdefault(batch, anyio.Event())
+    async def wait_for_change(self, batch: str, timeout_seconds: float) -> None:
+        """Wait until a batch changes, or until the timeout."""
+        event = self._change_events.setdefault(batch, anyio.Event())
         with anyio.move_on_after(timeout_seconds):
             await event.wait()
 
     def record_ended(self, batch: str) -> None:
-        """Apply the end of a batch that is marked as ended, but was dropped from the log unread."""
+        """Apply the end of a batch that is marked as ended, but whose end was dropped unread."""
         self.ledger.apply(BatchEnded(batch), steady_seconds())
 
     def first_offset(self, batch: str, now: float) -> int | None:
@@ -212,13 +212,13 @@
             return None
         return known.first_offset
 
-    def lost_at(self, batch: str) -> float:
-        """Return when records of a batch's partition were last found to be gone unread."""
-        return self._lost_at.get(self.partition(batch), -math.inf)
+    def records_lost_at(self, batch: str) -> float:
+        """Return when records of a batch's partition were last found to be dropped unread."""
+        return self._records_lost_at.get(self.partition(batch), -math.inf)
 
     def lacks_history(self, batch: str, now: float) -> bool:
-        """Whether a batch that isn't known here may have begun in records that were not read."""
-        return now - self.lost_at(batch) < FORGET_AFTER_SECONDS
+        """Whether records of a batch may be among those that were recently dropped unread."""
+        return now - self.records_lost_at(batch) < FORGET_AFTER_SECONDS
 
     def _follower(self, batch: str) -> PartitionFollower:
         return self._followers[self.partition(batch)]
@@ -233,15 +233,15 @@
             return
         self.ledger.apply(decoded, steady_seconds(), record.offset)
 
-    def _lose(self, partition: int) -> None:
-        """Drop what is known of a partition: ends and results may lie in what was not read."""
-        self._lost_at[partition] = steady_seconds()
+    def _drop_partition(self, partition: int) -> None:
+        """Drop the batches of a partition: the unread records may hold ends or results of them."""
+        self._records_lost_at[partition] = steady_seconds()
         self.ledger.lose([name for name in self.ledger.names if self.partition(name) == partition])
 
     def _changed(self, batch: Batch, change: LedgerChange) -> None:
-        news = self._news.pop(batch.header.batch, None)
-        if news is not None:
-            news.set()
+        event = self._change_events.pop(batch.header.batch, None)
+        if event is not None:
+            event.set()
         self._listener(batch, change)
 
 
--- a/src/stagewalk/gateway/batch_service/ledger_call_handler.py
+++ b/src/stagewalk/gateway/batch_service/ledger_call_handler.py
@@ -1,4 +1,4 @@
-"""Serves batch calls, local or relayed, from this node's own view of the ledger.
+"""Serves calls about batches, local or relayed, from this node's own view of the ledger.
 
 Owns the order in which a batch's end is marked and appended. Relies on `batch_lookup` for the batch
 of a call, on `result_reads` for results, and on the batch store to append.
@@ -29,34 +29,35 @@
     MAXIMUM_RELAYED_AGE_SECONDS,
     MAXIMUM_VIEW_AGE_SECONDS,
 )
-from stagewalk.gateway.batch_service.result_reads import ResultReads
+from stagewalk.gateway.batch_service.result_reads import ResultReader
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.dialect import Dialect
 from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 from stagewalk.gateway.partitioned_log.appender import AppendFailure
 
-END_SECONDS = 2.0
-"""How long an end may wait for the log, its mark and its record together."""
+END_TIMEOUT_SECONDS = 2.0
+"""How long ending a batch may wait for the log, for the mark and the record together."""
 
 OPAQUE_CONTENT = "application/octet-stream"
 LOG_SILENT = "the log did not answer"
 
 
 class LedgerCallHandler:
-    """Serves batch calls, local or relayed.
+    """Serves calls about batches, local or relayed.
 
     Parameters
     ----------
     open_batches
-        Notes that batches end.
+        The index in which ended batches are marked.
     due_seconds
         Returns how long after its submission a batch's results are due.
     hold_results
-        Whether reads near the end of a step wait until all is there that its trainer waits for.
+        Whether reads near the end of a step wait until its trainer has all results it waits for.
     open_views
-        Finds open batches while the log has not been read to its end; None: nothing does.
+        Finds open batches while the log has not been read to its end, if given.
     starting
-        Whether the log is left to nodes that look for open batches: it isn't read on demand.
+        Whether reads of the log are reserved for nodes that look for open batches: the log isn't
+        read on demand then.
     """
 
     def __init__(
@@ -73,30 +74,30 @@
         self._store = store
         self._open_batches = open_batches
         self._lookup = BatchLookup(store, open_batches, open_views, starting)
-        self._results = ResultReads(
+        self._results = ResultReader(
             store, self._lookup, dialect, due_seconds, hold_results=hold_results
         )
 
     async def handle(self, content: bytes) -> bytes | None:
-        """Carry out a call that another node relayed; None if the bytes spell none."""
+        """Carry out a call that another node relayed; None if the bytes are no valid call."""
         call = decode_call(content)
         if call is None:
             return None
         return encode_message(await self.execute(call, MAXIMUM_RELAYED_AGE_SECONDS))
 
     async def execute(
-        self, call: LedgerCall, oldest_seconds: float = MAXIMUM_VIEW_AGE_SECONDS
+        self, call: LedgerCall, maximum_age_seconds: float = MAXIMUM_VIEW_AGE_SECONDS
     ) -> LedgerAnswer:
-        """Carry a call out.
+        """Carry out a call.
 
         Parameters
         ----------
-        oldest_seconds
-            A followed view that is older is brought up to date before results are shown from it.
+        maximum_age_seconds
+            A followed view that is older is brought up to date before results are read from it.
         """
         match call:
             case ResultsCall():
-                return await self._results.read(call, oldest_seconds)
+                return await self._results.read(call, maximum_age_seconds)
             case ItemCall():
                 return await self._item(call)
             case EndCall():
@@ -112,7 +113,7 @@
         return LedgerAnswer(200, spec.body, OPAQUE_CONTENT)
 
     async def _end(self, call: EndCall) -> LedgerAnswer:
-        """End a batch: its trainer needs no more of it."""
+        """End a batch on its trainer's request."""
         found = await self._lookup.find(call)
         if found.is_error():
             return found.error
@@ -123,7 +124,8 @@
     async def _append_end(self, batch: Batch) -> LedgerAnswer | None:
         """Mark a batch as ended, then append its end; return the answer if that fails.
 
-        Marked first: a node where the batch is handed in again must not find it open after its end.
+        The mark comes first, so that a node where the batch is submitted again doesn't find it open
+        after its end.
         """
         name = batch.header.batch
         began = steady_seconds()
@@ -131,12 +133,12 @@
             name,
             self._store.partition(name),
             batch.header.tenant,
-            END_SECONDS,
+            END_TIMEOUT_SECONDS,
             first_offset=self._store.first_offset(name, began),
         )
         if not marked:
             return refusal(503, LOG_SILENT, DEFAULT_RETRY_AFTER_SECONDS)
-        left = max(0.0, END_SECONDS - (steady_seconds() - began))
+        left = max(0.0, END_TIMEOUT_SECONDS - (steady_seconds() - began))
         outcome = await self._store.end(name, left)
         if outcome.is_error():
             status = 503 if outcome.error is AppendFailure.NOT_APPENDED else 504
--- a/src/stagewalk/gateway/batch_service/ledger_calls.py
+++ b/src/stagewalk/gateway/batch_service/ledger_calls.py
@@ -1,7 +1,7 @@
-"""Sends calls about batches to where a replica of the ledger is: here, or at another node.
+"""Routes calls about batches to a replica of the ledger: on this node, or on another one.
 
-Owns which replicas to avoid for a while. Relies on the list of nodes for the replicas, on
-`peer_calls` for the way there, and on `ledger_call_handler` where this node answers itself.
+Owns which replicas to avoid temporarily. Relies on the list of nodes for the replicas, on
+`peer_calls` for the transport, and on `ledger_call_handler` for calls that this node answers.
 """
 
 from __future__ import annotations
@@ -11,7 +11,10 @@
 
 from stagewalk.common.logs.lines import log_event
 from stagewalk.common.steady_clock import steady_seconds
-from stagewalk.gateway.batch_service.ledger_call_handler import END_SECONDS, LedgerCallHandler
+from stagewalk.gateway.batch_service.ledger_call_handler import (
+    END_TIMEOUT_SECONDS,
+    LedgerCallHandler,
+)
 from stagewalk.gateway.batch_service.ledger_messages import (
     LedgerAnswer,
     LedgerCall,
@@ -27,21 +30,21 @@
 
 LEDGER_PATH = "/ledger"
 RESPONSE_TIMEOUT_SECONDS = 1.0
-"""How long another node may take beyond the time a call offers to wait."""
+"""How long another node may take in addition to the time that the call may wait."""
 
 REPLICAS_TRIED = 2
-"""Replicas asked before the node reads the log itself, or refuses."""
+"""Number of replicas asked before the node reads the log itself, or refuses the call."""
 
-AVOID_SECONDS = 2.0
-"""A replica that did not answer is asked last for this long."""
+REPLICA_AVOIDANCE_SECONDS = 2.0
+"""How long a replica that gave no conclusive answer is asked last."""
 
 
 class LedgerCallRouter:
     """Answers calls about batches on any node.
 
-    A node without a replica asks one, and another one if that fails. Only where none answers at
-    all does it read the log itself: replicas that are not sure are reading it already, and were
-    every node to read it beside them, after a restart of all, none would come to its end.
+    A node without a replica asks one, and a second one if that fails. It reads the log itself only
+    if none answers at all: replicas with an inconclusive answer are reading the log already, and if
+    every node read it as well after a restart of all, no read would finish in time.
 
     Parameters
     ----------
@@ -71,13 +74,13 @@
         """Return the answer to a call."""
         if self._following():
             return await self._local.execute(call)
-        unsure: LedgerAnswer | None = None
+        inconclusive: LedgerAnswer | None = None
         for replica in self._nearest()[:REPLICAS_TRIED]:
             answer = await self._ask(replica, call)
-            if answer is not None and not answer.unsure:
+            if answer is not None and not answer.inconclusive:
                 return answer
-            unsure = answer or unsure
-            self._avoid_until[replica.node] = steady_seconds() + AVOID_SECONDS
+            inconclusive = answer or inconclusive
+            self._avoid_until[replica.node] = steady_seconds() + REPLICA_AVOIDANCE_SECONDS
             log_event(
                 "ledger_call_failed",
                 "warning",
@@ -86,21 +89,21 @@
                 call=type(call).__name__,
                 status=0 if answer is None else answer.status,
             )
-        if unsure is None and not self._may_hold():
+        if inconclusive is None and not self._may_hold():
             return refusal(
                 503, "no node that may hold the batch answers", DEFAULT_RETRY_AFTER_SECONDS
             )
-        return unsure or await self._local.execute(call)
+        return inconclusive or await self._local.execute(call)
 
     def _nearest(self) -> list[NodeAnnouncement]:
-        """Return the replicas in the order to ask them: sound ones first, then near ones."""
+        """Return the replicas in the order to ask them: avoided ones last, then by distance."""
         now = steady_seconds()
 
-        def place(replica: NodeAnnouncement) -> tuple[bool, int, float]:
+        def order(replica: NodeAnnouncement) -> tuple[bool, int, float]:
             avoided = now < self._avoid_until.get(replica.node, 0.0)
             return avoided, self._proximity.distance(replica.zone), random.random()
 
-        return sorted((r for r in self._replicas() if r.peer), key=place)
+        return sorted((r for r in self._replicas() if r.peer), key=order)
 
     async def _ask(self, replica: NodeAnnouncement, call: LedgerCall) -> LedgerAnswer | None:
         address = replica.peer_address
@@ -110,6 +113,6 @@
         if isinstance(call, ResultsCall):
             seconds += call.wait_seconds
         else:
-            seconds += END_SECONDS
+            seconds += END_TIMEOUT_SECONDS
         content = await self._client.call(address, LEDGER_PATH, encode_message(call), seconds)
         return None if content is None else decode_answer(content)
--- a/src/stagewalk/gateway/batch_service/ledger_messages.py
+++ b/src/stagewalk/gateway/batch_service/ledger_messages.py
@@ -1,6 +1,6 @@
 """Calls about batches as nodes relay them to each other, and their answers.
 
-Owns their forms on the wire: fields keep their order, tags their names.
+Owns their wire format: the order of the fields and the names of the tags must not change.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 
 
 class ResultsCall(msgspec.Struct, frozen=True, array_like=True, tag="results"):
-    """Read a batch's results from a position on, waiting so many seconds for a first one.
+    """Read a batch's results from a position on; wait up to `wait_seconds` for the first one.
 
-    In this and the other calls, `tenant` is who asks; None: no tenants are in force.
+    In this and the other calls, `tenant` is the caller's; None if no tenants are configured.
     """
 
     batch: str
@@ -39,7 +39,7 @@
 
 
 class LedgerAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """What the caller is to be answered.
+    """The HTTP response for the caller.
 
     Attributes
     ----------
@@ -50,7 +50,7 @@
     content_type
         Its type.
     retry_after_seconds
-        When asking again may help, None if it won't.
+        When to retry, None if a retry won't help.
     """
 
     status: int
@@ -59,8 +59,8 @@
     retry_after_seconds: float | None = None
 
     @property
-    def unsure(self) -> bool:
-        """Whether another node may know better."""
+    def inconclusive(self) -> bool:
+        """Whether another node may be able to answer."""
         return self.status >= 500
 
 
@@ -74,7 +74,7 @@
 
 
 def decode_call(content: bytes) -> LedgerCall | None:
-    """Return the call that bytes spell, None if they spell none."""
+    """Return the decoded call, None if the bytes are invalid."""
     try:
         return _CALLS.decode(content)
     except msgspec.DecodeError:
@@ -82,7 +82,7 @@
 
 
 def decode_answer(content: bytes) -> LedgerAnswer | None:
-    """Return the answer that bytes spell, None if they spell none."""
+    """Return the decoded answer, None if the bytes are invalid."""
     try:
         return _ANSWERS.decode(content)
     except msgspec.DecodeError:
@@ -90,6 +90,6 @@
 
 
 def refusal(status: int, detail: str, retry_after_seconds: float | None = None) -> LedgerAnswer:
-    """Return an answer that says why there is no other."""
+    """Return an error answer with a reason."""
     content = msgspec.json.encode({"error": detail})
     return LedgerAnswer(status, content, retry_after_seconds=retry_after_seconds)
--- a/src/stagewalk/gateway/batch_service/open_batch_views.py
+++ b/src/stagewalk/gateway/batch_service/open_batch_views.py
@@ -1,8 +1,8 @@
-"""Finds open batches before the whole log is read: from where each one's records begin.
+"""Finds open batches before the whole log is read, by reading from where each one's records begin.
 
-After a restart of all nodes, every node reads the whole log at once, which takes seconds (six
-replicas: 7 s, `daemon.RESTART_LOG_RESERVE_SECONDS`). An open batch needs only that batch's records.
-Owns partial ledgers by partition. Relies on `batch_index` for the places, and on the log.
+After a restart of all nodes, every replica reads the whole log at the same time, which takes
+seconds (see `daemon.RESTART_LOG_RESERVE_SECONDS`); an open batch needs only its own records. Owns
+partial ledgers by partition. Relies on `batch_index` for the places, and on the log.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from stagewalk.gateway.ports.partitioned_log import Partition, PartitionedLog
 
 MARGIN_RECORDS = 100
-"""So many records before the noted place of a batch are read as well: were it handed in twice, the
-records of its first run would stand there, some 25 a second in each partition."""
+"""How many records before a batch's indexed place are read as well: if the batch was submitted
+twice, the records of its first run may be there."""
 
-LIST_SECONDS = 0.3
-"""How often the places of open batches are listed again for a batch that is not among them."""
+LIST_INTERVAL_SECONDS = 0.3
+"""Minimum interval between two listings of the index for batches without a certain place."""
 
 
 class OpenBatchViews:
-    """Open batches as of now, for as long as the whole log has not been read.
+    """Current views of open batches, for use until the whole log has been read.
 
     Parameters
     ----------
     topic
-        Where batches are kept.
+        The log's topic of batches.
     """
 
     def __init__(self, log: PartitionedLog, topic: str, open_batches: BatchIndex) -> None:
@@ -41,21 +41,21 @@
         self._partials: dict[int, PartialLedger] = {}
 
     async def find(self, name: str) -> Batch | None:
-        """Return an open batch with all its results so far; None if they can't be known.
+        """Return an open batch with all its results so far; None if they can't be read.
 
-        Only a certain place will do: results may lie before any other one.
+        The place has to be certain: results may lie before any other one.
         """
         place = await self._place(name)
         if place is None or place.ended or not place.certain:
             return None
         partial = self._partial(place)
-        return partial.whole(name) if await partial.read() else None
+        return partial.complete_batch(name) if await partial.read() else None
 
     async def _place(self, name: str) -> BatchPlace | None:
         now = steady_seconds()
         known = self._places.get(name)
-        unsure = known is None or not known.certain
-        if unsure and now - self._listed_at > LIST_SECONDS:
+        uncertain = known is None or not known.certain
+        if uncertain and now - self._listed_at > LIST_INTERVAL_SECONDS:
             self._listed_at = now
             listed = await self._open_batches.list()
             self._places = listed.default_value(self._places)
@@ -65,7 +65,7 @@
         known = self._partials.get(place.partition)
         if known is not None and known.first_offset <= place.offset:
             return known
-        # Not from the oldest place of all: batches that ended stay noted for minutes.
+        # Don't start at the oldest indexed place: ended batches stay in the index for minutes.
         first = max(0, place.offset - MARGIN_RECORDS)
         partial = PartialLedger(self._log, Partition(self._topic, place.partition), first)
         self._partials[place.partition] = partial
--- a/src/stagewalk/gateway/batch_service/partial_ledger.py
+++ b/src/stagewalk/gateway/batch_service/partial_ledger.py
@@ -1,7 +1,7 @@
 """The batches of a partition from an offset on, read without the rest of the log.
 
-Owns a ledger of its own, and which batches began before the offset: those are never shown. Relies
-on the log.
+Owns a ledger of its own, and which batches began before the offset: those are never returned.
+Relies on the log.
 """
 
 from __future__ import annotations
@@ -41,24 +41,24 @@
         self._log = log
         self._partition = partition
         self._next_offset = offset
-        self._began_before: set[str] = set()
-        """Batches with records of which the submission was not seen: it lies further back."""
-        self._reading = anyio.Lock()
+        self._incomplete_batches: set[str] = set()
+        """Batches with a record read before any submission: they began before the offset."""
+        self._read_lock = anyio.Lock()
         self.first_offset = offset
         self.confirmed_at = -math.inf
         """When it was last known to hold all records up to the partition's end (steady clock)."""
-        self.lost = False
-        """Whether records were dropped before they were read here: it can't be read on."""
+        self.records_lost = False
+        """Whether records were dropped before they were read here: later reads fail as well."""
         self.ledger = BatchLedger(on_change)
 
     async def read(self) -> bool:
         """Read to the partition's end; return whether the log answered."""
-        async with self._reading:
+        async with self._read_lock:
             while True:
                 asked_at = steady_seconds()
                 answer = await self._log.read(self._partition, self._next_offset, 0.0)
                 if answer.is_error():
-                    self.lost = self.lost or answer.error.fault is LogFault.DROPPED
+                    self.records_lost = self.records_lost or answer.error.fault is LogFault.DROPPED
                     return False
                 page = answer.ok
                 for record in page.records:
@@ -74,9 +74,9 @@
         if decoded is None:
             return
         if not isinstance(decoded, BatchSubmitted) and self.ledger.get(decoded.batch) is None:
-            self._began_before.add(decoded.batch)
+            self._incomplete_batches.add(decoded.batch)
         self.ledger.apply(decoded, steady_seconds(), record.offset)
 
-    def whole(self, name: str) -> Batch | None:
-        """Return a batch of which all records were read, None if there is none."""
-        return None if name in self._began_before else self.ledger.get(name)
+    def complete_batch(self, name: str) -> Batch | None:
+        """Return a batch whose records were all read, None if there is none of that name."""
+        return None if name in self._incomplete_batches else self.ledger.get(name)
--- a/src/stagewalk/gateway/batch_service/read_rules.py
+++ b/src/stagewalk/gateway/batch_service/read_rules.py
@@ -1,6 +1,6 @@
 """Decides how a read of results is served: the age of its view, its wait, its size. Pure.
 
-Owns the bounds of reads. Relies on the batch as the ledger shows it; ages and waits are in seconds.
+Owns the limits of reads. Inputs: the batch as in the ledger; ages and waits are in seconds.
 """
 
 from __future__ import annotations
@@ -9,62 +9,61 @@
 from stagewalk.gateway.batches.records import ItemFinished
 
 PAGE_BYTES = 900_000
-"""Text in one answer, unless one result alone is larger."""
+"""Maximum text in one answer, unless its only result is larger."""
 
 MAXIMUM_WAIT_SECONDS = 1.0
-"""How long a read waits for news at most, whatever its caller offers."""
+"""Maximum wait of a read for further results, even if its caller allows more."""
 
 MAXIMUM_VIEW_AGE_SECONDS = 2.6
-"""A view that is followed and older than this is brought up to date before it is shown."""
+"""A followed view that is older than this is brought up to date before results are read from it."""
 
 MAXIMUM_UNFOLLOWED_AGE_SECONDS = 0.3
-"""The same for a view that is only read when asked for: nothing bounds how far it lags."""
+"""The same for a view that is only read on demand: its lag is unbounded."""
 
 MAXIMUM_RELAYED_AGE_SECONDS = 0.6
-"""The same for a call that another node relayed. That node answers for it as if it had read the
-log just now, while this one may be cut off: with 2.6 s one showed nothing at position 43 when 45
-results had been read elsewhere."""
+"""The same for a call that another node relayed: this node may be cut off from the log, and must
+not return fewer results than were read elsewhere."""
 
 NEARLY_DONE_SHARE = 0.75
 TAIL_SHARE = 0.15
-"""A read is held that asks for no more than the last results (this share) of a step that is nearly
-done: others, from the start of a step, are answered at once. Answered at each result, a step ended
-0.49 s after its last result on average (32 steps), held 0.38 s."""
+"""A read is held if at least `NEARLY_DONE_SHARE` of a step's items have results and it asks for no
+more than the last results (`TAIL_SHARE` of the items): if each result were returned at once, the
+trainer would often be between two reads when the last one arrives."""
 
-OPEN_READ_SECONDS = 0.15
-"""How often the log is asked for news of an open batch before it has been read whole."""
+OPEN_BATCH_POLL_SECONDS = 0.15
+"""How often a read polls the log for results of an open batch before the whole log is read."""
 
 
-def is_stale(age: float, *, following: bool, oldest_seconds: float) -> bool:
-    """Whether a view must be brought up to date before it is shown.
+def is_stale(age: float, *, following: bool, maximum_age_seconds: float) -> bool:
+    """Whether a view must be brought up to date before results are read from it.
 
     Parameters
     ----------
     following
-        Whether the view is followed, or read only when asked for.
-    oldest_seconds
+        Whether the view is followed, or read only on demand.
+    maximum_age_seconds
         How old a followed view may be.
     """
-    return age > (oldest_seconds if following else MAXIMUM_UNFOLLOWED_AGE_SECONDS)
+    return age > (maximum_age_seconds if following else MAXIMUM_UNFOLLOWED_AGE_SECONDS)
 
 
-def is_worth_waiting(batch: Batch, position: int, *, hold_results: bool) -> bool:
+def should_wait(batch: Batch, position: int, *, hold_results: bool) -> bool:
     """Whether a read from a position waits for further results.
 
     Parameters
     ----------
     hold_results
-        Whether reads of the last results of a step wait until its trainer can go on.
+        Whether reads of the last results of a step wait until its trainer can continue.
     """
     if batch.ended or len(batch.listed) == len(batch.items):
         return False
     if position >= len(batch.results):
         return True
-    return hold_results and _asks_for_last(batch, position)
+    return hold_results and _reads_last_results(batch, position)
 
 
 def select_page(batch: Batch, position: int) -> list[ItemFinished]:
-    """Return the results from a position on that one answer holds."""
+    """Return the results from a position on that fit into one answer."""
     page: list[ItemFinished] = []
     size = 0
     for result in batch.results[position:]:
@@ -75,12 +74,10 @@
     return page
 
 
-def _asks_for_last(batch: Batch, position: int) -> bool:
-    """Whether a read is for the last results of a step, although some are there.
+def _reads_last_results(batch: Batch, position: int) -> bool:
+    """Whether a read asks for the last results of a step that its trainer still waits for.
 
-    A trainer reads about twice a second, and can go on only once its groups are whole. Were it
-    answered each time one more result is there, it would be between two reads when the last one
-    comes.
+    A trainer reads about twice a second, and can continue only once its groups are complete.
     """
     items = len(batch.items)
     nearly_done = len(batch.listed) >= NEARLY_DONE_SHARE * items
--- a/src/stagewalk/gateway/batch_service/result_reads.py
+++ b/src/stagewalk/gateway/batch_service/result_reads.py
@@ -22,10 +22,10 @@
 from stagewalk.gateway.batch_service.ledger_messages import LedgerAnswer, ResultsCall, refusal
 from stagewalk.gateway.batch_service.read_rules import (
     MAXIMUM_WAIT_SECONDS,
-    OPEN_READ_SECONDS,
+    OPEN_BATCH_POLL_SECONDS,
     is_stale,
-    is_worth_waiting,
     select_page,
+    should_wait,
 )
 from stagewalk.gateway.batches.batch import Batch
 from stagewalk.gateway.batches.records import ItemFinished
@@ -33,15 +33,15 @@
 from stagewalk.gateway.eligibility.retry_after import DEFAULT_RETRY_AFTER_SECONDS
 
 
-class ResultReads:
-    """Reads of results.
+class ResultReader:
+    """Serves reads of results.
 
     Parameters
     ----------
     due_seconds
         Returns how long after its submission a batch's results are due.
     hold_results
-        Whether reads near the end of a step wait until all is there that its trainer waits for.
+        Whether reads near the end of a step wait until its trainer has all results it waits for.
     """
 
     def __init__(
@@ -59,12 +59,12 @@
         self._due_seconds = due_seconds
         self._hold_results = hold_results
 
-    async def read(self, call: ResultsCall, oldest_seconds: float) -> LedgerAnswer:
+    async def read(self, call: ResultsCall, maximum_age_seconds: float) -> LedgerAnswer:
         """Return a batch's results from a position on.
 
         Parameters
         ----------
-        oldest_seconds
+        maximum_age_seconds
             A followed view that is older is brought up to date first.
         """
         open_batch = await self._lookup.find_open(call.batch)
@@ -76,12 +76,12 @@
         batch = found.ok
         if not await self._lookup.has_final_positions(batch):
             return refusal(503, RECORDS_DROPPED, DEFAULT_RETRY_AFTER_SECONDS)
-        if not await self._shows(batch, call.position, oldest_seconds):
+        if not await self._view_covers(batch, call.position, maximum_age_seconds):
             return refusal(503, VIEW_TOO_OLD, DEFAULT_RETRY_AFTER_SECONDS)
         await self._wait(batch, call)
         page = select_page(batch, call.position)
-        if not page and self._is_stale(call.batch, oldest_seconds):
-            # The view grew old while news was waited for: there may be results by now.
+        if not page and self._is_stale(call.batch, maximum_age_seconds):
+            # The view became stale during the wait: there may be results by now.
             return refusal(503, VIEW_TOO_OLD, DEFAULT_RETRY_AFTER_SECONDS)
         view_age = self._store.view_age(call.batch, steady_seconds())
         return self._answer(batch, call, page, view_age)
@@ -92,7 +92,7 @@
             return deny(call)
         until = steady_seconds() + min(MAXIMUM_WAIT_SECONDS, call.wait_seconds)
         while call.position >= len(batch.results) and batch.open and steady_seconds() < until:
-            await anyio.sleep(OPEN_READ_SECONDS)
+            await anyio.sleep(OPEN_BATCH_POLL_SECONDS)
             batch = await self._lookup.find_open(call.batch) or batch
         if call.position > len(batch.results):
             return refusal(503, VIEW_TOO_OLD, DEFAULT_RETRY_AFTER_SECONDS)
@@ -113,24 +113,26 @@
         return LedgerAnswer(200, self._dialect.results(len(batch.items), next_position, page))
 
     async def _wait(self, batch: Batch, call: ResultsCall) -> None:
-        """Wait for a first result, or for the last ones of a step, as long as the caller offers."""
+        """Wait for a first result, or for the last ones of a step, as long as the caller allows."""
         until = steady_seconds() + min(MAXIMUM_WAIT_SECONDS, call.wait_seconds)
         due_at = batch.seen_at + self._due_seconds(batch)
-        while is_worth_waiting(batch, call.position, hold_results=self._hold_results):
+        while should_wait(batch, call.position, hold_results=self._hold_results):
             none_yet = call.position >= len(batch.results)
-            # Groups count as they are read: what is there is shown when the step is due.
+            # When the step is due, available results are returned: groups count once they are read.
             left = (until if none_yet else min(until, due_at)) - steady_seconds()
             if left <= 0.0:
                 return
-            await self._store.wait_for_news(call.batch, left)
+            await self._store.wait_for_change(call.batch, left)
 
-    async def _shows(self, batch: Batch, position: int, oldest_seconds: float) -> bool:
-        """Whether the view is known to hold all that anyone was shown, up to a position."""
+    async def _view_covers(self, batch: Batch, position: int, maximum_age_seconds: float) -> bool:
+        """Whether the view holds all results before a position; a stale view is updated first."""
         name = batch.header.batch
-        if position <= len(batch.results) and not self._is_stale(name, oldest_seconds):
+        if position <= len(batch.results) and not self._is_stale(name, maximum_age_seconds):
             return True
         return await self._store.catch_up(name) and position <= len(batch.results)
 
-    def _is_stale(self, name: str, oldest_seconds: float) -> bool:
+    def _is_stale(self, name: str, maximum_age_seconds: float) -> bool:
         age = self._store.view_age(name, steady_seconds())
-        return is_stale(age, following=self._store.following, oldest_seconds=oldest_seconds)
+        return is_stale(
+            age, following=self._store.following, maximum_age_seconds=maximum_age_seconds
+        )
--- a/src/stagewalk/gateway/runners/batch_assignments.py
+++ b/src/stagewalk/gateway/runners/batch_assignments.py
@@ -94,7 +94,7 @@
         with anyio.move_on_after(RUNNER_INDEX_TIMEOUT_SECONDS):
             await notification.done.wait()
         if not notification.noted:
-            await self._open_batches.note(batch, place)
+            await self._open_batches.record_place(batch, place)
 
     def _handle_resubmission(self, batch: str, known: BatchPlace, offset: int) -> None:
         log_event(
@@ -147,7 +147,7 @@
         if not await partial.read():
             log_event("partial_read_failed", "warning", batch=run.batch, offset=run.offset)
             return False
-        batch = partial.whole(run.batch)
+        batch = partial.complete_batch(run.batch)
         if batch is not None and batch.runner == str(self._identity):
             self._runner.begin_ahead(batch, partial, batch.epoch)
         return False
@@ -160,4 +160,4 @@
             return False
         tenant = batch.header.tenant
         place = BatchPlace(run.partition, offset, batch.runner, tenant=tenant, certain=True)
-        return await self._open_batches.note(run.batch, place)
+        return await self._open_batches.record_place(run.batch, place)
--- a/src/stagewalk/gateway/runners/batch_views.py
+++ b/src/stagewalk/gateway/runners/batch_views.py
@@ -99,7 +99,7 @@
             own = known and self._store.is_current(batch, now)
             if not own and now - ahead.partial.confirmed_at >= FOLLOW_INTERVAL_SECONDS:
                 await ahead.partial.read()
-            if ahead.partial.lost and not known:
+            if ahead.partial.records_lost and not known:
                 on_lost(batch)
                 return
             await anyio.sleep(FOLLOW_INTERVAL_SECONDS)
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -130,7 +130,7 @@
             await anyio.sleep(READ_RETRY_SECONDS)
         else:
             return
-        batch = partial.whole(name)
+        batch = partial.complete_batch(name)
         if batch is None or not batch.open:
             return
         if self._nodes.runner_state(batch.runner) is RunnerState.MINE_BEFORE:
@@ -163,4 +163,4 @@
         self._store.post(name, BatchClaimed(name, str(self._identity), batch.epoch + 1))
         if place is not None and self._tasks is not None:
             claimed = msgspec.structs.replace(place, runner=str(self._identity))
-            self._tasks.start_soon(self._open_batches.note, name, claimed)
+            self._tasks.start_soon(self._open_batches.record_place, name, claimed)
--- a/tests/gateway/batch_service/test_batch_index.py
+++ b/tests/gateway/batch_service/test_batch_index.py
@@ -1,4 +1,4 @@
-"""A batch's noted place never lies behind the batch's end, in whatever order nodes write."""
+"""A batch's indexed place never lies after the batch's end, in whatever order nodes write."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from tests.gateway.memory_log import MemoryLog
 
 
-class OpenBatchesTests(testtools.TestCase):
+class BatchIndexTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.log = MemoryLog()
         self.client = self.log.client()
         self.places = BatchIndex(self.client)
 
-    def test_a_mark_of_an_end_is_repeated_until_it_is_certain(self) -> None:
+    def test_an_end_mark_is_retried_until_it_is_acknowledged(self) -> None:
         async def scenario() -> None:
-            await self.places.note("b", BatchPlace(0, 7, "n#1", tenant="t"))
+            await self.places.record_place("b", BatchPlace(0, 7, "n#1", tenant="t"))
             self.client.faults.delay_appends = 2
             self.assertTrue(await self.places.mark_ended("b", 0, "t", 2.0))
             place = (await self.places.find("b")).ok
@@ -33,7 +33,7 @@
 
         anyio.run(scenario)
 
-    def test_a_mark_of_an_end_keeps_where_the_batch_begins_if_that_is_certain(self) -> None:
+    def test_an_end_mark_keeps_the_first_offset_if_that_is_certain(self) -> None:
         async def scenario() -> None:
             await self.places.mark_ended("b", 0, None, 1.0, first_offset=7)
             place = (await self.places.find("b")).ok
@@ -44,14 +44,14 @@
 
         anyio.run(scenario)
 
-    def test_an_end_that_can_not_be_marked_is_told(self) -> None:
+    def test_an_end_that_cannot_be_marked_is_reported(self) -> None:
         async def scenario() -> None:
             self.client.faults.down = True
             self.assertFalse(await self.places.mark_ended("b", 0, None, 0.25))
 
         anyio.run(scenario)
 
-    def test_a_log_that_does_not_answer_is_no_log_without_batches(self) -> None:
+    def test_a_log_that_does_not_answer_is_an_error_and_not_an_empty_index(self) -> None:
         async def scenario() -> None:
             self.assertIsNone((await self.places.find("b")).ok)
             self.client.faults.silent = True
--- a/tests/gateway/batch_service/test_batches.py
+++ b/tests/gateway/batch_service/test_batches.py
@@ -1,4 +1,4 @@
-"""Batches through whole gateways: nothing accepted is lost, positions are the same everywhere."""
+"""Batches through complete gateways: nothing accepted is lost, positions are equal on all nodes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class BatchTests(testtools.TestCase):
-    def test_results_stand_at_the_same_positions_at_every_node(self) -> None:
+    def test_results_have_the_same_positions_on_every_node(self) -> None:
         async def scenario(site: Site) -> None:
             one, other = await site.start("n1"), await site.start("n2")
             answer = await site.submit(one, "b1", "x", "y", "z")
@@ -27,7 +27,7 @@
 
         run(scenario)
 
-    def test_a_batch_handed_in_again_at_another_node_runs_once(self) -> None:
+    def test_a_batch_submitted_again_at_another_node_runs_once(self) -> None:
         async def scenario(site: Site) -> None:
             one, other = await site.start("n1"), await site.start("n2")
             for node in (one, other, one):
@@ -37,7 +37,7 @@
 
         run(scenario)
 
-    def test_a_lost_answer_of_the_log_neither_loses_nor_doubles_the_batch(self) -> None:
+    def test_a_lost_response_of_the_log_neither_loses_nor_duplicates_the_batch(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             node.log.faults.lose_answers = 2
@@ -46,7 +46,7 @@
 
         run(scenario)
 
-    def test_nothing_is_accepted_while_the_log_is_down_and_told_when_to_come_back(self) -> None:
+    def test_submissions_are_refused_with_retry_after_while_the_log_is_down(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             node.log.faults.down = True
@@ -60,7 +60,7 @@
 
         run(scenario)
 
-    def test_an_acceptance_that_may_have_landed_is_not_called_refused(self) -> None:
+    def test_a_submission_that_may_have_been_appended_is_not_reported_as_refused(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
 
@@ -89,7 +89,7 @@
 
         run(scenario)
 
-    def test_a_node_that_cannot_be_sure_says_so_and_never_that_there_is_no_batch(self) -> None:
+    def test_a_node_without_a_current_view_answers_503_and_never_404(self) -> None:
         async def scenario(site: Site) -> None:
             one, other = await site.start("n1"), await site.start("n2")
             for node in (one, other):
@@ -103,7 +103,7 @@
 
         run(scenario)
 
-    def test_a_position_read_elsewhere_is_shown_or_refused_but_never_empty(self) -> None:
+    def test_a_read_beyond_the_results_known_here_is_refused_and_not_empty(self) -> None:
         async def scenario(site: Site) -> None:
             one, other = await site.start("n1"), await site.start("n2")
             await site.submit(one, "b1", "x", "y")
@@ -126,7 +126,7 @@
 
         run(scenario)
 
-    def test_a_broken_stream_still_gives_one_whole_text(self) -> None:
+    def test_a_broken_stream_still_yields_one_complete_text(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("e1", "e2"):
@@ -138,7 +138,7 @@
 
         run(scenario)
 
-    def test_an_ended_batch_stops_at_the_engines(self) -> None:
+    def test_items_of_an_ended_batch_are_stopped_on_the_engines(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("e1", "e2"):
@@ -155,7 +155,7 @@
 
         run(scenario)
 
-    def test_another_node_goes_on_when_the_runner_is_gone(self) -> None:
+    def test_another_node_takes_over_when_the_runner_is_gone(self) -> None:
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
             for name in ("e1", "e2"):
@@ -175,7 +175,7 @@
 
         run(scenario)
 
-    def test_a_stopping_node_hands_its_text_over(self) -> None:
+    def test_a_stopping_node_hands_over_its_unfinished_text(self) -> None:
         async def scenario(site: Site) -> None:
             nodes = {name: await site.start(name) for name in ("n1", "n2")}
             for name in ("e1", "e2"):
@@ -197,7 +197,7 @@
 
         run(scenario)
 
-    def test_all_nodes_gone_right_after_the_acceptance_lose_nothing(self) -> None:
+    def test_an_accepted_batch_survives_the_loss_of_all_nodes(self) -> None:
         async def scenario(site: Site) -> None:
             nodes = [await site.start("n1"), await site.start("n2")]
             accepted = await site.submit(nodes[0], "b1", "x", "y")
--- a/tests/gateway/batch_service/test_cut_off.py
+++ b/tests/gateway/batch_service/test_cut_off.py
@@ -1,4 +1,4 @@
-"""A node that is cut off from the log works on through another one."""
+"""A node that is cut off from the log continues to work through another one."""
 
 from __future__ import annotations
 
--- a/tests/gateway/batch_service/test_dropped_history.py
+++ b/tests/gateway/batch_service/test_dropped_history.py
@@ -1,8 +1,7 @@
-"""A view whose follower lost a part of the log for good is not taken for a whole one.
+"""A view that missed dropped records must not be treated as complete.
 
-The log drops its oldest records. A node that read a batch's beginning and then nothing for longer
-(it held no replica, or was cut off) goes on behind the gap. What lay in the gap, an end or a
-result, it never learns: not having seen an end counts as there being none.
+The log drops its oldest records, so a node that didn't read for long has a gap in its view, and may
+have missed a batch's end or results.
 """
 
 from __future__ import annotations
@@ -22,14 +21,14 @@
 from tests.gateway.plain_dialect import PlainDialect
 from tests.gateway.support import Site, run, until
 
-ONLY = Partition(BATCHES_TOPIC, 0)
+PARTITION = Partition(BATCHES_TOPIC, 0)
 ITEMS = tuple(f"x{n}" for n in range(20))
 RECORD_BYTES = 1_000_000
-BELIEVED_DEAD_SECONDS = 10.0
-"""Longer than a silent node is believed alive once the log answers again (3 s, restarted once)."""
+OBSERVATION_SECONDS = 10.0
+"""Longer than a silent node counts as live once the log answers again (3 s, restarted once)."""
 
 
-def forget_the_past(site: Site) -> None:
+def drop_all_history(site: Site) -> None:
     for number in range(PARTITIONS):
         partition = Partition(BATCHES_TOPIC, number)
         site.log.drop_history(partition, site.log.kept(partition).end)
@@ -37,7 +36,7 @@
 
 class DroppedHistoryTests(testtools.TestCase):
     def test_a_batch_whose_end_was_dropped_unread_is_not_run(self) -> None:
-        """The order: open here, cut off, ended elsewhere, its history dropped, its runner gone."""
+        """A node that knows the batch is cut off while it ends and its history is dropped."""
 
         async def scenario(site: Site) -> None:
             for name in ("e1", "e2"):
@@ -55,22 +54,22 @@
             self.assertEqual(200, answer.status_code)
             runner.scope.cancel()
             await runner.ended.wait()
-            forget_the_past(site)
+            drop_all_history(site)
             before = dict(site.workers.arrivals)
             other.log.faults.down = False
-            await anyio.sleep(BELIEVED_DEAD_SECONDS)
+            await anyio.sleep(OBSERVATION_SECONDS)
             self.assertEqual(before, dict(site.workers.arrivals))
 
         run(scenario)
 
-    def test_results_behind_a_gap_are_not_shown_at_the_places_of_others(self) -> None:
-        """A result read at a position must be there at every node, and each be read once."""
+    def test_results_after_a_gap_are_not_returned_at_wrong_positions(self) -> None:
+        """Each result must have the same position on every node."""
         log = MemoryLog()
         client = log.client()
 
         async def append(*records: BatchRecord) -> None:
             sequence = ProducerSequence(f"p{client.calls}", 1, 1)
-            await client.append(ONLY, [encode_record(record) for record in records], sequence)
+            await client.append(PARTITION, [encode_record(record) for record in records], sequence)
 
         async def scenario() -> None:
             store = BatchStore(log.client(), "p", RECORD_BYTES, RECORD_BYTES, 1)
@@ -79,7 +78,7 @@
             await append(ItemFinished("b", "x", True, "t", (1,)))
             self.assertTrue(await store.catch_up("b"))
             await append(ItemFinished("b", "y", True, "t", (1,)))
-            log.drop_history(ONLY, log.kept(ONLY).end)
+            log.drop_history(PARTITION, log.kept(PARTITION).end)
             await append(ItemFinished("b", "z", True, "t", (1,)))
             await store.catch_up("b")
             answer = await reads.execute(ResultsCall("b", 0, 0.0))
@@ -89,8 +88,8 @@
 
         anyio.run(scenario)
 
-    def test_a_batch_that_began_in_dropped_records_is_not_said_to_be_unknown(self) -> None:
-        """Others may know it: only one whose place is not noted does not exist."""
+    def test_a_batch_that_began_in_dropped_records_is_not_reported_as_missing(self) -> None:
+        """Other nodes may know it; only a batch without an index entry doesn't exist."""
         log = MemoryLog()
         client = log.client()
 
@@ -102,9 +101,9 @@
             store = BatchStore(log.client(), "p", RECORD_BYTES, RECORD_BYTES, 1)
             reads = LedgerCallHandler(store, PlainDialect(), places)
             record = encode_record(submitted(item("x"), batch="b"))
-            await client.append(ONLY, [record], ProducerSequence("p", 1, 1))
-            await places.note("b", BatchPlace(0, 0, "n#1"))
-            log.drop_history(ONLY, log.kept(ONLY).end)
+            await client.append(PARTITION, [record], ProducerSequence("p", 1, 1))
+            await places.record_place("b", BatchPlace(0, 0, "n#1"))
+            log.drop_history(PARTITION, log.kept(PARTITION).end)
             self.assertEqual(503, await status(reads, "b"))
             self.assertEqual(404, await status(reads, "nowhere"))
 
--- a/tests/gateway/batch_service/test_ledger_call_handler.py
+++ b/tests/gateway/batch_service/test_ledger_call_handler.py
@@ -1,4 +1,4 @@
-"""A replica never answers for another node from a view that is too old."""
+"""A replica never answers a relayed call from a view that is too old."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from tests.gateway.plain_dialect import PlainDialect
 
 GROUPS = 5
-ITEMS_OF_A_GROUP = 8
-WANTED = 4
-DUE = 7.5
-NO_PLACES = BatchIndex(MemoryLog().client())
+ITEMS_PER_GROUP = 8
+WANTED_GROUPS = 4
+DUE_SECONDS = 7.5
+EMPTY_INDEX = BatchIndex(MemoryLog().client())
 
 
 class CutOffStore:
-    """A replica's view that is some time old and can't be brought up to date."""
+    """A replica's view of a given age that can't be brought up to date."""
 
     following = True
     lacks_history = staticmethod(lambda _batch, _now: False)
@@ -49,39 +49,39 @@
     async def catch_up(self, _batch: str) -> bool:
         return False
 
-    async def wait_for_news(self, _batch: str, _seconds: float) -> None:
+    async def wait_for_change(self, _batch: str, _seconds: float) -> None:
         self._age += self._ages_while_waiting
 
 
-def passed_on(store: CutOffStore, call: ResultsCall) -> LedgerAnswer:
+def relay(store: CutOffStore, call: ResultsCall) -> LedgerAnswer:
     content = anyio.run(
-        LedgerCallHandler(store, PlainDialect(), NO_PLACES).handle, encode_message(call)
+        LedgerCallHandler(store, PlainDialect(), EMPTY_INDEX).handle, encode_message(call)
     )
     answer = decode_answer(content)
     assert answer is not None
     return answer
 
 
-class LedgerReadsTests(testtools.TestCase):
-    def test_a_cut_off_replica_is_unsure_where_the_node_itself_would_still_answer(self) -> None:
-        """Found on the grown site: a position read elsewhere was empty at a replica cut off."""
+class RelayedReadsTests(testtools.TestCase):
+    def test_a_cut_off_replica_refuses_relayed_calls_sooner_than_its_own(self) -> None:
+        """A replica that is cut off must not return an empty page for results read elsewhere."""
         call = ResultsCall("b", 1, 0.0)
-        self.assertTrue(passed_on(CutOffStore(1.5), call).unsure)
+        self.assertTrue(relay(CutOffStore(1.5), call).inconclusive)
         own = anyio.run(
-            LedgerCallHandler(CutOffStore(1.5), PlainDialect(), NO_PLACES).execute, call
+            LedgerCallHandler(CutOffStore(1.5), PlainDialect(), EMPTY_INDEX).execute, call
         )
         self.assertEqual(200, own.status)
 
-    def test_a_fresh_replica_answers(self) -> None:
-        self.assertEqual(200, passed_on(CutOffStore(0.2), ResultsCall("b", 0, 0.0)).status)
+    def test_a_replica_with_a_recent_view_answers(self) -> None:
+        self.assertEqual(200, relay(CutOffStore(0.2), ResultsCall("b", 0, 0.0)).status)
 
-    def test_one_that_is_cut_off_while_it_waits_for_news_is_unsure(self) -> None:
+    def test_a_replica_that_is_cut_off_while_it_waits_is_inconclusive(self) -> None:
         store = CutOffStore(0.2, ages_while_waiting=1.0)
-        self.assertTrue(passed_on(store, ResultsCall("b", 1, 1.0)).unsure)
+        self.assertTrue(relay(store, ResultsCall("b", 1, 1.0)).inconclusive)
 
 
 class GrowingStore:
-    """A replica's view of a step whose items get their results one after the other."""
+    """A replica's view of a step whose items finish one after the other."""
 
     following = True
     lacks_history = staticmethod(lambda _batch, _now: False)
@@ -91,19 +91,19 @@
         self._names = [f"{group}-{n}" for group in range(groups) for n in range(items)]
         record = submitted(*(item(name) for name in self._names))
         specs = tuple(msgspec.structs.replace(spec, group=spec.item[0]) for spec in record.items)
-        header = msgspec.structs.replace(record.header, wanted_groups=WANTED)
+        header = msgspec.structs.replace(record.header, wanted_groups=WANTED_GROUPS)
         self.ledger.apply(
             msgspec.structs.replace(record, items=specs, header=header), steady_seconds()
         )
         self.batch = self.ledger.get("b")
-        self._news = anyio.Event()
+        self._changed_event = anyio.Event()
 
     def finish(self, count: int) -> None:
         done = len(self.batch.results)
         for name in self._names[done : done + count]:
             self.ledger.apply(ItemFinished("b", name, True, "t", (1,)), 0.0)
-        self._news.set()
-        self._news = anyio.Event()
+        self._changed_event.set()
+        self._changed_event = anyio.Event()
 
     async def finish_later(self, count: int, seconds: float) -> None:
         await anyio.sleep(seconds)
@@ -115,9 +115,9 @@
     async def catch_up(self, _batch: str) -> bool:
         return True
 
-    async def wait_for_news(self, _batch: str, seconds: float) -> None:
+    async def wait_for_change(self, _batch: str, seconds: float) -> None:
         with anyio.move_on_after(seconds):
-            await self._news.wait()
+            await self._changed_event.wait()
 
 
 def answer_items(answer: LedgerAnswer) -> list[object]:
@@ -125,26 +125,26 @@
 
 
 class HeldReadTests(testtools.TestCase):
-    """Reads of a step's last results wait until its trainer can go on."""
+    """Reads of a step's last results wait until its trainer can continue."""
 
     def play(self, scenario: Callable[[LedgerCallHandler, GrowingStore], Awaitable[None]]) -> None:
         async def main() -> None:
-            store = GrowingStore(GROUPS, ITEMS_OF_A_GROUP)
+            store = GrowingStore(GROUPS, ITEMS_PER_GROUP)
             reads = LedgerCallHandler(
-                store, PlainDialect(), NO_PLACES, lambda _batch: DUE, hold_results=True
+                store, PlainDialect(), EMPTY_INDEX, lambda _batch: DUE_SECONDS, hold_results=True
             )
             await scenario(reads, store)
 
         anyio.run(main)
 
-    def test_a_read_near_the_end_waits_for_the_groups_that_are_wanted(self) -> None:
+    def test_a_read_near_the_end_waits_for_the_wanted_groups(self) -> None:
         async def scenario(reads: LedgerCallHandler, store: GrowingStore) -> None:
             store.finish(30)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(store.finish_later, 1, 0.1)
                 tasks.start_soon(store.finish_later, 1, 0.3)
                 answer = await reads.execute(ResultsCall("b", 29, 1.0))
-            # Four groups are whole with the 32nd result.
+            # Four groups are complete with the 32nd result.
             self.assertEqual(3, len(answer_items(answer)))
 
         self.play(scenario)
@@ -159,13 +159,11 @@
 
         self.play(scenario)
 
-    def test_what_is_there_is_shown_when_the_offered_time_is_over_and_when_the_step_is_due(
-        self,
-    ) -> None:
+    def test_a_held_read_is_answered_at_its_timeout_and_when_the_step_is_due(self) -> None:
         async def scenario(reads: LedgerCallHandler, store: GrowingStore) -> None:
             store.finish(31)
             for wait, longest in ((0.2, 0.4), (1.0, 0.4)):
-                store.batch.seen_at = steady_seconds() - (DUE - 0.2 if wait == 1.0 else 0.0)
+                store.batch.seen_at = steady_seconds() - (DUE_SECONDS - 0.2 if wait == 1.0 else 0.0)
                 began = steady_seconds()
                 answer = await reads.execute(ResultsCall("b", 30, wait))
                 self.assertEqual(1, len(answer_items(answer)))
--- a/tests/gateway/batch_service/test_ledger_calls.py
+++ b/tests/gateway/batch_service/test_ledger_calls.py
@@ -1,4 +1,4 @@
-"""Whom a node without a replica asks, and when it reads the log itself."""
+"""Which replicas a node without one asks, and when it reads the log itself."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 CALL = ResultsCall("b1", 0, 0.0)
 KNOWN = LedgerAnswer(200, b"{}")
-UNSURE = refusal(503, "the view is too old", 0.25)
+INCONCLUSIVE = refusal(503, "the view is too old", 0.25)
 
 
 def replica(number: int) -> NodeAnnouncement:
@@ -27,7 +27,7 @@
 
 
 class ScriptedClient:
-    """Answers calls in turn; None is no answer."""
+    """Returns the given answers in order; None stands for no answer."""
 
     def __init__(self, *answers: LedgerAnswer | None) -> None:
         self.answers = list(answers)
@@ -41,7 +41,7 @@
         return None if answer is None else encode_message(answer)
 
 
-class LocalReads:
+class FakeLocalHandler:
     def __init__(self) -> None:
         self.calls = 0
 
@@ -58,7 +58,7 @@
         following: bool = False,
         may_hold: bool = True,
     ) -> LedgerAnswer:
-        self.client, self.local = ScriptedClient(*answers), LocalReads()
+        self.client, self.local = ScriptedClient(*answers), FakeLocalHandler()
         calls = LedgerCallRouter(
             self.local,
             self.client,
@@ -69,17 +69,17 @@
         )
         return anyio.run(calls.call, CALL)
 
-    def test_a_node_that_holds_a_replica_asks_nobody(self) -> None:
+    def test_a_node_that_holds_a_replica_asks_no_other_node(self) -> None:
         self.assertEqual(KNOWN, self.call(following=True))
         self.assertEqual([], self.client.asked)
 
-    def test_a_node_that_may_not_hold_batches_reads_none_itself(self) -> None:
-        """The batches' homes are lost: their bodies come to no other region."""
+    def test_a_node_that_may_not_hold_batches_never_reads_the_log(self) -> None:
+        """Item bodies must stay in the batches' regions, even if no node there answers."""
         answer = self.call(None, None, may_hold=False)
         self.assertEqual((503, 0), (answer.status, self.local.calls))
         self.assertEqual(KNOWN, self.call(None, None))
 
-    def test_near_replicas_are_asked_first(self) -> None:
+    def test_the_nearest_replicas_are_asked_first(self) -> None:
         places = (("n0", "z9", "r9"), ("n1", "z2", "r"), ("n2", "z", "r"), ("n3", "z9", "r9"))
         nodes = [
             NodeAnnouncement(name, 1, f"{name}:1", f"{name}:1", zone, region, True, 1, True)
@@ -87,26 +87,24 @@
         ]
         proximity = Proximity(Placement("r", "z"), {"z": "r", "z2": "r", "z9": "r9"})
         client = ScriptedClient(None, None)
-        calls = LedgerCallRouter(LocalReads(), client, proximity, lambda: nodes, lambda: False)
+        calls = LedgerCallRouter(
+            FakeLocalHandler(), client, proximity, lambda: nodes, lambda: False
+        )
         anyio.run(calls.call, CALL)
         self.assertEqual(["n2", "n1"], [peer.host for peer in client.asked])
 
-    def test_a_second_replica_is_asked_if_the_first_one_does_not_answer_or_is_not_sure(
-        self,
-    ) -> None:
-        for first in (None, UNSURE):
+    def test_a_second_replica_is_asked_if_the_first_gives_no_conclusive_answer(self) -> None:
+        for first in (None, INCONCLUSIVE):
             self.assertEqual(KNOWN, self.call(first, KNOWN))
             self.assertEqual(2, len(set(self.client.asked)))
             self.assertEqual(0, self.local.calls)
 
-    def test_replicas_that_are_not_sure_yet_are_waited_for_and_the_log_is_left_to_them(
-        self,
-    ) -> None:
-        for answers in ((UNSURE, UNSURE), (UNSURE, None), (None, UNSURE)):
-            self.assertEqual(UNSURE, self.call(*answers))
+    def test_the_log_is_not_read_while_a_replica_answers_inconclusively(self) -> None:
+        for answers in ((INCONCLUSIVE, INCONCLUSIVE), (INCONCLUSIVE, None), (None, INCONCLUSIVE)):
+            self.assertEqual(INCONCLUSIVE, self.call(*answers))
             self.assertEqual(0, self.local.calls)
 
-    def test_where_no_replica_answers_or_none_is_known_the_log_is_read(self) -> None:
+    def test_the_log_is_read_if_no_replica_answers_or_none_is_known(self) -> None:
         self.assertEqual(KNOWN, self.call(None, None))
         self.assertEqual(1, self.local.calls)
         self.assertEqual(KNOWN, self.call(replicas=0))
--- a/tests/gateway/batch_service/test_open_batch_views.py
+++ b/tests/gateway/batch_service/test_open_batch_views.py
@@ -1,4 +1,4 @@
-"""Open batches are shown as they are before the whole log is read."""
+"""Results of open batches are complete even before the whole log is read."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from tests.gateway.plain_dialect import PlainDialect
 
 BATCHES_TOPIC = "batches"
-PLACE = Partition(BATCHES_TOPIC, 0)
+PARTITION = Partition(BATCHES_TOPIC, 0)
 
 
 def finished(batch: str, name: str) -> ItemFinished:
@@ -38,7 +38,7 @@
 
 
 class UnreadStore:
-    """A store that has read nothing yet, and must not read everything on demand."""
+    """A store that has read nothing yet, and can't read on demand."""
 
     following = False
     first_offset = staticmethod(lambda _batch, _now: None)
@@ -53,7 +53,7 @@
 
         self.ledger = _Empty()
 
-    def read_whole(self, _batch: str) -> bool:
+    def has_read_to_end(self, _batch: str) -> bool:
         return False
 
     def view_age(self, _batch: str, _now: float) -> float:
@@ -69,36 +69,36 @@
         return Ok(1)
 
 
-class EarlyViewTests(testtools.TestCase):
+class OpenBatchViewTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.log = MemoryLog()
         self.client = self.log.client()
         self.places = BatchIndex(self.client)
-        self.early = OpenBatchViews(self.client, BATCHES_TOPIC, self.places)
+        self.views = OpenBatchViews(self.client, BATCHES_TOPIC, self.places)
         self.store = UnreadStore()
         self.reads = LedgerCallHandler(
-            self.store, PlainDialect(), self.places, open_views=self.early, starting=lambda: True
+            self.store, PlainDialect(), self.places, open_views=self.views, starting=lambda: True
         )
 
     async def append(self, *records: BatchRecord) -> int:
         sequence = ProducerSequence(f"p{self.client.calls}", 1, 1)
         payloads = [encode_record(record) for record in records]
-        return (await self.client.append(PLACE, payloads, sequence)).ok
+        return (await self.client.append(PARTITION, payloads, sequence)).ok
 
-    async def note(self, batch: str, offset: int) -> None:
-        await self.places.note(batch, BatchPlace(0, offset, "n#1", certain=True))
+    async def record_place(self, batch: str, offset: int) -> None:
+        await self.places.record_place(batch, BatchPlace(0, offset, "n#1", certain=True))
 
-    async def old_batches(self, count: int) -> None:
+    async def append_old_batches(self, count: int) -> None:
         for number in range(count):
             name = f"old{number}"
             await self.append(submitted(item("x"), batch=name), BatchEnded(name))
 
     def test_results_of_an_open_batch_come_from_its_own_records(self) -> None:
         async def scenario() -> None:
-            await self.old_batches(MARGIN_RECORDS)
+            await self.append_old_batches(MARGIN_RECORDS)
             offset = await self.append(submitted(item("x"), item("y"), batch="b"))
-            await self.note("b", offset)
+            await self.record_place("b", offset)
             await self.append(finished("b", "y"))
             answer = await self.reads.execute(ResultsCall("b", 0, 0.0))
             self.assertEqual(200, answer.status)
@@ -113,7 +113,7 @@
 
     def test_a_read_waits_for_a_first_result(self) -> None:
         async def scenario() -> None:
-            await self.note("b", await self.append(submitted(item("x"), batch="b")))
+            await self.record_place("b", await self.append(submitted(item("x"), batch="b")))
 
             async def finish() -> None:
                 await anyio.sleep(0.2)
@@ -126,24 +126,24 @@
 
         anyio.run(scenario)
 
-    def test_a_batch_handed_in_twice_is_not_told_from_its_second_submission(self) -> None:
-        """Its results would stand at other positions than were shown before."""
+    def test_a_batch_submitted_twice_is_not_read_from_its_second_submission(self) -> None:
+        """Its results would have other positions than before."""
 
         async def scenario() -> None:
             first = submitted(item("x"), item("y"), batch="b")
             await self.append(first)
-            await self.old_batches(1)
+            await self.append_old_batches(1)
             await self.append(finished("b", "x"))
-            await self.old_batches(MARGIN_RECORDS // 2 - 1)
-            await self.note("b", await self.append(first))
+            await self.append_old_batches(MARGIN_RECORDS // 2 - 1)
+            await self.record_place("b", await self.append(first))
             await self.append(finished("b", "y"))
-            self.assertIsNone(await self.early.find("b"))
+            self.assertIsNone(await self.views.find("b"))
             answer = await self.reads.execute(ResultsCall("b", 0, 0.0))
             self.assertEqual(503, answer.status)
 
         anyio.run(scenario)
 
-    def test_what_is_not_open_is_left_until_the_log_is_read(self) -> None:
+    def test_calls_about_closed_batches_are_refused_until_the_log_is_read(self) -> None:
         async def scenario() -> None:
             await self.append(submitted(item("x"), batch="old"), BatchEnded("old"))
             answer = await self.reads.execute(ResultsCall("old", 0, 0.0))
@@ -152,17 +152,17 @@
 
         anyio.run(scenario)
 
-    def test_a_batch_that_is_marked_as_ended_is_not_shown_as_an_open_one(self) -> None:
-        """Its mark tells no place; its end may not be in the log yet."""
+    def test_a_batch_that_is_marked_as_ended_is_not_returned_as_open(self) -> None:
+        """The mark holds no place, and the end may not be in the log yet."""
 
         async def scenario() -> None:
-            await self.note("b", await self.append(submitted(item("x"), batch="b")))
+            await self.record_place("b", await self.append(submitted(item("x"), batch="b")))
             await self.places.mark_ended("b", 0, None, 1.0)
-            self.assertIsNone(await self.early.find("b"))
+            self.assertIsNone(await self.views.find("b"))
 
         anyio.run(scenario)
 
-    def test_a_told_batch_with_records_before_its_place_is_not_begun(self) -> None:
+    def test_an_assigned_batch_with_records_before_its_submission_is_not_begun(self) -> None:
         async def scenario() -> None:
             await self.append(finished("b", "x"))
             offset = await self.append(submitted(item("x"), item("y"), batch="b", runner="n#1"))
@@ -170,7 +170,9 @@
             store = mock.Mock(
                 is_current=lambda _batch, _now: False,
                 view_age=lambda _batch, _now: 0.0,
-                read_from=lambda place, _changed: PartialLedger(self.client, PLACE, place.offset),
+                read_from=lambda place, _changed: PartialLedger(
+                    self.client, PARTITION, place.offset
+                ),
             )
             assignments = BatchAssignments(
                 identity=ProcessId("n", 1),
--- a/tests/gateway/batch_service/test_replicas.py
+++ b/tests/gateway/batch_service/test_replicas.py
@@ -1,4 +1,4 @@
-"""Nodes without a replica of the ledger pass calls on, and do without where no replica answers."""
+"""Nodes without a replica of the ledger relay calls, or read the log if no replica answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return mock.patch("stagewalk.gateway.directory.ledger_replicas.LEDGER_REPLICAS", 1)
 
 
-async def roles(site: Site) -> tuple[Running, Running]:
+async def start_holder_and_other(site: Site) -> tuple[Running, Running]:
     """Start two nodes; return the one that holds the replica, and the other one."""
     nodes = [await site.start(name) for name in TWO_NODES]
 
@@ -35,9 +35,9 @@
         self.patched.start()
         self.addCleanup(self.patched.stop)
 
-    def test_any_node_takes_shows_and_ends_batches_which_the_replica_runs(self) -> None:
+    def test_any_node_accepts_reads_and_ends_batches_that_the_replica_runs(self) -> None:
         async def scenario(site: Site) -> None:
-            holder, other = await roles(site)
+            holder, other = await start_holder_and_other(site)
             self.assertEqual(202, (await site.submit(other, "b1", "x", "y", "z")).status_code)
             listed = await site.until_listed(other, "b1", 3)
             self.assertEqual(listed, await site.results(holder, "b1"))
@@ -49,9 +49,9 @@
 
         run(scenario)
 
-    def test_a_batch_handed_in_again_elsewhere_is_the_one_already_there(self) -> None:
+    def test_a_batch_submitted_again_at_another_node_is_the_same_batch(self) -> None:
         async def scenario(site: Site) -> None:
-            holder, other = await roles(site)
+            holder, other = await start_holder_and_other(site)
             await site.submit(holder, "b1", "x", "y")
             listed = await site.until_listed(holder, "b1", 2)
             self.assertEqual(202, (await site.submit(other, "b1", "x", "y")).status_code)
@@ -59,9 +59,9 @@
 
         run(scenario)
 
-    def test_with_the_replica_gone_the_other_node_reads_the_log_and_takes_over(self) -> None:
+    def test_if_the_replica_is_gone_the_other_node_reads_the_log_and_takes_over(self) -> None:
         async def scenario(site: Site) -> None:
-            holder, other = await roles(site)
+            holder, other = await start_holder_and_other(site)
             for worker in site.workers.workers.values():
                 worker.event_seconds = 1.5
             await site.submit(other, "b1", "x", "y")
