--- a/tests/platform_adapter/scripted_server.py
+++ b/tests/platform_adapter/scripted_server.py
@@ -1,4 +1,4 @@
-"""A peer that answers each request with scripted bytes."""
+"""A TCP server that answers each request with scripted bytes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 NOWHERE = Address("127.0.0.1", 0)
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 RESET_PAUSE_SECONDS = 0.05
-"""Lets the peer read what was sent before the reset would take it away."""
+"""Lets the peer read what was sent before the reset discards it."""
 
 
 @dataclass
 class Scripted:
-    """One answer: its bytes, and whether the connection ends with it."""
+    """One response: its bytes, their delay, and how the connection ends."""
 
     content: bytes
     close: bool = False
--- a/tests/platform_adapter/test_boundary.py
+++ b/tests/platform_adapter/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in platform/, and the product never imports the adapter."""
+"""The platform's names occur only in the adapter, which the product never imports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 SOURCES = ROOT / "src"
 ADAPTER = ROOT / "platform"
-ADAPTER_SHARE = 0.1
+MAXIMUM_ADAPTER_FRACTION = 0.1
 
 PLATFORM_NAMES = (
     r"x-response-signature",
@@ -33,13 +33,13 @@
 )
 
 
-def lines_of(folder: Path) -> int:
+def count_lines(folder: Path) -> int:
     files = [path for path in folder.rglob("*.py") if "_pb2" not in path.name]
     return sum(len(path.read_text().splitlines()) for path in files)
 
 
 class BoundaryTests(testtools.TestCase):
-    def test_no_name_of_the_platform_stands_in_the_product(self) -> None:
+    def test_platform_names_do_not_occur_in_the_product(self) -> None:
         pattern = re.compile("|".join(PLATFORM_NAMES), re.IGNORECASE)
         found = [
             f"{path.relative_to(ROOT)}: {line.strip()}"
@@ -49,7 +49,7 @@
         ]
         self.assertEqual([], found)
 
-    def test_the_check_finds_such_names_where_they_belong(self) -> None:
+    def test_platform_names_occur_in_the_adapter(self) -> None:
         adapter = "\n".join(path.read_text() for path in ADAPTER.rglob("*.py"))
         for name in PLATFORM_NAMES[:-1]:
             if name in {r"x-prefix-hash", r"target_latency_ms"} or "join" in name:
@@ -57,7 +57,7 @@
             self.assertIsNotNone(re.search(name, adapter, re.IGNORECASE), name)
 
     def test_the_adapter_is_small(self) -> None:
-        self.assertLess(lines_of(ADAPTER), ADAPTER_SHARE * lines_of(SOURCES))
+        self.assertLess(count_lines(ADAPTER), MAXIMUM_ADAPTER_FRACTION * count_lines(SOURCES))
 
-    def test_its_folder_hides_no_standard_module(self) -> None:
+    def test_the_folder_does_not_shadow_the_standard_module(self) -> None:
         self.assertFalse((ADAPTER / "__init__.py").exists())
--- a/tests/platform_adapter/test_connection_counts.py
+++ b/tests/platform_adapter/test_connection_counts.py
@@ -1,4 +1,4 @@
-"""Connections opened to workers are counted by what for and why no kept one was used."""
+"""Opened connections are counted by purpose and by why no pooled one was reused."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 CUT_SHORT = Scripted(respond("200 OK", b"whole", **SIGNED)[:-2], close=True)
 
 
-class SentTests(testtools.TestCase):
+class OpenedConnectionTests(testtools.TestCase):
     def count(self, *answers: Scripted, **changes: object) -> dict[str, int]:
-        """Send a request for each answer, one after the other; return the counts by reason."""
+        """Send one request for each answer in sequence; return the counts by reason."""
         counts = ConnectionCounts()
 
         async def scenario(server: ScriptedServer) -> None:
@@ -42,10 +42,10 @@
         self.assertEqual(opened, [counts.opened().total()])
         return {reason.value: n for (_, reason), n in counts.opened().items()}
 
-    def test_a_kept_connection_is_opened_once(self) -> None:
+    def test_a_pooled_connection_is_opened_once(self) -> None:
         self.assertEqual({"first": 1}, self.count(GOOD, GOOD, GOOD))
 
-    def test_why_the_last_one_was_not_there(self) -> None:
+    def test_the_reason_why_no_connection_could_be_reused(self) -> None:
         for answer, reason in (
             (LONG_REFUSAL, "refused"),
             (CLOSING, "worker_closes"),
@@ -54,19 +54,19 @@
         ):
             self.assertEqual({"first": 1, reason: 1}, self.count(answer, GOOD), reason)
 
-    def test_a_short_refusal_is_read_to_its_end_and_its_connection_kept(self) -> None:
+    def test_a_short_refusal_is_read_and_its_connection_reused(self) -> None:
         self.assertEqual({"first": 1}, self.count(REFUSED, GOOD))
 
-    def test_a_refusal_whose_rest_does_not_come_is_one_all_the_same(self) -> None:
+    def test_a_truncated_or_delayed_refusal_is_still_a_refusal(self) -> None:
         cut = Scripted(REFUSED.content[:-2], close=True)
         late = Scripted(REFUSED.content[:-2])
         for answer in (cut, late):
             self.assertEqual({"first": 1, "refused": 1}, self.count(answer, GOOD))
 
-    def test_what_may_not_go_over_a_kept_one(self) -> None:
+    def test_requests_that_must_not_be_repeated_are_not_pooled(self) -> None:
         self.assertEqual({"not_kept": 2}, self.count(GOOD, GOOD, repeatable=False))
 
-    def test_requests_at_a_time_need_connections_of_their_own(self) -> None:
+    def test_concurrent_requests_open_separate_connections(self) -> None:
         counts = ConnectionCounts()
 
         async def scenario(server: ScriptedServer) -> None:
@@ -82,7 +82,7 @@
             {reason: n for (_, reason), n in counts.opened().items()},
         )
 
-    def test_a_stream_that_is_left_costs_the_next_request_a_connection(self) -> None:
+    def test_after_a_cancelled_stream_the_next_request_opens_a_connection(self) -> None:
         counts = ConnectionCounts()
 
         async def scenario(server: ScriptedServer) -> None:
@@ -107,8 +107,8 @@
         )
 
 
-class RememberedTests(testtools.TestCase):
-    def test_workers_unused_longest_are_forgotten(self) -> None:
+class TrackedWorkerTests(testtools.TestCase):
+    def test_least_recently_used_workers_are_dropped(self) -> None:
         counts = ConnectionCounts()
         for number in range(MAXIMUM_TRACKED_WORKERS + 1):
             counts.count_opened(f"i-{number}", SendPurpose.ITEM)
--- a/tests/platform_adapter/test_dialect.py
+++ b/tests/platform_adapter/test_dialect.py
@@ -1,4 +1,4 @@
-"""Records and bodies of the platform become the product's types; bad ones become errors."""
+"""Decoding of the platform's records and bodies, and encoding of its responses."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         super().setUp()
         self.dialect = PlatformDialect()
 
-    def test_a_route_of_an_unknown_kind_is_left_out_and_logged(self) -> None:
+    def test_a_route_of_an_unknown_kind_is_skipped_and_logged(self) -> None:
         events: list[tuple[str, dict[str, object]]] = []
 
         def note(event: str, _level: str = "info", **fields: object) -> None:
@@ -87,7 +87,7 @@
         self.assertEqual(["s3", "s1"], [service.name for service in decoded.services])
         self.assertEqual(16_384, decoded.limits.header_bytes)
 
-    def test_fields_that_the_gateway_has_no_use_for_are_still_checked(self) -> None:
+    def test_unused_fields_are_validated(self) -> None:
         unused = {"max_connections": 7, "engine": {"models": ["m"]}}
         times = {"header_timeout_ms": 1.0, "idle_timeout_ms": 2.0}
         service = {"name": "s", **unused}
@@ -119,7 +119,7 @@
         taken_back = self.dialect.decode_operator_record(KeyedRecord(key, None, 4))
         self.assertEqual(ZoneEvacuation("hall-north", in_force=False), taken_back)
 
-    def test_homes_and_cold_starts(self) -> None:
+    def test_allowed_regions_and_cold_starts(self) -> None:
         route = {**CONFIGURATION["routes"][0], "allowed_regions": ["r1", "r2"]}
         service = {"name": "s1", "cold_start_s": 3.0, "cold_per_s": 11.0}
         tenants = [{"name": "t", "allowed_regions": ["r1"]}, {"name": "u", "allowed_regions": None}]
@@ -139,7 +139,7 @@
         )
         self.assertEqual(NamedVersion("m", 8), decoded)
 
-    def test_what_cannot_be_read_is_none(self) -> None:
+    def test_invalid_records_decode_to_none(self) -> None:
         self.assertIsNone(self.dialect.decode_operator_record(KeyedRecord("config", b"{", 1)))
         self.assertIsNone(self.dialect.decode_operator_record(record("other", {})))
         self.assertIsNone(self.dialect.decode_worker_announcement(record("i-1", {"service": "s"})))
@@ -183,17 +183,17 @@
         self.assertEqual((b"\x00\x01", "m", 232), (item.body, item.model, item.expected_length))
         self.assertIn(("X-Length-Hint", "232"), item.headers)
 
-    def test_a_bad_batch_is_an_error(self) -> None:
+    def test_an_invalid_batch_is_an_error(self) -> None:
         self.assertTrue(self.submit(body="no base64!").is_error())
         self.assertTrue(self.submit(id=7).is_error())
 
-    def test_an_items_scorer_is_its_score_call(self) -> None:
+    def test_the_scorer_of_an_item_becomes_its_score_call(self) -> None:
         scorer = {"id": "c1", "host": "h", "path": "/s/1", "body": base64.b64encode(b"r").decode()}
         self.assertIsNone(self.submit().ok.items[0].score_call)
         item = self.submit(scorer=scorer).ok.items[0]
         self.assertEqual(ScoreCall("c1", "h", "/s/1", b"r"), item.score_call)
 
-    def test_a_bad_scorer_is_an_error_that_names_the_field(self) -> None:
+    def test_an_invalid_scorer_is_an_error_that_names_the_field(self) -> None:
         good = {"id": "c1", "host": "h", "path": "/s/1", "body": ""}
         faults = {"id": "", "host": "", "path": "s/1", "body": "no base64!"}
         for field, bad in faults.items():
@@ -203,7 +203,7 @@
         self.assertIn("host", str(self.submit(scorer=missing).error))
         self.assertIn("items[0].body", str(self.submit(body="no base64!").error))
 
-    def test_a_score_stands_with_its_result_and_only_there(self) -> None:
+    def test_a_score_is_encoded_only_if_there_is_one(self) -> None:
         results = [
             ItemFinished("b", "x", True, "t", (1,), "sig"),
             ItemFinished("b", "y", 1, "", ()),
@@ -212,7 +212,7 @@
         self.assertEqual("sig", page["results"][0]["score"])
         self.assertNotIn("score", page["results"][1])
 
-    def test_results_are_spelt_as_trainers_read_them(self) -> None:
+    def test_a_page_of_results_is_encoded_with_the_platforms_names(self) -> None:
         results = [ItemFinished("b", "x", True, "t", (1, 2)), ItemFinished("b", "y", False, "", ())]
         page = json.loads(self.dialect.results(5, 2, results))
         self.assertEqual(["total", "next_token", "results"], list(page))
--- a/tests/platform_adapter/test_events.py
+++ b/tests/platform_adapter/test_events.py
@@ -1,4 +1,4 @@
-"""Streams are cut into whole events; what is cut short or spoilt is none."""
+"""Streams are split into complete events; malformed or truncated bytes are rejected."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EventParserTests(testtools.TestCase):
-    def test_events_are_whole_however_the_bytes_arrive(self) -> None:
+    def test_events_do_not_depend_on_how_the_bytes_are_split(self) -> None:
         stream = b"id: 1\ndata: a\n\nx-weight-versions: 4\nid: 2\ndata: b\ndata: c\n\n"
         for size in range(1, len(stream) + 1):
             parser = EventParser()
@@ -16,22 +16,22 @@
             for start in range(0, len(stream), size):
                 events += parser.feed(stream[start : start + size])
             self.assertEqual([(1, "a", None), (2, "b\nc", 4)], [e[:3] for e in map(_parts, events)])
-            self.assertEqual(b"", parser.rest)
+            self.assertEqual(b"", parser.remainder)
 
-    def test_an_event_cut_short_is_left_over(self) -> None:
+    def test_a_truncated_event_is_the_remainder(self) -> None:
         parser = EventParser()
         self.assertEqual(1, len(parser.feed(b"id: 1\ndata: a\n\nid: 2\nda")))
-        self.assertEqual(b"id: 2\nda", parser.rest)
+        self.assertEqual(b"id: 2\nda", parser.remainder)
 
-    def test_spoilt_bytes_are_no_event(self) -> None:
-        for spoilt in (
+    def test_malformed_bytes_are_rejected(self) -> None:
+        for malformed in (
             b"\xff\xfe\n\n",
             b"garbage\n\n",
             b"data: x\n\n",
             b"id: 1\n\n",
             b"id: z\ndata: a\n\n",
         ):
-            self.assertRaises(MalformedEventError, EventParser().feed, spoilt)
+            self.assertRaises(MalformedEventError, EventParser().feed, malformed)
 
 
 def _parts(event):
--- a/tests/platform_adapter/test_foreign_records.py
+++ b/tests/platform_adapter/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Whatever another writer puts into the store: never an exception, and never a worker to use."""
+"""Invalid records in the store neither raise an exception nor announce a worker."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 ADDRESSES += ("10.0.0.1:-1", "10.0.0.1:+8", "10.0.0.1:8 0", "10.0.0.1:\u0668\u0660")
 REQUIRED = [name for name in ENTRY if name not in ("born", "models")]
 GENERATED = int(os.environ.get("GENERATED_RECORDS", "500"))
-"""Examples of each kind; 10,000 by hand."""
+"""Examples for each generated test."""
 
 DIALECT = PlatformDialect()
 JSON = st.recursive(
@@ -52,24 +52,24 @@
 
 
 class WorkerEntryTests(testtools.TestCase):
-    def test_a_whole_entry_names_a_worker(self) -> None:
+    def test_a_valid_entry_announces_a_worker(self) -> None:
         worker = announced(ENTRY)
         assert worker is not None
         self.assertEqual(("i-1@1768511182237", "i-1"), (worker.worker, worker.listed_as))
 
-    def test_one_without_a_start_does_where_none_is_told(self) -> None:
+    def test_an_entry_without_a_start_time_is_valid(self) -> None:
         entry = {name: value for name, value in ENTRY.items() if name != "born"}
         worker = announced(entry)
         assert worker is not None
         self.assertEqual(("i-1", "i-1"), (worker.worker, worker.listed_as))
 
-    def test_one_that_lacks_a_field_names_none(self) -> None:
+    def test_an_entry_that_lacks_a_field_is_invalid(self) -> None:
         for name in REQUIRED:
             entry = copy.deepcopy(ENTRY)
             del entry[name]
             self.assertIsNone(announced(entry), name)
 
-    def test_one_out_of_range_or_of_another_type_names_none(self) -> None:
+    def test_a_field_out_of_range_or_of_the_wrong_type_is_invalid(self) -> None:
         wrong = {
             "service": ("", 7, None, ["s"]),
             "address": (*ADDRESSES, 80),
@@ -86,11 +86,11 @@
             for value in values:
                 self.assertIsNone(announced({**ENTRY, name: value}), f"{name}={value!r}")
 
-    def test_a_key_that_is_no_text_names_none(self) -> None:
+    def test_a_key_that_is_empty_or_not_utf8_is_invalid(self) -> None:
         for key in ("", "i-\ufffd"):
             self.assertIsNone(announced(ENTRY, key))
 
-    def test_what_is_nested_deep_or_huge_names_none(self) -> None:
+    def test_a_deeply_nested_or_huge_entry_is_invalid(self) -> None:
         deep = b'{"a":' * 100_000
         self.assertIsNone(announced(deep))
         self.assertIsNone(announced(b'{"service":' + b"[" * 100_000 + b"]" * 100_000 + b"}"))
--- a/tests/platform_adapter/test_prompts.py
+++ b/tests/platform_adapter/test_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts as items' headers state them, and what engines hold by the configuration."""
+"""Prompts decoded from items' headers, and engine limits decoded from the configuration."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 
 class PromptTests(testtools.TestCase):
-    def test_parts_and_the_most_that_comes_out(self) -> None:
+    def test_parts_and_the_maximum_of_output_tokens(self) -> None:
         prompt = prompt_of(x_token_count="540,400", x_prefix_hash="9c2e41:300,5d07b8:240")
         self.assertEqual((PromptPart("9c2e41", 300), PromptPart("5d07b8", 240)), prompt.parts)
         self.assertEqual((540, 400), (prompt.tokens, prompt.maximum_output_tokens))
 
-    def test_names_of_headers_are_compared_without_case(self) -> None:
+    def test_header_names_are_case_insensitive(self) -> None:
         prompt = PlatformDialect().prompt(
             BatchItem("x", "/p", (("X-Token-Count", "5, 7"),), b"", "g", "m", 0)
         )
         self.assertEqual(Prompt((PromptPart("x", 5),), 7), prompt)
 
-    def test_a_length_alone_is_one_part_of_the_items_own(self) -> None:
+    def test_a_length_without_parts_becomes_one_part(self) -> None:
         self.assertEqual(Prompt((PromptPart("x", 540),)), prompt_of(x_token_count="540"))
 
-    def test_what_cannot_be_read_is_not_known(self) -> None:
+    def test_malformed_headers_are_treated_as_missing(self) -> None:
         self.assertEqual(Prompt(), prompt_of())
         for value in ("", "many", "-5,3", "5.5,x", ",", "\u0665,\u0667"):
             self.assertEqual((), prompt_of(x_token_count=value).parts, value)
@@ -59,7 +59,7 @@
         service = self._service({"name": "s", "engine": ENGINE})
         self.assertEqual(EngineLimits(27_650, 59.0), service.engine)
 
-    def test_without_a_memory_nothing_is_known(self) -> None:
+    def test_limits_are_unknown_without_a_memory_size(self) -> None:
         self.assertIsNone(self._service({"name": "s"}).engine)
         for engine in ({}, None, {"slots": 6}, {"kv_capacity_tokens": None}):
             with mock.patch("stagewalk_platform.configuration.log_event") as log:
@@ -68,7 +68,7 @@
         service = self._service({"name": "s", "engine": {"kv_capacity_tokens": 5}})
         self.assertEqual(EngineLimits(5, 1.0), service.engine)
 
-    def test_a_section_that_cannot_be_read_is_logged_and_the_configuration_in_force(self) -> None:
+    def test_an_invalid_section_is_logged_and_the_configuration_still_used(self) -> None:
         for engine in (
             "big",
             [1],
--- a/tests/platform_adapter/test_slow_workers.py
+++ b/tests/platform_adapter/test_slow_workers.py
@@ -1,4 +1,4 @@
-"""Workers that don't read, or answer more than fits: left in time, and truthfully."""
+"""Attempts fail in time, and as "may have run", if a worker stops reading or answers too much."""
 
 from __future__ import annotations
 
@@ -30,32 +30,32 @@
 
 SMALL_WINDOW = 4_096
 LARGE = bytes(range(256)) * 65_536
-"""More than the kernel holds for a connection on loopback."""
+"""More than the kernel's socket buffers hold for a loopback connection."""
 
 
 class SlowWorker:
-    """A worker that takes so many bytes of each request and then pauses, again and again."""
+    """A worker that reads a request body with pauses between the reads, or not at all."""
 
-    def __init__(self, pause_seconds: float, reads_on: bool) -> None:
+    def __init__(self, pause_seconds: float, reads_body: bool) -> None:
         self._pause_seconds = pause_seconds
-        self._reads_on = reads_on
-        self.got = bytearray()
+        self._reads_body = reads_body
+        self.received = bytearray()
         self.closed = False
 
     async def serve(self, connection: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        head, rest = await self._head(connection)
+        head, rest = await self._read_head(connection)
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
-        self.got += rest
-        while self._reads_on and len(self.got) < length:
+        self.received += rest
+        while self._reads_body and len(self.received) < length:
             await asyncio.sleep(self._pause_seconds)
-            self.got += await loop.sock_recv(connection, 1 << 20)
-        if self._reads_on:
+            self.received += await loop.sock_recv(connection, 1 << 20)
+        if self._reads_body:
             await loop.sock_sendall(connection, respond("200 OK", b"ok", **SIGNED))
         else:
             await asyncio.sleep(30.0)
 
-    async def _head(self, connection: socket.socket) -> tuple[bytes, bytes]:
+    async def _read_head(self, connection: socket.socket) -> tuple[bytes, bytes]:
         got = b""
         while b"\r\n\r\n" not in got:
             got += await asyncio.get_running_loop().sock_recv(connection, 1_024)
@@ -93,20 +93,20 @@
 
 
 class UnreadBodyTests(testtools.TestCase):
-    def test_a_worker_that_reads_nothing_of_a_body_is_left_in_time(self) -> None:
+    def test_a_worker_that_does_not_read_a_body_is_abandoned_in_time(self) -> None:
         client = PlatformWorkers()
         for call in (client.send, partial(client.stream, deliver=ignore)):
-            began = time.perf_counter()
-            with_worker(SlowWorker(0.0, reads_on=False), partial(self.left, call))
-            self.assertLess(time.perf_counter() - began, 10.0 / 2)
+            started = time.perf_counter()
+            with_worker(SlowWorker(0.0, reads_body=False), partial(self.check_attempt, call))
+            self.assertLess(time.perf_counter() - started, 10.0 / 2)
 
-    async def left(self, call: Call, worker: WorkerTarget) -> None:
+    async def check_attempt(self, call: Call, worker: WorkerTarget) -> None:
         result = await call(granted(worker), request(body=LARGE, deadline_seconds=10.0))
         self.assertIs(AttemptFault.MAY_HAVE_RUN, result.error.fault)
         self.assertIsNone(result.error.contact_loss)
         self.assertIn("read", result.error.detail)
 
-    def test_a_worker_that_reads_slowly_is_not_left(self) -> None:
+    def test_a_worker_that_reads_slowly_is_not_abandoned(self) -> None:
         answers = []
 
         async def scenario(worker: WorkerTarget) -> None:
@@ -117,13 +117,13 @@
                 )
             )
 
-        worker = SlowWorker(0.01, reads_on=True)
+        worker = SlowWorker(0.01, reads_body=True)
         with mock.patch("stagewalk_platform.bodies.WRITE_STALL_TIMEOUT_SECONDS", 0.5):
-            began = time.perf_counter()
+            started = time.perf_counter()
             with_worker(worker, scenario)
-            self.assertGreater(time.perf_counter() - began, 0.5)
+            self.assertGreater(time.perf_counter() - started, 0.5)
         self.assertEqual(b"ok", answers[0].ok.body)
-        self.assertEqual(LARGE[: 40 * CHUNK_BYTES], bytes(worker.got))
+        self.assertEqual(LARGE[: 40 * CHUNK_BYTES], bytes(worker.received))
 
     def test_a_short_deadline_leaves_time_for_another_worker(self) -> None:
         self.assertEqual(WRITE_STALL_TIMEOUT_SECONDS, write_stall_timeout(None))
@@ -143,7 +143,7 @@
         play([Scripted(content, **kinds), Scripted(content, **kinds)], scenario)
         return outcome
 
-    def test_an_answer_that_announces_too_much_is_not_read(self) -> None:
+    def test_a_response_with_a_content_length_over_the_budget_is_not_read(self) -> None:
         budget = MemoryBudget(100)
         head = respond("500 Error", b"x" * 101, **SIGNED)[:-101]
         for result in self.answer(head, budget):
@@ -152,7 +152,7 @@
             self.assertIsNone(result.error.contact_loss)
         self.assertEqual((0, 0), (budget.held_bytes, budget.peak_bytes))
 
-    def test_an_answer_without_a_length_is_counted_as_it_comes(self) -> None:
+    def test_a_response_without_a_length_is_counted_as_it_arrives(self) -> None:
         budget = MemoryBudget(100)
         content = chunked([b"y" * 60, b"y" * 60], **SIGNED)
         result, _ = self.answer(content, budget)
@@ -160,7 +160,7 @@
         self.assertEqual(0, budget.held_bytes)
         self.assertLessEqual(budget.peak_bytes, 100)
 
-    def test_an_answer_that_fits_is_whole_and_no_longer_counted_once_it_is_read(self) -> None:
+    def test_a_response_within_the_budget_is_read_and_its_bytes_released(self) -> None:
         for content in (
             respond("500 Error", b"x" * 100, **SIGNED),
             respond("500 Error", b"x" * 100, framed=False, **SIGNED),
--- a/tests/platform_adapter/test_workers.py
+++ b/tests/platform_adapter/test_workers.py
@@ -1,4 +1,4 @@
-"""What a worker's answers prove: whole and its own, not run, or nothing."""
+"""Classification of workers' responses: complete, proven not run, or possibly run."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         result, _ = self.send(Scripted(content, **kinds))
         return result.error.fault
 
-    def test_a_whole_answer_with_what_goes_back(self) -> None:
+    def test_a_complete_response_is_returned_with_its_load(self) -> None:
         result, server = self.send(Scripted(respond("200 OK", b"ok", **SIGNED)))
         answer = result.ok
         self.assertEqual((200, b"ok", True), (answer.status, answer.body, answer.is_signed))
@@ -75,9 +75,9 @@
         self.assertNotIn(b"99999", sent)
         self.assertTrue(sent.endswith(b"body"))
 
-    def test_a_worker_sees_the_tenant_that_the_system_names_and_no_key(self) -> None:
+    def test_the_gateway_replaces_the_tenant_header_and_removes_the_api_key(self) -> None:
         sent = (("Authorization", "Bearer key-1"), ("X-Tenant", "forged"), ("accept", "*/*"))
-        for tenant, told in (("huka270", b"x-tenant: huka270"), ("", b"")):
+        for tenant, expected in (("huka270", b"x-tenant: huka270"), ("", b"")):
             _, server = self.send(
                 Scripted(respond("200 OK", b"ok", **SIGNED)),
                 headers=sent,
@@ -85,47 +85,47 @@
                 priority=2,
             )
             head = server.requests[0].lower()
-            self.assertIn(told, head)
+            self.assertIn(expected, head)
             self.assertIn(b"x-request-priority: 2", head)
             for hidden in (b"key-1", b"forged"):
                 self.assertNotIn(hidden, head)
 
-    def test_without_tenants_a_worker_gets_the_callers_headers(self) -> None:
+    def test_without_tenants_the_callers_headers_are_forwarded(self) -> None:
         sent = (("Authorization", "Basic own"), ("x-tenant", "own"))
         _, server = self.send(Scripted(respond("200 OK", b"ok", **SIGNED)), headers=sent)
         self.assertIn(b"authorization: basic own", server.requests[0].lower())
         self.assertIn(b"x-tenant: own", server.requests[0].lower())
 
-    def test_an_answer_to_another_request_is_not_taken(self) -> None:
+    def test_a_response_to_another_request_is_rejected(self) -> None:
         other = {**SIGNED, "x_request_id": "q0"}
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, self.fault(respond("200 OK", b"ok", **other)))
 
-    def test_an_answer_that_names_no_request_is_not_taken(self) -> None:
+    def test_a_response_without_a_request_id_is_rejected(self) -> None:
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, self.fault(respond("200 OK", b"ok")))
 
-    def test_only_the_workers_word_proves_that_it_did_not_run(self) -> None:
-        said = {**SIGNED, "x_not_executed": "1"}
-        self.assertEqual(AttemptFault.NOT_RUN, self.fault(respond("503 Busy", **said)))
+    def test_only_the_not_executed_header_proves_that_a_request_did_not_run(self) -> None:
+        headers = {**SIGNED, "x_not_executed": "1"}
+        self.assertEqual(AttemptFault.NOT_RUN, self.fault(respond("503 Busy", **headers)))
         result, _ = self.send(Scripted(respond("503 Busy", **SIGNED)))
         self.assertEqual(503, result.ok.status)
 
-    def test_a_refusal_brings_the_load_that_explains_it(self) -> None:
+    def test_a_refusal_includes_the_workers_load(self) -> None:
         full = {**SIGNED, "x_not_executed": "1", "x_instance_load": "6,18,6,250"}
         result, _ = self.send(Scripted(respond("503 Busy", **full)))
         self.assertEqual(WorkerLoad(6, 18, 6, 2.5), result.error.load)
 
-    def test_another_worker_at_the_address(self) -> None:
+    def test_a_misdirected_request_is_a_wrong_worker(self) -> None:
         content = respond("421 Misdirected", x_instance_id="i-2")
         self.assertEqual(AttemptFault.WRONG_WORKER, self.fault(content))
 
-    def test_damaged_and_cut_answers_may_have_run(self) -> None:
+    def test_requests_with_damaged_or_truncated_responses_may_have_run(self) -> None:
         cut = respond("200 OK", b"whole", **SIGNED)[:-2]
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, self.fault(cut, close=True))
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, self.fault(cut, reset=True))
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, self.fault(b"noise\r\n\r\n", close=True))
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, self.fault(b"", reset=True))
 
-    def test_how_contact_was_lost_tells_an_end_from_a_late_answer(self) -> None:
+    def test_contact_loss_distinguishes_a_closed_connection_from_a_timeout(self) -> None:
         cases = (
             (Scripted(b"", close=True), ContactLoss.CLOSED),
             (Scripted(b"", reset=True), ContactLoss.CLOSED),
@@ -138,39 +138,39 @@
             result, _ = self.send(answer, deadline_seconds=0.2)
             self.assertIs(loss, result.error.contact_loss)
 
-    def test_a_port_that_nobody_listens_at_is_told_from_one_that_takes_connections(self) -> None:
+    def test_a_closed_port_is_distinguished_from_a_listening_one(self) -> None:
         async def scenario(server: ScriptedServer) -> None:
             workers = PlatformWorkers()
             self.assertIs(True, await workers.is_listening(target(server)))
-            nobody = WorkerTarget("i-1", type(server.address)("127.0.0.1", 1))
-            self.assertIs(False, await workers.is_listening(nobody))
+            closed_port = WorkerTarget("i-1", type(server.address)("127.0.0.1", 1))
+            self.assertIs(False, await workers.is_listening(closed_port))
 
         play([Scripted(b"")], scenario)
 
-    def test_a_machine_that_says_nothing_is_neither(self) -> None:
+    def test_a_machine_that_does_not_respond_is_unknown(self) -> None:
         async def scenario(server: ScriptedServer) -> None:
             with mock.patch("anyio.connect_tcp", lambda *_arguments: anyio.sleep(9.0)):
                 self.assertIsNone(await PlatformWorkers().is_listening(target(server)))
 
         play([], scenario)
 
-    def test_an_unframed_answer_that_is_reset_is_not_whole(self) -> None:
+    def test_an_unframed_response_that_is_reset_may_have_run(self) -> None:
         content = respond("200 OK", b"part", framed=False, **SIGNED)
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, self.fault(content, reset=True))
 
-    def test_no_answer_in_time(self) -> None:
+    def test_a_response_after_the_deadline_may_have_run(self) -> None:
         result, _ = self.send(Scripted(b"", after_seconds=0.5), deadline_seconds=0.05)
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, result.error.fault)
 
-    def test_nobody_there_means_that_nothing_was_sent(self) -> None:
+    def test_a_refused_connection_means_that_nothing_was_sent(self) -> None:
         async def scenario(server: ScriptedServer) -> None:
-            nobody = WorkerTarget("i-1", type(server.address)("127.0.0.1", 1))
-            result = await PlatformWorkers().send(granted(nobody), request())
+            closed_port = WorkerTarget("i-1", type(server.address)("127.0.0.1", 1))
+            result = await PlatformWorkers().send(granted(closed_port), request())
             self.assertEqual(AttemptFault.NOT_SENT, result.error.fault)
 
         play([], scenario)
 
-    def test_a_surplus_answer_is_never_taken_for_the_next_one(self) -> None:
+    def test_a_duplicate_response_is_not_used_for_the_next_request(self) -> None:
         async def scenario(server: ScriptedServer) -> None:
             client = PlatformWorkers()
             first = await client.send(granted(target(server)), request())
@@ -182,7 +182,7 @@
         answer = respond("200 OK", b"2", **{**SIGNED, "x_request_id": "q2"})
         play([Scripted(doubled), Scripted(answer)], scenario)
 
-    def test_what_runs_at_most_once_never_goes_over_a_kept_connection(self) -> None:
+    def test_requests_that_must_not_be_repeated_use_new_connections(self) -> None:
         async def scenario(server: ScriptedServer) -> None:
             client = PlatformWorkers()
             for _ in range(3):
@@ -193,7 +193,7 @@
 
 
 class PermitTests(testtools.TestCase):
-    """What was allowed when a worker was chosen is asked once more as the request is sent."""
+    """A permit is confirmed again when its request is about to be sent."""
 
     def test_a_request_denied_on_a_new_connection_is_not_sent(self) -> None:
         async def scenario(server: ScriptedServer) -> None:
@@ -205,22 +205,22 @@
         play([Scripted(respond("200 OK", b"ok", **SIGNED))], scenario)
         self.assertEqual([(AttemptFault.WITHHELD, "zone_evacuated", 0)], outcome)
 
-    def test_a_request_denied_on_a_kept_connection_is_not_sent(self) -> None:
+    def test_a_request_denied_on_a_pooled_connection_is_not_sent(self) -> None:
         async def scenario(server: ScriptedServer) -> None:
             client = PlatformWorkers()
             denials: list[Denial | None] = [None, Denial.COLD_RATE_REACHED, None]
             permit = SendPermit(target(server), lambda _now: denials.pop(0))
             for _ in range(3):
                 answers.append(await client.send(permit, request()))
-            arrived.append(len(server.requests))
+            request_counts.append(len(server.requests))
 
         answers = []
-        arrived: list[int] = []
+        request_counts: list[int] = []
         play([Scripted(respond("200 OK", b"ok", **SIGNED)) for _ in range(2)], scenario)
         self.assertEqual([True, False, True], [answer.is_ok() for answer in answers])
-        self.assertEqual([2], arrived)
+        self.assertEqual([2], request_counts)
 
-    def test_a_stream_is_asked_as_well(self) -> None:
+    def test_a_denied_stream_is_not_sent(self) -> None:
         async def ignore(_part: StreamPart) -> None:
             pass
 
@@ -234,9 +234,9 @@
         self.assertEqual([(AttemptFault.WITHHELD, 0)], outcome)
 
 
-class SendBoundTests(testtools.TestCase):
-    def test_a_request_that_finds_no_place_in_the_pool_in_time_is_not_sent(self) -> None:
-        """It would reach the worker whenever another one ends, however long after its decision."""
+class PoolTimeoutTests(testtools.TestCase):
+    def test_a_request_that_times_out_waiting_for_the_pool_is_not_sent(self) -> None:
+        """Otherwise it would be sent long after its permit was issued."""
         outcome = []
 
         async def ignore(_part: StreamPart) -> None:
@@ -277,7 +277,7 @@
         play([Scripted(content, **kinds)], scenario)
         return outcome[0], parts, outcome[1]
 
-    def test_a_whole_stream(self) -> None:
+    def test_a_complete_stream(self) -> None:
         content = chunked(EVENTS, x_weight_versions="3", **SIGNED)
         result, parts, sent = self.stream(content)
         self.assertEqual(200, result.ok.status)
@@ -285,24 +285,24 @@
         self.assertEqual([(1, "a"), (2, "b")], [(e.number, e.data) for e in parts[1:]])
         self.assertIn(b"last-event-id: 4", sent)
 
-    def test_a_stream_cut_anywhere_is_not_whole(self) -> None:
+    def test_a_truncated_stream_may_have_run(self) -> None:
         for kinds in ({"close": True}, {"reset": True}):
             content = chunked(EVENTS, whole=False, **SIGNED)
             result, _, _ = self.stream(content, **kinds)
             self.assertEqual(AttemptFault.MAY_HAVE_RUN, result.error.fault)
 
-    def test_a_stream_that_ends_within_an_event_is_not_whole(self) -> None:
+    def test_a_stream_that_ends_within_an_event_may_have_run(self) -> None:
         result, parts, _ = self.stream(chunked(EVENTS[:2], **SIGNED))
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, result.error.fault)
         self.assertEqual(2, len(parts))
 
-    def test_a_stream_without_a_framed_end_is_not_whole(self) -> None:
+    def test_an_unframed_stream_is_an_error(self) -> None:
         content = respond("200 OK", b"".join(EVENTS), framed=False, **SIGNED)
         result, parts, _ = self.stream(content, close=True)
         self.assertTrue(result.is_error())
         self.assertEqual(3, len(parts))
 
-    def test_spoilt_bytes_end_the_stream(self) -> None:
+    def test_malformed_bytes_end_the_stream(self) -> None:
         result, _, _ = self.stream(chunked([b"\xfe\xff\n\n"], **SIGNED))
         self.assertEqual(AttemptFault.MAY_HAVE_RUN, result.error.fault)
 
@@ -329,7 +329,7 @@
             self.assertEqual(expected, self.order(respond(status))[0])
         self.assertEqual(OrderOutcome.UNKNOWN, self.order(b"", reset=True)[0])
 
-    def test_an_order_carries_fence_holder_and_the_count_it_relies_on(self) -> None:
+    def test_an_order_includes_its_holder_fence_and_expected_count(self) -> None:
         sent = self.order(respond("202 Accepted"))[1]
         body = json.loads(sent.split(b"\r\n\r\n", 1)[1])
         self.assertEqual(("n#1", 41, 6), (body["holder"], body["fence"], body["expected"]))
