--- a/src/stagewalk/common/__init__.py
+++ b/src/stagewalk/common/__init__.py
@@ -1,1 +1,1 @@
-"""Parts that the node and the gateway share."""
+"""Modules shared by the node and the gateway."""
--- a/src/stagewalk/common/errors.py
+++ b/src/stagewalk/common/errors.py
@@ -1,6 +1,6 @@
-"""Errors as values: each names the step and the peer at which it arose.
+"""Error values: each names the step and the peer at which it arose.
 
-Owns the codes that callers see and the words for "may have run". Relies on nothing.
+Defines the error codes of the public API.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ErrorStep(StrEnum):
-    """Where on its way a request, a record or an order failed."""
+    """Processing step at which a request, a record or an order failed."""
 
     VALIDATION = "validation"
     ADMISSION = "admission"
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StagewalkError:
-    """The error half of every `expression.Result` of this project.
+    """Error type of every `expression.Result` in this project.
 
     Attributes
     ----------
@@ -72,13 +72,13 @@
     peer
         The process at which it arose: a node's or engine's name, a service, or `caller`.
     detail
-        One sentence for a person.
+        Description for a person.
     ran
         Whether the request may have been executed.
     field
-        Path of the offending input field, if the input was at fault.
+        Path of the invalid input field, if the input is the cause.
     retry_after_seconds
-        When the caller may usefully try again, if that is known.
+        Delay after which a retry may succeed, if it is known.
     """
 
     kind: ErrorKind
--- a/src/stagewalk/common/http/__init__.py
+++ b/src/stagewalk/common/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP by both programs: listeners, exchanges with callers, clients."""
+"""HTTP servers, exchanges and clients shared by the node and the gateway."""
--- a/src/stagewalk/common/http/asgi.py
+++ b/src/stagewalk/common/http/asgi.py
@@ -1,8 +1,7 @@
-"""Dispatches ASGI connections, and runs one HTTP exchange from its first byte to its end.
+"""Dispatches ASGI connections and runs the handler of an HTTP exchange.
 
-Owns what every application here does alike: the lifespan protocol, refusing WebSockets, noticing
-that a caller went away, releasing the body's memory, and reporting a handler's crash. Relies on
-`Exchange`; what is served is the application's own.
+Covers what all applications share: the lifespan protocol, rejecting WebSockets, detecting
+disconnects, releasing the body's memory, and logging crashes of a handler.
 """
 
 from __future__ import annotations
@@ -24,13 +23,13 @@
 
 
 class BrokenResponseError(Exception):
-    """A response that has begun can't be completed: its connection must break."""
+    """A started response can't be completed, so its connection has to be closed."""
 
 
 async def serve_connection(
     scope: Scope, receive: ASGIReceiveCallable, send: ASGISendCallable, serve_http: HttpHandler
 ) -> None:
-    """Serve one ASGI connection: HTTP by a handler, no WebSockets."""
+    """Serve one ASGI connection: passes HTTP to the handler and rejects WebSockets."""
     if scope["type"] == "lifespan":
         await serve_lifespan(receive, send)
     elif scope["type"] == "http":
@@ -46,7 +45,7 @@
     *,
     cancel_on_disconnect: bool = False,
 ) -> None:
-    """Run an exchange's handler while what the caller sends is received.
+    """Run an exchange's handler while receiving the caller's messages.
 
     Parameters
     ----------
@@ -55,7 +54,7 @@
     respond_crashed
         Responds if the handler crashed before it sent a status.
     cancel_on_disconnect
-        Whether the handler ends when the caller goes away.
+        Whether to cancel the handler when the caller disconnects.
 
     Raises
     ------
--- a/src/stagewalk/common/http/body_budget.py
+++ b/src/stagewalk/common/http/body_budget.py
@@ -1,4 +1,4 @@
-"""A budget of bytes for bodies that are still arriving, shared by all exchanges of a process."""
+"""Memory budget for request bodies that are being received, shared by all exchanges."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class ByteBudget(Protocol):
-    """What an exchange asks before it keeps more of its body."""
+    """Budget in which an exchange reserves the bytes of its body."""
 
     def admits(self, announced_bytes: int) -> bool:
-        """Whether a body of an announced length would fit now."""
+        """Return whether a body of an announced length would fit now."""
 
     def reserve_bytes(self, count: int) -> bool:
-        """Use bytes of the budget; return whether there were enough."""
+        """Reserve bytes; return whether there were enough."""
 
     def release_bytes(self, count: int) -> None:
-        """Return bytes to the budget: the body was handed on, or dropped."""
+        """Release bytes of a body that was passed on or discarded."""
 
 
 class BodyBudget:
@@ -25,16 +25,16 @@
         self._free_bytes = maximum_bytes
 
     def admits(self, _announced_bytes: int) -> bool:
-        """Return true: a body is refused once it finds too few bytes as it arrives."""
+        """Return true: a body is refused only if the budget is exhausted while it arrives."""
         return True
 
     def reserve_bytes(self, count: int) -> bool:
-        """Use bytes of the budget; return whether there were enough."""
+        """Reserve bytes; return whether there were enough."""
         if count > self._free_bytes:
             return False
         self._free_bytes -= count
         return True
 
     def release_bytes(self, count: int) -> None:
-        """Return bytes to the budget."""
+        """Release reserved bytes."""
         self._free_bytes += count
--- a/src/stagewalk/common/http/calls.py
+++ b/src/stagewalk/common/http/calls.py
@@ -1,7 +1,7 @@
 """Calls with JSON bodies over pooled HTTP connections, with errors as values.
 
-Owns timeouts and socket options of outgoing connections. A call's error says whether its request
-may have been executed, which decides whether it may be repeated. Relies on `httpx`.
+Defines the timeouts and socket options of outgoing connections. An error says whether the request
+may have been executed, and so whether it is safe to retry.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 """Failures before any byte of a request was written."""
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-"""Longest wait for a connection: a lost first packet is sent again after 1 s."""
+"""Longest wait for a connection: enough for the retransmission of a lost SYN after 1 s."""
 
 POOL_TIMEOUT_SECONDS = 2.0
 """Longest wait for a free connection of a pool."""
 
 KEEPALIVE_EXPIRY_SECONDS = 4.0
-"""Idle connections are dropped before usual servers close them, so that none breaks in use."""
+"""Shorter than the idle timeout of common servers, so that none closes a connection in use."""
 
 TCP_USER_TIMEOUT_MILLISECONDS = 1_500
-"""A connection without an acknowledgement for so long counts as lost: by then a lost packet was
-sent again three times (after 0.2, 0.6 and 1.4 s)."""
+"""The kernel drops a connection whose data was not acknowledged for this long, which allows for
+three retransmissions (after 0.2, 0.6 and 1.4 s)."""
 
 TCP_KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -46,21 +46,21 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLISECONDS),
 )
-"""Options of sockets to other processes. A kept connection may go silent for good without a reset.
-The kernel asks a peer once a second whether it is still there, so such a connection is dropped
-after 2 to 3 s, before a call finds it out by waiting for its own timeout."""
+"""Socket options of outgoing connections. Keepalive probes, sent every second, detect within 2 to
+3 s that the peer of a pooled connection vanished without a reset; without them the next call would
+wait for its own timeout."""
 
 _BARE_TLS_CONTEXT = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
 _JSON_HEADERS = {"Content-Type": "application/json"}
 _DETAIL_CHARACTERS = 200
-"""Longest quotation of a peer's answer or of an exception in an error."""
+"""Longest excerpt of a response or an exception in an error's detail."""
 
 _REQUEST_TIMEOUT_STATUS = 408
 _NOT_MODIFIED_STATUS = 304
 
 
 def open_client(maximum_connections: int, maximum_idle: int) -> httpx.AsyncClient:
-    """Return a client with its own pool; the process's proxy variables are not followed."""
+    """Return a client with its own pool, which ignores the proxy environment variables."""
     transport = open_transport(maximum_connections, maximum_idle)
     return httpx.AsyncClient(transport=transport, trust_env=False)
 
@@ -72,9 +72,9 @@
 ) -> httpx.AsyncHTTPTransport:
     """Return a pool of connections for short calls.
 
-    Without a client's redirects, cookies and authentication a call costs a quarter less of the
-    processor, which is most of what an idle node uses. Services are met over plain HTTP: the bare
-    TLS context only spares loading certificates.
+    Skipping the redirects, cookies and authentication of a client saves a quarter of a call's CPU
+    time, and calls are most of an idle node's work. Services use plain HTTP: the empty TLS context
+    only avoids loading certificates.
     """
     limits = httpx.Limits(
         max_connections=maximum_connections,
@@ -90,7 +90,7 @@
 
 
 def call_timeout(read_seconds: float | None) -> httpx.Timeout:
-    """Return the timeouts of a call whose answer may take `read_seconds` (`None`: for ever)."""
+    """Return the timeouts of a call with a read timeout of `read_seconds` (`None`: unlimited)."""
     return httpx.Timeout(read_seconds, connect=CONNECT_TIMEOUT_SECONDS, pool=POOL_TIMEOUT_SECONDS)
 
 
@@ -114,9 +114,9 @@
     body: object | None = None,
     headers: Mapping[str, str] | None = None,
 ) -> httpx.Response:
-    """Send a JSON body (if any) and read the whole answer; raises `httpx.HTTPError`.
+    """Send a JSON body (if any) and read the whole response; raises `httpx.HTTPError`.
 
-    A peer that sends its answer in drops gets `read_seconds` for all of it, not for each.
+    `read_seconds` limits the whole response, not each read of a part.
     """
     content = None if body is None else msgspec.json.encode(body)
     if body is not None:
@@ -143,7 +143,7 @@
     read_seconds: float,
     body: object | None = None,
 ) -> Result[ResponseBody, StagewalkError]:
-    """Send a JSON body (if any) and decode the JSON answer.
+    """Send a JSON body (if any) and decode the JSON response.
 
     The error's `ran` is `no` only if the request was never sent or the peer refused it (4xx).
     """
@@ -158,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangedResponse(Generic[ResponseBody]):
-    """An answer that differs from the one known, and the tag to ask with next time."""
+    """A response that has changed, and the entity tag to send with the next request."""
 
     value: ResponseBody
     entity_tag: str | None
@@ -174,10 +174,10 @@
     peer: str,
     read_seconds: float,
 ) -> Result[ChangedResponse[ResponseBody] | None, StagewalkError]:
-    """Read a JSON answer unless it still has a known entity tag; None if it has."""
-    known = None if entity_tag is None else {"if-none-match": entity_tag}
+    """Read a JSON response; None if its entity tag has not changed."""
+    tags = None if entity_tag is None else {"if-none-match": entity_tag}
     try:
-        response = await send_json(transport, "GET", url, read_seconds=read_seconds, headers=known)
+        response = await send_json(transport, "GET", url, read_seconds=read_seconds, headers=tags)
     except httpx.HTTPError as error:
         return Error(transport_error(error, step, peer))
     if response.status_code == _NOT_MODIFIED_STATUS:
@@ -216,7 +216,7 @@
 
 
 def status_error(response: httpx.Response, step: ErrorStep, peer: str) -> StagewalkError:
-    """Return the error value for an answer whose status is not 2xx."""
+    """Return the error value for a response whose status is not 2xx."""
     detail = response.content[:_DETAIL_CHARACTERS].decode(errors="replace")
     refused = response.is_client_error and response.status_code != _REQUEST_TIMEOUT_STATUS
     return StagewalkError(
--- a/src/stagewalk/common/http/connection_pools.py
+++ b/src/stagewalk/common/http/connection_pools.py
@@ -1,10 +1,8 @@
-"""Kept connections to many peers: a pool for each.
+"""A separate connection pool for each peer.
 
-A pool of `httpx` checks each of its idle connections on every request, with a system call each.
-One pool for all peers would make a request dearer with each peer. A pool looks at its idle
-connections only as it is used, so those to a peer that is left alone would stay, with their memory
-and descriptors, also once the peer has closed them. Owns the pools and closes those unused longest;
-relies on `http.calls` for their transport.
+An `httpx` pool checks all its idle connections on every request, with a system call for each, so
+the cost of a request would grow with the number of peers in a shared pool. A pool that is not used
+never closes its idle connections, even if the peer has closed them, so idle pools are closed here.
 """
 
 from __future__ import annotations
@@ -26,18 +24,18 @@
     transport: httpx.AsyncHTTPTransport
     users: int = 0
     released_at: float = 0.0
-    """Steady time of the end of its last use."""
+    """Steady-clock time at which its last use ended."""
 
 
 class ConnectionPools:
-    """Pools by peer; closed once their connections have idled too long, or there are too many.
+    """Connection pools by peer, closed when they were idle too long or there are too many.
 
     Parameters
     ----------
     maximum_pools
-        Peers whose connections are kept; pools in use stay, however many.
+        Most pools that are open at once; pools in use are never closed and may exceed it.
     maximum_connections, maximum_idle
-        Of one peer.
+        Limits of one pool.
     keepalive_seconds
         How long an idle connection is kept.
     """
@@ -60,7 +58,7 @@
 
     @asynccontextmanager
     async def use(self, peer: str) -> AsyncIterator[httpx.AsyncHTTPTransport]:
-        """Give the pool of a peer for one request."""
+        """Yield the pool of a peer for one request."""
         pool = self._pools.get(peer)
         if pool is None:
             pool = _Pool(
@@ -80,7 +78,7 @@
             await self._close_unused(pool.released_at)
 
     async def _close_unused(self, now: float) -> None:
-        """Close pools that idled too long, and those unused longest where there are too many."""
+        """Close pools that were idle too long, and the least recently used surplus ones."""
         closing: list[str] = []
         for peer, pool in self._pools.items():
             if pool.users > 0:
--- a/src/stagewalk/common/http/exchange.py
+++ b/src/stagewalk/common/http/exchange.py
@@ -1,7 +1,6 @@
-"""One HTTP exchange over ASGI: its body within limits, its response, its caller's disconnect.
+"""One HTTP exchange over ASGI: receives the body, sends the response and detects a disconnect.
 
-Owns the bytes of one body while it arrives, counted against a budget that all exchanges share.
-Relies on the server's ASGI callables; what a request means belongs to its handler.
+The body is limited in size and time, and its bytes count against a budget that all exchanges share.
 """
 
 from __future__ import annotations
@@ -30,13 +29,13 @@
 PROBLEM_CONTENT_TYPE = "application/problem+json"
 
 LINGERING_CLOSE_SECONDS = 2.0
-"""How long an answered caller may go on sending its body before the connection is closed."""
+"""How long a caller may continue to send its body after the response was sent."""
 
 WRITE_BUFFER_BYTES = 16_384
-"""Held in the process for a caller that doesn't read, besides what the kernel holds."""
+"""Write buffer in the process for a caller that reads slowly, besides the kernel's buffer."""
 
 RETRY_COUNT_HEADERS = ("x-retry-count", "x-stainless-retry-count")
-"""Headers by which callers, and OpenAI's clients, count how often they sent a request before."""
+"""Headers in which callers, and OpenAI's clients, state how often they retried a request."""
 
 Headers = Iterable[tuple[str, str]]
 
@@ -44,14 +43,14 @@
 class Exchange:
     """One request and its response.
 
-    `watch` runs beside the handler for the whole exchange. It keeps reading what the caller
-    sends, discarding it beyond the limit, so that the server's queue never fills up and a
-    disconnect is always noticed.
+    `watch` runs concurrently with the handler for the whole exchange. It keeps receiving the
+    body, and discards it beyond the limit, so that the server's queue never fills up and a
+    disconnect is always detected.
 
     Parameters
     ----------
     last
-        Whether the connection ends with this response, as the process stops.
+        Whether to close the connection after this response, since the process is stopping.
     """
 
     def __init__(
@@ -76,15 +75,15 @@
             name.decode("latin-1").lower(): value.decode("latin-1")
             for name, value in scope["headers"]
         }
-        self.resent = self._says_resent()
-        """Whether the caller has sent the same request before, here or elsewhere."""
+        self.resent = self._is_resent()
+        """Whether the request is a retry, according to its headers."""
         self._receive = receive
         self._send = send
         self._limits = limits
         self._last = last
         self._budget = budget
         self._body = bytearray()
-        self._fault = self._announced_fault()
+        self._fault = self._content_length_fault()
         self._body_settled = anyio.Event()
         self._body_ended = anyio.Event()
         self._on_disconnect: Callable[[], None] | None = None
@@ -100,13 +99,13 @@
             action()
 
     async def watch(self) -> None:
-        """Read what the caller sends until it disconnects."""
+        """Receive the caller's messages until it disconnects."""
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
                 break
             if message["type"] == "http.request":
-                self._take(message.get("body", b""), message.get("more_body", False))
+                self._add_part(message.get("body", b""), message.get("more_body", False))
         self.disconnected = True
         self._body_settled.set()
         self._body_ended.set()
@@ -127,17 +126,17 @@
         return Ok(content)
 
     def release_body(self) -> None:
-        """Release the memory of what has arrived of the body."""
+        """Discard the received part of the body and release its bytes."""
         self._budget.release_bytes(len(self._body))
         self._body = bytearray()
 
     async def respond(
         self, status: int, content_type: str, body: bytes, headers: Headers = ()
     ) -> None:
-        """Send a whole response, at once even if the caller is still sending its body.
+        """Send a whole response, even while the caller is still sending its body.
 
-        Closing then would reset the connection under the response, so the rest of the body is
-        read and discarded for `LINGERING_CLOSE_SECONDS` at most.
+        Closing the connection then would reset it before the response is read, so the rest of
+        the body is received and discarded for `LINGERING_CLOSE_SECONDS` at most.
         """
         length = ("content-length", str(len(body)))
         await self.start(status, content_type, (length, *headers))
@@ -157,9 +156,9 @@
         )
 
     def adjust_for_resend(self, error: StagewalkError) -> StagewalkError:
-        """Return an error that says "not run" only of a request that was not sent before.
+        """Return the error, for a retried request with the execution status "unknown".
 
-        What this node did not run may well have run when it was sent the first time.
+        This node did not run it, but an earlier attempt may have.
         """
         return dataclasses.replace(error, ran=ExecutionStatus.UNKNOWN) if self.resent else error
 
@@ -168,7 +167,7 @@
         await self.start_response(status, (("content-type", content_type), *headers))
 
     async def start_response(self, status: int, headers: Headers) -> None:
-        """Send the response's status and headers, whatever its content is."""
+        """Send the response's status and headers, without adding a content type."""
         self.started = True
         closing = (("connection", "close"),) if self._last() and self._persistent else ()
         all_headers = (*headers, *closing)
@@ -182,26 +181,26 @@
         )
 
     async def write(self, part: bytes, *, last: bool = False) -> None:
-        """Send a part of the response's body, waiting while the caller reads slowly."""
+        """Send a part of the response's body, waiting while the write buffer is full."""
         await self._send({"type": "http.response.body", "body": part, "more_body": not last})
 
     def bound_write_buffer(self) -> None:
-        """Let `write` wait for a caller that reads slowly before much of its answer is held."""
+        """Limit the write buffer, so that `write` waits for a caller that reads slowly."""
         transport = transport_of(self._send)
         if transport is not None:
             transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
     def abort(self) -> None:
-        """Drop the connection and what its caller has not read: closing would wait for it."""
+        """Close the connection and discard unsent data, which a normal close would wait for."""
         transport = transport_of(self._send)
         if transport is not None:
             transport.abort()
 
-    def _says_resent(self) -> bool:
+    def _is_resent(self) -> bool:
         return any(self._headers.get(name, "0") != "0" for name in RETRY_COUNT_HEADERS)
 
-    def _announced_fault(self) -> StagewalkError | None:
-        """Return why a body of the length that the caller announces is refused unread."""
+    def _content_length_fault(self) -> StagewalkError | None:
+        """Return why the announced length of the body is refused, None if it is accepted."""
         length = self._headers.get("content-length", "")
         if not length.isdecimal():
             return None
@@ -209,9 +208,9 @@
             return _too_large(self._limits)
         return None if self._budget.admits(int(length)) else _too_many_bodies()
 
-    def _take(self, part: bytes, more: bool) -> None:
+    def _add_part(self, part: bytes, more: bool) -> None:
         if self._fault is None:
-            self._fault = self._keep(part)
+            self._fault = self._store_part(part)
         if self._fault is not None:
             self.release_body()
         if not more:
@@ -219,7 +218,7 @@
         if self._fault is not None or not more:
             self._body_settled.set()
 
-    def _keep(self, part: bytes) -> StagewalkError | None:
+    def _store_part(self, part: bytes) -> StagewalkError | None:
         if len(self._body) + len(part) > self._limits.body_bytes:
             return _too_large(self._limits)
         if not self._budget.reserve_bytes(len(part)):
--- a/src/stagewalk/common/http/lifespan.py
+++ b/src/stagewalk/common/http/lifespan.py
@@ -1,4 +1,4 @@
-"""The lifespan protocol of ASGI, of which the applications here need nothing."""
+"""The lifespan protocol of ASGI, for applications that do nothing on startup and shutdown."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def serve_lifespan(receive: ASGIReceiveCallable, send: ASGISendCallable) -> None:
-    """Agree to start and to stop."""
+    """Acknowledge startup and shutdown."""
     while True:
         message = await receive()
         if message["type"] == "lifespan.startup":
--- a/src/stagewalk/common/http/listener_filter.py
+++ b/src/stagewalk/common/http/listener_filter.py
@@ -1,8 +1,8 @@
 """Makes the kernel drop new connections of a listening socket before it is closed.
 
-A classic socket filter on the listener drops the first packet of each new connection: the caller's
-kernel retransmits it a second later and is then refused, which a caller may read as "not sent".
-Established connections are untouched. Relies on Linux; elsewhere the filter is left out.
+A classic BPF filter on the listener drops the SYN of each new connection. The caller's kernel
+retransmits it a second later and is then refused, which proves to the caller that its request was
+not sent. Established connections are unaffected. On systems other than Linux no filter is set.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/common/http/peer_names.py
+++ b/src/stagewalk/common/http/peer_names.py
@@ -1,4 +1,4 @@
-"""Peers that errors of an HTTP edge name, and its retry delay when too much is open."""
+"""Peer names in errors of the HTTP edge, and its retry delay under overload."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/common/http/problems.py
+++ b/src/stagewalk/common/http/problems.py
@@ -1,7 +1,4 @@
-"""Errors as `application/problem+json`: their status, headers and body.
-
-Owns the mapping from error codes to HTTP; relies on `common.errors` for the codes.
-"""
+"""Renders errors as `application/problem+json`: HTTP status, headers and body."""
 
 from __future__ import annotations
 
@@ -66,7 +63,8 @@
 def problem_headers(error: StagewalkError) -> tuple[tuple[str, str], ...]:
     """Return the headers of an error response.
 
-    `X-Should-Retry` keeps OpenAI's client from repeating, under a new id, what may have run.
+    `X-Should-Retry` keeps OpenAI's client from retrying, under a new id, a request that may have
+    run.
     """
     headers = []
     if error.retry_after_seconds is not None:
@@ -82,7 +80,7 @@
 
 
 def render_stream_error(error: StagewalkError) -> bytes:
-    """Return an error that arises after a stream began, as OpenAI's clients understand it."""
+    """Return the body of an error event in a started stream, in the format of OpenAI's clients."""
     return msgspec.json.encode(_ErrorEvent(_problem(error)))
 
 
--- a/src/stagewalk/common/http/server.py
+++ b/src/stagewalk/common/http/server.py
@@ -1,7 +1,7 @@
-"""Serves an ASGI application with `hypercorn`, and closes listeners without cutting requests off.
+"""Serves an ASGI application with `hypercorn`, with a graceful shutdown.
 
-Owns listening sockets and the order of a shutdown: new connections are dropped, existing ones are
-answered, then the server ends. Relies on `listener_filter` for the first step.
+A shutdown first drops new connections (see `listener_filter`), then completes open requests, then
+ends the server.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 """Longest head of a request; well above the header limits that routes publish."""
 
 SERVER_KEEP_ALIVE_SECONDS = 75.0
-"""Longer than clients usually keep idle connections, so that it is they who close them."""
+"""Longer than the usual idle timeout of clients, so that clients close idle connections first."""
 
 GRACEFUL_TIMEOUT_SECONDS = 3.0
 """How long requests under way may go on once the listener is closed."""
 
 EXIT_LINGER_SECONDS = 0.5
-"""How long requests that arrive during an exit still get a status instead of a reset."""
+"""How long requests that arrive during a shutdown are still answered instead of reset."""
 
 STALLED_WRITE_MILLISECONDS = 30_000
 """After this time the kernel drops a connection whose peer acknowledges no more data."""
@@ -55,10 +55,10 @@
     """Serve the application on a listening socket until `stop` is set.
 
     Closing the socket at once would reset connections that the kernel has accepted but the
-    server has not, and requests on their way; so new connections are dropped first.
+    server has not, and requests in transit; so new connections are dropped first.
 
-    `hypercorn` can't be cancelled half-way through its shutdown, so a cancellation of this call
-    sets `stop` and waits for the orderly end, at most `GRACEFUL_TIMEOUT_SECONDS`.
+    `hypercorn` can't be cancelled during its shutdown, so a cancellation of this call sets `stop`
+    and waits for the graceful shutdown, at most `GRACEFUL_TIMEOUT_SECONDS`.
 
     Parameters
     ----------
@@ -76,14 +76,14 @@
 async def _serve_shielded(
     app: ASGIFramework, listener: socket.socket, stop: anyio.Event, linger_seconds: float
 ) -> None:
-    with anyio.CancelScope(shield=True), listener.dup() as door:
+    with anyio.CancelScope(shield=True), listener.dup() as duplicate:
 
         async def wait_for_stop() -> None:
             await stop.wait()
-            # Imported only now: `ctypes`, which it needs, is a large part of a process's start.
+            # Imported here, since loading `ctypes` would add much to the process's startup time.
             from stagewalk.common.http.listener_filter import drop_new_connections
 
-            drop_new_connections(door)
+            drop_new_connections(duplicate)
             await anyio.sleep(linger_seconds)
 
         config = _configuration(listener)
--- a/src/stagewalk/common/http/server_connection.py
+++ b/src/stagewalk/common/http/server_connection.py
@@ -1,9 +1,9 @@
-"""The connection below an ASGI response, which ASGI itself does not show.
+"""Finds the transport of an ASGI response, which ASGI does not expose.
 
-A response can't be abandoned by ASGI's means: the server flushes what it holds before it closes,
-which a caller that doesn't read puts off for ever. Owns how `hypercorn` holds its connections: the
-chain of senders from a response to its connection. Where that is different, nothing is found, and
-the server closes as ASGI has it.
+ASGI can't abort a response: the server flushes its buffer before it closes the connection, which
+never ends if the caller doesn't read. The transport is reached through the `send` methods of
+`hypercorn`'s objects, from the response to its connection. With another server nothing is found,
+and the connection is closed by ASGI's usual means.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from hypercorn.typing import ASGISendCallable
 
 _SENDERS = 2
-"""Between a response's sender and the connection that holds the writer: stream and protocol."""
+"""Number of `send` methods from a response's stream to the connection that holds the writer."""
 
 
 def transport_of(send: ASGISendCallable) -> asyncio.WriteTransport | None:
--- a/src/stagewalk/common/identities.py
+++ b/src/stagewalk/common/identities.py
@@ -1,7 +1,4 @@
-"""Identities that cross subsystem borders, each a type of its own for the type checker.
-
-Relies on nothing; what an identity is made from belongs to the subsystem that makes it.
-"""
+"""Identifier types that several subsystems share, distinct for the type checker."""
 
 from __future__ import annotations
 
@@ -21,13 +18,13 @@
 """Chosen by the caller, unique within its tenant: the key of at-most-once execution."""
 
 AttemptId = NewType("AttemptId", str)
-"""One try of a request at one engine; sent to the engine as `X-Request-Id`."""
+"""One attempt to run a request on one engine; sent to the engine as `X-Request-Id`."""
 
 CallId = NewType("CallId", str)
-"""One open call at this node's own edge; chosen by the shell, never leaves the node."""
+"""One open call at this node's HTTP edge; never leaves the node."""
 
 RecordId = NewType("RecordId", str)
-"""Unique identity of a log record, by which a lost append answer is settled."""
+"""Unique id of a log record; shows whether an append without a response succeeded."""
 
 Incarnation = NewType("Incarnation", int)
 """Grows with each start of a process under the same name."""
@@ -36,12 +33,12 @@
 """Fencing token: orders and records with a smaller epoch than one already seen are dropped."""
 
 WeightVersion = NewType("WeightVersion", int)
-"""Number of a model's weights, growing by one with each publish."""
+"""Version number of a model's weights, incremented by each publish."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where a process listens: an IP number and a port, never a host name."""
+    """IP address and port at which a process listens; never a host name."""
 
     host: str
     port: int
@@ -59,7 +56,7 @@
 
 
 class ProcessIdentity(Protocol):
-    """Who a process is, as far as cores need to know; `NodeIdentity` satisfies it."""
+    """Identity of a process, as pure cores need it; `NodeIdentity` implements it."""
 
     @property
     def name(self) -> NodeName:
@@ -67,7 +64,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the number of this start of the process."""
+        """Return the incarnation of this process."""
 
     @property
     def placement(self) -> Placement:
@@ -87,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class SampleSlotKey:
-    """The place of one sample in a training step.
+    """Identifies one sample of a training step.
 
     A step of a tenant's trainer asks for `samples_per_prompt` samples of each prompt;
     each of them is one slot, filled exactly once.
--- a/src/stagewalk/common/logs/__init__.py
+++ b/src/stagewalk/common/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Logs: events as lines, a budget that bounds them, and a writer that never blocks."""
+"""Log events formatted as lines, a rate limit for them, and a writer that never blocks."""
--- a/src/stagewalk/common/logs/budget.py
+++ b/src/stagewalk/common/logs/budget.py
@@ -1,8 +1,8 @@
-"""How many log lines may be written: a pure token bucket for each kind of event.
+"""Rate limit for log lines: a token bucket for each kind of event.
 
-A line about a failure is never dropped before one about a success: lines of level `warning` and
-above have a budget of their own, and when it is spent they use the rest of the ordinary one. Owns
-the counts of events and of dropped lines, which metrics show.
+Lines of level `warning` and above have buckets of their own and, when these are empty, use the
+ordinary ones, so that failures are not dropped in favour of successes. Counts events and dropped
+lines for metrics.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from dataclasses import dataclass
 
 LINES_PER_SECOND = 40.0
-"""Ordinary lines of one kind of event, in the long run."""
+"""Sustained rate of lines below `warning`, for one kind of event."""
 
 BURST_LINES = 400.0
-"""Ordinary lines of one kind at once: a batch of some hundred items opens in one moment."""
+"""Burst of such lines: a batch starts several hundred items at once."""
 
 FAILURE_LINES_PER_SECOND = 100.0
 FAILURE_BURST_LINES = 1_000.0
 """The same for lines of level `warning` and above."""
 
 MAXIMUM_EVENT_KINDS = 256
-"""Kinds of events counted separately; any further ones share a budget."""
+"""Kinds of events with buckets of their own; any further ones share one."""
 
 OTHER_EVENT_KINDS = "other"
 
@@ -29,18 +29,18 @@
 @dataclass(slots=True)
 class _Bucket:
     per_second: float
-    most: float
-    level: float
+    capacity: float
+    tokens: float
     refilled_at: float
 
     def take(self, now: float) -> bool:
         """Take one token if there is one."""
         gained = max(0.0, now - self.refilled_at) * self.per_second
-        self.level = min(self.most, self.level + gained)
+        self.tokens = min(self.capacity, self.tokens + gained)
         self.refilled_at = now
-        if self.level < 1.0:
+        if self.tokens < 1.0:
             return False
-        self.level -= 1.0
+        self.tokens -= 1.0
         return True
 
 
@@ -62,7 +62,7 @@
         return dict(self._events)
 
     def allows(self, event: str, failure: bool, now: float) -> bool:
-        """Whether a line may be written now; one that may not is counted."""
+        """Count an event; return whether its line may be written now."""
         kind = event
         if event not in self._ordinary and len(self._ordinary) >= MAXIMUM_EVENT_KINDS:
             kind = OTHER_EVENT_KINDS
@@ -75,11 +75,11 @@
         return False
 
     def record_lost(self, event: str) -> None:
-        """Count a line that was allowed but found no room at the writer."""
+        """Count a line that was allowed, but dropped by the writer."""
         self._dropped[event] += 1
 
     def pop_dropped_counts(self) -> dict[str, int]:
-        """Return how many lines of each kind were dropped since this was last asked."""
+        """Return how many lines of each kind were dropped since the last call."""
         dropped = dict(self._dropped)
         self._dropped.clear()
         return dropped
@@ -94,7 +94,7 @@
     def _failure_bucket(self, kind: str, now: float) -> _Bucket:
         bucket = self._failures.get(kind)
         if bucket is None:
-            most = FAILURE_BURST_LINES
-            bucket = _Bucket(FAILURE_LINES_PER_SECOND, most, most, now)
+            capacity = FAILURE_BURST_LINES
+            bucket = _Bucket(FAILURE_LINES_PER_SECOND, capacity, capacity, now)
             self._failures[kind] = bucket
         return bucket
--- a/src/stagewalk/common/logs/lines.py
+++ b/src/stagewalk/common/logs/lines.py
@@ -1,8 +1,7 @@
-"""Logs: one line of key=value pairs for each event.
+"""Formats log events as lines of key=value pairs.
 
-Events are `eliot` messages; this module is their only destination, and turns messages of libraries
-that use the standard `logging` module into events, so that every line has one form. Relies on a
-`LogBudget` to bound the lines and on a writer that doesn't block.
+Events are `eliot` messages, and this module is their only destination. Messages of libraries that
+use the standard `logging` module are converted to events, so that all lines have one format.
 """
 
 from __future__ import annotations
@@ -28,9 +27,9 @@
 """Shortest time between two lines of the same message of a library."""
 
 MAXIMUM_LIBRARY_MESSAGES = 256
-"""Messages of libraries that are remembered for it."""
+"""Library messages whose last time is remembered."""
 
-_OMITTED = frozenset({"task_uuid", "task_level", "timestamp", "message_type", "level"})
+_OMITTED_KEYS = frozenset({"task_uuid", "task_level", "timestamp", "message_type", "level"})
 _PLAIN_VALUE = re.compile(r"[A-Za-z0-9._:/\-+@,%\[\]{}()*;~^<>!?&|#$]+")
 """A value that needs no quotes."""
 
@@ -49,16 +48,16 @@
     minimum_level
         One of `LOG_LEVELS`.
     write
-        Takes a line; one that returns False had no room for it.
+        Writes a line; returns False if the line was dropped.
     node
-        Named in each line, so that the logs of several nodes can be read together.
+        Name added to each line, so that the logs of several nodes can be merged.
     budget
-        Bounds the lines; without one all are written.
+        Limits the rate of lines; None: unlimited.
 
     Returns
     -------
     Callable
-        Removes the destination again.
+        Removes the destination and the logging handler.
     """
     destination = _LineDestination(LOG_LEVELS[minimum_level], write, node, budget)
     handler = _LibraryHandler()
@@ -66,15 +65,15 @@
     logging.getLogger().addHandler(handler)
     logging.getLogger().setLevel(logging.WARNING)
 
-    def undo() -> None:
+    def remove() -> None:
         eliot.remove_destination(destination)
         logging.getLogger().removeHandler(handler)
 
-    return undo
+    return remove
 
 
 def log_event(event: str, level: str = "info", **fields: LogValue) -> None:
-    """Write one event."""
+    """Log one event."""
     eliot.log_message(message_type=event, level=level, **fields)
 
 
@@ -91,7 +90,7 @@
     parts.extend(
         f"{_format_key(key)}={_format_value(value)}"
         for key, value in message.items()
-        if key not in _OMITTED
+        if key not in _OMITTED_KEYS
     )
     return " ".join(parts)
 
@@ -131,15 +130,15 @@
         failure = level >= LOG_LEVELS["warning"]
         if budget is not None and not budget.allows(event, failure, steady_seconds()):
             return
-        taken = self._write(format_line(message, self._node) + "\n")
-        if budget is not None and taken is False:
+        written = self._write(format_line(message, self._node) + "\n")
+        if budget is not None and written is False:
             budget.record_lost(event)
 
 
 class _LibraryHandler(logging.Handler):
-    """Turns library messages into events, each at most once in an interval.
+    """Converts library messages to events, each message at most once per interval.
 
-    A broken caller could otherwise have a library fill the log with one message.
+    A faulty caller could otherwise make a library flood the log with one message.
     """
 
     def __init__(self) -> None:
--- a/src/stagewalk/common/logs/writer.py
+++ b/src/stagewalk/common/logs/writer.py
@@ -1,7 +1,4 @@
-"""Writes lines to a descriptor without ever blocking on its reader.
-
-Owns the lines that wait for room, up to a bound.
-"""
+"""Writes lines to a file descriptor without blocking; buffers a limited amount."""
 
 from __future__ import annotations
 
@@ -11,14 +8,14 @@
 from collections.abc import Callable
 
 MAXIMUM_BUFFERED_BYTES = 1_000_000
-"""Most bytes that wait for the reader; a line beyond that is dropped, and counted."""
+"""Size of the buffer; a line that does not fit is dropped."""
 
 MAXIMUM_WRITE_BYTES = 4_096
-"""A pipe that has room takes at least so much at once without blocking (POSIX `PIPE_BUF`)."""
+"""Bytes that a pipe accepts without blocking once it is writable (POSIX `PIPE_BUF`)."""
 
 
 class LineWriter:
-    """Keeps lines until the descriptor takes them.
+    """Buffers lines until the descriptor accepts them.
 
     Parameters
     ----------
@@ -26,8 +23,8 @@
         A pipe, a file or a terminal. Other processes may share it, so it is not made
         non-blocking; it is polled before each write instead.
     schedule
-        Schedules a call for the next turn of the event loop, so that the lines of one turn are
-        written together. None writes each line at once.
+        Schedules a call for the next iteration of the event loop, so that the lines of one
+        iteration are written together. None: each line is written at once.
     """
 
     def __init__(
@@ -36,25 +33,25 @@
         self._descriptor = descriptor
         self._schedule = schedule
         self._scheduled = False
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
 
     @property
-    def waiting_bytes(self) -> int:
-        """Return how many bytes wait for the reader."""
-        return self._waiting_bytes
+    def buffered_bytes(self) -> int:
+        """Return the number of buffered bytes."""
+        return self._buffered_bytes
 
     def write(self, line: str) -> bool:
-        """Write a line now or soon; return whether there was room for it."""
+        """Write or buffer a line; return whether it fitted into the buffer."""
         encoded = line.encode(errors="replace")
-        if self._waiting_bytes + len(encoded) > MAXIMUM_BUFFERED_BYTES:
+        if self._buffered_bytes + len(encoded) > MAXIMUM_BUFFERED_BYTES:
             self.flush()
-            if self._waiting_bytes + len(encoded) > MAXIMUM_BUFFERED_BYTES:
+            if self._buffered_bytes + len(encoded) > MAXIMUM_BUFFERED_BYTES:
                 return False
-        self._waiting.append(encoded)
-        self._waiting_bytes += len(encoded)
+        self._buffer.append(encoded)
+        self._buffered_bytes += len(encoded)
         if self._schedule is None:
             self.flush()
         elif not self._scheduled:
@@ -63,17 +60,17 @@
         return True
 
     def flush(self) -> None:
-        """Write as much as the descriptor takes now."""
-        while self._waiting and self._has_room():
-            piece = self._next_piece()
+        """Write as much as the descriptor accepts without blocking."""
+        while self._buffer and self._has_room():
+            chunk = self._next_chunk()
             try:
-                written = os.write(self._descriptor, piece)
+                written = os.write(self._descriptor, chunk)
             except OSError:
-                # The reader is gone, so there is nowhere left to report it: the lines are dropped.
-                written = len(piece)
-            self._waiting_bytes -= written
-            if written < len(piece):
-                self._waiting.appendleft(piece[written:])
+                # The reader is gone, and the error can't be logged anywhere: drop the lines.
+                written = len(chunk)
+            self._buffered_bytes -= written
+            if written < len(chunk):
+                self._buffer.appendleft(chunk[written:])
 
     def _flush_scheduled(self) -> None:
         self._scheduled = False
@@ -82,16 +79,15 @@
     def _has_room(self) -> bool:
         return any(events & select.POLLOUT for _, events in self._poll.poll(0))
 
-    def _next_piece(self) -> bytes:
-        """Return lines of up to `MAXIMUM_WRITE_BYTES` together, or the beginning of a longer
-        one."""
-        first = self._waiting.popleft()
+    def _next_chunk(self) -> bytes:
+        """Return lines of up to `MAXIMUM_WRITE_BYTES` in total, or the start of a longer line."""
+        first = self._buffer.popleft()
         if len(first) > MAXIMUM_WRITE_BYTES:
-            self._waiting.appendleft(first[MAXIMUM_WRITE_BYTES:])
+            self._buffer.appendleft(first[MAXIMUM_WRITE_BYTES:])
             return first[:MAXIMUM_WRITE_BYTES]
         parts = [first]
         size = len(first)
-        while self._waiting and size + len(self._waiting[0]) <= MAXIMUM_WRITE_BYTES:
-            size += len(self._waiting[0])
-            parts.append(self._waiting.popleft())
+        while self._buffer and size + len(self._buffer[0]) <= MAXIMUM_WRITE_BYTES:
+            size += len(self._buffer[0])
+            parts.append(self._buffer.popleft())
         return b"".join(parts)
--- a/src/stagewalk/common/settings/__init__.py
+++ b/src/stagewalk/common/settings/__init__.py
@@ -1,1 +1,1 @@
-"""A process's own settings file: addresses, zone and platform services."""
+"""Decoding and validation of settings files."""
--- a/src/stagewalk/common/settings/addresses.py
+++ b/src/stagewalk/common/settings/addresses.py
@@ -1,6 +1,6 @@
-"""Addresses of a settings file: IP numbers only, never host names.
+"""Parses addresses in settings files: IP addresses only, never host names.
 
-Errors name the field at fault by its path in the file.
+Errors name the invalid field by its path in the file.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def parse_listen_address(field: str, text: str) -> Result[Address, StagewalkError]:
-    """Parse `IP:PORT` (`[IP]:PORT` for IPv6) on which this process can be reached by others."""
+    """Parse `IP:PORT` (`[IP]:PORT` for IPv6), at which other processes reach this one."""
     parsed = _split(f"//{text}")
     if parsed is None or parsed.netloc != text:
         return Error(settings_error(field, f"expected IP:PORT, got {text!r}"))
@@ -57,11 +57,11 @@
     except ValueError:
         return Error(settings_error(field, f"the port of {text!r} is not a number up to 65535"))
     if not host or not port or parsed.username is not None:
-        return Error(settings_error(field, f"expected an IP number and a port, got {text!r}"))
+        return Error(settings_error(field, f"expected an IP address and a port, got {text!r}"))
     try:
-        number = ipaddress.ip_address(host)
+        ip = ipaddress.ip_address(host)
     except ValueError:
-        return Error(settings_error(field, f"{host!r} is not an IP number"))
-    if number.is_unspecified or number.is_multicast:
+        return Error(settings_error(field, f"{host!r} is not an IP address"))
+    if ip.is_unspecified or ip.is_multicast:
         return Error(settings_error(field, f"{host!r} is not an address others can reach"))
-    return Ok(Address(str(number), port))
+    return Ok(Address(str(ip), port))
--- a/src/stagewalk/common/settings/decoding.py
+++ b/src/stagewalk/common/settings/decoding.py
@@ -1,7 +1,4 @@
-"""Settings files: TOML into checked types, with the field's name in the error.
-
-What a program's fields are belongs to its own settings module.
-"""
+"""Decodes TOML settings files into validated types; errors name the invalid field."""
 
 from __future__ import annotations
 
@@ -32,10 +29,12 @@
         return Error(settings_error("settings", f"{path} is not TOML: {error}"))
 
 
-def decode_table(table: dict[str, Any], kind: type[Settings]) -> Result[Settings, StagewalkError]:
-    """Convert a table into a type of settings; the error names the field at fault."""
+def decode_table(
+    table: dict[str, Any], settings_type: type[Settings]
+) -> Result[Settings, StagewalkError]:
+    """Convert a table into a settings type; the error names the invalid field."""
     try:
-        return Ok(msgspec.convert(table, kind))
+        return Ok(msgspec.convert(table, settings_type))
     except msgspec.ValidationError as error:
         message = str(error)
         return Error(settings_error(_field_of(message), _FIELD_PATH.sub("", message)))
--- a/src/stagewalk/common/settings/fields.py
+++ b/src/stagewalk/common/settings/fields.py
@@ -1,4 +1,4 @@
-"""Types of fields that the settings of both programs share, and the limits for callers."""
+"""Field types that the settings of both programs share, and the limits for callers."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Limits against callers that ask too much.
+    """Limits on callers' requests.
 
     Attributes
     ----------
     body_bytes
         Largest body of a call, in bytes.
     buffered_body_bytes
-        Most bytes held for bodies that are still arriving, of all callers together.
+        Most bytes held for bodies that are being received, of all callers together.
     prompt_characters
         Longest prompt, in characters.
     open_calls
         Most calls that are open at once; a further one is refused.
     buffered_characters
-        Most text, in characters, held for a caller that reads slower than the engine writes.
+        Most text, in characters, buffered for a caller that reads slower than the engine writes.
     body_seconds
         Longest time a caller may take to send its body, in seconds.
     """
--- a/src/stagewalk/common/steady_clock.py
+++ b/src/stagewalk/common/steady_clock.py
@@ -1,9 +1,9 @@
-"""The clock for everything that is compared across machines, or with a lease or a deadline.
+"""Clock for leases, deadlines and everything that is compared across machines.
 
-The usual monotonic clock stands still while a machine is suspended, for seconds at times: a holder
-that wakes would trust a lease, a view or a permit that expired long ago. Timers of the event loop
-stand still too, so whatever waited through a suspension is checked against this clock on waking,
-before anything is sent. Relies on Linux's `CLOCK_BOOTTIME`; without it, on the monotonic clock.
+The usual monotonic clock stops while a machine is suspended, so that a resumed process would trust
+leases, views and permits that have expired. Timers of the event loop stop too: code that has waited
+checks this clock again before it sends anything. Uses Linux's `CLOCK_BOOTTIME`, or the monotonic
+clock where that is missing.
 """
 
 from __future__ import annotations
@@ -14,5 +14,5 @@
 
 
 def steady_seconds() -> float:
-    """Return the seconds since the machine started, those in which it was suspended among them."""
+    """Return the seconds since the machine started, including time in which it was suspended."""
     return time.clock_gettime(_CLOCK)
--- a/tests/common/http/test_asgi.py
+++ b/tests/common/http/test_asgi.py
@@ -1,4 +1,4 @@
-"""Dispatch of ASGI connections, and what becomes of an exchange whose handler fails."""
+"""Dispatch of ASGI connections, and handling of a handler's exception."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         anyio.run(serve_connection, {"type": "websocket"}, self.receive, self.send, unreached)
         self.assertEqual([WEBSOCKET_POLICY_VIOLATION], [message["code"] for message in self.sent])
 
-    def test_a_crash_before_the_status_is_logged_and_answered(self) -> None:
+    def test_a_crash_before_the_status_is_logged_and_gets_an_error_response(self) -> None:
         async def crash(_exchange: Exchange) -> None:
             raise ValueError("a fault of the code")
 
@@ -84,9 +84,9 @@
         self.assertEqual(["exchange_failed"], self.crashes)
         self.assertEqual([200], [message["status"] for message in self.sent])
 
-    def test_a_broken_response_breaks_its_connection(self) -> None:
-        async def break_off(_exchange: Exchange) -> None:
+    def test_a_broken_response_raises_and_is_not_logged(self) -> None:
+        async def abort(_exchange: Exchange) -> None:
             raise BrokenResponseError("r")
 
-        self.assertRaises(BaseExceptionGroup, self.run_handler, break_off)
+        self.assertRaises(BaseExceptionGroup, self.run_handler, abort)
         self.assertEqual([], self.crashes)
--- a/tests/common/http/test_server_connection.py
+++ b/tests/common/http/test_server_connection.py
@@ -1,4 +1,4 @@
-"""The connection below a response is found in the server that is installed."""
+"""The transport of a response is found in the installed version of the server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ServerConnectionTests(testtools.TestCase):
-    def test_the_transport_of_a_response_is_its_callers_connection(self) -> None:
+    def test_the_transport_is_connected_to_the_caller(self) -> None:
         found: list[asyncio.WriteTransport | None] = []
 
         async def app(scope: Scope, receive: ASGIReceiveCallable, send: ASGISendCallable) -> None:
@@ -33,15 +33,15 @@
                 async with await anyio.connect_tcp(address.host, address.port) as stream:
                     await stream.send(b"GET / HTTP/1.1\r\nhost: h\r\n\r\n")
                     await stream.receive()
-                    mine = stream.extra(anyio.abc.SocketAttribute.local_address)
+                    local_address = stream.extra(anyio.abc.SocketAttribute.local_address)
                     transport = found[0]
                     assert transport is not None
-                    self.assertEqual(mine, transport.get_extra_info("peername"))
+                    self.assertEqual(local_address, transport.get_extra_info("peername"))
                 stop.set()
 
         anyio.run(main)
 
-    def test_nothing_is_found_in_another_server(self) -> None:
+    def test_no_transport_is_found_in_another_server(self) -> None:
         async def send(_message: object) -> None:
             pass
 
--- a/tests/common/logs/test_lines.py
+++ b/tests/common/logs/test_lines.py
@@ -18,7 +18,7 @@
     def capture(self, level: str = "info") -> list[str]:
         lines: list[str] = []
         self.addCleanup(configure_logs(level, lines.append))
-        lines.clear()  # eliot hands its first destination what was logged before
+        lines.clear()  # eliot sends earlier messages to its first destination
         return lines
 
     def test_event(self) -> None:
@@ -41,25 +41,25 @@
         if value.isascii():
             self.assertEqual(5, len(shlex.split(line)))
 
-    def test_levels_below_the_minimum_are_left_out(self) -> None:
+    def test_levels_below_the_minimum_are_omitted(self) -> None:
         lines = self.capture("warning")
         log_event("quiet")
         log_event("loud", "error")
         self.assertEqual(["loud"], [line.split("event=")[1].strip() for line in lines])
 
-    def test_messages_of_libraries_become_events(self) -> None:
+    def test_library_messages_are_converted_to_events(self) -> None:
         lines = self.capture()
         for _ in range(3):
             logging.getLogger("some.library").error("broken %s", "pipe")
         self.assertEqual(1, len(lines))
         self.assertIn('event=library_message logger=some.library detail="broken pipe"', lines[0])
 
-    def test_the_node_is_named_in_each_line_and_the_budget_holds(self) -> None:
+    def test_lines_include_the_node_and_are_limited_by_the_budget(self) -> None:
         lines: list[str] = []
         budget = LogBudget()
         self.addCleanup(configure_logs("info", lines.append, node="n-1", budget=budget))
         lines.clear()
-        # The clock stands still: a budget that fills up meanwhile would let more lines through.
+        # A fixed clock: refilled tokens would allow more lines.
         with mock.patch("stagewalk.common.logs.lines.steady_seconds", lambda: 1.0):
             for _ in range(int(BURST_LINES) + 7):
                 log_event("often")
@@ -67,7 +67,7 @@
         self.assertIn("event=request_ended node=n-1 request=r1", lines[-1])
         self.assertEqual({"often": 7}, budget.pop_dropped_counts())
 
-    def test_a_line_without_room_is_counted(self) -> None:
+    def test_a_line_dropped_by_the_writer_is_counted(self) -> None:
         budget = LogBudget()
         self.addCleanup(configure_logs("info", lambda _line: False, budget=budget))
         budget.pop_dropped_counts()
