--- a/src/stagewalk/gateway/__init__.py
+++ b/src/stagewalk/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway daemon: forwards callers' requests by routes and runs trainers' batches."""
+"""The gateway daemon: forwards callers' requests along routes and runs trainers' batches."""
--- a/src/stagewalk/gateway/assembly.py
+++ b/src/stagewalk/gateway/assembly.py
@@ -1,7 +1,7 @@
 """Builds the parts of one gateway process and connects them.
 
-Owns the order in which parts are built, and the only place where one part is bound to another after
-both exist (`_Links`). Relies on `Dependencies` for everything outside the product; starts nothing.
+Owns the order of construction and the late binding of parts that refer to each other (`_Links`).
+Relies on `Dependencies` for everything outside the gateway; starts nothing.
 """
 
 from __future__ import annotations
@@ -44,34 +44,34 @@
 from stagewalk.gateway.workers.table import WorkerTable
 
 NODES_PARTITION = Partition("keyed.nodes", 0)
-"""Compacted partition of the nodes' announcements and of the worker ends that they report."""
+"""Compacted partition of the nodes' announcements and of the worker crashes that they report."""
 
 
 @dataclass(frozen=True, slots=True)
 class Dependencies:
-    """Everything outside the product, behind its ports."""
+    """Adapters of everything outside the gateway, behind its ports."""
 
     log: PartitionedLog
     workers: WorkerClient
     dialect: Dialect
     duties: DutyClient | None = None
-    """None: the platform has no duties but those at the workers."""
+    """None: the platform takes neither usage reports nor worker orders."""
     memory: MemoryBudget | None = None
-    """What `workers` counts answers against; None: the node's memory is not known."""
+    """Budget that `workers` charges buffered answers to; None: the memory limit is not known."""
     opened_connections: Callable[[], Counter[tuple[SendPurpose, ConnectionReason]]] = Counter
-    """Connections that `workers` opened since the start, by what for and why."""
+    """Counts the connections that `workers` opened since the start, by purpose and reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogAccess:
-    """The log as this process reaches it.
+    """Clients of the log, direct and through other nodes.
 
     Attributes
     ----------
     direct
-        Calls the log itself and measures it; serves other nodes' relayed calls.
+        Calls the log and measures the calls; also serves calls relayed by other nodes.
     relayed
-        Calls the log, or another node where the log does not answer; used by all services.
+        Calls the log, or another node while the log does not answer; used by all services.
     """
 
     direct: MeasuredLog
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterState:
-    """What this node knows of routes, workers and other nodes, and what judges sends by it."""
+    """This node's view of routes, workers and other nodes, and the checks based on it."""
 
     routes: RouteTable
     workers: WorkerTable
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Forwarders:
-    """Forwarding of callers' requests, by the kind of route."""
+    """Forwarders of callers' requests, for whole answers and for streams."""
 
     whole: Forwarder
     streams: StreamForwarder
@@ -117,13 +117,13 @@
 
 
 class _Links:
-    """Calls between parts that need each other, bound once both are built.
+    """Late-bound calls between parts that depend on each other, set once both are built.
 
-    - The log relays through nodes, and nodes are known from the log.
-    - Eligibility depends on the age of the published records, which update the state it is
-      judged by.
-    - A suspect is sent only after the nodes' partition was read again, and that partition's
-      follower hands worker ends to the part that suspects.
+    - The log client relays through other nodes, and nodes are known from the log.
+    - Eligibility depends on the age of the published records, and applying these records updates
+      the eligibility state.
+    - A request suspected of crashing workers is sent only after the nodes' partition was read
+      again, and the follower of that partition passes reported worker crashes to `CrashWatch`.
     """
 
     nodes: NodeService
@@ -304,7 +304,7 @@
         )
 
     def _readers(self) -> ResponseReaders | None:
-        """Return the callers that answers are held for, None if the node's memory is not known."""
+        """Return the registry of callers with buffered answers, None without a memory limit."""
         budget = self._dependencies.memory
         if budget is None:
             return None
--- a/src/stagewalk/gateway/batch_services.py
+++ b/src/stagewalk/gateway/batch_services.py
@@ -1,7 +1,7 @@
-"""Assembles everything that keeps, runs and shows batches on one gateway.
+"""Assembles the services that store, run and serve batches on one gateway.
 
-Owns the batch store and the services on top of it: the runner's (`runners.runner_service`) and the
-reads of the ledger. The one place where the store's changes are passed on to the runner is `start`.
+Owns the batch store, and on top of it the runner service (`runners.runner_service`) and the handler
+of ledger calls. `start` subscribes the runner to the store's changes.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 
 
 class BatchServices:
-    """The batch ledger's replica, the runner, and the calls about both.
+    """The replica of the batch ledger, the runner, and the endpoints of both.
 
     Parameters
     ----------
     settings
-        Returns the settings in force: they change while the process runs.
+        Returns the current settings, which may be reloaded while the process runs.
     access
-        Everything between this node's batches and the workers.
+        Worker client and the tables and rules by which items are sent to workers.
     starting
-        Whether the log is left to nodes that look for open batches.
+        Returns whether the log is reserved for nodes that resume batches.
     on_item_started
-        Observes the age of the view by which an item was started, in seconds.
+        Called with the age of the view used to start each item, in seconds.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
             log, producer, limits.record_bytes, limits.call_bytes, limits.partitions
         )
         places = BatchIndex(log)
-        self._running = RunnerService(
+        self._runner_service = RunnerService(
             identity=identity,
             store=self.store,
             places=places,
@@ -81,7 +81,7 @@
             batch_end_seconds=lambda: settings().timing.batch_end,
             on_item_started=on_item_started,
         )
-        self._reads = LedgerCallHandler(
+        self._ledger_handler = LedgerCallHandler(
             self.store,
             dialect,
             places,
@@ -91,7 +91,7 @@
             starting=starting,
         )
         ledger = LedgerCallRouter(
-            self._reads,
+            self._ledger_handler,
             peer_client,
             access.eligibility_services.eligibility.proximity,
             nodes.replicas,
@@ -100,39 +100,39 @@
         )
         self.calls = BatchEndpoints(
             self.store,
-            runners=self._running.choice,
-            assignments=self._running.assignments,
+            runners=self._runner_service.choice,
+            assignments=self._runner_service.assignments,
             ledger=ledger,
             dialect=dialect,
             route_of=access.routes.find,
         )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start all of them; what the store reads goes to the runner from now on."""
+        """Start the store and the runner, and pass the store's changes to the runner."""
         self.store.start(tasks, self.runner.ledger_changed)
-        self._running.start(tasks)
+        self._runner_service.start(tasks)
 
     @property
     def runner(self) -> BatchRunner:
         """Return the runner of this node's batches."""
-        return self._running.runner
+        return self._runner_service.runner
 
     @property
     def takeovers(self) -> TakeoverService:
-        """Return the service that takes batches over."""
-        return self._running.takeovers
+        """Return the service that takes over the batches of failed runners."""
+        return self._runner_service.takeovers
 
     @property
     def place_sharing(self) -> PlaceSharing:
-        """Return what shares engines' places among trainers."""
-        return self._running.place_sharing
+        """Return the service that shares engine places among trainers."""
+        return self._runner_service.place_sharing
 
     @property
     def peer_handlers(self) -> dict[str, PeerHandler]:
-        """Return by path what answers other nodes' calls."""
-        return {LEDGER_PATH: self._reads.handle, **self._running.peer_handlers}
+        """Return the handlers of other nodes' calls, by path."""
+        return {LEDGER_PATH: self._ledger_handler.handle, **self._runner_service.peer_handlers}
 
     def _due_seconds(self, batch: Batch) -> float:
-        """Return how long after its submission a batch's results are due."""
+        """Return how many seconds after its submission a batch's results are due."""
         route = self._routes.find(batch.header.host, batch.header.path)
         return math.inf if route is None else route.due_seconds
--- a/src/stagewalk/gateway/cold_lease_service.py
+++ b/src/stagewalk/gateway/cold_lease_service.py
@@ -1,7 +1,7 @@
-"""Wins leases on cold workers that requests wait for; idle while none is requested.
+"""Acquires leases on cold workers that requests wait for; idle while none is requested.
 
-Owns the reads and appends of the partition of leases. Relies on `ColdStarts` for which leases to
-win and on `ColdLeases` for which may be won.
+Owns reads and appends of the lease partition. Relies on `ColdStarts` for the leases to acquire and
+on `ColdLeases` for those that may be acquired.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 
 COLD_STARTS_PARTITION = Partition("cold_starts", 0)
 POLL_INTERVAL_SECONDS = 0.1
-"""Between two steps while a lease is requested."""
+"""Interval between attempts while a lease is requested."""
 
 CATCH_UP_TIMEOUT_SECONDS = 0.5
-"""How long a step waits for the partition to be read to its end."""
+"""How long an attempt waits until the partition is read to its end."""
 
 
 class ColdLeaseService:
-    """Reads and appends the records of leases on cold workers, on demand.
+    """Reads and appends records of leases on cold workers, on demand.
 
     Parameters
     ----------
     replicas
-        Returns the names of the nodes that run batches: each cold worker is the first choice of one
-        of them, so that they spread over the senders.
+        Returns the names of the nodes that run batches. Each cold worker is preferred by one of
+        them, so that the leases spread over the nodes.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._follower.pause()
 
     async def run(self) -> None:
-        """Win leases while any are requested, for ever."""
+        """Acquire leases while any are requested; never returns."""
         while True:
             if self._cold.idle:
                 self._requested = anyio.Event()
@@ -75,19 +75,21 @@
             await anyio.sleep(POLL_INTERVAL_SECONDS)
 
     def wake(self) -> None:
-        """Handle that a lease is requested."""
+        """Resume the service after a lease was requested."""
         self._requested.set()
 
     async def _step(self) -> None:
-        if not self._due() or not await self._follower.catch_up(CATCH_UP_TIMEOUT_SECONDS):
+        if not self._due_workers() or not await self._follower.catch_up(CATCH_UP_TIMEOUT_SECONDS):
             return
-        # What was read may have given some of them to others.
-        acquire = self._leases.acquire(self._due(), self._follower.next_offset, steady_seconds())
+        # The records just read may assign some of these leases to other nodes.
+        acquire = self._leases.acquire(
+            self._due_workers(), self._follower.next_offset, steady_seconds()
+        )
         if acquire is not None:
             await self._acquire(acquire)
 
-    def _due(self) -> list[str]:
-        return self._cold.leases_to_acquire(steady_seconds(), self._comes_first)
+    def _due_workers(self) -> list[str]:
+        return self._cold.leases_to_acquire(steady_seconds(), self._is_preferred)
 
     async def _acquire(self, acquire: AcquireLeases) -> None:
         sent_at = steady_seconds()
@@ -117,7 +119,7 @@
             return
         self._leases.apply(lease, steady_seconds())
 
-    def _comes_first(self, worker: str) -> bool:
+    def _is_preferred(self, worker: str) -> bool:
         nodes = self._replicas()
         return bool(nodes) and self._node == min(
             nodes, key=lambda node: rendezvous_hash(worker, node)
--- a/src/stagewalk/gateway/daemon.py
+++ b/src/stagewalk/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Runs one gateway: starts its parts, serves its listeners, keeps house, and stops in order.
+"""Runs one gateway: starts its parts, serves its listeners, does periodic work and shuts down.
 
 Owns the process's life cycle and the timing of start and stop. Relies on `assembly` for the parts
 and on `entry` for what listeners serve.
@@ -34,27 +34,25 @@
 from stagewalk.gateway.state_metrics import GatewayState
 
 RESUME_LOG_RESERVE_SECONDS = 0.25
-"""How long a node that starts leaves the log's reads to runners resuming batches that they owned
-before the restart. Without it 13 nodes read 8 MB each at the log's 80 MB/s first, and the first
-item began 2.3 s after the last process was back."""
+"""How long a starting node delays reading the whole batch ledger if any batch is open. The log's
+throughput is shared: such reads by all starting nodes would delay runners that resume batches."""
 
 RESTART_LOG_RESERVE_SECONDS = 5.0
-"""The same where all nodes start at once. The log's reads are shared: six replicas took 7 s to read
-all of it, and until then no results were shown to trainers. Open batches alone take some 2 s, and
-those who look for them have the reads to themselves meanwhile."""
+"""The same delay where no replica of the ledger was alive, as when all nodes start at once. Open
+batches are looked up in this time without competition from reads of the whole log."""
 
 STALL_SECONDS = 0.2
-"""A loop that wakes this much late was kept from running, or the machine was stopped or asleep."""
+"""Event loop lag that is logged as a stall: the loop was blocked or the machine was suspended."""
 
 POLL_INTERVAL_SECONDS = 0.1
-"""Between two looks at whether the log holds what is still to be appended at a stop."""
+"""Interval of checks for pending appends during shutdown."""
 
 DRAIN_DELAY_SECONDS = 3.5
-"""Drain delay: how long cached directory answers may still point here after a stop was announced.
-Three times the answers' time to live (1 s), and the time the announcement takes."""
+"""How long cached directory answers may still point here after a stop was announced: three times
+their time to live (1 s), and the time until other nodes read the announcement."""
 
 EXIT_RESERVE_SECONDS = 0.5
-"""Part of the stop's grace left for the process to end, once it no longer waits for the log."""
+"""Part of the shutdown grace period reserved for the process to exit after waiting for the log."""
 
 
 class Gateway:
@@ -89,18 +87,18 @@
 
     @property
     def settings(self) -> GatewaySettings:
-        """Return the settings in force."""
+        """Return the current settings."""
         return self._live_settings.current
 
     async def run_until_signal(self) -> None:
-        """Serve until the process is asked to stop, and stop in order."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._watch_signals)
             await self.run()
             tasks.cancel_scope.cancel()
 
     async def run(self) -> None:
-        """Serve until a stop was asked for and everything in flight has ended."""
+        """Serve until a stop is requested and all requests in flight have ended."""
         listeners = [open_listener(address) for address in self._addresses()]
         app = self._build_app()
         async with anyio.create_task_group() as tasks:
@@ -123,10 +121,10 @@
         tasks.start_soon(self._eligibility_services.cold_lease_service.run)
         tasks.start_soon(self._crashes.run)
         self._duties.start(tasks)
-        tasks.start_soon(self._housekeep)
+        tasks.start_soon(self._run_housekeeping)
 
     async def _finish_appends(self) -> None:
-        """Wait until the log holds all that is to be kept, at most as long as a stop's grace."""
+        """Wait until pending records are appended, at most until the shutdown deadline."""
         with anyio.move_on_at(self._stop_by):
             while not (self.store.idle and self._duties.idle):
                 await anyio.sleep(POLL_INTERVAL_SECONDS)
@@ -180,7 +178,7 @@
         return PeerApp({RELAY_PATH: relay.handle, **self._batches.peer_handlers})
 
     async def _refresh_views(self) -> None:
-        """Count a caller's request, and renew views that are too old to serve it from."""
+        """Count a caller's request, and refresh views that are too old to serve it from."""
         self._nodes.count_call()
         await self._published.refresh()
         await self._nodes.refresh()
@@ -191,7 +189,7 @@
         return known and self._published.workers_known
 
     def _state(self) -> GatewayState:
-        """Return what the gauges show."""
+        """Return the values of the gauges."""
         now = steady_seconds()
         budget = None if self._parts.readers is None else self._parts.readers.budget
         followers = (*self._published.freshness, *self.store.freshness)
@@ -219,8 +217,8 @@
             claimant_places=self._batches.place_sharing.claimants(),
         )
 
-    def _held(self) -> dict[str, int]:
-        """Return how many there are of what takes memory."""
+    def _memory_counts(self) -> dict[str, int]:
+        """Return counts of the objects that use most memory."""
         readers = self._parts.readers
         return {
             "held_bytes": 0 if readers is None else readers.budget.held_bytes,
@@ -230,9 +228,9 @@
             "connections_opened": self._opened_connections().total(),
         }
 
-    # Keeping house.
+    # Periodic work.
 
-    async def _housekeep(self) -> None:
+    async def _run_housekeeping(self) -> None:
         await self._nodes.wait_until_known()
         await self._resume_batches()
         await self._nodes.wait_until_settled()
@@ -246,13 +244,12 @@
             self._duties.sample_clock()
             self._log_dropped_lines()
             self._connections_log.write(steady_seconds())
-            self._peak_memory.write(self._held)
+            self._peak_memory.write(self._memory_counts)
 
     async def _resume_batches(self) -> None:
         """Resume batches that this node ran before it was restarted.
 
-        While any node does so, the others leave the log's reads to it: all nodes read the whole log
-        at once otherwise.
+        If any batch is open on any node, reading the whole ledger is delayed.
         """
         if await self._batches.takeovers.resume_own_batches():
             wait_seconds = (
@@ -274,28 +271,28 @@
         for kind, count in self._log_budget.pop_dropped_counts().items():
             log_event("log_lines_dropped", "warning", kind=kind, count=count)
 
-    # Stopping.
+    # Shutdown.
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             self.reload()
-            async for number in signals:
-                if number == signal.SIGHUP:
+            async for signal_number in signals:
+                if signal_number == signal.SIGHUP:
                     self.reload()
                 elif not self._stopping:
                     await self.stop()
 
     def reload(self) -> None:
-        """Read the settings again: timing changes at once, anything else with the next start.
+        """Reload the settings: timing applies at once, other changes after a restart.
 
-        Settings that can't be read leave those in force as they are. Done on a signal, and once
-        when signals are listened to, since one that came before went unheard.
+        Invalid settings change nothing. Called on SIGHUP, and once when the signal handlers are
+        installed, since a signal sent before that is lost.
         """
         self._live_settings.reload()
         self._duties.lease.set_quiet_seconds(self.settings.timing.lease_quiet)
 
     async def stop(self) -> None:
-        """Announce the stop, hand work over, and end once nobody is sent here any more."""
+        """Announce the stop, hand over batches, and exit after the drain delay."""
         began = anyio.current_time()
         self._stopping = True
         self._log("stop_requested")
@@ -305,8 +302,8 @@
         self._stop_by = began + self.settings.timing.stop_grace - EXIT_RESERVE_SECONDS
         await anyio.sleep_until(began + DRAIN_DELAY_SECONDS)
         self._parts.forwarders.gate.stop()
-        # The listeners need up to four seconds to answer what is under way, so they don't wait for
-        # a log that accepts nothing; appending goes on beside them.
+        # Listeners may take up to four seconds to finish requests, so they are stopped without
+        # waiting for pending appends, which continue meanwhile.
         self._exit.set()
 
     def _log(self, event: str) -> None:
--- a/src/stagewalk/gateway/deferred_imports.py
+++ b/src/stagewalk/gateway/deferred_imports.py
@@ -1,11 +1,10 @@
-"""Defers the import of library parts that a gateway does not use at its start.
+"""Defers imports of library modules that a gateway does not use at its start.
 
-A gateway speaks HTTP/1.1 to callers, yet importing the server also brings its HTTP/2 and WebSocket
-protocols, and importing the client its command line: a fifth of the time that a process takes from
-start to ready, which all nodes spend at once when all are restarted.
+A gateway serves HTTP/1.1, but `hypercorn` also imports its HTTP/2 and WebSocket protocols, and
+`httpx` its command line, which makes the start slower.
 
-`defer_unused_imports` must run before `hypercorn` and `httpx` are imported; later it does nothing
-for what is imported already.
+`defer_unused_imports` must run before `hypercorn` and `httpx` are imported; modules that are
+already imported are left alone.
 """
 
 from __future__ import annotations
@@ -15,23 +14,23 @@
 from types import ModuleType
 from typing import Any
 
-_CLIENT_COMMAND_LINE = "httpx._main"
-"""The client prints a message instead where this can't be imported."""
+_HTTPX_CLI = "httpx._main"
+"""`httpx` falls back to printing a message if this module can't be imported."""
 
 _ANNOTATIONS_ONLY = ("h2", "h2.events")
-"""The server names these in annotations, which are never evaluated."""
+"""Modules that `hypercorn` uses in annotations only, which are never evaluated."""
 
 _DEFERRED_CLASSES = {
     "hypercorn.protocol.h2": "H2Protocol",
     "hypercorn.protocol.ws_stream": "WSStream",
 }
-"""The one class that other parts of the server import from each module."""
+"""By module, the only class that the rest of `hypercorn` imports from it."""
 
 
 def defer_unused_imports() -> None:
-    """Install placeholder modules for the unused parts."""
-    if _CLIENT_COMMAND_LINE not in sys.modules:
-        sys.modules[_CLIENT_COMMAND_LINE] = None  # type: ignore[assignment]
+    """Install placeholders for the unused modules."""
+    if _HTTPX_CLI not in sys.modules:
+        sys.modules[_HTTPX_CLI] = None  # type: ignore[assignment]
     if "hypercorn" in sys.modules or "h2" in sys.modules:
         return
     for name in _ANNOTATIONS_ONLY:
@@ -43,12 +42,12 @@
 
 
 def _deferred_class(module_name: str, class_name: str) -> type:
-    """Return a class that imports the true one when it is first instantiated."""
+    """Return a stand-in class that imports the real class and instantiates it instead."""
 
     def create(_cls: type, *args: Any, **kwargs: Any) -> Any:
         _remove_placeholders()
-        true_class = getattr(importlib.import_module(module_name), class_name)
-        return true_class(*args, **kwargs)
+        real_class = getattr(importlib.import_module(module_name), class_name)
+        return real_class(*args, **kwargs)
 
     return type(class_name, (), {"__new__": create})
 
--- a/src/stagewalk/gateway/dialect.py
+++ b/src/stagewalk/gateway/dialect.py
@@ -1,7 +1,7 @@
-"""Port of the platform's spelling: names and encodings of its records, headers and calls.
+"""Port of the platform's wire format: names and encodings of its records, headers and calls.
 
-Owns the product's types for what operators, trainers and callers send. The adapter implements
-`Dialect`; nothing else knows the platform's names.
+Owns the gateway's types for the data that operators, trainers and callers send. The adapter
+implements `Dialect`; no other part depends on the platform's names.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneEvacuation:
-    """An operator evacuates a zone, or ends its evacuation.
+    """An operator started or ended the evacuation of a zone.
 
     Attributes
     ----------
@@ -46,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerInterface:
-    """How callers spell the gateway's own calls; the defaults are the product's own spelling.
+    """Names of headers, paths and query parameters of the gateway's own calls.
 
     Attributes
     ----------
     request_id, deadline_milliseconds, wait_milliseconds, last_event
-        Lower-case names of headers.
+        Header names, in lower case.
     ready_path, resolve_path
         Paths of the readiness check and the directory.
     batches_prefix, items_prefix
-        What a batch's name follows in paths.
+        Path prefixes, each followed by the name of a batch.
     position_parameter, item_parameter
-        Names in queries: the position to read from, and the item.
+        Query parameters: the position to read from, and the item.
     """
 
     request_id: str = "stagewalk-request-id"
@@ -81,33 +81,33 @@
 
 
 class Dialect(Protocol):
-    """Translates between the platform's spelling and the product's types."""
+    """Translates between the platform's wire format and the gateway's types."""
 
     @property
     def callers(self) -> CallerInterface:
-        """Return how callers spell calls."""
+        """Return the names that callers use in calls."""
 
     @property
     def operators(self) -> Partition:
-        """Return the partition on which operators and trainers publish."""
+        """Return the partition of records published by operators and trainers."""
 
     @property
     def workers(self) -> Partition:
-        """Return the partition on which workers announce themselves."""
+        """Return the partition of worker announcements."""
 
     def decode_operator_record(self, record: KeyedRecord) -> OperatorRecord | None:
-        """Decode what an operator or trainer published, None for anything else."""
+        """Decode a record of an operator or trainer; return None for any other record."""
 
     def decode_worker_announcement(self, record: KeyedRecord) -> WorkerAnnouncement | None:
-        """Decode a worker's entry, None for anything else."""
+        """Decode a worker's announcement; return None for any other record."""
 
     def submission(
         self, batch: str, host: str, path: str, body: bytes
     ) -> Result[Submission, StagewalkError]:
-        """Decode a batch; the error names the field at fault."""
+        """Decode a submitted batch; an error names the invalid field."""
 
     def prompt(self, item: BatchItem) -> Prompt:
-        """Return what an item's headers state of its prompt; nothing of it is stored apart."""
+        """Return the prompt information in an item's headers, which isn't stored separately."""
 
     def results(self, total: int, next_position: int, results: list[ItemFinished]) -> bytes:
         """Encode a page of results."""
--- a/src/stagewalk/gateway/duty_services.py
+++ b/src/stagewalk/gateway/duty_services.py
@@ -1,6 +1,6 @@
-"""The duties that one node at a time carries out for the whole system, under one lease.
+"""Assembles the cluster-wide duties, which one node at a time performs under a lease.
 
-Owns which duties run, from the settings. Relies on `duties` for each of them.
+Owns the choice of duties by the settings. Relies on `duties` for each of them.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 
 
 class DutyServices:
-    """The lease, and what its holder does: weight orders, usage reports, orders for workers.
+    """The duty lease and its holder's duties: version orders, usage reports and autoscaling.
 
-    Without a client of the platform's duties only engines are ordered.
+    Without a client of the platform's duties, the holder only orders versions of engines.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         )
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start all of them."""
+        """Start the lease and all duties."""
         self.lease.start(tasks)
         self._orders.start(tasks)
         if self._usage is not None:
@@ -97,16 +97,16 @@
 
     @property
     def idle(self) -> bool:
-        """Whether all that this process counted is in the log."""
+        """Whether all usage counts of this process are in the log."""
         return self._usage is None or self._usage.idle
 
     def count_begun(self, tenant: str | None, began: float) -> None:
-        """Count a tenant's request that began to run at a time of the steady clock."""
+        """Count a tenant's request in the usage, by its start time on the steady clock."""
         if self._usage is not None:
             self._usage.count(tenant, began)
 
     def sample_clock(self) -> None:
-        """Compare the time of day with the steady clock."""
+        """Sample the offset between wall clock and steady clock for usage windows."""
         if self._usage is not None:
             self._usage.sample_clock()
 
--- a/src/stagewalk/gateway/eligibility_services.py
+++ b/src/stagewalk/gateway/eligibility_services.py
@@ -1,7 +1,7 @@
-"""Assembles what decides whether a request may be sent, with the service that keeps its state.
+"""Assembles the eligibility checks of requests and the service that maintains their state.
 
 Owns the construction of `Eligibility` and its inputs: evacuations, cold starts with their leases,
-and crash suspects. Relies on the settings for zones, on the log for leases.
+and the crash history. Relies on the settings for zones and on the log for leases.
 """
 
 from __future__ import annotations
@@ -26,18 +26,19 @@
 
 
 class EligibilityServices:
-    """Eligibility of one gateway's sends, and the state that it is judged by.
+    """Eligibility checks of one gateway, and the state that they depend on.
 
     Parameters
     ----------
     producer
-        Identity of this start of the process.
+        Unique identity of this process.
     view_age
-        Returns the age of the views of workers and operators' records at a time, in seconds.
+        Returns the age at a given time, in seconds, of the older view: of workers or of operators'
+        records.
     replicas
         Returns the names of the nodes that run batches.
     on_denied
-        Called for each request that was denied a permit, or denied as it was to be sent.
+        Called for each denial, of a permit or of its confirmation before sending.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
             Proximity(settings.placement, settings.zones),
             self.evacuations,
             self.cold,
-            held=self._held,
+            held=self._is_quarantined,
             on_denied=on_denied,
             rng=Random(settings.name),
         )
@@ -78,9 +79,9 @@
     def _wake(self) -> None:
         self.cold_lease_service.wake()
 
-    def _held(self, content: RequestContent, item: bool) -> bool:
+    def _is_quarantined(self, content: RequestContent, item: bool) -> bool:
         return self.suspects.any and self.suspects.held(content, time.time(), item=item)
 
     def expire(self, now: float) -> None:
-        """Forget the cold starts of workers that are gone, and leases that are over."""
+        """Remove cold starts of workers that are gone, and expired leases."""
         self.cold.keep_only(self._workers, now)
--- a/src/stagewalk/gateway/metrics.py
+++ b/src/stagewalk/gateway/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of the gateway, on a registry of its own. Units are in the names.
+"""Prometheus metrics of the gateway, on a separate registry. Units are in the names.
 
-Owns names, help texts and buckets of what is counted as it happens. What is read when it is scraped
-is in `state_metrics`.
+Owns names, help texts and buckets of the metrics that are updated by events. Metrics that are read
+at each scrape are in `state_metrics`.
 """
 
 from __future__ import annotations
@@ -98,28 +98,28 @@
         )
 
     def log_called(self, operation: str, outcome: str, seconds: float) -> None:
-        """Count a call of the log."""
+        """Record the duration of a log call."""
         self._log_calls.labels(operation, outcome).observe(seconds)
 
     def request_ended(self, kind: str, outcome: str, began: float) -> None:
-        """Count a request that began at a steady time."""
+        """Count a request, and record its latency since a time of the steady clock."""
         self._requests.labels(kind, outcome).inc()
         self._latency.labels(kind).observe(steady_seconds() - began)
 
     def send_denied(self, denial: Denial) -> None:
-        """Count a request that was denied a worker."""
+        """Count a request that might not be sent to its worker."""
         self._denials.labels(denial.value).inc()
 
     def reader_cut_off(self, reason: str) -> None:
-        """Count a caller that read too slowly."""
+        """Count a caller that was cut off for reading too slowly."""
         self._cut_offs.labels(reason).inc()
 
     def request_admitted(self, wait_seconds: float) -> None:
-        """Count a request that got its place after so many seconds."""
+        """Record how long an admitted request waited."""
         self._admission_waits.observe(wait_seconds)
 
     def request_rejected(self, reason: str) -> None:
-        """Count a request that was refused a place."""
+        """Count a request that admission rejected."""
         self._rejections.labels(reason).inc()
 
     def loop_woke_late(self, seconds: float) -> None:
@@ -127,9 +127,9 @@
         self._loop_lag.observe(seconds)
 
     def item_started(self, view_age_seconds: float) -> None:
-        """Record the age of the view by which an item was started."""
+        """Record the age of the view used to start an item."""
         self._item_view_age.observe(view_age_seconds)
 
     def render(self) -> bytes:
-        """Return all metrics in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/src/stagewalk/gateway/peak_memory.py
+++ b/src/stagewalk/gateway/peak_memory.py
@@ -1,6 +1,6 @@
-"""Tells the log what a process was doing as its memory reached a new peak.
+"""Logs new peaks of a process's memory, with its state at that time.
 
-Owns the peak that was told last. Relies on the kernel's account of the process.
+Owns the last logged peak. Relies on the kernel's resource usage of the process.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from stagewalk.common.logs.lines import log_event
 
 STEP_MEGABYTES = 8.0
-"""A new peak is told once it is this much higher: a dozen lines at most in a process's life."""
+"""Minimum increase between two logged peaks, which limits the number of lines."""
 
 KILOBYTES_PER_MEGABYTE = 1_000.0
 
 
 class PeakMemory:
-    """Writes a line each time that the process's largest resident memory has grown by a step.
+    """Logs the peak resident memory each time it has grown by `STEP_MEGABYTES`.
 
     Parameters
     ----------
     peak_kilobytes
-        Reads the peak; of this process if none is given.
+        Reads the peak; defaults to that of this process.
     """
 
     def __init__(self, peak_kilobytes: Callable[[], int] | None = None) -> None:
@@ -31,7 +31,7 @@
         self._next_megabytes = 0.0
 
     def write(self, state: Callable[[], Mapping[str, int]]) -> None:
-        """Write the line if there is a new peak, with the state at that time."""
+        """Write a line with the state if there is a new peak."""
         megabytes = self._peak_kilobytes() / KILOBYTES_PER_MEGABYTE
         if megabytes < self._next_megabytes:
             return
--- a/src/stagewalk/gateway/policy.py
+++ b/src/stagewalk/gateway/policy.py
@@ -1,8 +1,7 @@
-"""Which optional mechanisms of decision are in use. All are, unless a setting says otherwise.
+"""Switches of optional optimizations, all enabled by default.
 
-Owns their switches, which are the fields of the settings' section `policy`. The rules that read
-them are in `forwarding`, `batches`, `batch_service`, `scoring`, `runners`, `directory` and
-`version_rollouts`.
+The switches are the fields of the section `policy` of the settings. They are read in `forwarding`,
+`batches`, `batch_service`, `scoring`, `runners`, `directory` and `version_rollouts`.
 """
 
 from __future__ import annotations
@@ -11,50 +10,50 @@
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One switch for each mechanism that only improves results; no promise depends on any of them.
+    """Switches of optimizations; no guarantee of the gateway depends on any of them.
 
     Attributes
     ----------
     kept_text
-        Go on from text of an item that was made in an earlier batch or by another runner.
+        Resume an item from text generated in an earlier batch or by another runner.
     moves
-        Move an item to an engine at which it will be done well before.
+        Move an item to an engine where it is expected to finish much earlier.
     siblings
-        Prefer an engine that holds the prompt of an item's group.
+        Prefer an engine that already holds the prompt of the item's group.
     zone_preference
         Prefer engines of the node's own zone.
     suspicion
-        Avoid engines that failed lately.
+        Avoid engines that failed recently.
     pace
-        Prefer engines that are faster by what was seen of them.
+        Prefer engines with a higher observed speed.
     half_change
-        Change half of the engines with each version while batches allow the one before.
+        Update half of the engines to a new version while batches allow the previous one.
     engine_sets
-        With several models, bring each to new versions on a set of engines of its own.
+        With several models, roll out each one's versions on a separate set of engines.
     score_hedges
-        Ask another scorer beside a late one.
+        Send a hedged score request to another scorer if the first one is late.
     ask_runner
-        Ask a node before it is given a batch, and notify it of the batch.
+        Ask a node before it is assigned a batch, and notify it of the assignment.
     probe_runners
-        Ask runners whether they still run.
+        Probe runners for liveness.
     resume_first
-        Go on with own batches before the whole log is read.
+        After a restart, resume own batches before the whole log is read.
     few_replicas
-        Hold replicas of the batch ledger on six nodes, not on twelve.
+        Keep replicas of the batch ledger on six nodes instead of twelve.
     hold_results
-        Near the end of a step, hold a trainer's read until all that it waits for is there.
+        Near the end of a step, delay a trainer's read until all results it waits for are available.
     spread_trainers
         Run batches of different trainers on different nodes.
     warm_connections
-        Prefer workers to which a connection is kept for requests that may go over one.
+        Prefer workers with an idle connection for requests that may reuse one.
     reported_pace
-        Tell a worker's own speed from the pace that it reports for the moment.
+        Distinguish a worker's own speed from the current pace that it reports.
     admission
-        Queue forwarded requests at a service whose workers report their load, in fair order.
+        Queue forwarded requests fairly for services whose workers report their load.
     place_shares
-        Share engines' places among trainers while they ask for more than there are.
+        Share engine places among trainers while demand exceeds supply.
     engine_memory
-        Place items where the engine's memory has room for them.
+        Place items on engines with enough free memory.
     """
 
     kept_text: bool = True
--- a/src/stagewalk/gateway/process.py
+++ b/src/stagewalk/gateway/process.py
@@ -1,6 +1,6 @@
 """Runs a gateway as a process.
 
-Owns the process's logs, garbage collection and exit code. Relies on the daemon for the rest.
+Owns logging, garbage collection and the exit code of the process; the rest is in `daemon`.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 ) -> int:
     """Run a gateway until it is asked to stop; return the process's exit code."""
     budget = LogBudget()
-    writer = LineWriter(sys.stdout.fileno(), _soon)
+    writer = LineWriter(sys.stdout.fileno(), _call_soon)
     undo_logs = configure_logs(settings.log_level, writer.write, node=settings.name, budget=budget)
     gc.freeze()
     gc.enable()
@@ -47,8 +47,8 @@
     return EXIT_CLEAN
 
 
-def _soon(call: Callable[[], None]) -> None:
-    """Make a call in the next turn of the event loop; at once where none runs."""
+def _call_soon(call: Callable[[], None]) -> None:
+    """Schedule a call in the running event loop, or make it at once if there is none."""
     try:
         asyncio.get_running_loop().call_soon(call)
     except RuntimeError:
--- a/src/stagewalk/gateway/published_records.py
+++ b/src/stagewalk/gateway/published_records.py
@@ -1,7 +1,7 @@
-"""Follows what operators, trainers and workers publish, and applies it to this node's state.
+"""Follows the records of operators, trainers and workers, and applies them to this node's state.
 
-Owns two followers, their pace and the age of their views. Relies on the dialect to decode records
-and on routes, workers, rollouts, evacuations and cold starts to hold the state.
+Owns two followers, their poll intervals and the age of their views. Relies on the dialect to decode
+records; routes, workers, rollouts, evacuations and cold starts hold the state.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 from stagewalk.gateway.zones.evacuations import Evacuations
 
 MAXIMUM_OPERATOR_VIEW_AGE_SECONDS = 2.0
-"""A view of what operators publish that is older is read again before a request is served: twice
-the time between the ends of its reads (1 s). Without that a machine that slept served its first
-second of requests by the routes, keys and evacuations of before."""
+"""An older view of operators' records is refreshed before a request is served; twice the usual
+interval of reads (1 s). A process that was suspended would serve requests by stale routes, keys and
+evacuations otherwise."""
 
 MAXIMUM_LOGGED_UNUSABLE = 256
-"""Keys of unusable entries that are logged once each; beyond that every read of one is logged.
-It bounds memory."""
+"""Maximum number of keys remembered because their unusable entry was logged; bounds memory. Entries
+of further keys are logged at each read."""
 
 
 class PublishedRecords:
-    """Keeps routes, workers, named versions and evacuations as the newest records have them."""
+    """Updates routes, workers, named versions and evacuations from the newest records."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
             self._replace_published,
             self._apply_published,
             wait_seconds=LISTED_POLL_INTERVALS.configuration_wait_seconds,
-            on_confirm=_GapWatch(cold.views_renewed),
+            on_confirm=_GapDetector(cold.views_renewed),
         )
         self._workers_follower = KeyedFollower(
             log,
@@ -80,40 +80,40 @@
             self._replace_workers,
             self._apply_worker,
             pause_seconds=LISTED_POLL_INTERVALS.workers_pause_seconds,
-            on_confirm=_GapWatch(cold.views_renewed),
+            on_confirm=_GapDetector(cold.views_renewed),
         )
         workers.listen(self)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start following."""
+        """Start the followers."""
         tasks.start_soon(self._operators_follower.run)
         tasks.start_soon(self._workers_follower.run)
 
     @property
     def freshness(self) -> tuple[Freshness, Freshness]:
-        """Return how current the views of operators' records and of workers are."""
+        """Return the freshness of the views of operators' records and of workers."""
         return self._operators_follower.freshness, self._workers_follower.freshness
 
     @property
     def workers_freshness(self) -> Freshness:
-        """Return how current the view of workers is."""
+        """Return the freshness of the view of workers."""
         return self._workers_follower.freshness
 
     @property
     def workers_known(self) -> bool:
-        """Whether the workers were listed at least once."""
+        """Whether the list of workers was read at least once."""
         return self._workers_follower.freshness.ever_confirmed
 
     def set_pace(self, pace: PollIntervals) -> None:
-        """Set the pace of reading."""
+        """Set the poll intervals."""
         self._pace = pace
         self._workers_follower.pause_seconds = pace.workers_pause_seconds
         self._operators_follower.wait_seconds = pace.configuration_wait_seconds
 
     async def refresh(self) -> None:
-        """Renew views that are too old to serve a request from.
+        """Refresh views that are too old to serve a request from.
 
-        The view of operators' records gets so old only in a process that was suspended.
+        The view of operators' records gets too old only in a process that was suspended.
         """
         await self._workers_follower.refresh(OLDEST_VIEW_SECONDS, REFRESH_TIMEOUT_SECONDS)
         await self._operators_follower.refresh(
@@ -121,11 +121,11 @@
         )
 
     async def renew_configuration(self, oldest_seconds: float, timeout_seconds: float) -> bool:
-        """Return whether what operators published so long ago is known; read if it isn't."""
+        """Return whether operators' records of at least this age are known; read if necessary."""
         return await self._operators_follower.renew(oldest_seconds, timeout_seconds)
 
     def view_age(self, now: float) -> float:
-        """Return the age of the older one of the views, in seconds."""
+        """Return the age of the older view, in seconds."""
         return max(freshness.age(now) for freshness in self.freshness)
 
     def _replace_published(self, records: tuple[KeyedRecord, ...]) -> None:
@@ -169,7 +169,7 @@
         log_event("workers_listed", count=len(announcements), unreadable=len(unreadable))
 
     def _worker_entry(self, record: KeyedRecord) -> WorkerAnnouncement | None:
-        """Decode a worker's entry; an unusable one is logged once for each key."""
+        """Decode a worker's entry; log an unusable one once for each key."""
         entry = self._dialect.decode_worker_announcement(record)
         if entry is not None:
             self._logged_unusable.discard(record.key)
@@ -194,33 +194,33 @@
         return self._workers_follower.freshness.disturbed_at
 
     def worker_cold(self, worker: Worker, seconds: float, now: float) -> None:
-        """Mark a worker cold whose entry says so."""
+        """Mark a worker as cold after its entry announced a cold start."""
         service = self._routes.service(worker.announcement.service)
         if service is not None and service.cold_rate > 0.0:
             log_event("worker_cold", worker=worker.announcement.worker, seconds=seconds)
         self._cold.mark_cold(worker, seconds, now)
 
     def worker_changed(self, worker: str, change: WorkerChange) -> None:
-        """Log a change of a worker's state, where requests may depend on it.
+        """Log a change of a worker's state.
 
-        Most of all lines would be those of resting nodes on each worker: what such a node reads,
-        and whole listings, are logged in one line.
+        The level is debug on idle nodes and while a whole list is read, which has a line of its
+        own: a line for each worker would dominate the log.
         """
-        unused = self._listing or self._pace is IDLE_POLL_INTERVALS
+        debug_only = self._listing or self._pace is IDLE_POLL_INTERVALS
         log_event(
-            "worker_changed", "debug" if unused else "info", worker=worker, change=change.value
+            "worker_changed", "debug" if debug_only else "info", worker=worker, change=change.value
         )
 
 
-class _GapWatch:
-    """Detects that a view is complete again after a gap, or for the first time."""
+class _GapDetector:
+    """Reports when a view becomes current again after a gap, or for the first time."""
 
     def __init__(self, on_renewed: Callable[[float], None]) -> None:
         self._on_renewed = on_renewed
         self._confirmed_at = -math.inf
 
     def __call__(self, confirmed_at: float) -> None:
-        """Handle a confirmation: the time as of which the view is complete."""
+        """Handle the confirmation that a view is complete as of a time."""
         gap = confirmed_at - self._confirmed_at
         self._confirmed_at = confirmed_at
         if gap > OLDEST_WARM_VIEW_SECONDS:
--- a/src/stagewalk/gateway/role_controller.py
+++ b/src/stagewalk/gateway/role_controller.py
@@ -1,7 +1,7 @@
-"""Applies the roles that this node should have, and the pace of reading that they need.
+"""Applies this node's target roles and the poll intervals that they need.
 
-Owns the transitions: replica of the batch ledger, candidate for the lease on duties, listed to
-callers. Relies on `directory` for the rules that choose them.
+Owns the transitions between roles: replica of the batch ledger, candidate for the duty lease,
+listed to callers. Relies on `directory` for the rules that assign them.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 
 class LogReserve:
-    """A span after the start in which the log's reads are left to runners that resume batches."""
+    """A period after the start in which log reads are reserved for runners that resume batches."""
 
     def __init__(self) -> None:
         self._ends_at = -math.inf
 
     def hold_until(self, at: float) -> None:
-        """Reserve the log until a steady time."""
+        """Reserve the log until a time of the steady clock."""
         self._ends_at = at
 
     @property
@@ -40,7 +40,7 @@
 
 
 class RoleController:
-    """Changes this node's roles as the nodes known now require."""
+    """Changes this node's roles according to the currently known nodes."""
 
     def __init__(
         self,
@@ -63,11 +63,11 @@
 
     @property
     def pace(self) -> PollIntervals:
-        """Return the pace of reading in force."""
+        """Return the current poll intervals."""
         return self._pace
 
     def update(self, stopping: bool, now: float) -> None:
-        """Apply the roles that this node should have now."""
+        """Apply the current target roles."""
         roles = self._nodes.target_roles()
         self._nodes.set_listed(roles.listed and not stopping)
         busy = self._runner.busy or self._duties.held
--- a/src/stagewalk/gateway/settings.py
+++ b/src/stagewalk/gateway/settings.py
@@ -1,6 +1,6 @@
-"""Settings of a gateway: a TOML file, checked as a whole before anything starts.
+"""Settings of a gateway, read from a TOML file and validated before anything starts.
 
-Owns names, defaults and bounds of the file's fields; docs/GATEWAY.md lists them.
+Owns names, defaults and bounds of the fields; docs/GATEWAY.md lists them.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 
 class Timing(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Time bounds that the platform sets, in seconds.
+    """Time bounds set by the platform, in seconds.
 
     Attributes
     ----------
     lease_quiet
-        How long nobody may order engines between two holders.
+        Time between two holders of the duty lease in which neither may act.
     stop_grace
-        How long a process has from the request to stop until it is killed.
+        Time from the request to stop until the process is killed.
     batch_end
-        How long after a batch's end was acknowledged its items may still reach workers.
+        Time after the acknowledged end of a batch in which its items may still reach workers.
     """
 
     lease_quiet: Positive = 3.0
@@ -44,14 +44,14 @@
 
 
 class Processor(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """This process's share of a core, and the core's speed relative to the usual one."""
+    """This process's share of a core, and the core's speed relative to a standard core."""
 
     share: Positive = 1.0
     speed: Positive = 1.0
 
     @property
     def capacity(self) -> float:
-        """Return the capacity, in cores of the usual speed."""
+        """Return the capacity in standard cores."""
         return self.share * self.speed
 
 
@@ -59,13 +59,13 @@
 
 
 class Memory(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What this process may use of the machine's memory, in MB of a million bytes."""
+    """Memory limit of this process, in MB of a million bytes."""
 
     limit_mb: Positive
 
 
 class LogLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Limits of the log: bytes a record, bytes a call, and partitions a topic has."""
+    """Limits of the log: bytes per record, bytes per call, and partitions per topic."""
 
     record_bytes: PositiveInteger = 262_144
     call_bytes: PositiveInteger = 2_097_152
@@ -73,17 +73,17 @@
 
 
 class Autoscaling(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """How many workers are ordered of services that have a scaling.
+    """Autoscaling of services whose configuration enables it.
 
     Attributes
     ----------
     mode
-        `off`: none are ordered. `restore`: as many as were found when the service was first seen.
-        `demand`: in addition, enough that each item of the open batches has a place at once.
+        `off`: no workers are ordered. `restore`: keep the number of workers found when the service
+        was first seen. `demand`: in addition, order enough for all items of open batches at once.
     places_per_item
-        Places ordered for each item of the recent peak of open items; 1.0: none waits.
+        Places ordered per item of the recent peak of open items; with 1.0 no item waits.
     spot
-        Whether workers ordered beyond those found are of the cheaper kind, which the platform may
+        Whether workers beyond the initial number are spot instances, which the platform may
         reclaim.
     """
 
@@ -97,14 +97,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DutySettings:
-    """Where the platform serves the calls that one node at a time makes.
+    """Endpoint and usage windows of the calls made by the holder of the duty lease.
 
     Attributes
     ----------
     usage_window
-        Length in seconds of the windows that usage is reported for; None: it isn't reported.
+        Length of a usage window in seconds; None: usage isn't reported.
     usage_due
-        Seconds after a window's end within which its report must be made.
+        Seconds after the end of a window by which it must be reported.
     """
 
     address: Address
@@ -114,30 +114,30 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Checked settings.
+    """Validated settings.
 
     Attributes
     ----------
     front, readiness, directory
-        Where callers, readiness checks and directory look-ups connect.
+        Listen addresses for callers, readiness checks and directory lookups.
     peers
-        Where other nodes connect; None: they can't.
+        Listen address for other nodes; None: they can't connect.
     processor
-        Share and speed of the processor: faster nodes are preferred for running batches.
+        Share and speed of the processor; faster nodes are preferred for running batches.
     metrics
-        A further listener of the same application, for metrics and operators.
+        Additional listen address, for metrics and operators.
     log
-        The platform's partitioned log.
+        Address of the platform's partitioned log.
     policy
-        Which mechanisms of decision are in use.
+        Switches of optional optimizations.
     duties
-        None: the platform has none.
+        None: the platform has no endpoint for duties.
     memory
-        None: it isn't known; what is held for slow callers and workers has no common bound.
+        None: the limit isn't known, and buffers for slow callers and workers have no common bound.
     autoscaling
-        How many workers are ordered.
+        Rules for ordering workers.
     zones
-        By zone, its region.
+        Region of each zone.
     """
 
     name: str
@@ -195,7 +195,7 @@
 
 
 def load_gateway_settings(path: Path) -> Result[GatewaySettings, StagewalkError]:
-    """Read and check settings; an error names the field."""
+    """Read and validate settings; an error names the invalid field."""
     return read_table(path).bind(lambda table: decode_table(table, _SettingsFile)).bind(_check)
 
 
--- a/src/stagewalk/gateway/settings_reload.py
+++ b/src/stagewalk/gateway/settings_reload.py
@@ -1,4 +1,4 @@
-"""Settings read again while a gateway runs.
+"""Reloads settings while a gateway runs.
 
 Owns which settings may change without a restart: the section `timing` and no other.
 """
@@ -15,16 +15,16 @@
 from stagewalk.gateway.settings import GatewaySettings
 
 SettingsLoader = Callable[[], Result[GatewaySettings, StagewalkError]]
-"""Reads the settings again."""
+"""Loads the settings from their source."""
 
 
 class LiveSettings:
-    """The settings in force, which a running gateway may read again.
+    """The current settings, which a running gateway may reload.
 
     Parameters
     ----------
     load_again
-        None: settings stay as they are.
+        None: the settings can't be reloaded.
     """
 
     def __init__(self, settings: GatewaySettings, load_again: SettingsLoader | None) -> None:
@@ -33,11 +33,11 @@
 
     @property
     def current(self) -> GatewaySettings:
-        """Return the settings in force now."""
+        """Return the current settings."""
         return self._settings
 
     def reload(self) -> None:
-        """Read the settings again and put in force what may change while the process runs."""
+        """Reload the settings and apply those that may change while the process runs."""
         if self._load_again is not None:
             self._settings = reload_settings(self._settings, self._load_again())
 
@@ -45,15 +45,15 @@
 def reload_settings(
     before: GatewaySettings, loaded: Result[GatewaySettings, StagewalkError]
 ) -> GatewaySettings:
-    """Return the settings in force from now on: timing changes, anything else at the next start.
+    """Return the settings after a reload: only `timing` is replaced.
 
-    Settings that can't be read leave those in force as they are.
+    Changes of other settings are logged as waiting for a restart; invalid settings change nothing.
     """
     if loaded.is_error():
         log_event("settings_refused", "warning", error=str(loaded.error))
         return before
     after = loaded.ok
-    waiting = [
+    pending = [
         field.name
         for field in dataclasses.fields(after)
         if field.name != "timing" and getattr(before, field.name) != getattr(after, field.name)
@@ -61,6 +61,6 @@
     log_event(
         "settings_read",
         timing_changed=before.timing != after.timing,
-        waiting_for_restart=",".join(waiting),
+        waiting_for_restart=",".join(pending),
     )
     return dataclasses.replace(before, timing=after.timing)
--- a/src/stagewalk/gateway/state_metrics.py
+++ b/src/stagewalk/gateway/state_metrics.py
@@ -1,7 +1,7 @@
 """Gauges of a gateway's state, read when they are scraped. Units are in the names.
 
-Owns names and help texts of the gauges, and of the counters that other parts keep. Relies on
-`GatewayState` for their values, and on the logs' budget for the counts of events.
+Owns names and help texts of the gauges, and of counters maintained by other parts. Relies on
+`GatewayState` for their values and on the log budget for event counts.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayState:
-    """State of a gateway at one moment, for its gauges.
+    """Snapshot of a gateway's state for its gauges.
 
     Attributes
     ----------
     view_ages
-        By followed partition, seconds since its view was complete.
+        Age of the view of each followed partition, in seconds.
     claimant_places
-        Engines' places of each trainer whose items run here.
+        Engine places of each trainer whose items run here.
     engine_tokens
-        By engine with runs of this node, the most tokens that it is expected to hold.
+        Maximum expected tokens of each engine that runs items of this node.
     opened_connections
-        To workers, by purpose and reason.
+        Number of connections opened to workers, by purpose and reason.
     """
 
     configuration: int
@@ -58,20 +58,20 @@
 
 
 class StateCollector(Collector):
-    """Reads gauges and event counts when they are scraped; nothing is updated in between."""
+    """Collects gauges and event counts at each scrape."""
 
     def __init__(self, state: Callable[[], GatewayState], budget: LogBudget) -> None:
         self._state = state
         self._budget = budget
 
     def describe(self) -> Iterable[Metric]:
-        """Return nothing: names are known once they are collected."""
+        """Return nothing: the metrics are known only at collection."""
         return ()
 
     def collect(self) -> Iterable[Metric]:
-        """Return all gauges, and the events counted by the logs' budget."""
+        """Return all gauges, and the event counts of the log budget."""
         state = self._state()
-        yield from _plain_gauges(state)
+        yield from _unlabelled_gauges(state)
         yield _view_ages(state)
         yield _load_reports(state)
         yield from _claimant_gauges(state.claimant_places)
@@ -80,8 +80,8 @@
         yield _events(self._budget)
 
 
-def _plain_gauges(state: GatewayState) -> Iterable[Metric]:
-    """Return the gauges that have no labels."""
+def _unlabelled_gauges(state: GatewayState) -> Iterable[Metric]:
+    """Return the gauges without labels."""
     for name, text, value in (
         ("configuration_version", "Configuration in force.", state.configuration),
         ("serving_nodes", "Nodes known to serve.", state.serving_nodes),
@@ -104,7 +104,7 @@
 
 
 def _view_ages(state: GatewayState) -> Metric:
-    """Return how old the view of each followed partition is."""
+    """Return the age of the view of each followed partition."""
     ages = GaugeMetricFamily(
         "stagewalk_view_age_seconds", "Age of a partition's view.", labels=["partition"]
     )
@@ -114,7 +114,7 @@
 
 
 def _load_reports(state: GatewayState) -> Metric:
-    """Return how many workers reported their load, and how."""
+    """Return the number of workers by kind of load report."""
     reports = GaugeMetricFamily(
         "stagewalk_load_reports", "Workers by the load report known of them.", labels=["kind"]
     )
@@ -124,7 +124,7 @@
 
 
 def _engine_tokens(state: GatewayState) -> Metric:
-    """Return what engines are expected to hold."""
+    """Return the expected tokens of each engine."""
     tokens = GaugeMetricFamily(
         "stagewalk_engine_expected_tokens",
         "Most tokens that an engine with runs of this node is expected to hold.",
@@ -136,7 +136,7 @@
 
 
 def _opened_connections(state: GatewayState) -> Metric:
-    """Return connections opened to workers."""
+    """Return the number of connections opened to workers."""
     opened = CounterMetricFamily(
         "stagewalk_worker_connections_opened",
         "Connections opened to workers, by what for and why no kept one was used.",
@@ -148,7 +148,7 @@
 
 
 def _events(budget: LogBudget) -> Metric:
-    """Return how often each event was logged, or would have been."""
+    """Return the count of each log event, including dropped lines."""
     events = CounterMetricFamily(
         "stagewalk_events", "Log events, dropped ones too.", labels=["event", "failure"]
     )
@@ -158,12 +158,12 @@
 
 
 def _claimant_gauges(places: Sequence[ClaimantPlaces]) -> Iterable[Metric]:
-    """Return demand, use and share of places; one without a limit has a share of infinity."""
+    """Return demand, use and share of places; an unlimited share is infinity."""
     labels = ["tenant", "trainer", "service"]
     for name, text, value in (
-        ("place_demand", "Places that a trainer's items here ask for.", _asked),
-        ("places_taken", "Places that they have.", _taken),
-        ("place_share", "Places that they may have.", _most),
+        ("place_demand", "Places that a trainer's items here ask for.", _places_demanded),
+        ("places_taken", "Places that they have.", _places_taken),
+        ("place_share", "Places that they may have.", _places_allowed),
     ):
         gauge = GaugeMetricFamily(f"stagewalk_{name}", text, labels=labels)
         for found in places:
@@ -172,13 +172,13 @@
         yield gauge
 
 
-def _asked(places: ClaimantPlaces) -> float:
+def _places_demanded(places: ClaimantPlaces) -> float:
     return float(places.taken + places.waiting)
 
 
-def _taken(places: ClaimantPlaces) -> float:
+def _places_taken(places: ClaimantPlaces) -> float:
     return float(places.taken)
 
 
-def _most(places: ClaimantPlaces) -> float:
+def _places_allowed(places: ClaimantPlaces) -> float:
     return places.most
--- a/tests/gateway/hindered_logs.py
+++ b/tests/gateway/hindered_logs.py
@@ -1,4 +1,4 @@
-"""Views of the log of one gateway that is hindered: its history comes slowly, or reads are held."""
+"""Log clients with slow reads of old records, or with blocked reads, to test races."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from tests.gateway.memory_log import MemoryLog, MemoryLogClient
 
 SLOW_RECORDS = 100
-"""So many of a partition's first records come one by one."""
+"""Number of a partition's first records that are returned one at a time."""
 
 RECORD_SECONDS = 0.1
-"""What each of them takes: the whole log is read in ten seconds."""
+"""Delay of each of them, so that reading the whole log takes ten seconds."""
 
 HISTORY_RECORDS = 250
-"""How many records are written to each partition: more than `SLOW_RECORDS` and a margin of a
-hundred records before a place together, so that a read from such a margin on is not slow."""
+"""Records written to each partition: more than `SLOW_RECORDS` plus the margin of a hundred records
+before a batch's place, so that reads that start at the margin are not slow."""
 
 
 async def write_history(log: MemoryLog) -> None:
-    """Fill the partitions of batches with records that tell nothing."""
+    """Fill the batch partitions with irrelevant records."""
     for number in range(PARTITIONS):
         await append(
             log,
@@ -37,19 +37,19 @@
 
 
 async def append(log: MemoryLog, partition: Partition, payloads: list[bytes]) -> int:
-    """Append records as a process of its own; return the offset of the first."""
+    """Append records as a separate producer; return the offset of the first."""
     client = log.client()
     sequence = ProducerSequence(f"test-{id(client)}-{log.kept(partition).end}", 1, 1)
     return (await client.append(partition, payloads, sequence)).ok
 
 
 class SlowHistoryLog(MemoryLogClient):
-    """Shares its reads with many others: what lies far back comes record by record."""
+    """Returns the oldest records of batch partitions one at a time, after a delay."""
 
     async def read(
         self, partition: Partition, offset: int, wait_seconds: float
     ) -> Result[RecordPage, LogFailure]:
-        """Read records from an offset on, one of the oldest at a time."""
+        """Read records from an offset on, old ones singly."""
         answer = await super().read(partition, offset, wait_seconds)
         if partition.topic != BATCHES_TOPIC or offset >= SLOW_RECORDS or answer.is_error():
             return answer
@@ -59,16 +59,16 @@
 
 
 class HeldReadsLog(MemoryLogClient):
-    """Answers of reads of batches may be held: of those that wait for news, or of one that doesn't.
+    """Blocks reads of batch partitions: long polls before the read, other reads after it.
 
     Attributes
     ----------
     follow
-        Set: what follows a partition is answered.
+        While unset, reads that wait for records are blocked.
     answer
-        Set: the next read that does not wait for news is answered as of when it was sent.
+        While unset, answers of reads that don't wait are held back.
     held
-        Set once such a read is held.
+        Set once an answer is held back.
     """
 
     def __init__(self, log: MemoryLog) -> None:
--- a/tests/gateway/memory_duties.py
+++ b/tests/gateway/memory_duties.py
@@ -1,6 +1,6 @@
-"""Stand-in of the platform's duties, in memory: checks fences, and may refuse or answer late.
+"""In-memory fake of the platform's duties, which checks fences and returns scripted outcomes.
 
-Owns the reports and orders received; relies on the port `gateway.ports.duties` alone.
+Owns the reports and orders received; depends only on the port `gateway.ports.duties`.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 
 @dataclass
 class MemoryDuties:
-    """Reports and orders that the platform received; satisfies the port of the duties.
+    """Fake `DutyClient` that records reports and orders.
 
     Attributes
     ----------
     outcomes
-        Outcomes of the next calls, one each; what is `UNKNOWN` is carried out all the same.
+        Outcomes of the next calls, in order; calls with outcome `UNKNOWN` are carried out.
     reports
-        Accepted reports by window; `conflicting` holds windows with two that differ.
+        Accepted reports by window; `conflicting` holds windows with two different reports.
     none_left
-        Zones that have no workers to give.
+        Zones without available workers.
     """
 
     outcomes: list[DutyOutcome] = field(default_factory=list)
--- a/tests/gateway/memory_log.py
+++ b/tests/gateway/memory_log.py
@@ -1,6 +1,6 @@
-"""Stand-in of the platform's partitioned log, in memory, with its faults.
+"""In-memory fake of the platform's partitioned log, with fault injection.
 
-Clients get a view each (`client`), so that single processes can be refused or cut off.
+Each client (`client`) has its own faults, so that single processes can lose the log.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 
 KEPT_SEQUENCES = 5
-"""How many of a producer's last appends are recognised when they come again."""
+"""Number of a producer's last appends that are deduplicated."""
 
 
 @dataclass(slots=True)
@@ -35,8 +35,8 @@
 
 
 @dataclass(slots=True)
-class _Kept:
-    """What a partition holds: plain records, or keyed ones by offset."""
+class _PartitionContents:
+    """Contents of a partition: plain records, or keyed ones by offset."""
 
     first: int = 0
     payloads: list[bytes] = field(default_factory=list)
@@ -50,27 +50,27 @@
         return self.first + len(self.payloads)
 
     def announce(self) -> None:
-        """Wake the reads that wait for a record."""
+        """Wake reads that wait for a record."""
         self.changed.set()
         self.changed = anyio.Event()
 
 
 @dataclass(slots=True)
 class LogFaults:
-    """Faults as one client meets them.
+    """Faults injected into the calls of one client.
 
     Attributes
     ----------
     down
         Every call is refused.
     silent
-        No call is answered, and nothing is done.
+        No call is answered or carried out.
     lose_answers
-        So many of the next appends are done without an answer.
+        Number of next appends that are carried out but not answered.
     delay_appends
-        So many of the next appends get no answer and are done when `run_delayed` is called.
+        Number of next appends that are not answered, and carried out by `run_delayed`.
     sleep_through
-        Reads that wait are not woken by a record.
+        Reads that wait are not woken by a new record.
     sleep_through_keyed
         The same for reads of compacted topics.
     """
@@ -84,26 +84,26 @@
 
 
 class MemoryLog:
-    """The log itself."""
+    """The log, shared by all clients."""
 
     def __init__(self) -> None:
-        self._partitions: dict[Partition, _Kept] = {}
+        self._partitions: dict[Partition, _PartitionContents] = {}
         self._delayed: list[Callable[[], object]] = []
 
     def client(self) -> MemoryLogClient:
-        """Return a new client's view."""
+        """Return a new client without faults."""
         return MemoryLogClient(self)
 
-    def kept(self, partition: Partition) -> _Kept:
-        """Return what a partition holds; it comes into being at its first use."""
-        return self._partitions.setdefault(partition, _Kept())
+    def kept(self, partition: Partition) -> _PartitionContents:
+        """Return the contents of a partition, created on first use."""
+        return self._partitions.setdefault(partition, _PartitionContents())
 
     def payloads(self, partition: Partition) -> list[bytes]:
-        """Return a partition's records."""
+        """Return the payloads of a partition's records."""
         return list(self.kept(partition).payloads)
 
     def drop_history(self, partition: Partition, before: int) -> None:
-        """Drop the oldest records of a partition."""
+        """Drop the records of a partition before an offset."""
         kept = self.kept(partition)
         dropped = max(0, before - kept.first)
         kept.payloads = kept.payloads[dropped:]
@@ -111,11 +111,11 @@
         kept.first += dropped
 
     def drop_key(self, partition: Partition, key: str) -> None:
-        """Drop a key of a compacted partition."""
+        """Delete a key of a compacted partition."""
         self.put_key(partition, key, None)
 
     def put_key(self, partition: Partition, key: str, value: bytes | None) -> int:
-        """Set a key of a compacted partition."""
+        """Set a key of a compacted partition, or delete it with None."""
         kept = self.kept(partition)
         record = KeyedRecord(key, value, kept.end)
         kept.payloads.append(value or b"")
@@ -127,13 +127,13 @@
         return record.offset
 
     def run_delayed(self) -> None:
-        """Carry out the appends that were held back."""
+        """Carry out the delayed appends."""
         delayed, self._delayed = self._delayed, []
         for append in delayed:
             append()
 
     def delay(self, append: Callable[[], object]) -> None:
-        """Delay an append."""
+        """Delay an append until `run_delayed`."""
         self._delayed.append(append)
 
 
@@ -145,12 +145,12 @@
         self.faults = LogFaults()
         self.calls = 0
         self.waits: list[float] = []
-        """How long each read of records offered to wait, in seconds."""
+        """The wait time of each read of records, in seconds."""
 
     async def append(
         self, partition: Partition, payloads: Sequence[bytes], sequence: ProducerSequence
     ) -> Result[int, LogFailure]:
-        """Append all records or none, once."""
+        """Append records atomically and idempotently."""
         return await self._change(lambda: self._append(partition, payloads, sequence))
 
     async def append_at(
@@ -162,7 +162,7 @@
     async def append_keyed(
         self, partition: Partition, key: str, value: bytes
     ) -> Result[int, LogFailure]:
-        """Set a key, or drop it with an empty value."""
+        """Set a key, or delete it with an empty value."""
         return await self._change(lambda: Ok(self._log.put_key(partition, key, value or None)))
 
     async def read(
@@ -267,7 +267,7 @@
         return Ok(end)
 
 
-async def _wait_for_record(kept: _Kept, offset: int, wait_seconds: float) -> None:
+async def _wait_for_record(kept: _PartitionContents, offset: int, wait_seconds: float) -> None:
     if kept.end <= offset and wait_seconds > 0.0:
         with anyio.move_on_after(wait_seconds):
             await kept.changed.wait()
--- a/tests/gateway/memory_workers.py
+++ b/tests/gateway/memory_workers.py
@@ -1,4 +1,4 @@
-"""Workers in memory, for gateways in the same process: engines that make texts, and services."""
+"""In-memory fakes of engines and other workers, for gateways in the same process."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 HTTP_OK = 200
 CRASH_SECONDS = 0.02
-"""How long a worker works on a request that crashes it."""
+"""Time from the start of a request that crashes its worker to the crash."""
 
 _CONNECTION_REFUSED = AttemptFailure(AttemptFault.NOT_SENT, "connection refused")
 _NO_ANSWER = AttemptFailure(
@@ -42,20 +42,20 @@
 
 @dataclass(slots=True)
 class MemoryWorker:
-    """One worker's behaviour, which a test may change at any time.
+    """Configurable behaviour of one worker; tests may change it at any time.
 
     Attributes
     ----------
     events
-        Number of events it makes of each item.
+        Number of events generated for each item.
     event_seconds
-        How long an event takes.
+        Time per event.
     event_padding
-        Bytes that each event has besides its name.
+        Bytes of padding in each event.
     faults
-        Faults of the next requests, one each.
+        Faults of the next requests, in order.
     statuses
-        Statuses of the next answers, one each.
+        Statuses of the next answers, in order.
     """
 
     events: int = 3
@@ -69,18 +69,18 @@
     running: int = 0
     slots: int = 4
     pace: float | None = None
-    """Stated with each load; None: it states none."""
+    """Reported with each load; None: not reported."""
     ended: anyio.Event = field(default_factory=anyio.Event)
-    """Set once its process has crashed: whatever ran there has lost its connection."""
+    """Set once its process has crashed and its connections are lost."""
 
     @property
     def load(self) -> WorkerLoad:
-        """Return its load."""
+        """Return the load that it reports."""
         return WorkerLoad(self.running, 0, self.slots, self.pace)
 
 
-def _scripted(worker: MemoryWorker) -> AttemptFailure:
-    """Return a worker's next scripted failure; what may have run lost its connection."""
+def _scripted_failure(worker: MemoryWorker) -> AttemptFailure:
+    """Return a worker's next scripted failure; `MAY_HAVE_RUN` includes a closed connection."""
     fault = worker.faults.pop(0)
     loss = ContactLoss.CLOSED if fault is AttemptFault.MAY_HAVE_RUN else None
     return AttemptFailure(fault, "scripted", worker.load, loss)
@@ -88,36 +88,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request reached a worker at a steady time."""
+    """Arrival of a request at a worker, at a time of the steady clock."""
 
     at: float
     worker: str
 
 
 class MemoryWorkers:
-    """All workers, by name; satisfies the port of the workers."""
+    """Fake `WorkerClient` for all workers, by name."""
 
     def __init__(self) -> None:
         self.workers: dict[str, MemoryWorker] = {}
         self.arrivals: Counter[str] = Counter()
-        """Requests that reached a worker, by request."""
+        """Number of times each request reached a worker."""
         self.tenants: dict[str, str | None] = {}
-        """Tenant that a worker last received with each request."""
+        """Tenant last sent with each request."""
         self.cancelled = 0
         self.connect_seconds = 0.0
-        """How long a connection takes to come up."""
+        """Time to open a connection."""
         self.log: list[Arrival] = []
         """Requests that reached a worker, in order."""
         self.crashing: set[bytes] = set()
-        """Bodies of requests that crash each worker that begins to run them."""
+        """Bodies of requests that crash any worker that runs them."""
         self.crashes: list[str] = []
-        """Workers that ended so, in order."""
+        """Workers that crashed, in order."""
         self.silent_crashes = False
-        """Whether a crash takes the machine: its announcement goes, no connection is reset."""
+        """Whether connections of a crashed worker time out instead of being closed."""
         self.on_crash: Callable[[str], None] = lambda _worker: None
 
     async def _connect(self, permit: SendPermit) -> AttemptFailure | None:
-        """Confirm a permit once the connection is there, and note the arrival."""
+        """Open a connection, confirm the permit, and record the arrival."""
         await anyio.sleep(self.connect_seconds)
         denial = permit.confirm(steady_seconds())
         if denial is not None:
@@ -126,7 +126,7 @@
         return None
 
     def reached_since(self, at: float) -> set[str]:
-        """Return the workers that requests reached since a steady time."""
+        """Return the workers that requests reached since a time of the steady clock."""
         return {arrival.worker for arrival in self.log if arrival.at >= at}
 
     async def send(
@@ -157,7 +157,7 @@
         if worker.ended.is_set():
             return Error(_NO_ANSWER if self.silent_crashes else _CONNECTION_CLOSED)
         if worker.faults:
-            return Error(_scripted(worker))
+            return Error(_scripted_failure(worker))
         headers = (("x-worker", target.worker),)
         body = request.target.encode() + b" " + request.body
         status = worker.statuses.pop(0) if worker.statuses else HTTP_OK
@@ -167,7 +167,7 @@
     async def stream(
         self, permit: SendPermit, request: OutboundRequest, deliver: StreamSink
     ) -> Result[StreamEnd, AttemptFailure]:
-        """Make an item's events; a scripted fault strikes after the first of them."""
+        """Generate an item's events; a scripted fault occurs after the first one."""
         worker = self.workers[permit.target.worker]
         if worker.ended.is_set():
             return Error(_CONNECTION_REFUSED)
@@ -195,7 +195,7 @@
         return Ok(StreamEnd(HTTP_OK))
 
     async def _work(self, name: str, request: OutboundRequest, seconds: float) -> None:
-        """Work for a time, less if the worker crashes meanwhile, which the request may cause."""
+        """Work for a time, or until the worker crashes, which the request may cause."""
         worker = self.workers[name]
         if request.body in self.crashing:
             await anyio.sleep(CRASH_SECONDS)
@@ -204,7 +204,7 @@
             await worker.ended.wait()
 
     def crash(self, name: str) -> None:
-        """End a worker's process: what runs there is lost, and nobody listens any more."""
+        """Crash a worker: its requests are lost and new connections are refused."""
         if not self.workers[name].ended.is_set():
             self.workers[name].ended.set()
             self.crashes.append(name)
@@ -215,14 +215,14 @@
         return not self.workers[target.worker].ended.is_set()
 
     async def report(self, target: WorkerTarget) -> Result[WorkerReport, AttemptFailure]:
-        """Report its versions."""
+        """Return a worker's report with its versions."""
         worker = self.workers[target.worker]
         return Ok(WorkerReport(dict(worker.versions), False, len(worker.orders), 0, 0))
 
     async def request_version_change(
         self, target: WorkerTarget, order: VersionOrder
     ) -> OrderOutcome:
-        """Carry out an order at once, unless a higher fence was seen."""
+        """Carry out an order at once, unless it is fenced or out of date."""
         worker = self.workers[target.worker]
         if worker.orders and order.fence < worker.orders[-1].fence:
             return OrderOutcome.FENCED
--- a/tests/gateway/plain_dialect.py
+++ b/tests/gateway/plain_dialect.py
@@ -1,4 +1,4 @@
-"""A dialect that encodes everything as the product's own types do, in JSON."""
+"""A dialect that encodes the gateway's own types in JSON."""
 
 from __future__ import annotations
 
@@ -50,21 +50,21 @@
 
 
 class PlainDialect:
-    """The product's own spelling."""
+    """Default names, and JSON encodings."""
 
     @property
     def callers(self) -> CallerInterface:
-        """Return the product's own calls."""
+        """Return the default names."""
         return CallerInterface()
 
     @property
     def operators(self) -> Partition:
-        """Return where operators publish."""
+        """Return the partition of operators' records."""
         return Partition("operators", 0)
 
     @property
     def workers(self) -> Partition:
-        """Return where workers announce themselves."""
+        """Return the partition of worker announcements."""
         return Partition("workers", 0)
 
     def decode_operator_record(self, record: KeyedRecord) -> OperatorRecord | None:
@@ -110,7 +110,7 @@
         return Ok(Submission(header, decoded.items))
 
     def prompt(self, _item: BatchItem) -> Prompt:
-        """Return that headers state nothing of a prompt."""
+        """Return an unknown prompt."""
         return UNKNOWN_PROMPT
 
     def results(self, total: int, next_position: int, results: list[ItemFinished]) -> bytes:
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -1,4 +1,4 @@
-"""Gateways on loopback, over one log and one set of workers in memory."""
+"""Runs gateways on loopback with an in-memory log and in-memory workers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 HOST = "h.example"
 PORTS: dict[str, int] = {}
-"""Of workers, by the first part of their names: one that starts again keeps its address."""
+"""Ports of workers by the first part of their names: a restarted worker keeps its address."""
 
 PATIENCE_SECONDS = 20.0
 
@@ -75,7 +75,7 @@
 
 @dataclass
 class Running:
-    """One gateway and how tests reach it."""
+    """A running gateway and its addresses."""
 
     gateway: Gateway
     log: MemoryLogClient
@@ -86,7 +86,7 @@
 
 
 class Site:
-    """Everything of a test."""
+    """The log, the workers and the gateways of a test."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, client: httpx.AsyncClient) -> None:
         self.log = MemoryLog()
@@ -128,7 +128,7 @@
         self.log.put_key(self.dialect.workers, name, msgspec.json.encode(entry))
 
     def evacuate(self, zone: str, in_force: bool = True) -> None:
-        """Have an operator evacuate a zone, or take that back."""
+        """Publish the evacuation of a zone, or its end."""
         key = f"{EVACUATION_PREFIX}{zone}"
         self.log.put_key(self.dialect.operators, key, b"{}" if in_force else None)
 
@@ -157,7 +157,7 @@
         log: MemoryLogClient | None = None,
         **changes: object,
     ) -> Running:
-        """Start a gateway, with a client of the log of its own if one is given."""
+        """Start a gateway, by default with a new client of the log."""
         settings = replace(gateway_settings(name), **changes)
         log = log or self.log.client()
         memory = (
@@ -200,7 +200,7 @@
         scored_by: str | None = None,
         key: str | None = None,
     ) -> httpx.Response:
-        """Hand a batch in; with `scored_by`, the path that scores, each item asks for a score."""
+        """Submit a batch; `scored_by` is the path that scores its items, None for no scores."""
         specs = tuple(
             BatchItem(
                 i,
--- a/tests/gateway/test_deferred_imports.py
+++ b/tests/gateway/test_deferred_imports.py
@@ -1,4 +1,4 @@
-"""What a gateway leaves unimported stays out, and comes when something asks for it after all."""
+"""Deferred modules are not imported at the start, but on first use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-LEFT_OUT = """
+PRINT_UNUSED_IMPORTS = """
 from stagewalk.gateway.deferred_imports import defer_unused_imports
 defer_unused_imports()
 import sys
@@ -19,7 +19,7 @@
 print(sorted(unwanted))
 """
 
-ASKED_FOR = """
+USE_HTTP2 = """
 from stagewalk.gateway.deferred_imports import defer_unused_imports
 defer_unused_imports()
 import hypercorn.protocol, hypercorn.config
@@ -35,19 +35,19 @@
 
 class DeferredImportTests(testtools.TestCase):
     def output(self, program: str) -> list[str]:
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", program],
             cwd=ROOT / "src",
             capture_output=True,
             text=True,
             check=False,
         )
-        self.assertEqual("", done.stderr)
-        return done.stdout.split("\n")
+        self.assertEqual("", completed.stderr)
+        return completed.stdout.split("\n")
 
-    def test_a_gateway_imports_no_protocol_that_it_does_not_speak(self) -> None:
-        self.assertEqual("[]", self.output(LEFT_OUT)[0])
+    def test_a_gateway_does_not_import_unused_protocols(self) -> None:
+        self.assertEqual("[]", self.output(PRINT_UNUSED_IMPORTS)[0])
 
-    def test_a_caller_that_speaks_it_all_the_same_brings_it_in(self) -> None:
-        lines = self.output(ASKED_FOR)
+    def test_http2_is_imported_on_first_use(self) -> None:
+        lines = self.output(USE_HTTP2)
         self.assertEqual(["hypercorn.protocol.h2", "RequestReceived"], lines[:2])
--- a/tests/gateway/test_evacuation.py
+++ b/tests/gateway/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Nothing new reaches the workers of an evacuated zone, whatever becomes of the log and nodes."""
+"""Workers of an evacuated zone get no new requests, also while the log or nodes fail."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from tests.gateway.support import ROUTES, Running, Site, run, until
 
 IN_FORCE_SECONDS = 3.0
-"""How soon an evacuation is in force; operators allow five seconds."""
+"""Time limit for an evacuation to take effect; operators allow five seconds."""
 
-AWAY = frozenset({"a1", "a2", "e1", "e2"})
-"""Workers of the zone that is evacuated."""
+EVACUATED_WORKERS = frozenset({"a1", "a2", "e1", "e2"})
+"""Workers of the evacuated zone."""
 
 
-async def two_zones(site: Site) -> None:
-    """Have each service work in two zones."""
+async def add_second_zone(site: Site) -> None:
+    """Add a worker of each service in a second zone."""
     site.add_worker("a3", "app", zone="z2")
     site.add_worker("e3", "engines", zone="z2")
 
 
-async def ask(site: Site, node: Running, count: int = 12) -> set[int]:
+async def send_requests(site: Site, node: Running, count: int = 12) -> set[int]:
     """Send requests of each kind; return the statuses."""
     statuses: set[int] = set()
     for number in range(count):
@@ -36,7 +36,7 @@
     return statuses
 
 
-async def in_force(site: Site, node: Running, zones: int = 1) -> None:
+async def until_in_force(site: Site, node: Running, zones: int = 1) -> None:
     async def known() -> bool:
         return len(node.gateway._eligibility_services.evacuations.zones) == zones
 
@@ -45,51 +45,51 @@
 
 
 class EvacuationTests(testtools.TestCase):
-    def test_requests_streams_items_and_score_calls_go_elsewhere_until_it_is_taken_back(
+    def test_requests_streams_items_and_score_calls_avoid_the_zone_until_the_evacuation_ends(
         self,
     ) -> None:
         async def scenario(site: Site) -> None:
-            await two_zones(site)
+            await add_second_zone(site)
             node = await site.start("n1")
             site.evacuate("z1")
-            await in_force(site, node)
+            await until_in_force(site, node)
             since = steady_seconds()
-            self.assertEqual({200}, await ask(site, node))
+            self.assertEqual({200}, await send_requests(site, node))
             await site.submit(node, "b1", "x", "y", "z", scored_by="/score/s")
             await site.until_listed(node, "b1", 3)
             self.assertEqual({"a3", "e3"}, site.workers.reached_since(since))
             site.evacuate("z1", in_force=False)
-            await in_force(site, node, zones=0)
+            await until_in_force(site, node, zones=0)
             since = steady_seconds()
-            self.assertEqual({200}, await ask(site, node))
-            self.assertTrue(AWAY & site.workers.reached_since(since))
+            self.assertEqual({200}, await send_requests(site, node))
+            self.assertTrue(EVACUATED_WORKERS & site.workers.reached_since(since))
 
         run(scenario)
 
-    def test_a_node_that_the_log_turns_away_hears_of_it_through_another_one(self) -> None:
+    def test_a_node_without_the_log_learns_of_an_evacuation_through_another_node(self) -> None:
         async def scenario(site: Site) -> None:
-            await two_zones(site)
-            cut, _ = await site.start("n1"), await site.start("n2")
+            await add_second_zone(site)
+            disconnected, _ = await site.start("n1"), await site.start("n2")
 
             async def both_known() -> bool:
-                answer = await site.call(cut, "GET", "/v1/resolve")
+                answer = await site.call(disconnected, "GET", "/v1/resolve")
                 return answer.is_success and len(answer.json()["addresses"]) == 2
 
             await until(both_known)
-            cut.log.faults.down = True
+            disconnected.log.faults.down = True
             site.evacuate("z1")
-            await in_force(site, cut)
+            await until_in_force(site, disconnected)
 
         run(scenario)
 
-    def test_a_node_hears_of_what_was_dropped_from_the_log_meanwhile(self) -> None:
-        """Given and taken back unread: the list of keys tells what is in force."""
+    def test_a_node_learns_of_evacuations_dropped_from_the_log_during_an_outage(self) -> None:
+        """The newest record of each key shows the state after records were dropped unread."""
 
         async def scenario(site: Site) -> None:
-            await two_zones(site)
+            await add_second_zone(site)
             node = await site.start("n1", peers=None)
             site.evacuate("z2")
-            await in_force(site, node)
+            await until_in_force(site, node)
             node.log.faults.down = True
             site.evacuate("z2", in_force=False)
             site.evacuate("z1")
@@ -105,42 +105,42 @@
 
         run(scenario)
 
-    def test_it_stays_in_force_while_the_log_is_away(self) -> None:
+    def test_an_evacuation_stays_in_force_while_the_log_is_silent(self) -> None:
         async def scenario(site: Site) -> None:
-            await two_zones(site)
+            await add_second_zone(site)
             node = await site.start("n1", peers=None)
             site.evacuate("z1")
-            await in_force(site, node)
+            await until_in_force(site, node)
             node.log.faults.silent = True
             since = steady_seconds()
-            self.assertEqual({200}, await ask(site, node, count=3))
+            self.assertEqual({200}, await send_requests(site, node, count=3))
             self.assertEqual({"a3", "e3"}, site.workers.reached_since(since))
 
         run(scenario)
 
     def test_with_all_zones_evacuated_requests_are_refused_at_once(self) -> None:
-        """With when to come back: four times a second would be in vain."""
+        """Retry-After is at least a second, which avoids useless retries."""
 
         async def scenario(site: Site) -> None:
-            await two_zones(site)
+            await add_second_zone(site)
             node = await site.start("n1")
             site.evacuate("z1")
             site.evacuate("z2")
-            await in_force(site, node, zones=2)
+            await until_in_force(site, node, zones=2)
             since = steady_seconds()
             answer = await site.call(node, "POST", "/ask/x", stagewalk_request_id="q")
             self.assertLess(steady_seconds() - since, 0.1)
             self.assertEqual(503, answer.status_code)
             self.assertGreaterEqual(float(answer.headers["retry-after"]), 1.0)
-            self.assertEqual({503}, await ask(site, node, count=2))
+            self.assertEqual({503}, await send_requests(site, node, count=2))
             self.assertEqual(set(), site.workers.reached_since(since))
             site.evacuate("z2", in_force=False)
-            await in_force(site, node)
-            self.assertEqual({200}, await ask(site, node, count=2))
+            await until_in_force(site, node)
+            self.assertEqual({200}, await send_requests(site, node, count=2))
 
         run(scenario)
 
-    def test_a_request_that_waits_for_its_connection_as_the_zone_is_evacuated(self) -> None:
+    def test_a_request_waiting_for_its_connection_is_moved_when_the_zone_is_evacuated(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             site.add_worker("a3", "app", zone="z2")
@@ -159,14 +159,14 @@
                 tasks.start_soon(call, "/once/x")
                 await anyio.sleep(0.1)
                 site.evacuate("z1")
-                await in_force(site, node)
+                await until_in_force(site, node)
                 site.workers.connect_seconds = 0.0
             self.assertEqual([200], [answer.status_code for answer in answers])
             self.assertEqual({"a3"}, site.workers.reached_since(0.0))
 
         run(scenario)
 
-    def test_streams_and_items_under_way_move_with_what_they_have_made(self) -> None:
+    def test_running_streams_and_items_resume_in_another_zone(self) -> None:
         async def scenario(site: Site) -> None:
             for name in ("e1", "e2"):
                 site.workers.workers[name] = slow = MemoryWorker(versions={"m": 1})
@@ -198,33 +198,33 @@
 
         run(scenario)
 
-    def test_the_directory_leads_callers_away_and_back(self) -> None:
+    def test_the_directory_omits_nodes_of_the_evacuated_zone(self) -> None:
         async def scenario(site: Site) -> None:
-            here = await site.start("n1")
-            there = await site.start("n2", placement=Placement("r1", "z2"))
+            local = await site.start("n1")
+            remote = await site.start("n2", placement=Placement("r1", "z2"))
 
             async def named(expected: set[str]) -> bool:
-                answer = await site.call(here, "GET", "/v1/resolve?region=r1&zone=z1")
+                answer = await site.call(local, "GET", "/v1/resolve?region=r1&zone=z1")
                 return answer.is_success and set(answer.json()["addresses"]) == expected
 
-            await until(lambda: named({here.address, there.address}))
+            await until(lambda: named({local.address, remote.address}))
             site.evacuate("z1")
-            await until(lambda: named({there.address}))
+            await until(lambda: named({remote.address}))
             site.evacuate("z1", in_force=False)
-            await until(lambda: named({here.address, there.address}))
+            await until(lambda: named({local.address, remote.address}))
 
         run(scenario)
 
 
-class HomeTests(testtools.TestCase):
-    def test_requests_items_and_scores_stay_at_home(self) -> None:
+class AllowedRegionsTests(testtools.TestCase):
+    def test_requests_items_and_scores_stay_in_allowed_regions(self) -> None:
         async def scenario(site: Site) -> None:
-            await two_zones(site)
+            await add_second_zone(site)
             regions = frozenset({"r2"})
             site.publish(2, tuple(replace(route, allowed_regions=regions) for route in ROUTES))
             zones = {"z1": "r1", "z2": "r2"}
             node = await site.start("n1", zones=zones)
-            self.assertEqual({200}, await ask(site, node, count=3))
+            self.assertEqual({200}, await send_requests(site, node, count=3))
             refused = await site.submit(node, "b0", "x")
             self.assertEqual((503, "1"), (refused.status_code, refused.headers["retry-after"]))
             home = await site.start("n2", zones=zones, placement=Placement("r2", "z2"))
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a whole gateway: events, calls of the log, what it is at the moment."""
+"""Metrics of a running gateway: requests, log calls and state gauges."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MetricsTests(testtools.TestCase):
-    def test_a_gateway_tells_its_state_its_calls_and_its_requests(self) -> None:
+    def test_state_log_calls_and_requests_are_exported(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             await site.submit(node, "b1", "x", "y")
@@ -58,7 +58,7 @@
 
         run(scenario)
 
-    def test_a_log_that_refuses_is_seen_in_the_calls(self) -> None:
+    def test_refused_log_calls_are_counted(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             node.log.faults.down = True
--- a/tests/gateway/test_peak_memory.py
+++ b/tests/gateway/test_peak_memory.py
@@ -1,4 +1,4 @@
-"""A new peak of the process's memory is told by steps, with what there was."""
+"""A new peak of the process's memory is logged by steps, with the state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         lines: list[dict[str, object]] = []
         peaks = [int(megabytes * 1_000) for megabytes in peaks_megabytes]
 
-        def note(_event: str, _level: str, **fields: object) -> None:
+        def record_line(_event: str, _level: str, **fields: object) -> None:
             lines.append(fields)
 
         async def main() -> None:
@@ -23,16 +23,16 @@
             for _ in peaks_megabytes:
                 memory.write(lambda: {"batches": len(peaks)})
 
-        with mock.patch("stagewalk.gateway.peak_memory.log_event", note):
+        with mock.patch("stagewalk.gateway.peak_memory.log_event", record_line):
             anyio.run(main)
         return lines
 
-    def test_by_steps(self) -> None:
+    def test_peaks_are_logged_by_steps(self) -> None:
         lines = self.write(50.0, 50.0 + STEP_MEGABYTES / 2, 50.0 + STEP_MEGABYTES, 70.0)
         self.assertEqual([50.0, 58.0, 70.0], [line["megabytes"] for line in lines])
         self.assertEqual([3, 1, 0], [line["batches"] for line in lines])
 
-    def test_of_the_process_itself(self) -> None:
+    def test_the_default_is_the_peak_of_this_process(self) -> None:
         lines: list[dict[str, object]] = []
 
         async def main() -> None:
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings read again: timing is in force, bad ones change nothing."""
+"""Reloading settings changes timing only; invalid settings change nothing."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         dependencies = Dependencies(MemoryLog().client(), MemoryWorkers(), PlainDialect())
         return Gateway(gateway_settings("n1"), dependencies, lambda: loaded)
 
-    def test_timing_is_in_force_and_the_rest_waits(self) -> None:
+    def test_only_timing_changes_without_a_restart(self) -> None:
         changed = dataclasses.replace(
             gateway_settings("n1"), timing=Timing(lease_quiet=9.0), name="other"
         )
@@ -30,7 +30,7 @@
         gateway.reload()
         self.assertEqual((9.0, "n1"), (gateway.settings.timing.lease_quiet, gateway.settings.name))
 
-    def test_settings_that_cannot_be_read_change_nothing(self) -> None:
+    def test_invalid_settings_change_nothing(self) -> None:
         gateway = self.gateway(Error(settings_error("name", "bad")))
         before = gateway.settings
         gateway.reload()
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway are checked whole; an error names its field."""
+"""Gateway settings are validated; an error names the invalid field."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stagewalk.gateway.policy import Policy
 from stagewalk.gateway.settings import load_gateway_settings
 
-GOOD = """
+VALID = """
 name = "n1"
 region = "r1"
 zone = "z1"
@@ -33,15 +33,15 @@
             path.write_text(text)
             return load_gateway_settings(path)
 
-    def test_good_settings(self) -> None:
-        settings = self.load(GOOD).ok
+    def test_valid_settings(self) -> None:
+        settings = self.load(VALID).ok
         self.assertEqual(("10.0.0.1:83", 3.0), (str(settings.peers), settings.timing.lease_quiet))
         self.assertIsNone(settings.metrics)
 
-    def test_every_mechanism_is_on_unless_it_is_switched_off(self) -> None:
-        self.assertEqual(Policy(), self.load(GOOD).ok.policy)
-        switched = self.load(GOOD + "[policy]\nmoves = false\n").ok.policy
-        self.assertEqual(Policy(moves=False), switched)
+    def test_every_policy_is_enabled_by_default(self) -> None:
+        self.assertEqual(Policy(), self.load(VALID).ok.policy)
+        changed = self.load(VALID + "[policy]\nmoves = false\n").ok.policy
+        self.assertEqual(Policy(moves=False), changed)
 
     def test_errors_name_the_field(self) -> None:
         for old, new, field in (
@@ -55,20 +55,20 @@
             ("[timing]", '[zones]\nz1 = "r2"\n[timing]', "zones.z1"),
             ("[timing]", "[zones]\nz2 = 7\n[timing]", "zones[...]"),
         ):
-            error = self.load(GOOD.replace(old, new)).error
+            error = self.load(VALID.replace(old, new)).error
             self.assertEqual(field, error.field)
 
     def test_the_regions_of_zones(self) -> None:
-        self.assertEqual({}, self.load(GOOD).ok.zones)
-        zones = self.load(GOOD + '[zones]\nz1 = "r1"\nz2 = "r2"\n').ok.zones
+        self.assertEqual({}, self.load(VALID).ok.zones)
+        zones = self.load(VALID + '[zones]\nz1 = "r1"\nz2 = "r2"\n').ok.zones
         self.assertEqual({"z1": "r1", "z2": "r2"}, zones)
 
     def test_the_memory_of_the_process_is_optional_and_positive(self) -> None:
-        self.assertIsNone(self.load(GOOD).ok.memory)
-        self.assertEqual(200.0, self.load(GOOD + "[memory]\nlimit_mb = 200\n").ok.memory.limit_mb)
-        error = self.load(GOOD + "[memory]\nlimit_mb = 0\n").error
+        self.assertIsNone(self.load(VALID).ok.memory)
+        self.assertEqual(200.0, self.load(VALID + "[memory]\nlimit_mb = 200\n").ok.memory.limit_mb)
+        error = self.load(VALID + "[memory]\nlimit_mb = 0\n").error
         self.assertEqual("memory.limit_mb", error.field)
 
-    def test_a_file_that_is_missing_or_no_toml(self) -> None:
+    def test_missing_and_malformed_files(self) -> None:
         self.assertTrue(load_gateway_settings(Path("/nowhere/x.toml")).is_error())
         self.assertTrue(self.load("= 1").is_error())
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop ends within its grace, also while the log takes nothing."""
+"""A planned stop ends within the grace period, also while the log is down."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 class StopTests(testtools.TestCase):
-    def test_records_that_the_log_does_not_take_hold_up_no_stop(self) -> None:
-        """Seen on rahguzar-lhr-grown trouble-1: three processes outlived their grace."""
+    def test_pending_appends_do_not_delay_a_stop_beyond_its_grace(self) -> None:
+        """Processes must not outlive their grace period."""
 
         async def scenario(site: Site) -> None:
             with mock.patch("stagewalk.gateway.daemon.DRAIN_DELAY_SECONDS", 0.1):
@@ -29,7 +29,7 @@
                 node.log.faults.down = True
                 node.gateway.store.post("b1", BatchEnded("b1"))
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self.keep_asking, site, node)
+                    tasks.start_soon(self.send_continuously, site, node)
                     tasks.start_soon(node.gateway.stop)
                     with anyio.fail_after(GRACE_SECONDS):
                         await node.ended.wait()
@@ -37,7 +37,7 @@
 
         run(scenario)
 
-    def test_a_log_that_comes_back_within_the_grace_gets_what_was_to_be_kept(self) -> None:
+    def test_pending_appends_complete_if_the_log_recovers_within_the_grace(self) -> None:
         async def scenario(site: Site) -> None:
             with mock.patch("stagewalk.gateway.daemon.DRAIN_DELAY_SECONDS", 0.1):
                 node = await site.start("n1")
@@ -53,7 +53,7 @@
 
         run(scenario)
 
-    async def keep_asking(self, site: Site, node: Running) -> None:
+    async def send_continuously(self, site: Site, node: Running) -> None:
         async with anyio.create_task_group() as tasks:
             while True:
                 tasks.start_soon(site.call, node, "GET", "/ask/x")
--- a/tests/gateway/test_store_trouble.py
+++ b/tests/gateway/test_store_trouble.py
@@ -1,4 +1,4 @@
-"""With the log in trouble nothing that callers rely on is excused."""
+"""Guarantees to callers hold while the log is down or silent."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.gateway.workers.support import announcement
 
 
-class StoreTroubleTests(testtools.TestCase):
-    def test_a_planned_stop_cuts_off_no_request_while_the_log_is_down(self) -> None:
+class LogOutageTests(testtools.TestCase):
+    def test_a_planned_stop_completes_requests_while_the_log_is_down(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("a1", "a2"):
@@ -33,7 +33,7 @@
 
         run(scenario)
 
-    def test_requests_are_served_and_repeated_as_ever_while_the_log_is_silent(self) -> None:
+    def test_requests_are_served_and_retried_while_the_log_is_silent(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             node.log.faults.silent = True
@@ -43,29 +43,29 @@
 
         run(scenario)
 
-    def test_a_worker_whose_leaving_was_taken_in_gets_nothing_whatever_the_log_does_then(
+    def test_a_draining_worker_stays_unusable_after_a_log_outage(
         self,
     ) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             table = node.gateway._workers
             leaving = announcement("a1", service="app", draining=True)
-            site.log.put_key(site.dialect.workers, "a1", encoded(leaving))
+            site.log.put_key(site.dialect.workers, "a1", encode_entry(leaving))
 
-            async def taken_in() -> bool:
+            async def applied() -> bool:
                 return [w.announcement.worker for w in table.usable("app")] == ["a2"]
 
-            await until(taken_in)
+            await until(applied)
             node.log.faults.down = True
             await anyio.sleep(0.3)
             node.log.faults.down = False
             stale = announcement("a1", service="app")
-            site.log.put_key(site.dialect.workers, "a1", encoded(stale))
+            site.log.put_key(site.dialect.workers, "a1", encode_entry(stale))
             await anyio.sleep(1.0)
-            self.assertTrue(await taken_in())
+            self.assertTrue(await applied())
 
         run(scenario)
 
 
-def encoded(entry: object) -> bytes:
+def encode_entry(entry: object) -> bytes:
     return msgspec.json.encode(entry)
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -1,8 +1,7 @@
-"""A machine that was suspended: what it believed before is judged anew when it wakes.
+"""After a suspension of the machine, leases, views and deadlines from before it are not trusted.
 
-The usual steady clock does not count the time of a suspension, and neither do the event loop's
-timers; so here only the clock that does count it is moved on, all at once. That shows what is
-decided on waking; it does not show how long the loop's own timers still run after that.
+The tests advance only `CLOCK_BOOTTIME`, which includes suspended time; the event loop's timers do
+not. They cover the decisions after waking, not how long timers of the loop still run.
 """
 
 from __future__ import annotations
@@ -20,65 +19,65 @@
 from stagewalk.gateway.tenants.tenant import Tenant
 from tests.gateway.support import ROUTES, Running, Site, key_headers, route, run, until
 
-ASLEEP_SECONDS = 30.0
+SUSPENSION_SECONDS = 30.0
 
 
-class Machine:
-    """The machine's clock that counts suspensions, in the test's hands."""
+class SuspendableClock:
+    """Fake of the clock that includes suspended time."""
 
     def __init__(self) -> None:
-        self._slept = 0.0
+        self._suspended_seconds = 0.0
         self._read = time.clock_gettime
 
-    def sleep(self) -> None:
-        """Let the machine have been suspended just now."""
-        self._slept += ASLEEP_SECONDS
+    def suspend(self) -> None:
+        """Advance the clock as a suspension does."""
+        self._suspended_seconds += SUSPENSION_SECONDS
 
-    def clock_gettime(self, clock: int) -> float:
-        return self._read(clock) + self._slept
+    def clock_gettime(self, clock_id: int) -> float:
+        return self._read(clock_id) + self._suspended_seconds
 
 
-def scenario(body: Callable[[Site, Machine], Awaitable[None]]) -> None:
-    machine = Machine()
+def scenario(body: Callable[[Site, SuspendableClock], Awaitable[None]]) -> None:
+    clock = SuspendableClock()
 
     async def main(site: Site) -> None:
-        await body(site, machine)
+        await body(site, clock)
 
-    with mock.patch("stagewalk.common.steady_clock.time.clock_gettime", machine.clock_gettime):
+    with mock.patch("stagewalk.common.steady_clock.time.clock_gettime", clock.clock_gettime):
         run(main)
 
 
-async def _is(condition: bool) -> bool:
+async def _as_async(condition: bool) -> bool:
     return condition
 
 
 class SuspensionTests(testtools.TestCase):
-    def test_a_holder_of_the_lease_on_duties_holds_it_no_more(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
+    def test_the_duty_lease_has_expired(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
             node = await site.start("n1")
             lease = node.gateway._duties.lease
-            await until(lambda: _is(lease.may_act()))
-            machine.sleep()
+            await until(lambda: _as_async(lease.may_act()))
+            clock.suspend()
             self.assertFalse(lease.may_act())
 
         scenario(body)
 
-    def test_a_batch_that_was_open_is_not_known_to_be(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
+    def test_items_of_an_open_batch_may_not_start(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
             node = await site.start("n1")
             for name in ("e1", "e2"):
                 site.workers.workers[name].event_seconds = 9.0
             await site.submit(node, "b1", "x")
             views = node.gateway._batches.runner._views
-            await until(lambda: _is(views.may_start("b1", steady_seconds())))
-            machine.sleep()
+            await until(lambda: _as_async(views.may_start("b1", steady_seconds())))
+            clock.suspend()
             self.assertFalse(views.may_start("b1", steady_seconds()))
             self.assertIsNotNone(views.denial("b1", steady_seconds()))
 
         scenario(body)
 
-    def test_a_lease_on_a_cold_worker_is_over(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
+    def test_a_lease_on_a_cold_worker_has_expired(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
             site.services = (
                 Service("app", cold_seconds=60.0, cold_rate=5.0),
                 Service("engines"),
@@ -92,15 +91,15 @@
                 return node.gateway._eligibility_services.cold_leases(steady_seconds()) > 0
 
             await until(held)
-            machine.sleep()
+            clock.suspend()
             self.assertEqual(0, node.gateway._eligibility_services.cold_leases(steady_seconds()))
 
         scenario(body)
 
-    def test_a_request_whose_time_ran_out_meanwhile_is_not_sent(self) -> None:
-        """It waited for its connection as the machine went to sleep."""
+    def test_a_request_past_its_deadline_is_not_sent(self) -> None:
+        """The suspension happens while the request waits for its connection."""
 
-        async def body(site: Site, machine: Machine) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
             node = await site.start("n1")
             site.workers.connect_seconds = 0.3
             answers: list[httpx.Response] = []
@@ -111,14 +110,14 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call)
                 await anyio.sleep(0.15)
-                machine.sleep()
+                clock.suspend()
             self.assertEqual(0, site.workers.arrivals["q"])
             self.assertEqual([503], [answer.status_code for answer in answers])
 
         scenario(body)
 
-    def test_an_answer_that_is_ready_is_delivered_though_late(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
+    def test_a_late_answer_is_still_delivered(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
             node = await site.start("n1")
             for name in ("a1", "a2"):
                 site.workers.workers[name].answer_seconds = 0.3
@@ -130,55 +129,55 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call)
                 await anyio.sleep(0.15)
-                machine.sleep()
+                clock.suspend()
             self.assertEqual([200], [answer.status_code for answer in answers])
 
         scenario(body)
 
-    def test_routes_that_changed_meanwhile_are_in_force_for_the_first_request(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
-            node = await self.asleep(site, machine)
+    def test_changed_routes_apply_to_the_first_request(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
+            node = await self.node_with_stale_views(site, clock)
             site.publish(2, (*ROUTES, route("new", "/new/", RouteKind.REPEATABLE, "app")))
-            machine.sleep()
+            clock.suspend()
             self.assertEqual(200, (await site.call(node, "GET", "/new/x")).status_code)
 
         scenario(body)
 
-    def test_a_zone_that_was_evacuated_meanwhile_gets_nothing(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
+    def test_a_zone_evacuated_meanwhile_gets_no_requests(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
             site.add_worker("a3", "app", zone="z2")
-            node = await self.asleep(site, machine)
+            node = await self.node_with_stale_views(site, clock)
             site.evacuate("z1")
-            machine.sleep()
+            clock.suspend()
             answers = [await site.call(node, "GET", "/ask/x") for _ in range(4)]
             self.assertEqual({"a3"}, {answer.headers["x-worker"] for answer in answers})
 
         scenario(body)
 
-    def test_a_key_that_was_taken_away_meanwhile_opens_nothing(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
+    def test_a_key_revoked_meanwhile_is_refused(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
             site.publish(2, tenants=(Tenant("t", ("key-1",)),))
-            node = await self.asleep(site, machine)
+            node = await self.node_with_stale_views(site, clock)
             headers = key_headers("key-1")
             self.assertEqual(200, (await site.call(node, "GET", "/ask/x", **headers)).status_code)
             site.publish(3, tenants=(Tenant("t", ("key-2",)),))
-            machine.sleep()
+            clock.suspend()
             self.assertEqual(401, (await site.call(node, "GET", "/ask/x", **headers)).status_code)
 
         scenario(body)
 
-    def test_a_worker_that_left_meanwhile_gets_nothing(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
-            node = await self.asleep(site, machine)
+    def test_a_worker_that_left_meanwhile_gets_no_requests(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
+            node = await self.node_with_stale_views(site, clock)
             site.log.drop_key(site.dialect.workers, "a1")
-            machine.sleep()
+            clock.suspend()
             answers = [await site.call(node, "GET", "/ask/x") for _ in range(4)]
             self.assertEqual({"a2"}, {answer.headers["x-worker"] for answer in answers})
 
         scenario(body)
 
-    def test_a_node_that_stopped_meanwhile_is_not_named_to_callers(self) -> None:
-        async def body(site: Site, machine: Machine) -> None:
+    def test_the_directory_omits_a_node_that_stopped_meanwhile(self) -> None:
+        async def body(site: Site, clock: SuspendableClock) -> None:
             node, other = await site.start("n1"), await site.start("n2")
 
             async def named(*addresses: str) -> bool:
@@ -188,14 +187,14 @@
             await until(lambda: named(node.address, other.address))
             other.scope.cancel()
             await other.ended.wait()
-            machine.sleep()
+            clock.suspend()
             await until(lambda: named(node.address))
 
         scenario(body)
 
-    async def asleep(self, site: Site, machine: Machine) -> Running:
-        """Return a node whose reads that wait for news are not woken by any."""
+    async def node_with_stale_views(self, site: Site, clock: SuspendableClock) -> Running:
+        """Return a node whose waiting reads are not woken by new records."""
         node = await site.start("n1")
         node.log.faults.sleep_through_keyed = True
-        await until(lambda: _is(node.gateway._published.view_age(steady_seconds()) < 0.3))
+        await until(lambda: _as_async(node.gateway._published.view_age(steady_seconds()) < 0.3))
         return node
--- a/tests/gateway/test_tenants.py
+++ b/tests/gateway/test_tenants.py
@@ -1,4 +1,4 @@
-"""Whose a call is: keys through whole gateways, the tenant told to workers, batches of tenants."""
+"""Authentication by tenant keys, the tenant sent to workers, and isolation of tenants' batches."""
 
 from __future__ import annotations
 
@@ -19,60 +19,64 @@
 PUBLIC = tuple(replace(route, public=route.name == "ask") for route in ROUTES)
 
 
-async def ask(site: Site, node: Running, key: str | None, path: str = "/once/x", **headers: str):
+async def send_request(
+    site: Site, node: Running, key: str | None, path: str = "/once/x", **headers: str
+):
     named = {"stagewalk_request_id": "q1", **key_headers(key), **headers}
     return await site.call(node, "POST", path, **named)
 
 
-class KeyTests(testtools.TestCase):
-    def test_a_request_goes_on_for_its_tenant_and_without_its_key(self) -> None:
+class TenantKeyTests(testtools.TestCase):
+    def test_the_tenant_is_sent_to_the_worker(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A, B))
             node = await site.start("n1")
-            self.assertEqual(200, (await ask(site, node, "key-a2")).status_code)
+            self.assertEqual(200, (await send_request(site, node, "key-a2")).status_code)
             self.assertEqual("a", site.workers.tenants["q1"])
-            self.assertEqual(200, (await ask(site, node, "key-b1", "/ask/x")).status_code)
+            self.assertEqual(200, (await send_request(site, node, "key-b1", "/ask/x")).status_code)
             self.assertEqual("b", site.workers.tenants["q1"])
-            self.assertEqual(200, (await ask(site, node, "key-b1", "/stream/x")).status_code)
+            self.assertEqual(
+                200, (await send_request(site, node, "key-b1", "/stream/x")).status_code
+            )
             self.assertEqual("b", site.workers.tenants["q1"])
 
         run(scenario)
 
-    def test_an_unknown_key_gets_401_whatever_the_route_and_nothing_runs(self) -> None:
+    def test_an_unknown_key_gets_401_on_every_route_and_nothing_runs(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A, B))
             node = await site.start("n1")
             for key in (None, "key-c"):
                 for path in ("/once/x", "/run/x", "/none/x", "/v1/batches/b1", "/v1/items/b1"):
-                    answer = await ask(site, node, key, path)
+                    answer = await send_request(site, node, key, path)
                     self.assertEqual(401, answer.status_code, path)
                     self.assertEqual("Bearer", answer.headers["www-authenticate"])
-            self.assertEqual(404, (await ask(site, node, "key-a1", "/none/x")).status_code)
+            self.assertEqual(404, (await send_request(site, node, "key-a1", "/none/x")).status_code)
             self.assertEqual({}, dict(site.workers.arrivals))
 
         run(scenario)
 
-    def test_a_public_route_serves_calls_without_a_key_as_nobodys(self) -> None:
+    def test_a_public_route_serves_calls_without_a_key(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, routes=PUBLIC, tenants=(A,))
             node = await site.start("n1")
             for key, tenant in ((None, ""), ("key-c", ""), ("key-a1", "a")):
-                answer = await ask(site, node, key, "/ask/x")
+                answer = await send_request(site, node, key, "/ask/x")
                 self.assertEqual(200, answer.status_code)
                 self.assertEqual(tenant, site.workers.tenants["q1"])
-            self.assertEqual(401, (await ask(site, node, None)).status_code)
+            self.assertEqual(401, (await send_request(site, node, None)).status_code)
 
         run(scenario)
 
     def test_without_tenants_calls_need_no_key(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
-            self.assertEqual(200, (await ask(site, node, "any")).status_code)
+            self.assertEqual(200, (await send_request(site, node, "any")).status_code)
             self.assertIsNone(site.workers.tenants["q1"])
 
         run(scenario)
 
-    def test_a_key_published_a_moment_ago_is_not_turned_away(self) -> None:
+    def test_a_key_published_just_now_is_accepted(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(B,))
             node = await site.start("n1")
@@ -80,30 +84,30 @@
             for version in range(3, 8):
                 key = f"key-{version}"
                 site.publish(version, tenants=(B, Tenant("a", (key,))))
-                self.assertEqual(200, (await ask(site, node, key)).status_code)
+                self.assertEqual(200, (await send_request(site, node, key)).status_code)
 
         run(scenario)
 
-    def test_while_nobody_can_tell_a_call_is_refused_as_not_run(self) -> None:
+    def test_an_unknown_key_gets_503_while_the_log_is_down(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A,))
             node = await site.start("n1")
             node.log.faults.down = True
             await anyio.sleep(0.4)
-            answer = await ask(site, node, "key-c")
+            answer = await send_request(site, node, "key-c")
             self.assertEqual(503, answer.status_code)
             self.assertIn("retry-after", answer.headers)
-            self.assertEqual(503, (await ask(site, node, "key-a1", "/none/x")).status_code)
-            self.assertEqual(200, (await ask(site, node, "key-a1")).status_code)
+            self.assertEqual(503, (await send_request(site, node, "key-a1", "/none/x")).status_code)
+            self.assertEqual(200, (await send_request(site, node, "key-a1")).status_code)
 
         run(scenario)
 
-    def test_a_key_taken_away_is_refused_by_a_node_that_the_log_refuses(self) -> None:
+    def test_a_revoked_key_is_refused_by_a_node_without_the_log(self) -> None:
         for fault in ("down", "silent"):
             with self.subTest(fault=fault):
-                self._revoke_while_one_node_is_cut_off(fault)
+                self._revoke_while_one_node_has_no_log(fault)
 
-    def _revoke_while_one_node_is_cut_off(self, fault: str) -> None:
+    def _revoke_while_one_node_has_no_log(self, fault: str) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A, B))
             node = await site.start("n1")
@@ -114,25 +118,25 @@
             site.publish(3, tenants=(Tenant("a", ("key-a2",)), B))
 
             async def refused() -> bool:
-                return (await ask(site, node, "key-a1")).status_code == 401
+                return (await send_request(site, node, "key-a1")).status_code == 401
 
             with anyio.fail_after(3.0):
                 await until(refused)
-            self.assertEqual(200, (await ask(site, node, "key-a2")).status_code)
+            self.assertEqual(200, (await send_request(site, node, "key-a2")).status_code)
 
         run(scenario)
 
-    def test_no_key_comes_into_the_log(self) -> None:
+    def test_keys_are_not_logged(self) -> None:
         lines: list[str] = []
-        undo = configure_logs("debug", lines.append)
-        self.addCleanup(undo)
+        restore_logs = configure_logs("debug", lines.append)
+        self.addCleanup(restore_logs)
 
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A, B))
             node = await site.start("n1")
             with redirect_stderr(io.StringIO()):
                 for key in ("key-a1", "key-c"):
-                    await ask(site, node, key)
+                    await send_request(site, node, key)
                 await site.submit(node, "b1", "i1", key="key-a1")
                 await site.until_listed(node, "b1", 1, key="key-a2")
 
@@ -141,7 +145,7 @@
         self.assertEqual([], [line for line in lines if "key-" in line])
 
 
-class BatchTests(testtools.TestCase):
+class TenantBatchTests(testtools.TestCase):
     def test_items_and_scores_run_for_the_tenant_that_submitted_them(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A, B))
@@ -154,7 +158,7 @@
 
         run(scenario)
 
-    def test_a_batch_goes_on_without_its_key_and_is_read_by_another_of_its_tenant(self) -> None:
+    def test_a_batch_outlives_its_key_and_is_read_with_another_key_of_its_tenant(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A, B))
             node = await site.start("n1")
@@ -169,8 +173,8 @@
 
         run(scenario)
 
-    def test_another_tenants_batch_is_not_taken_where_no_replica_is_held(self) -> None:
-        """A node that doesn't follow the batches has read of none, and must not go by that."""
+    def test_another_tenants_batch_name_is_refused_by_a_node_without_a_replica(self) -> None:
+        """A node without a replica of the ledger must not decide by its empty view."""
         patched = mock.patch("stagewalk.gateway.directory.ledger_replicas.LEDGER_REPLICAS", 1)
         patched.start()
         self.addCleanup(patched.stop)
@@ -193,7 +197,7 @@
 
         run(scenario)
 
-    def test_another_tenant_neither_reads_nor_ends_nor_takes_a_batch(self) -> None:
+    def test_another_tenant_cannot_read_end_or_resubmit_a_batch(self) -> None:
         async def scenario(site: Site) -> None:
             site.publish(2, tenants=(A, B))
             node = await site.start("n1")
--- a/tests/gateway/test_worker_starts.py
+++ b/tests/gateway/test_worker_starts.py
@@ -1,4 +1,4 @@
-"""Workers that start again under their names, through whole gateways."""
+"""Workers that restart under the same name."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.gateway.support import Site, run, until
 
 
-class WorkerStartTests(testtools.TestCase):
-    def test_a_worker_that_left_is_used_again_once_it_started_under_its_name(self) -> None:
+class WorkerRestartTests(testtools.TestCase):
+    def test_a_worker_that_left_is_used_again_after_a_restart(self) -> None:
         async def scenario(site: Site) -> None:
             for name in ("a1", "a2"):
                 site.log.drop_key(site.dialect.workers, name)
@@ -26,7 +26,7 @@
 
         run(scenario)
 
-    def test_an_item_whose_engine_started_again_goes_on_and_the_count_there_is_right(self) -> None:
+    def test_an_item_resumes_after_its_engine_restarted_and_leaves_none_in_flight(self) -> None:
         async def scenario(site: Site) -> None:
             for name in ("e1", "e2"):
                 site.log.drop_key(site.dialect.workers, name)
@@ -35,7 +35,7 @@
             first.event_seconds = 0.2
             node = await site.start("n1")
             await site.submit(node, "b1", "x")
-            await until(lambda: _soon(site.workers.arrivals["x"] > 0))
+            await until(lambda: _as_async(site.workers.arrivals["x"] > 0))
             site.workers.crash("e3")
             site.add_worker("e3", "engines", born=9_000)
             self.assertEqual(["x"], await site.until_listed(node, "b1", 1))
@@ -49,21 +49,21 @@
 
         run(scenario)
 
-    def test_versions_are_ordered_anew_of_an_engine_that_started_again(self) -> None:
+    def test_a_restarted_engine_is_ordered_to_the_named_version_again(self) -> None:
         async def scenario(site: Site) -> None:
             for name in ("e1", "e2"):
                 site.log.drop_key(site.dialect.workers, name)
             site.add_worker("e3", "engines", born=1_000)
             await site.start("n1")
             site.name_version(2)
-            await until(lambda: _soon(site.workers.workers["e3"].versions["m"] == 2))
+            await until(lambda: _as_async(site.workers.workers["e3"].versions["m"] == 2))
             site.add_worker("e3", "engines", born=9_000)
-            await until(lambda: _soon(site.workers.workers["e3"].versions["m"] == 2))
+            await until(lambda: _as_async(site.workers.workers["e3"].versions["m"] == 2))
 
         run(scenario)
 
-    def test_two_ends_of_one_worker_are_two_ends(self) -> None:
-        """Where workers keep their names, a request that crashes them is found out just so."""
+    def test_crashes_of_restarted_workers_are_counted_separately(self) -> None:
+        """Crashes must be counted per process, or the crashing request is never quarantined."""
 
         async def scenario(site: Site) -> None:
             for name in ("a1", "a2"):
@@ -84,7 +84,7 @@
 
         run(scenario)
 
-    def test_a_worker_whose_entry_another_writer_spoilt_gets_nothing_and_others_do(self) -> None:
+    def test_a_worker_with_an_invalid_entry_gets_no_requests(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             site.log.put_key(site.dialect.workers, "a1", b"no entry")
@@ -109,5 +109,5 @@
         run(scenario)
 
 
-async def _soon(condition: bool) -> bool:
+async def _as_async(condition: bool) -> bool:
     return condition
