--- a/src/stagewalk/gateway/entry/__init__.py
+++ b/src/stagewalk/gateway/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' entry: requests, streams and calls of one gateway."""
+"""HTTP endpoints of one gateway: forwarded requests, streams, and the gateway's own calls."""
--- a/src/stagewalk/gateway/entry/app.py
+++ b/src/stagewalk/gateway/entry/app.py
@@ -1,7 +1,7 @@
-"""The gateway's ASGI application: own calls by path, everything else by routes.
+"""The gateway's ASGI application: dispatches its own calls by path, all others by route.
 
-Owns the limits of callers' requests and the order in which a call is recognized. Relies on one
-endpoint class for each kind of call.
+Applies the published limits to callers' requests and dispatches each request to the endpoint class
+of its kind.
 """
 
 from __future__ import annotations
@@ -34,16 +34,15 @@
 
 METRICS_PATH = "/metrics"
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
-"""Prometheus' text format."""
+"""The Prometheus text format."""
 
 BUFFERED_BODY_BYTES = 96 * 1024 * 1024
-"""Bodies of requests that are arriving at once, of all callers, where the node's memory is not
-known."""
+"""Bound on request bodies being received at once, over all callers, if no memory limit is set."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoints:
-    """What serves each kind of call."""
+    """The endpoints, one for each kind of call."""
 
     forwarded: ForwardingEndpoints
     batches: BatchEndpoints
@@ -52,18 +51,19 @@
 
 
 class GatewayApp:
-    """Application of all the gateway's listeners.
+    """ASGI application shared by all of the gateway's listeners.
 
     Parameters
     ----------
     ready
-        Whether this node knows enough to serve.
+        Whether this node has the state it needs to serve.
     stopping
         Whether a stop was requested: each response then closes its connection.
     readers
-        Counts what is held for callers against the node's memory; None: that isn't known.
+        Charges bytes buffered for callers to the node's memory budget; None if no memory limit is
+        set.
     refresh
-        Renews the views that a caller's request is served from, if they are too old.
+        Refreshes the views that a caller's request is served from, if they are stale.
     """
 
     def __init__(
@@ -89,8 +89,8 @@
         self._refresh = refresh
         self._batch_prefixes = (caller_interface.batches_prefix, caller_interface.items_prefix)
         self._readers = readers
-        self._arriving = BodyBudget(BUFFERED_BODY_BYTES)
-        self._fixed: dict[str, Endpoint] = {
+        self._body_budget = BodyBudget(BUFFERED_BODY_BYTES)
+        self._endpoints_by_path: dict[str, Endpoint] = {
             caller_interface.ready_path: self._readiness,
             caller_interface.resolve_path: endpoints.directory.resolve,
             METRICS_PATH: self._show_metrics,
@@ -106,7 +106,7 @@
         self, scope: HTTPScope, receive: ASGIReceiveCallable, send: ASGISendCallable
     ) -> None:
         if self._readers is None:
-            await self._run_exchange(scope, receive, send, self._arriving)
+            await self._run_exchange(scope, receive, send, self._body_budget)
             return
         held = BodyReservation(self._readers.budget)
         try:
@@ -134,7 +134,7 @@
         )
 
     def _published_limits(self) -> CallerLimits:
-        """Return what callers may send now: as published, or the defaults before that."""
+        """Return the published limits, or the defaults until a configuration was read."""
         configuration = self._routes.configuration
         return CallerLimits() if configuration is None else configuration.limits
 
@@ -145,7 +145,7 @@
             await self._serve(exchange)
 
     async def _serve(self, exchange: OpaqueExchange) -> None:
-        fixed = self._fixed.get(exchange.path)
+        fixed = self._endpoints_by_path.get(exchange.path)
         if fixed is not None:
             await fixed(exchange)
             return
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -1,7 +1,7 @@
-"""The calls by which trainers submit batches, read results and end batches.
+"""Endpoints by which trainers submit batches, read results and end batches.
 
-Owns when a submission is refused and how long it waits for the log. Relies on the batch store for
-appending, on the choice of a runner, and on the ledger calls for everything else.
+Decides when a submission is refused and how long it waits for the log. Submissions are appended
+through the batch store; other calls go to a node with a replica of the batch's ledger.
 """
 
 from __future__ import annotations
@@ -41,25 +41,26 @@
 from stagewalk.gateway.runners.runner_choice import RunnerChoice
 from stagewalk.gateway.scoring.core import RouteLookup
 
-SUBMIT_SECONDS = 3.0
-"""How long a submission may wait for the log."""
+SUBMIT_TIMEOUT_SECONDS = 3.0
+"""How long a submission waits for its append to the log."""
 
-STALLED_SECONDS = 1.5
-"""A log that has accepted no append for this long is not waited for: half of `SUBMIT_SECONDS`."""
+MAXIMUM_STALL_SECONDS = 1.5
+"""Submissions are refused at once if the log has accepted no append for this long: half of
+`SUBMIT_TIMEOUT_SECONDS`."""
 
-LOG_STALLED = "the log takes no appends"
+LOG_STALLED_DETAIL = "the log takes no appends"
 
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    """Why a batch was not accepted: nothing of it runs, and its trainer may submit it again.
+    """Why a batch was not accepted: none of it runs, and its trainer may submit it again.
 
     Attributes
     ----------
     cause
-        As logged.
+        Reason in the log line.
     detail
-        As replied.
+        Error text of the reply.
     """
 
     cause: str
@@ -67,8 +68,8 @@
     retry_after_seconds: float = DEFAULT_RETRY_AFTER_SECONDS
 
 
-NO_LOG = _Refusal("log does not answer", "the log does not answer")
-NO_RUNNER = _Refusal(
+LOG_UNAVAILABLE = _Refusal("log does not answer", "the log does not answer")
+NO_ELIGIBLE_NODE = _Refusal(
     "no node in its regions",
     "no node may run the batch",
     RETRY_AFTER_SECONDS_BY_DENIAL[Denial.REGION_NOT_ALLOWED],
@@ -97,13 +98,13 @@
         self._route_of = route_of
 
     async def submit(self, exchange: OpaqueExchange, caller: Caller) -> None:
-        """Accept a batch, once it is in the log."""
+        """Accept a batch once it has been appended to the log."""
         batch = exchange.header(self._caller_interface.request_id) or ""
         body = await exchange.body()
         if body.is_error():
             await reply_body_refused(exchange, body.error, batch)
             return
-        if await self._replied_known(exchange, batch, caller):
+        if await self._replied_to_known_batch(exchange, batch, caller):
             return
         decoded = self._dialect.submission(batch, exchange.host, exchange.path, body.ok)
         if decoded.is_error():
@@ -116,25 +117,25 @@
         header = msgspec.structs.replace(decoded.ok.header, tenant=caller.tenant)
         runner = await self._runners.choose(header)
         if runner is None:
-            await self._refuse(exchange, batch, NO_RUNNER)
+            await self._refuse(exchange, batch, NO_ELIGIBLE_NODE)
             return
         await self._append(exchange, Submission(header, decoded.ok.items), runner)
 
     def _refusal(self, batch: str, submission: Submission) -> _Refusal | None:
-        """Return why a batch can't be accepted now; its trainer may submit it again."""
+        """Return why a batch can't be accepted now, None if it can."""
         unroutable = find_unroutable_score(submission.items, self._route_of)
         if unroutable is not None:
-            # A configuration that was not read here yet may have the route.
+            # The route may be in a newer configuration that this node has not read yet.
             return _Refusal(str(unroutable), str(unroutable))
         stalled_since = self._store.appends_stalled_since(batch)
-        if stalled_since is not None and steady_seconds() - stalled_since > STALLED_SECONDS:
-            return _Refusal("log takes no appends", LOG_STALLED)
+        if stalled_since is not None and steady_seconds() - stalled_since > MAXIMUM_STALL_SECONDS:
+            return _Refusal("log takes no appends", LOG_STALLED_DETAIL)
         return None
 
     async def _append(self, exchange: OpaqueExchange, batch: Submission, runner: str) -> None:
         """Append a batch to the log, notify its runner, and reply with the outcome."""
         header = batch.header
-        outcome = await self._store.submit(batch, runner, SUBMIT_SECONDS)
+        outcome = await self._store.submit(batch, runner, SUBMIT_TIMEOUT_SECONDS)
         log_event(
             "batch_submitted",
             "info" if outcome.is_ok() else "warning",
@@ -150,7 +151,7 @@
             await self._assignments.notify(runner, header, outcome.ok)
             await reply_empty(exchange, 202)
         elif outcome.error is AppendFailure.NOT_APPENDED:
-            await reply_error(exchange, 503, LOG_STALLED, DEFAULT_RETRY_AFTER_SECONDS)
+            await reply_error(exchange, 503, LOG_STALLED_DETAIL, DEFAULT_RETRY_AFTER_SECONDS)
         else:
             await reply_error(exchange, 504, "the log did not answer")
 
@@ -160,46 +161,50 @@
         await reply_error(exchange, 503, refusal.detail, refusal.retry_after_seconds)
 
     async def results(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
-        """Reply with a batch's results from a position on."""
-        position = _number(exchange.query.get(self._caller_interface.position_parameter, "0"))
-        wait = _number(exchange.header(self._caller_interface.wait_milliseconds) or "0") / 1000.0
+        """Reply with a batch's results from the given position on."""
+        position = _parse_number(exchange.query.get(self._caller_interface.position_parameter, "0"))
+        wait = (
+            _parse_number(exchange.header(self._caller_interface.wait_milliseconds) or "0") / 1000.0
+        )
         wait = min(MAXIMUM_WAIT_SECONDS, wait)
         await self._reply(exchange, ResultsCall(name, position, wait, caller.tenant))
 
     async def item(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
-        """Reply with the body of an item."""
+        """Reply with the body of one item."""
         item = exchange.query.get(self._caller_interface.item_parameter, "")
         await self._reply(exchange, ItemCall(name, item, caller.tenant))
 
     async def end(self, exchange: OpaqueExchange, name: str, caller: Caller) -> None:
-        """End a batch: what is left of it is not run."""
+        """End a batch: its unfinished items are not run."""
         await self._reply(exchange, EndCall(name, caller.tenant))
 
-    async def _replied_known(self, exchange: OpaqueExchange, batch: str, caller: Caller) -> bool:
+    async def _replied_to_known_batch(
+        self, exchange: OpaqueExchange, batch: str, caller: Caller
+    ) -> bool:
         """Reply to a batch that was submitted before; return whether it was.
 
-        A node whose own view isn't current looks up whether another node accepted it: it may even
-        have ended since.
+        If this node's view is stale or lacks history, it looks up whether another node accepted the
+        batch, which may have ended since.
         """
         known = self._store.ledger.get(batch)
         if known is not None:
-            await self._reply_known(exchange, known.header.belongs_to(caller.tenant))
+            await self._reply_to_known_batch(exchange, known.header.belongs_to(caller.tenant))
             return True
         now = steady_seconds()
         if self._store.is_current(batch, now) and not self._store.lacks_history(batch, now):
             return False
         place = await self._assignments.known_place(batch)
         if place.is_error():
-            await self._refuse(exchange, batch, NO_LOG)
+            await self._refuse(exchange, batch, LOG_UNAVAILABLE)
             return True
         if place.ok is None:
             return False
-        await self._reply_known(exchange, place.ok.belongs_to(caller.tenant))
+        await self._reply_to_known_batch(exchange, place.ok.belongs_to(caller.tenant))
         return True
 
     @staticmethod
-    async def _reply_known(exchange: OpaqueExchange, own: bool) -> None:
-        """Reply to a batch that is here already: accepted, unless it is another tenant's."""
+    async def _reply_to_known_batch(exchange: OpaqueExchange, own: bool) -> None:
+        """Reply to a resubmitted batch: accepted, or a conflict if it is another tenant's."""
         if own:
             await reply_empty(exchange, 202)
         else:
@@ -213,5 +218,5 @@
         await exchange.respond(answer.status, answer.content_type, answer.content, headers)
 
 
-def _number(text: str) -> int:
+def _parse_number(text: str) -> int:
     return int(text) if text.isdecimal() else 0
--- a/src/stagewalk/gateway/entry/caller_authentication.py
+++ b/src/stagewalk/gateway/entry/caller_authentication.py
@@ -1,7 +1,7 @@
-"""Decides who makes a call and by which route, and rejects calls that match none.
+"""Authenticates callers, finds the route of a call, and rejects unknown keys and routes.
 
-Owns the rule of rejection (see `CallerAuthenticator`) and its two time bounds. Relies on the routes
-and keys of the configuration in force, and on a way to renew the view of it.
+Uses the routes and keys of the configuration in force. `CallerAuthenticator` describes when a call
+is rejected.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 
 UNAUTHORIZED = 401
 CHALLENGE = ("www-authenticate", "Bearer")
-"""Sent with each 401 (RFC 9110, 11.6.1): the kind of credentials asked for."""
+"""Sent with each 401 (RFC 9110, 11.6.1): the authentication scheme to use."""
 
 NOT_FOUND = 404
 UNAVAILABLE = 503
 
 MAXIMUM_REJECTION_VIEW_AGE_SECONDS = 0.25
-"""Callers are rejected by a view at most this old: a twelfth of the time in which a configuration
-must be in force (3 s), and a storm of wrong keys costs four reads a second."""
+"""A rejection is based on a view of the configuration at most this old: well below the 3 s in which
+a new configuration must be in force; a flood of wrong keys causes at most four reads a second."""
 
 REJECTION_READ_SECONDS = 0.7
-"""How long a caller waits for that view: time for a read through another node where the log is
-silent, and well below the 1.5 s that callers of short requests wait."""
+"""How long a caller waits for that view to be refreshed: enough for a read relayed by another node
+if the log does not answer, and well below the 1.5 s timeout of callers with short requests."""
 
 RenewView = Callable[[float, float], Awaitable[bool]]
-"""Returns whether the view of the configuration is at most as old as the first time says, in
-seconds; reads, within the second time, if it isn't."""
+"""Called with a maximum age and a read timeout, in seconds: reads the configuration if the view is
+older, and returns whether the view is recent enough."""
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who makes a call.
+    """The authenticated caller of a request.
 
     Attributes
     ----------
     tenant
-        Its tenant's name, `ANONYMOUS` if it has none; None: no tenants are in force.
+        The tenant's name, `ANONYMOUS` without a known key; None if keys are not enforced.
     """
 
     tenant: str | None
@@ -53,26 +53,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedCall:
-    """A call that was admitted: who makes it, and by which route."""
+    """An admitted call: its caller and its route."""
 
     caller: Caller
     route: Route
 
 
 class CallerAuthenticator:
-    """Decides from the configuration in force who calls, and by which route.
+    """Identifies callers and routes by the configuration in force.
 
-    What the view knows is served. What it does not know may have been published since the last
-    read, so nobody is rejected before the view is at most `MAXIMUM_REJECTION_VIEW_AGE_SECONDS` old:
+    A key or route in the view is accepted at once. One that is missing may have been published
+    since the last read, so a call is rejected only by a view that is at most
+    `MAXIMUM_REJECTION_VIEW_AGE_SECONDS` old:
 
     - 401: no tenant holds the key, and the route is not public.
     - 404: the key is known, and no route matches.
-    - 503: the view could not be renewed; the call did not run, and may succeed elsewhere.
+    - 503: the view could not be refreshed; the call did not run, and may succeed at another node.
 
     Parameters
     ----------
     request_header
-        Names the header with a request's id, for the log.
+        Name of the header with the request's id, for the log.
     """
 
     def __init__(self, routes: RouteTable, renew_view: RenewView, request_header: str) -> None:
@@ -89,13 +90,13 @@
         known = self._look_up(exchange)
         if known is None:
             route = self._routes.find(exchange.host, exchange.path)
-            unknown_caller = self._identify(exchange, route is not None and route.public) is None
-            status = UNAUTHORIZED if unknown_caller else NOT_FOUND
+            caller_is_unknown = self._identify(exchange, route is not None and route.public) is None
+            status = UNAUTHORIZED if caller_is_unknown else NOT_FOUND
             await self._reject(exchange, status, current)
         return known
 
     async def admit_to_batches(self, exchange: OpaqueExchange) -> Caller | None:
-        """Return who makes a call about a batch; None if it was rejected."""
+        """Return the caller of a batch call; None if it was rejected."""
         caller = self._identify(exchange, self._routes.takes_public_batches(exchange.host))
         if caller is not None:
             return caller
@@ -123,7 +124,7 @@
         return Caller(ANONYMOUS) if public else None
 
     async def _reject(self, exchange: OpaqueExchange, status: int, current: bool) -> None:
-        """Reply that the key or the route is unknown, or that this node can't decide now."""
+        """Reply with `status`, or with 503 if the view could not be refreshed."""
         log_event(
             "caller_denied",
             "info" if current else "warning",
--- a/src/stagewalk/gateway/entry/directory_calls.py
+++ b/src/stagewalk/gateway/entry/directory_calls.py
@@ -1,6 +1,6 @@
-"""Answers directory look-ups: the addresses of the nodes a caller should connect to.
+"""Answers directory lookups: the addresses of the nodes a caller should connect to.
 
-Relies on `directory.caller_subset` for the choice; the node's view is renewed first if it is old.
+`directory.caller_subset` chooses them; the node's view is refreshed first if it is stale.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from stagewalk.gateway.zones.evacuations import Evacuations
 
 MAXIMUM_ADDRESSES = 64
-"""Addresses in one answer at most."""
+"""Maximum number of addresses in one answer."""
 
 DIRECTORY_TTL_SECONDS = 1.0
-"""How long callers may keep the directory's answer; the drain delay of a stop
+"""How long callers may cache the directory's answer; the drain delay of a stop
 (`DRAIN_DELAY_SECONDS`) is derived from it."""
 
 
 class DirectoryEndpoint:
-    """Endpoint of look-ups."""
+    """Endpoint of directory lookups."""
 
     def __init__(
         self, nodes: NodeService, routes: RouteTable, evacuations: Evacuations, dialect: Dialect
@@ -34,7 +34,7 @@
         self._dialect = dialect
 
     async def resolve(self, exchange: OpaqueExchange) -> None:
-        """Return the addresses for a caller's region and zone; 503 if no node is known to serve."""
+        """Reply with addresses for the caller's region and zone; 503 if no node can serve."""
         caller = CallerLocation(
             exchange.query.get("region", ""),
             exchange.query.get("zone", ""),
--- a/src/stagewalk/gateway/entry/exchange.py
+++ b/src/stagewalk/gateway/entry/exchange.py
@@ -1,7 +1,7 @@
-"""An exchange with a caller whose request is opaque: kept to the byte.
+"""An HTTP exchange that keeps the caller's target and headers byte for byte.
 
-Owns which headers concern one connection only, in both directions. Relies on
-`common.http.exchange` for the body, its limits and the response.
+Defines which headers are hop-by-hop, in both directions. `common.http.exchange` reads the body,
+applies its limits and sends the response.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 STREAM_STATUS = 200
 CHUNK_BYTES = 65_536
-"""A whole answer is written in such pieces, so that little of it is held twice."""
+"""A whole answer is written in chunks of this size, so that little of it is buffered twice."""
 
-LINE_BYTES = 4
-"""What a header's line has beside its name and value: ": " and the line's end."""
+HEADER_LINE_OVERHEAD_BYTES = 4
+"""Bytes of a header line besides its name and value: ": " and CRLF."""
 
 HOP_BY_HOP_HEADERS = frozenset(
     {
@@ -42,16 +42,16 @@
         "expect",
     }
 )
-"""Headers that concern one connection only, and the length, which is set anew."""
+"""Hop-by-hop headers, and the content length, which is set again for each connection."""
 
 
 class OpaqueExchange(Exchange):
-    """Knows the request's target and headers exactly as they came.
+    """An exchange that gives the request's target and headers exactly as received.
 
     Parameters
     ----------
     readers
-        Counts what its caller has not read; None: that isn't counted.
+        Counts the bytes that the caller has not read yet; None if they aren't counted.
     """
 
     def __init__(
@@ -77,13 +77,13 @@
 
     @property
     def port(self) -> int | None:
-        """Return the port of the listener that the request came to."""
+        """Return the port of the listener that accepted the request."""
         server = self._scope.get("server")
         return None if server is None else server[1]
 
     @cached_property
     def header_list(self) -> HeaderList:
-        """Return the headers in their order, with names as the caller spelled them."""
+        """Return the headers in order, with names as the caller spelled them."""
         return tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in self._scope["headers"]
@@ -92,16 +92,18 @@
     @property
     def head_bytes(self) -> int:
         """Return the size of the request's head: its target and its headers."""
-        headers = sum(len(name) + len(value) + LINE_BYTES for name, value in self.header_list)
+        headers = sum(
+            len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES for name, value in self.header_list
+        )
         return len(self.target) + headers
 
     @property
     def host(self) -> str:
-        """Return the host the caller named, without a port."""
+        """Return the host of the `Host` header, without the port."""
         return (self.header("host") or "").split(":")[0]
 
     def end_to_end_headers(self) -> HeaderList:
-        """Return the end-to-end headers, the host among them."""
+        """Return the headers without hop-by-hop ones; `Host` is kept."""
         named = {
             token.strip().lower() for token in (self.header("connection") or "").split(",") if token
         }
@@ -115,18 +117,18 @@
         body: bytes,
         request_id: str = "",
     ) -> None:
-        """Send a whole response with given headers, its content type among them.
+        """Send a whole response; `headers` include its content type.
 
         Raises
         ------
         BrokenResponseError
-            Its caller read too slowly, and was cut off.
+            The caller read too slowly and its connection was aborted.
         """
         kept = [pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS]
         length = ("content-length", str(len(body)))
         if self._readers is None:
             await self.start_response(status, (*kept, length))
-            await self._write_pieces(body, lambda _size: None)
+            await self._write_chunks(body, lambda _size: None)
             return
         self.bound_write_buffer()
         with anyio.CancelScope() as writing:
@@ -135,22 +137,22 @@
             try:
                 self._readers.buffer_answer(reader, len(body), steady_seconds())
                 await self.start_response(status, (*kept, length))
-                await self._write_pieces(body, partial(self._readers.release, reader))
+                await self._write_chunks(body, partial(self._readers.release, reader))
             finally:
                 self._readers.remove(reader)
         if reader.was_cut_off:
             self.abort()
             raise BrokenResponseError(f"the caller of {request_id} read too slowly")
 
-    async def _write_pieces(self, body: bytes, on_written: Callable[[int], None]) -> None:
-        """Write a whole body in pieces; tell the size of each that its caller has taken."""
+    async def _write_chunks(self, body: bytes, on_written: Callable[[int], None]) -> None:
+        """Write a whole body in chunks; call `on_written` with the size of each written one."""
         for start in range(0, max(1, len(body)), CHUNK_BYTES):
             piece = body[start : start + CHUNK_BYTES]
             await self.write(piece, last=start + CHUNK_BYTES >= len(body))
             on_written(len(piece))
 
     async def begin_stream(self, headers: Iterable[tuple[str, str]]) -> None:
-        """Send the head of a stream of unknown length."""
+        """Send the response head of a stream of unknown length."""
         if self._readers is not None:
             self.bound_write_buffer()
         await self.start_response(
--- a/src/stagewalk/gateway/entry/forwarded_calls.py
+++ b/src/stagewalk/gateway/entry/forwarded_calls.py
@@ -1,7 +1,7 @@
-"""Forwards callers' requests to workers and answers the callers.
+"""Forwards callers' requests to workers and relays the answers.
 
-Owns the deadline of a forwarded request and the status of one that got no answer. Relies on
-`forwarding` for attempts and retries, and on the exchange for the caller's side.
+Sets the deadline of a forwarded request and the status of one that got no answer. `forwarding`
+makes the attempts and retries.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class ForwardingEndpoints:
-    """Endpoints of routes whose requests workers answer, whole or as a stream."""
+    """Endpoints of routes that workers answer, with a whole response or a stream."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         request = await self._read_request(exchange, caller)
         if request is None:
             return
-        deadline_at = began + self._allowed_seconds(exchange, route)
+        deadline_at = began + self._timeout_seconds(exchange, route)
         outcome = await self._forwarder.forward(request, route, deadline_at)
         if outcome.is_error():
             await self._reply_unanswered(exchange, route, outcome.error, began)
@@ -66,12 +66,12 @@
         await exchange.relay(answer.status, answer.headers, answer.body, request.request_id)
 
     async def forward_stream(self, exchange: OpaqueExchange, caller: Caller, route: Route) -> None:
-        """Forward a request and relay its answer as it arrives.
+        """Forward a request and relay the answer's events as they arrive.
 
         Raises
         ------
         BrokenResponseError
-            The stream began and can't be completed.
+            The stream had started and can't be completed.
         """
         began = steady_seconds()
         request = await self._read_request(exchange, caller)
@@ -87,8 +87,8 @@
         outcome = await self._streams.forward(
             request,
             route,
-            began + self._allowed_seconds(exchange, route),
-            self._last_event(exchange),
+            began + self._timeout_seconds(exchange, route),
+            self._last_event_number(exchange),
             relay_part,
             on_cut_off=exchange.abort,
         )
@@ -107,7 +107,7 @@
     async def _read_request(
         self, exchange: OpaqueExchange, caller: Caller
     ) -> InboundRequest | None:
-        """Return the whole request; None if its body was refused and the caller answered."""
+        """Return the whole request; None if its body was refused and an error was sent."""
         request_id = exchange.header(self._caller_interface.request_id) or ""
         body = await exchange.body()
         if body.is_error():
@@ -123,12 +123,12 @@
             priority=self._routes.priority_of(caller.tenant),
         )
 
-    def _last_event(self, exchange: OpaqueExchange) -> int:
-        """Return the number of the event that a stream resumes after, 0 for a new stream."""
+    def _last_event_number(self, exchange: OpaqueExchange) -> int:
+        """Return the number of the event to resume after, 0 for a new stream."""
         resumed = exchange.header(self._caller_interface.last_event) or ""
         return int(resumed) if resumed.isdecimal() else 0
 
-    def _allowed_seconds(self, exchange: OpaqueExchange, route: Route) -> float:
+    def _timeout_seconds(self, exchange: OpaqueExchange, route: Route) -> float:
         """Return the route's timeout, or the caller's deadline if that is sooner."""
         text = exchange.header(self._caller_interface.deadline_milliseconds) or ""
         if text.isdecimal():
--- a/src/stagewalk/gateway/entry/quarantine_calls.py
+++ b/src/stagewalk/gateway/entry/quarantine_calls.py
@@ -1,6 +1,6 @@
-"""Operators' calls about quarantined requests: list them, or release one, at the metrics' address.
+"""Operators' endpoints that list and release quarantined requests, at the metrics address.
 
-Relies on `nodes.crash_watch` for the state; paths keep the name `held-requests`.
+`nodes.crash_watch` keeps the state. The paths use the older name `held-requests`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from stagewalk.gateway.entry.replies import reply_empty, reply_error, reply_json
 from stagewalk.gateway.nodes.crash_watch import CrashWatch
 
-HELD_PATH = "/held-requests"
+QUARANTINE_PATH = "/held-requests"
 
 
 class QuarantineEndpoints:
@@ -21,7 +21,7 @@
     Parameters
     ----------
     port
-        Of the listener that is not for callers; None: nothing is served.
+        Port of the operators' listener; None: nothing is served.
     """
 
     def __init__(self, crashes: CrashWatch, port: int | None) -> None:
@@ -29,22 +29,22 @@
         self._port = port
 
     def serves(self, exchange: OpaqueExchange) -> bool:
-        """Whether an exchange came to the operators' listener; on others the path is callers'."""
+        """Whether an exchange came to the operators' listener; elsewhere the path is callers'."""
         path = exchange.path
-        named = path == HELD_PATH or path.startswith(f"{HELD_PATH}/")
+        named = path == QUARANTINE_PATH or path.startswith(f"{QUARANTINE_PATH}/")
         return named and exchange.port is not None and exchange.port == self._port
 
     async def serve(self, exchange: OpaqueExchange) -> None:
         """Handle an exchange that `serves` accepted."""
-        content = exchange.path.removeprefix(HELD_PATH).removeprefix("/")
+        content = exchange.path.removeprefix(QUARANTINE_PATH).removeprefix("/")
         if exchange.method == "GET" and not content:
             await reply_json(exchange, msgspec.json.encode(self._crashes.quarantined_contents()))
         elif exchange.method == "DELETE" and content:
-            await self._lift(exchange, content)
+            await self._release(exchange, content)
         else:
             await reply_error(exchange, 405, "GET the list, or DELETE one by its content")
 
-    async def _lift(self, exchange: OpaqueExchange, content: str) -> None:
+    async def _release(self, exchange: OpaqueExchange, content: str) -> None:
         known = self._crashes.clear_quarantine(content)
         log_event("held_request_lifted", content=content, known=known)
         if known:
--- a/src/stagewalk/gateway/entry/replies.py
+++ b/src/stagewalk/gateway/entry/replies.py
@@ -1,7 +1,4 @@
-"""Replies of the gateway itself, all JSON.
-
-Owns their form and the header of a retry's delay. Relies on the exchange to send them.
-"""
+"""JSON replies made by the gateway itself, and their `retry-after` header."""
 
 from __future__ import annotations
 
@@ -18,8 +15,8 @@
 
 BODY_TOO_LARGE = 413
 BODY_REFUSED_STATUS = {ErrorKind.TIMEOUT: 408, ErrorKind.OVERLOADED: 503}
-"""Statuses of bodies that were not read whole, other than those that are larger than is allowed:
-both say that the request was sent to no worker."""
+"""Statuses of request bodies that were not read whole for another reason than their size. Both mean
+that the request was not sent to a worker."""
 
 
 async def reply_json(exchange: OpaqueExchange, content: bytes, status: int = 200) -> None:
@@ -39,7 +36,7 @@
     retry_after_seconds: float | None = None,
     headers: Iterable[tuple[str, str]] = (),
 ) -> None:
-    """Reply with an error, and after how many seconds a retry may help."""
+    """Reply with an error, and with `retry-after` if a delay is given."""
     headers = list(headers)
     if retry_after_seconds is not None:
         headers.append((RETRY_AFTER_HEADER, f"{retry_after_seconds:g}"))
@@ -50,7 +47,7 @@
 async def reply_body_refused(
     exchange: OpaqueExchange, error: StagewalkError, request_id: str
 ) -> None:
-    """Reply to a request whose body was not read whole, and which so reached no worker."""
+    """Reply to a request whose body was not read whole and that was not sent to a worker."""
     status = BODY_REFUSED_STATUS.get(error.kind, BODY_TOO_LARGE)
     log_event("body_refused", "warning", request=request_id, status=status, detail=error.detail)
     await reply_error(exchange, status, error.detail, error.retry_after_seconds)
--- a/tests/gateway/entry/benchmark_memory.py
+++ b/tests/gateway/entry/benchmark_memory.py
@@ -1,9 +1,10 @@
-"""What a gateway's process holds at rest and under open streams: resident memory, and who has it.
+"""Measures the resident memory of a gateway process, idle and with open streams.
 
     python -m tests.gateway.entry.benchmark_memory
 
-A process of its own runs a gateway with engines in memory; this one opens streams to it over
-loopback, first with callers that read all, then with callers that read nothing.
+A child process runs a gateway with in-memory engines; this process opens streams to it over
+loopback, first with callers that read everything, then with callers that read nothing. With
+`traced`, the child also prints its largest allocations.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 
 async def serve(traced: bool) -> None:
-    """Run a gateway; for each line of standard input, tell what it holds."""
+    """Run a gateway; print its memory use for each line of standard input."""
     async with site() as made:
         await _serve(made, traced)
 
@@ -60,7 +61,7 @@
 
 
 class Child:
-    """The process with the gateway."""
+    """The child process that runs the gateway."""
 
     def __init__(self, traced: bool) -> None:
         command = [sys.executable, "-W", "ignore", "-m", __spec__.name, "serve"]
@@ -74,14 +75,14 @@
         self.address = Address(host, int(port))
 
     def tell(self, when: str) -> None:
-        """Print what it holds."""
+        """Print the child's memory use."""
         assert self._process.stdin is not None
         self._process.stdin.write("\n")
         self._process.stdin.flush()
         print(f"{when}: {self._line()}", flush=True)
 
     def end(self) -> None:
-        """End it."""
+        """Kill the child."""
         self._process.kill()
         self._process.wait()
 
@@ -91,7 +92,7 @@
 
 
 async def open_stream(address: Address, name: str) -> socket.socket:
-    """Open a stream over a connection of its own."""
+    """Open a stream over a new connection."""
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     connection.setblocking(False)
@@ -103,13 +104,13 @@
 
 
 async def read_all(connection: socket.socket) -> None:
-    """Read a stream as it comes."""
+    """Read a stream until it ends."""
     while await asyncio.get_running_loop().sock_recv(connection, 65_536):
         pass
 
 
 async def measure(child: Child, when: str, reading: bool) -> None:
-    """Tell what the process holds with streams open."""
+    """Print the child's memory use with streams open."""
     connections = [await open_stream(child.address, f"{when}{n}") for n in range(STREAMS)]
     async with anyio.create_task_group() as tasks:
         if reading:
@@ -125,7 +126,7 @@
 
 
 async def main(traced: bool) -> None:
-    """Print what a gateway holds at rest and under load."""
+    """Print a gateway's memory use idle and under load."""
     child = Child(traced)
     try:
         child.tell("at rest")
--- a/tests/gateway/entry/test_requests.py
+++ b/tests/gateway/entry/test_requests.py
@@ -1,4 +1,4 @@
-"""Forwarded requests, the directory, configuration and version orders through whole gateways."""
+"""Forwarded requests, directory lookups, configuration and version orders, end to end."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
         run(scenario)
 
-    def test_a_repeatable_request_survives_a_worker_that_breaks_off(self) -> None:
+    def test_a_repeatable_request_is_retried_if_a_worker_breaks_off(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("a1", "a2"):
@@ -34,7 +34,7 @@
 
         run(scenario)
 
-    def test_a_request_that_may_have_run_once_is_not_sent_again_nor_refused(self) -> None:
+    def test_a_nonrepeatable_request_that_may_have_run_is_not_retried(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("a1", "a2"):
@@ -45,7 +45,7 @@
 
         run(scenario)
 
-    def test_published_limits_of_head_and_body_hold_as_soon_as_they_are_in_force(self) -> None:
+    def test_published_limits_of_head_and_body_apply_once_in_force(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             answer = await site.call(node, "POST", "/ask/x", b"b" * 5_000, filler="h" * 5_000)
@@ -63,7 +63,7 @@
 
         run(scenario)
 
-    def test_what_no_worker_ran_is_refused_at_once_with_when_to_come_back(self) -> None:
+    def test_a_request_that_no_worker_ran_is_refused_with_retry_after(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("a1", "a2"):
@@ -74,7 +74,7 @@
 
         run(scenario)
 
-    def test_a_slow_worker_gets_a_second_one_beside_it(self) -> None:
+    def test_a_request_at_a_slow_worker_is_hedged(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             site.workers.workers["a1"].answer_seconds = 1.5
@@ -84,18 +84,18 @@
 
         run(scenario)
 
-    def test_a_caller_that_leaves_ends_the_work_at_the_worker(self) -> None:
+    def test_a_callers_disconnect_cancels_the_attempt_at_the_worker(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("a1", "a2"):
                 site.workers.workers[name].answer_seconds = 1.5
             with anyio.move_on_after(0.3):
                 await site.call(node, "POST", "/once/x", stagewalk_request_id="q1")
-            await until(lambda: _soon(site.workers.cancelled == 1))
+            await until(lambda: _as_async(site.workers.cancelled == 1))
 
         run(scenario)
 
-    def test_a_request_past_its_time_is_ended_at_once(self) -> None:
+    def test_a_request_past_its_deadline_is_ended(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("a1", "a2"):
@@ -105,7 +105,7 @@
 
         run(scenario)
 
-    def test_a_node_without_configuration_refuses_and_never_denies(self) -> None:
+    def test_a_node_without_configuration_replies_503_and_not_404(self) -> None:
         async def scenario(site: Site) -> None:
             site.log.drop_key(site.dialect.operators, "configuration")
             node = await site.start("n1", ready=False)
@@ -118,7 +118,7 @@
 
         run(scenario)
 
-    def test_a_new_configuration_is_in_force_and_an_unknown_route_is_denied(self) -> None:
+    def test_an_unknown_route_is_rejected_until_a_new_configuration_has_it(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             self.assertEqual(404, (await site.call(node, "GET", "/new/x")).status_code)
@@ -131,7 +131,7 @@
 
         run(scenario)
 
-    def test_a_draining_worker_gets_no_request_once_the_news_is_there(self) -> None:
+    def test_a_draining_worker_gets_no_request_once_the_change_is_read(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             site.log.drop_key(site.dialect.workers, "a1")
@@ -146,7 +146,7 @@
 
 
 class DirectoryTests(testtools.TestCase):
-    def test_ready_nodes_are_named_and_stopping_ones_no_more(self) -> None:
+    def test_the_directory_lists_ready_nodes_and_not_stopping_ones(self) -> None:
         async def scenario(site: Site) -> None:
             one, other = await site.start("n1"), await site.start("n2")
 
@@ -163,7 +163,7 @@
 
         run(scenario)
 
-    def test_a_look_up_that_is_refused_leaves_a_line(self) -> None:
+    def test_a_refused_lookup_is_logged(self) -> None:
         events: list[str] = []
 
         async def scenario(site: Site) -> None:
@@ -185,20 +185,20 @@
 
 
 class VersionTests(testtools.TestCase):
-    def test_one_holder_brings_named_versions_to_all_engines(self) -> None:
+    def test_one_lease_holder_orders_all_engines_to_a_named_version(self) -> None:
         async def scenario(site: Site) -> None:
             await site.start("n1")
             await site.start("n2")
             site.name_version(2)
             engines = [site.workers.workers[name] for name in ("e1", "e2")]
-            await until(lambda: _soon(all(e.versions["m"] == 2 for e in engines)))
+            await until(lambda: _as_async(all(e.versions["m"] == 2 for e in engines)))
             orders = [order for engine in engines for order in engine.orders]
             self.assertEqual(1, len({order.holder for order in orders}))
             self.assertEqual(1, len({order.fence for order in orders}))
 
         run(scenario)
 
-    def test_a_batch_waits_for_engines_on_weights_that_fit(self) -> None:
+    def test_a_batch_waits_for_engines_with_its_minimum_version(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             await site.submit(node, "b1", "x", minimum=2)
@@ -208,11 +208,13 @@
             for name in ("e1", "e2"):
                 site.add_worker(name, "engines")
             await until(
-                lambda: _soon(all(site.workers.workers[n].versions["m"] == 2 for n in ("e1", "e2")))
+                lambda: _as_async(
+                    all(site.workers.workers[n].versions["m"] == 2 for n in ("e1", "e2"))
+                )
             )
 
         run(scenario)
 
 
-async def _soon(condition: bool) -> bool:
+async def _as_async(condition: bool) -> bool:
     return condition
--- a/tests/gateway/entry/test_slow_readers.py
+++ b/tests/gateway/entry/test_slow_readers.py
@@ -1,4 +1,4 @@
-"""Callers that read slowly, over real connections: what is held for them, and who is cut off."""
+"""Slow readers over real connections: bytes buffered for them, and which are disconnected."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Caller:
-    """A caller over a connection of its own, with a small window; nothing is read ahead for it."""
+    """A caller with its own connection and a small receive buffer that only reads on request."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
@@ -61,7 +61,7 @@
         self._connection.close()
 
     async def read_slowly(self) -> None:
-        """Read so many bytes a second, until the connection ends."""
+        """Read `READ_BYTES` a second until the connection ends."""
         while not self.closed:
             await self.read(READ_BYTES)
             await anyio.sleep(1.0)
@@ -72,12 +72,12 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the answer looks complete."""
+        """Whether the answer ends with the last chunk."""
         return self.got.endswith(b"0\r\n\r\n")
 
 
 def open_small_listener(address: Address) -> socket.socket:
-    """Bind a listener whose connections hold little in the kernel, as over a slow link."""
+    """Bind a listener with small kernel send buffers, so that writes block as over a slow link."""
     listener = open_listener(address)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_WINDOW)
     return listener
@@ -89,7 +89,7 @@
     return readers.budget
 
 
-def make_long_streams(site: Site, event_seconds: float = 0.005) -> None:
+def configure_long_streams(site: Site, event_seconds: float = 0.005) -> None:
     for name in ("e1", "e2"):
         worker = site.workers.workers[name]
         worker.events, worker.event_padding = EVENTS, PADDING
@@ -115,10 +115,10 @@
     def events(self, name: str) -> list[dict[str, object]]:
         return [fields for event, fields in self.lines if event == name]
 
-    def test_200_slow_callers_leave_others_their_times_and_the_node_its_memory(self) -> None:
+    def test_200_slow_callers_neither_delay_others_nor_exceed_the_memory_budget(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1", memory=NODE)
-            make_long_streams(site)
+            configure_long_streams(site)
             before = await self.ask(site, node)
             callers: list[Caller] = []
             async with anyio.create_task_group() as tasks:
@@ -147,7 +147,7 @@
         return caller
 
     async def ask(self, site: Site, node: Running) -> str:
-        """Return the median and the longest time of requests, each answered in its route's time."""
+        """Return the median and longest time of requests that are all answered with 200."""
         times: list[float] = []
         for _ in range(50):
             began = time.perf_counter()
@@ -156,14 +156,14 @@
             self.assertEqual(200, answer.status_code)
         return f"{statistics.median(times):.1f} (longest {max(times):.1f})"
 
-    def test_a_worker_is_read_at_its_pace_and_not_blamed_for_its_caller(self) -> None:
+    def test_a_worker_is_not_delayed_nor_marked_failed_by_a_slow_caller(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1", memory=NODE)
-            make_long_streams(site)
+            configure_long_streams(site)
             caller = await self.open(node, "/stream/x", "q1")
-            await until(lambda: soon(len(self.events("reader_cut_off")) == 1))
+            await until(lambda: as_async(len(self.events("reader_cut_off")) == 1))
             engines = [site.workers.workers[name] for name in ("e1", "e2")]
-            await until(lambda: soon(all(engine.running == 0 for engine in engines)))
+            await until(lambda: as_async(all(engine.running == 0 for engine in engines)))
             await caller.read_all()
             self.assertFalse(caller.whole)
             self.assertTrue(caller.closed)
@@ -175,10 +175,10 @@
 
         run(scenario)
 
-    def test_a_stream_that_fits_is_whole_however_late_its_caller_reads(self) -> None:
+    def test_a_stream_that_fits_the_budget_is_complete_if_its_caller_reads_late(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1", memory=Memory(limit_mb=200.0))
-            make_long_streams(site, event_seconds=0.001)
+            configure_long_streams(site, event_seconds=0.001)
             caller = await self.open(node, "/stream/x", "q1")
             await anyio.sleep(0.5)
             await caller.read_all()
@@ -189,7 +189,7 @@
 
         run(scenario)
 
-    def test_what_a_worker_sent_before_it_broke_off_reaches_a_slow_caller(self) -> None:
+    def test_what_a_worker_sent_before_its_connection_broke_reaches_a_slow_caller(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1", memory=NODE)
             for name in ("e1", "e2"):
@@ -206,20 +206,20 @@
             node = await site.start("n1", memory=NODE)
             budget, body = budget_of(node), b"b" * 600_000
             caller = await self.open(node, "/ask/x", "q1", body)
-            await until(lambda: soon(budget.held_bytes > 2 * len(body) - 200_000))
+            await until(lambda: as_async(budget.held_bytes > 2 * len(body) - 200_000))
             while not caller.got.endswith(body):
                 await caller.read(65_536)
-            await until(lambda: soon(budget.held_bytes == 0))
+            await until(lambda: as_async(budget.held_bytes == 0))
             self.assertEqual([], self.events("reader_cut_off"))
 
         run(scenario)
 
-    def test_a_slow_reader_of_a_whole_answer_makes_room_for_other_requests(self) -> None:
+    def test_a_slow_reader_of_a_whole_answer_is_disconnected_to_free_memory(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1", memory=NODE)
             budget, body = budget_of(node), b"b" * 900_000
             caller = await self.open(node, "/ask/x", "q1", body)
-            await until(lambda: soon(budget.held_bytes > 2 * len(body) - 200_000))
+            await until(lambda: as_async(budget.held_bytes > 2 * len(body) - 200_000))
             budget.add(budget.maximum_bytes - budget.held_bytes)
             await anyio.sleep(SLOW_READER_SECONDS)
             answer = await site.call(node, "POST", "/ask/x", b"small")
@@ -232,19 +232,19 @@
 
         run(scenario)
 
-    def test_a_caller_that_leaves_gives_back_what_is_held_for_it(self) -> None:
+    def test_bytes_held_for_a_caller_are_released_when_it_disconnects(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1", memory=NODE)
-            make_long_streams(site)
+            configure_long_streams(site)
             caller = await self.open(node, "/stream/x", "q1")
             budget = budget_of(node)
-            await until(lambda: soon(budget.held_bytes > 0))
+            await until(lambda: as_async(budget.held_bytes > 0))
             caller.leave()
-            await until(lambda: soon(budget.held_bytes == 0))
+            await until(lambda: as_async(budget.held_bytes == 0))
             self.assertEqual([], self.events("attempt_failed"))
 
         run(scenario)
 
 
-async def soon(condition: bool) -> bool:
+async def as_async(condition: bool) -> bool:
     return condition
--- a/tests/gateway/entry/test_slow_senders.py
+++ b/tests/gateway/entry/test_slow_senders.py
@@ -1,4 +1,4 @@
-"""Callers that send large bodies, or slowly: refused and truly not run, and small ones go on."""
+"""Large or slowly sent request bodies are refused without being run; small ones are served."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from stagewalk.common.settings.fields import Limits
 from stagewalk.gateway.held_memory.bodies import LARGE_BODIES_SHARE, LARGE_BODY_BYTES
 from stagewalk.gateway.settings import Memory
-from tests.gateway.entry.test_slow_readers import budget_of, soon
+from tests.gateway.entry.test_slow_readers import as_async, budget_of
 from tests.gateway.support import HOST, Running, Site, run, until
 
 NODE = Memory(limit_mb=20.0)
@@ -27,7 +27,7 @@
 
 
 class SlowSenderTests(testtools.TestCase):
-    def test_large_bodies_are_refused_before_memory_is_full_and_small_ones_go_on(self) -> None:
+    def test_large_bodies_are_refused_before_memory_is_full_and_small_ones_are_served(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1", memory=NODE)
             budget = budget_of(node)
@@ -41,7 +41,7 @@
             budget.release_bytes(int(budget.maximum_bytes * LARGE_BODIES_SHARE))
             answer = await site.call(node, "POST", "/once/x", LARGE, stagewalk_request_id="q3")
             self.assertEqual(200, answer.status_code)
-            await until(lambda: soon(budget.held_bytes == 0))
+            await until(lambda: as_async(budget.held_bytes == 0))
 
         run(scenario)
 
@@ -60,7 +60,7 @@
 
         run(scenario)
 
-    def test_a_body_that_does_not_come_in_time_was_not_run(self) -> None:
+    def test_a_body_that_does_not_arrive_in_time_is_not_run(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1", memory=NODE)
             stream = await begin(node, "q1", 10)
@@ -69,7 +69,7 @@
             self.assertTrue(answer.startswith(b"HTTP/1.1 408"), answer[:40])
             self.assertEqual(0, site.workers.arrivals["q1"])
             await stream.aclose()
-            await until(lambda: soon(budget_of(node).held_bytes == 0))
+            await until(lambda: as_async(budget_of(node).held_bytes == 0))
 
         def short(**fields: int) -> Limits:
             return Limits(body_seconds=1, **fields)
--- a/tests/gateway/entry/test_streams.py
+++ b/tests/gateway/entry/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams through a gateway: as they arrive, whole or visibly broken, resumed where allowed."""
+"""Streams through a gateway: relayed whole or visibly broken, and resumed where allowed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StreamTests(testtools.TestCase):
-    def test_events_arrive_in_order_and_end_whole(self) -> None:
+    def test_events_arrive_in_order_and_complete(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             answer = await site.call(node, "POST", "/stream/x", stagewalk_request_id="q1")
@@ -36,7 +36,7 @@
 
         run(scenario)
 
-    def test_a_broken_stream_goes_on_at_another_worker_within_one_answer(self) -> None:
+    def test_a_broken_stream_resumes_at_another_worker_within_one_answer(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             site.workers.workers["e1"].faults = [AttemptFault.MAY_HAVE_RUN]
@@ -47,7 +47,7 @@
 
         run(scenario)
 
-    def test_a_caller_resumes_after_the_event_it_holds(self) -> None:
+    def test_a_caller_resumes_after_its_last_event(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             answer = await site.call(
@@ -57,7 +57,7 @@
 
         run(scenario)
 
-    def test_a_stream_nobody_ran_is_refused_with_when_to_come_back(self) -> None:
+    def test_a_stream_that_no_worker_ran_is_refused_with_retry_after(self) -> None:
         async def scenario(site: Site) -> None:
             node = await site.start("n1")
             for name in ("e1", "e2"):
