--- a/src/stagewalk/gateway/explain/__init__.py
+++ b/src/stagewalk/gateway/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Explains from logs what happened to a request, a batch or an item."""
+"""Reconstructs from logs what happened to a request, a batch or an item."""
--- a/src/stagewalk/gateway/explain/log_line.py
+++ b/src/stagewalk/gateway/explain/log_line.py
@@ -1,6 +1,6 @@
-"""Reads the lines that `stagewalk.common.logs.lines` writes. Pure.
+"""Parses the log lines that `stagewalk.common.logs.lines` writes. Pure.
 
-Owns the reading of one line; relies on that module's form, `key=value` with quoted values.
+A line consists of `key=value` pairs; values may be quoted.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
     Attributes
     ----------
     at
-        Time of day on the node that wrote it, in seconds since 1970.
+        Wall-clock time on the node that wrote it, in seconds since 1970.
     node
-        Its name, or the name of the file the line stood in.
+        The node's name, or the name of the log file if the line names no node.
     fields
-        Names and values as written, without time, level, event and node.
+        Names and values in order, without time, level, event and node.
     """
 
     at: float
@@ -39,28 +39,28 @@
 
     @property
     def failure(self) -> bool:
-        """Whether it reports a failure."""
+        """Whether its level is warning or error."""
         return self.level in _FAILURE_LEVELS
 
     def get(self, field: str) -> str:
-        """Return a field's value, empty if there is none."""
+        """Return a field's value, empty if the line has no such field."""
         return next((value for name, value in self.fields if name == field), "")
 
     def describe(self) -> str:
-        """Return its event and fields as they were written, without quotes."""
+        """Return the event and its fields as text, without quotes."""
         fields = " ".join(f"{name}={value}" for name, value in self.fields)
         return f"{self.event} {fields}".rstrip()
 
 
 def parse_line(text: str, source: str) -> LogLine | None:
-    """Return a line of a log, None for anything else; text before its time is skipped.
+    """Return the parsed line, None for other text; anything before `time=` is skipped.
 
     Parameters
     ----------
     text
         The line.
     source
-        Name of the file it stands in, for lines that name no node.
+        Name of the log file, used as node of lines that name none.
     """
     start = text.find(_FIRST_FIELD)
     if start < 0:
@@ -79,7 +79,7 @@
 
 
 def parse_lines(texts: Iterable[str], source: str) -> list[LogLine]:
-    """Return all lines of a log in a text."""
+    """Return the parsed log lines; other text is skipped."""
     return [line for text in texts if (line := parse_line(text, source)) is not None]
 
 
--- a/src/stagewalk/gateway/explain/steps.py
+++ b/src/stagewalk/gateway/explain/steps.py
@@ -1,8 +1,8 @@
-"""Where the time of trainers' steps and of recoveries went, from the logs of all nodes. Pure.
+"""Breaks down the time of trainers' steps and of recoveries, from the logs of all nodes. Pure.
 
-A step takes as long as its last groups. For each batch the account holds when it was submitted,
-opened and ended, how long its last results took in each part of their way, and what interrupted
-them. Owns the reading of batch and item events; relies on `log_line` for parsed lines.
+A step takes as long as its slowest items. The summary of a batch holds when it was submitted,
+opened and ended, and for each finished item its start, its end, its scoring time and what
+interrupted it.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 
 from stagewalk.gateway.explain.log_line import LogLine
 
-TOGETHER_SECONDS = 1.5
-"""Starts of processes this close belong to one recovery."""
+RECOVERY_WINDOW_SECONDS = 1.5
+"""Process starts within this time of the first one belong to the same recovery."""
 
 MINIMUM_RESTARTED_SHARE = 0.8
-"""A recovery counts as one of all processes if this share of all nodes started."""
+"""Share of all nodes that have to start for a group of starts to count as a recovery."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemPath:
-    """How one item of a batch came to its result. Times are seconds since the batch was submitted.
+    """Timing of one finished item. Times are seconds since the batch was submitted.
 
     Attributes
     ----------
     first_start, finished
-        Of the first attempt, and of the result.
+        When the first attempt started, and when the item finished.
     attempts
-        Attempts begun.
+        Number of attempts started.
     cuts
-        Why attempts were stopped or broke off, in order.
+        Why attempts were stopped or failed, in order.
     scoring
-        From the end of the last attempt's text to the result, in seconds.
+        Seconds from the last attempt's complete text to the result.
     """
 
     item: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepSummary:
-    """One batch. Times are seconds since it was submitted."""
+    """Timing of one batch. Times are seconds since it was submitted."""
 
     batch: str
     step: int
@@ -60,23 +60,23 @@
     paths: tuple[ItemPath, ...]
 
     def last(self, count: int) -> list[ItemPath]:
-        """Return the items that finished last, the very last first."""
+        """Return the `count` items that finished last, latest first."""
         return sorted(self.paths, key=lambda path: -path.finished)[:count]
 
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """The restart of all processes.
+    """A restart of (nearly) all processes.
 
     Attributes
     ----------
     at
-        When the last one of them had started, seconds since 1970.
+        When the last one started, in seconds since 1970.
     nodes
-        How many started.
+        Number of nodes that started.
     first_item
-        From then to the first item begun, in seconds; negative if one began before the last
-        process had started, infinite if none did.
+        Seconds from `at` to the start of the first item; negative if an item started before the
+        last process, infinite if none did.
     """
 
     at: float
@@ -97,58 +97,58 @@
 
 
 def summarize_steps(lines: Iterable[LogLine]) -> list[StepSummary]:
-    """Return the account of each batch in the logs, in the order they were submitted."""
+    """Return a summary of each batch in the logs, in the order of submission."""
     ordered = sorted(lines, key=lambda line: line.at)
-    gathered: dict[str, _BatchEvents] = {}
+    batches: dict[str, _BatchEvents] = {}
     attempts: dict[tuple[str, str], tuple[str, str]] = {}
     for line in ordered:
-        if line.event == "batch_submitted" and line.get("batch") not in gathered:
-            gathered[line.get("batch")] = _BatchEvents(line)
+        if line.event == "batch_submitted" and line.get("batch") not in batches:
+            batches[line.get("batch")] = _BatchEvents(line)
         if line.event == "item_started":
             attempts[(line.node, line.get("attempt"))] = line.get("batch"), line.get("item")
-        _apply(line, gathered, attempts)
-    return [_account(batch, step) for batch, step in gathered.items()]
+        _apply_line(line, batches, attempts)
+    return [_summarize(batch, step) for batch, step in batches.items()]
 
 
 def find_recoveries(lines: Iterable[LogLine]) -> list[Recovery]:
-    """Return the moments at which (nearly) all processes had restarted, without the first start."""
+    """Return the restarts of (nearly) all processes, without their first start."""
     ordered = sorted(lines, key=lambda line: line.at)
     starts = [line for line in ordered if line.event == "gateway_started"]
     items = [line.at for line in ordered if line.event == "item_started"]
     nodes = {line.node for line in starts}
     restarts = [
         group
-        for group in _together(starts)
+        for group in _group_starts(starts)
         if len({line.node for line in group}) >= MINIMUM_RESTARTED_SHARE * len(nodes)
     ]
-    return [_recovery(group, items) for group in restarts[1:]]
+    return [_make_recovery(group, items) for group in restarts[1:]]
 
 
-def _together(starts: Sequence[LogLine]) -> list[list[LogLine]]:
+def _group_starts(starts: Sequence[LogLine]) -> list[list[LogLine]]:
     groups: list[list[LogLine]] = []
     for line in starts:
-        if groups and line.at - groups[-1][0].at < TOGETHER_SECONDS:
+        if groups and line.at - groups[-1][0].at < RECOVERY_WINDOW_SECONDS:
             groups[-1].append(line)
         else:
             groups.append([line])
     return groups
 
 
-def _recovery(group: Sequence[LogLine], items: Sequence[float]) -> Recovery:
+def _make_recovery(group: Sequence[LogLine], items: Sequence[float]) -> Recovery:
     at = group[-1].at
     first = min((item for item in items if item >= group[0].at), default=math.inf)
     return Recovery(at, len({line.node for line in group}), first - at)
 
 
-def _apply(
+def _apply_line(
     line: LogLine,
-    gathered: dict[str, _BatchEvents],
+    batches: dict[str, _BatchEvents],
     attempts: dict[tuple[str, str], tuple[str, str]],
 ) -> None:
     batch, item = line.get("batch"), line.get("item")
     if line.event in {"item_stopped", "item_attempt_failed"}:
         batch, item = attempts.get((line.node, line.get("attempt")), (batch, item))
-    step = gathered.get(batch)
+    step = batches.get(batch)
     if step is None:
         return
     match line.event:
@@ -169,7 +169,7 @@
             step.finished.setdefault(item, line.at)
 
 
-def _account(batch: str, step: _BatchEvents) -> StepSummary:
+def _summarize(batch: str, step: _BatchEvents) -> StepSummary:
     began = step.submitted.at
     paths = [
         ItemPath(
--- a/src/stagewalk/gateway/explain/timeline.py
+++ b/src/stagewalk/gateway/explain/timeline.py
@@ -1,9 +1,7 @@
-"""Finds one request's, batch's or item's lines among those of many nodes, and what went wrong.
-Pure.
+"""Collects the log lines of one request, batch or item from many nodes. Pure.
 
-A story holds the lines that name the id, the attempts made for it, and the events of its nodes and
-workers meanwhile; the first failure among them is where to look. Owns the rules of which lines
-belong to an id; relies on `log_line` for parsed lines and on the names of the events listed here.
+A timeline holds the lines that name the id or an attempt made for it, and the events of its nodes
+and workers at that time. Its first failure is the place to start an investigation.
 """
 
 from __future__ import annotations
@@ -15,7 +13,7 @@
 from stagewalk.gateway.explain.log_line import LogLine
 
 SURROUNDING_SECONDS = 2.0
-"""How long before and after the id's own lines other events count."""
+"""Events this long before and after the id's own lines belong to the timeline."""
 
 NODE_EVENTS = frozenset(
     {
@@ -36,11 +34,11 @@
         "lease_released",
     }
 )
-"""Events of a node that touch all its work."""
+"""Events that affect all work of a node."""
 
 WORKER_EVENTS = frozenset({"worker_changed", "worker_cold", "version_order"})
 SYSTEM_EVENTS = frozenset({"lease_held", "version_named", "zone_evacuated", "zone_restored"})
-"""Events that concern every batch. Every node logs them; the first line is enough."""
+"""Events that concern every batch. Every node logs them; only the first line is kept."""
 
 _IDENTIFYING_FIELDS = ("request", "batch", "item", "window", "content")
 
@@ -52,9 +50,9 @@
     BATCH = "batch"
     ITEM = "item"
     CONTENT = "content"
-    """What requests of several ids have in common, where workers ended under them."""
+    """Content shared by requests with different ids under which workers crashed."""
     WINDOW = "window"
-    """A window of time that usage is reported for."""
+    """A time window of usage reports."""
 
 
 _ENDINGS: dict[Kind, tuple[str, ...]] = {
@@ -64,21 +62,21 @@
     Kind.CONTENT: ("request_held_back", "request_cleared", "held_request_lifted"),
     Kind.WINDOW: ("usage_reported",),
 }
-"""Events that end what an id names."""
+"""Events that end a request, batch, item, content or window."""
 
 
 @dataclass(frozen=True, slots=True)
 class Timeline:
-    """What the logs hold on an id.
+    """The log lines of one id.
 
     Attributes
     ----------
     own
-        The lines that name it, or an attempt made for it, in time order.
+        Lines that name the id, or an attempt made for it, in time order.
     around
-        Events of its nodes and workers meanwhile, in time order.
+        Events of its nodes and workers at that time, in time order.
     unknown
-        What the logs at hand leave open, one sentence each.
+        What the logs do not show, one sentence each.
     """
 
     identity: str
@@ -94,20 +92,20 @@
 
     @property
     def first_failure(self) -> LogLine | None:
-        """Return the first thing that went wrong with it, or around it if nothing did."""
+        """Return the first failure among its own lines, else among surrounding events."""
         failures = [line for line in self.own if line.failure]
         around = [line for line in self.around if line.failure]
         return min(failures or around, key=lambda line: line.at, default=None)
 
     @property
     def ending(self) -> LogLine | None:
-        """Return the line that ended it, None if there is none."""
+        """Return the last line that reports its end, None if there is none."""
         ended = [line for line in self.own if line.event in _ENDINGS[self.kind]]
         return ended[-1] if ended else None
 
 
 @dataclass(slots=True)
-class _Gathered:
+class _SelectedLines:
     own: list[LogLine] = field(default_factory=list)
     nodes: set[str] = field(default_factory=set)
     workers: set[str] = field(default_factory=set)
@@ -120,19 +118,21 @@
 
 
 def find_timeline(identity: str, lines: Iterable[LogLine]) -> Timeline | None:
-    """Return the story of an id, None if no line names it."""
+    """Return the timeline of an id, None if no line names it."""
     ordered = sorted(lines, key=lambda line: line.at)
     kind = _kind_of(identity, ordered)
     if kind is None:
         return None
-    gathered = _gather(identity, kind, ordered)
-    own = sorted(gathered.own, key=lambda line: line.at)
-    around = _around(gathered, own, ordered)
-    return Timeline(identity, kind, tuple(own), tuple(around), tuple(_unknown(own, kind, ordered)))
+    selected = _select_lines(identity, kind, ordered)
+    own = sorted(selected.own, key=lambda line: line.at)
+    around = _surrounding_events(selected, own, ordered)
+    return Timeline(
+        identity, kind, tuple(own), tuple(around), tuple(_find_gaps(own, kind, ordered))
+    )
 
 
 def _kind_of(identity: str, lines: Sequence[LogLine]) -> Kind | None:
-    """Return what an id names. A batch is submitted as a request: it counts as a batch."""
+    """Return what an id names; a batch's id also names the request that submitted it."""
     named = {
         field_name
         for line in lines
@@ -143,8 +143,8 @@
     return next((kind for kind in kinds if kind in named), None)
 
 
-def _gather(identity: str, kind: Kind, lines: Sequence[LogLine]) -> _Gathered:
-    gathered = _Gathered()
+def _select_lines(identity: str, kind: Kind, lines: Sequence[LogLine]) -> _SelectedLines:
+    selected = _SelectedLines()
     attempts: set[tuple[str, str]] = set()
     batches: set[str] = set()
     for line in lines:
@@ -154,61 +154,63 @@
             attempts.add(attempt)
             batches.add(line.get("batch"))
         if named or (not line.get("item") and attempt in attempts):
-            gathered.add(line)
+            selected.add(line)
     if kind is Kind.ITEM:
-        _add_batch_lines(gathered, batches, lines)
-    return gathered
+        _add_batch_lines(selected, batches, lines)
+    return selected
 
 
-def _add_batch_lines(gathered: _Gathered, batches: set[str], lines: Sequence[LogLine]) -> None:
+def _add_batch_lines(selected: _SelectedLines, batches: set[str], lines: Sequence[LogLine]) -> None:
     """Add the lines of an item's batches that name no item."""
     for line in lines:
         if line.get("batch") in batches and not line.get("item"):
-            gathered.add(line)
+            selected.add(line)
 
 
-def _around(gathered: _Gathered, own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[LogLine]:
+def _surrounding_events(
+    selected: _SelectedLines, own: Sequence[LogLine], lines: Sequence[LogLine]
+) -> list[LogLine]:
     since = own[0].at - SURROUNDING_SECONDS
     until = own[-1].at + SURROUNDING_SECONDS
-    mine = set(map(id, own))
+    own_ids = set(map(id, own))
     around: list[LogLine] = []
     seen: set[tuple[str, tuple[tuple[str, str], ...]]] = set()
     for line in lines:
-        if not since <= line.at <= until or id(line) in mine or not _concerns(line, gathered):
+        if not since <= line.at <= until or id(line) in own_ids or not _concerns(line, selected):
             continue
-        news = (line.event, line.fields)
-        if line.event in WORKER_EVENTS | SYSTEM_EVENTS and news in seen:
+        signature = (line.event, line.fields)
+        if line.event in WORKER_EVENTS | SYSTEM_EVENTS and signature in seen:
             continue
-        seen.add(news)
+        seen.add(signature)
         around.append(line)
     return around
 
 
-def _concerns(line: LogLine, gathered: _Gathered) -> bool:
+def _concerns(line: LogLine, selected: _SelectedLines) -> bool:
     if line.event in WORKER_EVENTS:
-        return line.get("worker") in gathered.workers and line.node in gathered.nodes
+        return line.get("worker") in selected.workers and line.node in selected.nodes
     if line.event in SYSTEM_EVENTS:
-        return line.node in gathered.nodes
-    return line.event in NODE_EVENTS and line.node in gathered.nodes
+        return line.node in selected.nodes
+    return line.event in NODE_EVENTS and line.node in selected.nodes
 
 
-def _unknown(own: Sequence[LogLine], kind: Kind, lines: Sequence[LogLine]) -> list[str]:
-    """Return what the logs leave open: missing logs of runners, dropped lines, no ending."""
-    sentences = _missing_logs(own, lines) + _dropped_lines(own, lines)
+def _find_gaps(own: Sequence[LogLine], kind: Kind, lines: Sequence[LogLine]) -> list[str]:
+    """Return what the logs do not show: missing logs of runners, dropped lines, no ending."""
+    sentences = _find_missing_logs(own, lines) + _find_dropped_lines(own, lines)
     endings = {event for events in _ENDINGS.values() for event in events}
     if not any(line.event in endings for line in own):
-        sentences.append(_without_ending(own[-1], kind, lines))
+        sentences.append(_describe_missing_ending(own[-1], kind, lines))
     return sorted(sentences)
 
 
-def _missing_logs(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[str]:
+def _find_missing_logs(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[str]:
     logged = {line.node for line in lines}
     runners = {line.get(name) for line in own for name in ("runner", "from_runner")}
     missing = {_node_of(runner) for runner in runners if runner} - logged
     return [f"no log of node {node} was given, which ran the batch" for node in missing]
 
 
-def _dropped_lines(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[str]:
+def _find_dropped_lines(own: Sequence[LogLine], lines: Sequence[LogLine]) -> list[str]:
     nodes = {line.node for line in own}
     return [
         f"node {line.node} dropped {line.get('count')} lines of {line.get('kind')}"
@@ -217,7 +219,7 @@
     ]
 
 
-def _without_ending(last: LogLine, kind: Kind, lines: Sequence[LogLine]) -> str:
+def _describe_missing_ending(last: LogLine, kind: Kind, lines: Sequence[LogLine]) -> str:
     restarted = [
         line
         for line in lines
--- a/src/stagewalk/gateway/explain/waits.py
+++ b/src/stagewalk/gateway/explain/waits.py
@@ -1,7 +1,6 @@
-"""Says why a request waited for a place at its service, and why it was refused one. Pure.
+"""Describes why a request was queued or rejected by the admission control of its service. Pure.
 
-Owns the sentences; relies on the fields of `request_queued`, `request_rejected` and
-`request_ended`, and on `log_line` for parsed lines.
+Reads the fields of the events `request_queued`, `request_rejected` and `request_ended`.
 """
 
 from __future__ import annotations
@@ -19,23 +18,23 @@
 
 
 def describe_waits(lines: Iterable[LogLine]) -> list[str]:
-    """Return a sentence for each wait and refusal among a request's lines."""
+    """Return a sentence for each wait and rejection among a request's lines."""
     sentences: list[str] = []
     for line in lines:
         if line.event == "request_queued":
-            sentences.append(f"queued at {line.get('service')}: {_position(line)}")
+            sentences.append(f"queued at {line.get('service')}: {_queue_info(line)}")
         elif line.event == "request_rejected":
             reason = _REASONS.get(line.get("reason"), line.get("reason"))
             sentences.append(
-                f"refused after {line.get('waited_seconds')} s, since {reason}: {_position(line)}"
+                f"refused after {line.get('waited_seconds')} s, since {reason}: {_queue_info(line)}"
             )
         elif line.event == "request_ended" and line.get("waited_seconds"):
             sentences.append(f"waited {line.get('waited_seconds')} s for its place")
     return sentences
 
 
-def _position(line: LogLine) -> str:
-    """Return what it was judged by."""
+def _queue_info(line: LogLine) -> str:
+    """Describe the queue and the limits that the decision was based on."""
     tenant = line.get("tenant") or "no tenant"
     return (
         f"{line.get('ahead')} before it, {line.get('ahead_of_tenant')} waiting of {tenant}, "
--- a/tests/gateway/explain/test_steps.py
+++ b/tests/gateway/explain/test_steps.py
@@ -1,4 +1,4 @@
-"""Steps and recoveries are taken apart from logs alone."""
+"""Summaries of steps and recoveries that are computed from logs."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class StepTests(testtools.TestCase):
-    def test_a_step_is_taken_apart_by_its_last_items(self) -> None:
+    def test_a_step_is_summarized_with_its_last_items(self) -> None:
         (step,) = summarize_steps(parse_lines(STEP, "file"))
         self.assertEqual((3, 2, 2, 1), (step.step, step.items, step.listed, step.runners))
         self.assertAlmostEqual(0.1, step.opened)
@@ -41,7 +41,7 @@
         self.assertAlmostEqual(3.5, last.finished)
         self.assertAlmostEqual(0.5, last.scoring)
 
-    def test_a_return_of_all_processes_is_told_from_single_restarts(self) -> None:
+    def test_a_restart_of_all_processes_is_told_from_single_restarts(self) -> None:
         starts = [line(1.0 + 0.1 * n, f"n{n}", "gateway_started") for n in range(5)]
         single = line(9.0, "n1", "gateway_started")
         again = [line(30.0 + 0.1 * n, f"n{n}", "gateway_started") for n in range(5)]
@@ -52,7 +52,7 @@
         (none,) = find_recoveries(parse_lines([*starts, *again], "file"))
         self.assertEqual(math.inf, none.first_item)
 
-    def test_the_command_prints_both(self) -> None:
+    def test_the_command_prints_the_summary_of_a_step(self) -> None:
         with (
             tempfile.TemporaryDirectory() as folder,
             contextlib.redirect_stdout(io.StringIO()) as out,
--- a/tests/gateway/explain/test_timeline.py
+++ b/tests/gateway/explain/test_timeline.py
@@ -1,4 +1,4 @@
-"""A story holds what concerns an id, names the first failure and says what is unknown."""
+"""Timelines hold the lines that concern an id, its first failure and what the logs do not show."""
 
 from __future__ import annotations
 
@@ -116,7 +116,7 @@
 
 class LogLineTests(testtools.TestCase):
     @given(st.text(max_size=30), st.floats(0, 2e9))
-    def test_what_is_written_can_be_read(self, value: str, at: float) -> None:
+    def test_a_written_line_can_be_parsed(self, value: str, at: float) -> None:
         text = line(at, "n1", "event", "warning", detail=value)
         parsed = parse_line("  12.5 n1 | " + text, "file")
         assert parsed is not None
@@ -124,18 +124,18 @@
         self.assertTrue(parsed.failure)
         self.assertAlmostEqual(at, parsed.at, places=2)
 
-    def test_other_text_is_passed_over(self) -> None:
+    def test_other_text_is_skipped(self) -> None:
         for text in ("", "Traceback (most recent call last):", "time=soon event=x", "time=", "x=1"):
             self.assertIsNone(parse_line(text, "file"))
 
-    def test_a_line_without_a_node_is_of_its_file(self) -> None:
+    def test_a_line_without_a_node_gets_the_name_of_its_file(self) -> None:
         parsed = parse_line(line(1.0, "", "event"), "edge-1")
         assert parsed is not None
         self.assertEqual("edge-1", parsed.node)
 
 
-class StoryTests(testtools.TestCase):
-    def test_a_content_tells_of_all_tries_of_a_request(self) -> None:
+class TimelineTests(testtools.TestCase):
+    def test_a_contents_timeline_holds_all_requests_with_it(self) -> None:
         found = timeline("c0ffee", *CRASHING)
         self.assertEqual(Kind.CONTENT, found.kind)
         self.assertEqual(4, len(found.own))
@@ -143,8 +143,8 @@
         self.assertEqual("request_held_back", found.ending.event)
         self.assertEqual(Kind.REQUEST, timeline("r7", *CRASHING).kind)
 
-    def test_a_request_that_no_worker_might_get(self) -> None:
-        """Why: the zone that its node knew to be evacuated, and the worker that was cold."""
+    def test_a_request_that_no_worker_was_allowed_to_get(self) -> None:
+        """The timeline shows that the zone was evacuated and the worker cold."""
         found = timeline("r5", *EVACUATED)
         self.assertEqual(
             [("n1", "zone_evacuated"), ("n1", "worker_cold")],
@@ -153,7 +153,7 @@
         assert found.ending is not None
         self.assertEqual("zone_evacuated:4", found.ending.get("denied"))
 
-    def test_a_refused_request_with_its_attempts_and_what_its_worker_went_through(self) -> None:
+    def test_a_refused_request_is_shown_with_its_attempts_and_its_workers_events(self) -> None:
         found = timeline("r1", *REFUSED)
         self.assertEqual(Kind.REQUEST, found.kind)
         self.assertEqual(["attempt_failed", "request_ended"], [x.event for x in found.own])
@@ -163,7 +163,7 @@
         self.assertEqual("not_run", found.ending.get("outcome"))
         self.assertEqual((), found.unknown)
 
-    def test_an_item_is_followed_through_its_score_call_to_the_node_that_took_over(self) -> None:
+    def test_an_item_is_followed_over_its_score_calls_and_a_takeover(self) -> None:
         scored = (
             *ITEM[:2],
             line(2.0, "n1", "text_whole", item="i1", batch="b1", attempt="7", worker="w1"),
@@ -191,17 +191,17 @@
         self.assertEqual("answered_500", found.first_failure.get("outcome"))
         self.assertIn(("n1", "worker_changed"), [(x.node, x.event) for x in found.around])
 
-    def test_what_every_node_tells_stands_once(self) -> None:
+    def test_an_event_that_every_node_logs_is_listed_once(self) -> None:
         named = [line(3.0, node, "version_named", model="m", version="4") for node in ("n1", "n3")]
         self.assertEqual(
             ["n1"],
             [x.node for x in timeline("i1", *ITEM, *named).around if x.event == "version_named"],
         )
 
-    def test_a_request_that_went_well_has_no_failure(self) -> None:
+    def test_a_successful_request_has_no_failure(self) -> None:
         self.assertIsNone(timeline("r2", *REFUSED).first_failure)
 
-    def test_an_item_over_two_nodes_with_its_own_attempts_only(self) -> None:
+    def test_an_item_at_two_nodes_is_shown_with_its_own_attempts_only(self) -> None:
         found = timeline("i1", *ITEM)
         self.assertEqual(Kind.ITEM, found.kind)
         stopped = [x for x in found.own if x.event == "item_stopped"]
@@ -217,7 +217,7 @@
             ("no log of node n4 was given, which ran the batch",), timeline("i1", *ITEM).unknown
         )
 
-    def test_a_story_without_an_end_says_what_the_logs_leave_open(self) -> None:
+    def test_a_timeline_without_an_ending_says_so(self) -> None:
         started = line(1.0, "n1", "attempt_failed", "warning", request="r1", worker="w1")
         (sentence,) = timeline("r1", started).unknown
         self.assertIn("no line tells how the request ended", sentence)
@@ -225,14 +225,14 @@
         (sentence,) = timeline("r1", started, again).unknown
         self.assertIn("node n1 started anew 2.5 s after", sentence)
 
-    def test_dropped_lines_are_said(self) -> None:
+    def test_dropped_lines_are_reported(self) -> None:
         dropped = line(10.2, "n1", "log_lines_dropped", "warning", kind="attempt_failed", count="9")
         self.assertEqual(
             ("node n1 dropped 9 lines of attempt_failed",),
             timeline("r1", *REFUSED, dropped).unknown,
         )
 
-    def test_an_id_that_no_line_names_has_no_story(self) -> None:
+    def test_an_id_that_no_line_names_has_no_timeline(self) -> None:
         self.assertIsNone(find_timeline("r7", parse_lines(REFUSED, "file")))
 
 
@@ -250,7 +250,7 @@
         self.path = Path(folder.name) / "n1.log"
         self.path.write_text("\n".join(["some other text", *REFUSED]))
 
-    def test_the_story_is_printed_with_the_first_failure(self) -> None:
+    def test_the_timeline_is_printed_with_its_first_failure(self) -> None:
         code, output = self.explain("r1", str(self.path))
         self.assertEqual(0, code)
         self.assertIn("first failure: +0.000 s at n1: attempt_failed", output)
@@ -263,25 +263,25 @@
         self.assertEqual(2, code)
         self.assertIn("/nowhere/n.log", output)
 
-    def test_why_a_request_waited_and_was_refused_is_said(self) -> None:
+    def test_the_reason_for_a_wait_and_a_rejection_is_printed(self) -> None:
         text = "\n".join(render_story(timeline("r9", *QUEUED)))
         self.assertIn("queued at app: 4 before it, 3 waiting of t1", text)
         self.assertIn("refused after 0.04 s, since it would have started too late", text)
 
-    def test_lines_of_others_stand_in_brackets(self) -> None:
+    def test_surrounding_events_have_their_node_in_brackets(self) -> None:
         text = "\n".join(render_story(timeline("r1", *REFUSED)))
         self.assertIn("(n1)  worker_changed", text)
 
 
-class DutyStoryTests(testtools.TestCase):
-    def test_a_caller_that_was_turned_away_and_why_the_view_was_old(self) -> None:
+class CallerAndUsageTimelineTests(testtools.TestCase):
+    def test_a_denied_caller_is_shown_with_the_lost_dependency(self) -> None:
         found = timeline("r3", *DENIED)
         self.assertEqual(Kind.REQUEST, found.kind)
         self.assertEqual("caller_denied", found.ending.event)
         self.assertIn("dependency_lost", [line.event for line in found.around])
         self.assertEqual((), found.unknown)
 
-    def test_a_window_of_usage_over_its_holders(self) -> None:
+    def test_a_usage_window_is_followed_over_its_lease_holders(self) -> None:
         found = timeline("77", *WINDOW)
         self.assertEqual(Kind.WINDOW, found.kind)
         self.assertEqual(["n1", "n1", "n2"], [line.node for line in found.own])
