--- a/src/stagewalk/gateway/autoscaling/__init__.py
+++ b/src/stagewalk/gateway/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Autoscaling: how many workers are ordered, where, and of which kind."""
+"""Autoscaling: how many workers to order in each zone, regular or spot."""
--- a/src/stagewalk/gateway/autoscaling/core.py
+++ b/src/stagewalk/gateway/autoscaling/core.py
@@ -1,14 +1,12 @@
 """Decides which workers to order, and when to repeat an order. Pure.
 
-Workers that were there when the service was first seen are restored if they are lost. Beyond them,
-enough are ordered that each item of the open batches has a place at once: an item that waits for
-one makes its step late, and a late step makes its trainer wait. These are of the cheaper kind if
-the settings say so, and spread over the zones, since the platform takes a whole zone's away at a
-time.
-
-Owns what was found and ordered in each group, and when workers were taken away; relies on
-`autoscaling.demand` for the peak of open items, on `worker_counts` for the counts, and on its
-caller for storing and sending orders.
+The workers present when a service was first seen are its baseline, and are restored if lost.
+Beyond it, enough are ordered that each item of the open batches has a slot at once, since an item
+that waits for one delays its step and its trainer. These are spot workers if the settings allow
+it, spread over the zones, since the platform reclaims all spot workers of a zone at a time.
+
+`autoscaling.demand` tracks the peak of open items and `worker_counts` distributes the workers; the
+caller stores and sends the orders.
 """
 
 from __future__ import annotations
@@ -25,36 +23,36 @@
 from stagewalk.gateway.workers.worker import Worker
 
 SETTLE_SECONDS = 4.0
-"""How long a group's count must stay the same to be what was found: workers that start together are
-listed within 2 s of each other, doubled."""
+"""A group's count becomes its baseline once it is unchanged for this long: workers that start
+together are listed within 2 s of each other."""
 
 REPEAT_MARGIN_SECONDS = 3.0
-"""An order whose workers are not listed this long after their time to boot is sent again: its
-answer may have been lost, or an older order carried out after it."""
+"""An order is repeated if its workers are not listed this long after their boot time: the call may
+have been lost, or an older order executed after it."""
 
 NONE_LEFT_SECONDS = 3.0
-"""A zone that has none to give is asked again after this time; meanwhile others are asked."""
+"""Pause after a zone had no workers available; meanwhile they are ordered in other zones."""
 
 SPOT_AVOIDANCE_SECONDS = 600.0
-"""After workers were taken away, ordinary ones are ordered in their place for this long: where that
-happens it happens again, a whole zone at a time, and for some seconds there are none to be had."""
+"""Regular workers are ordered instead of spot workers for this long after a reclaim: more reclaims
+are likely, each of a whole zone, and spot workers are then unavailable for some seconds."""
 
 RETRY_SECONDS = 1.0
-"""A zone is asked again this long after any other failure."""
+"""Pause after any other failed order."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingPolicy:
-    """Settings of what is ordered.
+    """Settings of the autoscaler.
 
     Attributes
     ----------
     enabled
-        Whether anything is ordered at all.
+        Whether workers are ordered at all.
     places_per_item
-        Places for each open item beyond those of workers that were found; 0.0: none.
+        Slots wanted for each open item; 0.0: only the baseline is restored.
     spot
-        Whether workers beyond those found may be taken away by the platform.
+        Whether workers beyond the baseline are spot workers, which the platform may reclaim.
     """
 
     enabled: bool
@@ -64,7 +62,7 @@
 
 @dataclass(slots=True)
 class Autoscaler:
-    """Workers of each group, orders sent, and the demand of each service."""
+    """Tracks the workers and orders of each group and the demand of each service."""
 
     policy: ScalingPolicy
     _groups: dict[WorkerGroup, GroupState] = field(default_factory=dict)
@@ -72,14 +70,14 @@
     _watched_since: dict[str, float] = field(default_factory=dict)
     """By service, since when this process has watched its demand."""
     _reclaimed_at: dict[str, float] = field(default_factory=dict)
-    """By service, when workers of the cheaper kind were last being taken away."""
+    """By service, when spot workers were last seen draining."""
 
     def apply_planned_order(self, order: WorkerOrder) -> None:
-        """Apply an order that a holder of the lease stored, this one or one before it."""
+        """Apply an order stored by the lease holder, this process or an earlier one."""
         group = self._group(order.group)
         group.ordered = order.count
-        if not order.group.spot and group.found is None:
-            group.found = order.count
+        if not order.group.spot and group.baseline is None:
+            group.baseline = order.count
 
     def decide(
         self,
@@ -94,14 +92,13 @@
         Parameters
         ----------
         services
-            Those whose workers may be ordered.
+            Services whose workers may be ordered.
         workers
-            All that are listed.
+            All listed workers.
         open_items
-            By service, items that run or wait to.
+            By service, the items that run or wait.
         evacuated
-            Zones whose workers get nothing: they count for no place, and none are ordered or given
-            back there.
+            Evacuated zones: their workers' slots don't count, and no orders are sent for them.
         """
         if not self.policy.enabled:
             return []
@@ -113,12 +110,12 @@
             self._watched_since.setdefault(service.name, now)
             demand = self._demands.setdefault(service.name, Demand())
             demand.record(open_items.get(service.name, 0), now)
-            self._count(service.name, service.scaling, own, now)
+            self._count_workers(service.name, service.scaling, own, now)
             targets = self._targets(
                 service.name, service.scaling, own, demand.peak, now=now, evacuated=evacuated
             )
-            staying = {g: count for g, count in targets.items() if g.zone not in evacuated}
-            orders += self._orders(service.scaling, staying, now)
+            serving_targets = {g: count for g, count in targets.items() if g.zone not in evacuated}
+            orders += self._orders(service.scaling, serving_targets, now)
         return orders
 
     def sent(self, order: WorkerOrder, outcome: DutyOutcome, now: float) -> None:
@@ -135,8 +132,10 @@
     def _group(self, group: WorkerGroup) -> GroupState:
         return self._groups.setdefault(group, GroupState())
 
-    def _count(self, service: str, scaling: Scaling, workers: Sequence[Worker], now: float) -> None:
-        """Record how many workers of each group serve."""
+    def _count_workers(
+        self, service: str, scaling: Scaling, workers: Sequence[Worker], now: float
+    ) -> None:
+        """Record how many workers of each group are listed and not draining."""
         announcements = [worker.announcement for worker in workers]
         counts = Counter((a.zone, a.spot) for a in announcements if not a.draining)
         for zone in scaling.zone_prices:
@@ -145,16 +144,16 @@
                 group.update(counts[(zone, spot)], now)
                 settled = group.present > 0 and now - group.since >= SETTLE_SECONDS
                 if not spot and settled and group.present > (group.ordered or 0):
-                    group.found = group.present
+                    group.baseline = group.present
         if any(a.spot and a.draining for a in announcements):
             self._reclaimed_at[service] = now
 
     def _orders(
         self, scaling: Scaling, targets: Mapping[WorkerGroup, int], now: float
     ) -> list[WorkerOrder]:
-        """Return orders for the groups whose count differs from the target."""
+        """Return the orders for the targets that are due."""
         orders = [WorkerOrder(group, count) for group, count in sorted(targets.items())]
-        return [order for order in orders if self._due(order, scaling, now)]
+        return [order for order in orders if self._is_due(order, scaling, now)]
 
     def _targets(
         self,
@@ -166,52 +165,57 @@
         now: float,
         evacuated: Container[str],
     ) -> dict[WorkerGroup, int]:
-        found = {
-            zone: self._group(WorkerGroup(service, zone, False)).found
+        baseline = {
+            zone: self._group(WorkerGroup(service, zone, False)).baseline
             for zone in scaling.zone_prices
         }
-        if all(count is None for count in found.values()):
+        if all(count is None for count in baseline.values()):
             return {}
-        base = {zone: count or 0 for zone, count in found.items()}
+        baseline_counts = {zone: count or 0 for zone, count in baseline.items()}
         slots = max((w.announcement.slots for w in workers), default=1)
         needed = math.ceil(peak * self.policy.places_per_item / max(1, slots))
-        serving = sum(count for zone, count in base.items() if zone not in evacuated)
+        serving = sum(count for zone, count in baseline_counts.items() if zone not in evacuated)
         missing = max(0, needed - serving)
         extra = ExtraWorkers(
             service=service,
             scaling=scaling,
-            found=base,
+            baseline=baseline_counts,
             state=self._group,
             spot=self._uses_spot(service, scaling, now),
             evacuated=evacuated,
             now=now,
         ).counts(missing)
         return {
-            group: count + (0 if group.spot else base[group.zone])
+            group: count + (0 if group.spot else baseline_counts[group.zone])
             for group, count in extra.items()
-            if group.spot or found[group.zone] is not None
+            if group.spot or baseline[group.zone] is not None
         }
 
     def _uses_spot(self, service: str, scaling: Scaling, now: float) -> bool:
-        """Return whether missing workers are of the cheaper kind: none was taken away lately."""
-        calm = now - self._reclaimed_at.get(service, -math.inf) > SPOT_AVOIDANCE_SECONDS
-        return self.policy.spot and scaling.spot_price is not None and calm
+        """Return whether to order spot workers: allowed, offered, and none reclaimed lately."""
+        no_recent_reclaim = (
+            now - self._reclaimed_at.get(service, -math.inf) > SPOT_AVOIDANCE_SECONDS
+        )
+        return self.policy.spot and scaling.spot_price is not None and no_recent_reclaim
+
+    def _demand_is_known(self, group: WorkerGroup, now: float) -> bool:
+        """Return whether the demand was watched long enough to release workers.
 
-    def _knows_demand(self, group: WorkerGroup, now: float) -> bool:
-        """Return whether the demand was watched long enough to give workers back.
+        A new lease holder has not seen earlier peaks.
 
-        A new holder of the lease has seen no peak yet.
         """
         return now - self._watched_since[group.service] >= PEAK_RETENTION_SECONDS
 
-    def _due(self, order: WorkerOrder, scaling: Scaling, now: float) -> bool:
-        """Return whether an order is to be sent: it is new, or its workers did not appear."""
+    def _is_due(self, order: WorkerOrder, scaling: Scaling, now: float) -> bool:
+        """Return whether to send an order: it is new, or its workers did not appear in time."""
         group = self._group(order.group)
-        gives_back = order.count < (group.ordered or 0)
-        if now < group.not_before or (gives_back and not self._knows_demand(order.group, now)):
+        releases_workers = order.count < (group.ordered or 0)
+        if now < group.not_before or (
+            releases_workers and not self._demand_is_known(order.group, now)
+        ):
             return False
         if order.count != group.ordered and (order.count > 0 or group.ordered):
             return True
         repeat_at = group.ordered_at + scaling.boot_seconds + REPEAT_MARGIN_SECONDS
-        lost = group.present < order.count and now - group.since >= REPEAT_MARGIN_SECONDS
-        return lost and now >= repeat_at
+        workers_missing = group.present < order.count and now - group.since >= REPEAT_MARGIN_SECONDS
+        return workers_missing and now >= repeat_at
--- a/src/stagewalk/gateway/autoscaling/demand.py
+++ b/src/stagewalk/gateway/autoscaling/demand.py
@@ -1,6 +1,6 @@
-"""How many items of a service were open at a time lately. Pure.
+"""The recent peak of a service's open items. Pure.
 
-Owns the peaks of the last `PEAK_RETENTION_SECONDS`; relies on its caller for the counts.
+It is the maximum over a sliding window of `PEAK_RETENTION_SECONDS`.
 """
 
 from __future__ import annotations
@@ -8,17 +8,16 @@
 from collections import deque
 
 PEAK_RETENTION_SECONDS = 120.0
-"""How long a peak counts: a worker that is given back is missed for its time to boot when the load
-returns, as after a minute in which trainers fell behind. Two minutes of one that isn't needed cost
-less than a late step."""
+"""How long a peak counts. Replacing a worker that was released too early costs its boot time, which
+delays a step; an idle worker for two minutes costs less."""
 
 
 class Demand:
-    """The peak of open items over a time."""
+    """The maximum of open items over the retention time."""
 
     def __init__(self) -> None:
         self._peaks: deque[tuple[float, int]] = deque()
-        """Times and counts; the counts fall from left to right."""
+        """Times and counts, with strictly decreasing counts."""
 
     def record(self, open_items: int, now: float) -> None:
         """Record how many items are open now."""
@@ -30,5 +29,5 @@
 
     @property
     def peak(self) -> int:
-        """Return the most items that were open at a time."""
+        """Return the most items that were open at once."""
         return self._peaks[0][1] if self._peaks else 0
--- a/src/stagewalk/gateway/autoscaling/worker_counts.py
+++ b/src/stagewalk/gateway/autoscaling/worker_counts.py
@@ -1,8 +1,7 @@
-"""How many workers beyond those found each group should have. Pure.
+"""Distributes workers beyond the baseline over zones and kinds. Pure.
 
-Inputs are the workers found in each zone, what was ordered before, and how many are missing for the
-demand. Owns the rule that spreads the missing ones; relies on `autoscaling.core` for the demand and
-for the outcome of earlier orders.
+Inputs are the baseline of each zone, earlier orders and their outcomes, and how many workers are
+missing for the demand.
 """
 
 from __future__ import annotations
@@ -17,68 +16,68 @@
 
 @dataclass(slots=True)
 class GroupState:
-    """Workers of a service and zone, of one kind. Times are of the steady clock.
+    """Regular or spot workers of one service and zone. Times are of the steady clock.
 
     Attributes
     ----------
-    present
-        Workers listed and not draining, and since when there are so many.
-    found
-        Workers that were there when the service was first seen, None until their count has settled.
+    present, since
+        Workers listed and not draining, and since when this count is unchanged.
+    baseline
+        Workers present when the service was first seen, None until their count has settled.
     ordered, ordered_at
-        The newest order, and when it was sent.
+        Count of the latest order, and when it was sent.
     not_before
-        Until then none is ordered: the zone had none to give, or a call failed.
+        No order is sent before this time: the zone had no workers available, or a call failed.
     """
 
     present: int = 0
     since: float = -math.inf
-    found: int | None = None
+    baseline: int | None = None
     ordered: int | None = None
     ordered_at: float = -math.inf
     not_before: float = -math.inf
 
     def update(self, present: int, now: float) -> None:
-        """Set how many are listed now."""
+        """Set how many are present now."""
         if present != self.present:
             self.present, self.since = present, now
 
 
 @dataclass(frozen=True, slots=True)
 class ExtraWorkers:
-    """Inputs of one decision for a service.
+    """Inputs of one scaling decision for a service.
 
     Parameters
     ----------
-    found
-        By zone, workers found at first.
+    baseline
+        Baseline workers by zone.
     state
-        Returns what is known of a group.
+        Returns the state of a group.
     spot
-        Whether missing workers are of the cheaper kind.
+        Whether missing workers are ordered as spot workers.
     evacuated
-        Zones that keep what was ordered there and get nothing more.
+        Evacuated zones: what was ordered there is kept, and nothing is added.
     now
         Steady time, in seconds.
     """
 
     service: str
     scaling: Scaling
-    found: Mapping[str, int]
+    baseline: Mapping[str, int]
     state: Callable[[WorkerGroup], GroupState]
     spot: bool
     evacuated: Container[str]
     now: float
 
     def counts(self, missing: int) -> dict[WorkerGroup, int]:
-        """Return how many workers beyond those found each group should have.
+        """Return how many workers beyond the baseline each group should have.
 
-        What was ordered is kept while it is needed, of either kind; what is missing besides is of
-        one kind, spread evenly, cheap zones first.
+        Workers that were ordered are kept while they are needed, regular and spot. Further missing
+        ones are of one kind and spread evenly, cheap zones first.
         """
         counts: dict[WorkerGroup, int] = {}
         for group in self._groups():
-            ordered = self._ordered_beyond_found(group)
+            ordered = self._ordered_beyond_baseline(group)
             if group.zone in self.evacuated:
                 counts[group] = max(0, ordered)
                 continue
@@ -88,7 +87,7 @@
         return counts
 
     def _groups(self) -> Iterator[WorkerGroup]:
-        """Yield ordinary groups before the cheaper kind, and cheap zones before others."""
+        """Yield regular groups before spot groups, each by ascending zone price."""
         for spot in (False, True):
             for zone in self._zones():
                 yield WorkerGroup(self.service, zone, spot)
@@ -97,27 +96,27 @@
         prices = self.scaling.zone_prices
         return sorted(prices, key=lambda zone: prices[zone])
 
-    def _ordered_beyond_found(self, group: WorkerGroup) -> int:
+    def _ordered_beyond_baseline(self, group: WorkerGroup) -> int:
         state = self.state(group)
         ordered = state.ordered or 0
         if not group.spot:
-            return ordered - self.found[group.zone]
-        # Workers of the cheaper kind that were taken away are not replaced by their like.
+            return ordered - self.baseline[group.zone]
+        # Reclaimed spot workers are not replaced by spot workers.
         return ordered if self.spot else min(ordered, state.present)
 
     def _spread(self, counts: dict[WorkerGroup, int], missing: int) -> None:
-        """Add missing workers one by one, each to the open group with the fewest."""
+        """Add missing workers one by one, each to the available group with the lowest count."""
         candidates = [WorkerGroup(self.service, zone, self.spot) for zone in self._zones()]
         for _ in range(missing):
-            open_groups = [group for group in candidates if self._is_open(group, counts)]
-            if not open_groups:
+            available_groups = [group for group in candidates if self._is_available(group, counts)]
+            if not available_groups:
                 return
-            counts[min(open_groups, key=lambda group: counts[group])] += 1
+            counts[min(available_groups, key=lambda group: counts[group])] += 1
 
-    def _is_open(self, group: WorkerGroup, counts: Mapping[WorkerGroup, int]) -> bool:
-        """Return whether a group's zone may be asked for one more worker."""
+    def _is_available(self, group: WorkerGroup, counts: Mapping[WorkerGroup, int]) -> bool:
+        """Return whether one more worker of a group may be ordered."""
         if group.zone in self.evacuated or self.now < self.state(group).not_before:
             return False
         both = (WorkerGroup(self.service, group.zone, spot) for spot in (False, True))
-        in_zone = self.found[group.zone] + sum(counts[kind] for kind in both)
+        in_zone = self.baseline[group.zone] + sum(counts[kind] for kind in both)
         return in_zone < self.scaling.most
