--- a/src/stagewalk/gateway/version_rollouts/__init__.py
+++ b/src/stagewalk/gateway/version_rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Version rollouts: bringing each model's named weight version to the engines."""
+"""Version rollouts: ordering engines to load the named weight version of each model."""
--- a/src/stagewalk/gateway/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -1,11 +1,10 @@
 """Decides which engine is ordered to which version, and when. Pure.
 
-Inputs: listed engines and the versions they hold, named versions, the oldest version that batches
-accept, evacuated zones, and the time in seconds of the steady clock. Rule: engines load fastest few
-at a time, and each load costs. With several models each has a set of engines of its own
-(`engine_sets`). A step that accepts the version before can run on engines that hold either; so an
-engine that is one version behind is left alone while others are further behind, and half of the
-engines change with each version.
+Inputs are the listed engines and the versions they hold, the named versions, the oldest version
+that batches accept, evacuated zones, and the time in seconds of the steady clock. Only a few
+engines load at a time, since concurrent loads slow each other down, and the furthest behind come
+first. With several models, each has its own set of engines (`engine_sets`). If steps accept the
+previous version too, only half of the engines change with each version.
 """
 
 from __future__ import annotations
@@ -26,10 +25,10 @@
 from stagewalk.gateway.workers.worker import Worker
 
 LOAD_SECONDS = 0.9
-"""How long an announced load is expected to keep its engine busy: the time of a load."""
+"""How long an announced load is expected to keep its engine busy."""
 
 ORDER_DEADLINE_SECONDS = 3.0
-"""An order whose effect isn't seen after this time may be sent again."""
+"""An order is forgotten after this time and may be sent again if it had no effect."""
 
 RETRY_SECONDS = 0.3
 """Pause after a failed order to an engine."""
@@ -37,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedVersionOrder:
-    """Order an engine to bring a model to a version."""
+    """An order to an engine to load a version of a model."""
 
     worker: str
     model: str
@@ -51,7 +50,7 @@
     Attributes
     ----------
     urgency
-        Sorts first what is more urgent: versions behind (negative), occupancy, engine's name.
+        Sort key, most urgent first: versions behind (negative), occupancy, engine's name.
     """
 
     urgency: tuple[int, float, str]
@@ -62,19 +61,18 @@
 class _Pending:
     model: str
     version: int
-    until: float
+    expires_at: float
 
 
 class VersionRollouts:
-    """Keeps the newest named version of each model and the orders under way.
+    """Tracks the newest named version of each model and the pending orders.
 
     Parameters
     ----------
     evacuated
-        Returns the zones whose engines get nothing: they belong to no set, and are not ordered to
-        load what they would not serve.
+        Returns the evacuated zones: their engines belong to no set and get no orders.
     configured
-        Whether a service is in the configuration in force: entries of others are not followed.
+        Returns whether a service is in the configuration in force; engines of others are ignored.
     """
 
     def __init__(
@@ -95,7 +93,7 @@
         self._not_before: dict[str, float] = {}
         self._demand = ModelDemand()
         self._set_sizes: dict[tuple[str, ...], SetSizes] = {}
-        """By the models that engines hold."""
+        """Keyed by the models that the engines hold."""
 
     def record_named_version(self, model: str, version: int) -> bool:
         """Record a named version; return whether it is the newest."""
@@ -109,10 +107,10 @@
         return self._named.get(model, 0)
 
     def record_minimum_version(self, model: str, minimum_version: int) -> None:
-        """Record, from a submitted batch, how far behind the newest version engines may be.
+        """Record a batch's minimum version, which sets how far behind engines may be.
 
-        Batches are read again after a restart, old ones too and in any order: one that accepts
-        older versions than a batch before it is ignored.
+        Old batches are read again after a restart, in any order: a minimum that is lower than one
+        recorded before is ignored.
         """
         if minimum_version < self._minimum.get(model, 0):
             return
@@ -124,49 +122,49 @@
         self._demand.record(open_items, now)
 
     def pending(self, worker: str) -> bool:
-        """Whether an engine has an order under way."""
+        """Whether an engine has a pending order."""
         return worker in self._pending
 
     def order_started(self, order: PlannedVersionOrder, now: float) -> None:
         """Record that an order is being sent."""
-        until = now + ORDER_DEADLINE_SECONDS
-        self._pending[order.worker] = _Pending(order.model, order.version, until)
+        expires_at = now + ORDER_DEADLINE_SECONDS
+        self._pending[order.worker] = _Pending(order.model, order.version, expires_at)
 
     def expect_load(self, worker: str, model: str, version: int, now: float) -> None:
-        """Record a load that the holder of the lease announced."""
+        """Record a load announced by the lease holder."""
         known = self._workers.worker(worker)
         if known is not None and known.versions.get(model, 0) < version:
             known.loading_until[model] = now + LOAD_SECONDS
 
     def order_failed(self, worker: str, now: float) -> None:
-        """Record that an order failed; it is tried again after a pause."""
+        """Record that an order failed; it may be retried after `RETRY_SECONDS`."""
         self._pending.pop(worker, None)
         self._not_before[worker] = now + RETRY_SECONDS
 
     def decide(self, now: float) -> list[PlannedVersionOrder]:
-        """Return the orders to send now: one an engine, the engines furthest behind first."""
-        self._settle(now)
+        """Return the orders to send now, at most one for each engine, furthest behind first."""
+        self._drop_finished_orders(now)
         loaded = sum(1 for worker in self._engines() if worker.versions)
-        room = loads_at_once(loaded) - len(self._pending)
-        if room <= 0:
+        free_loads = loads_at_once(loaded) - len(self._pending)
+        if free_loads <= 0:
             return []
         orders: dict[str, PlannedVersionOrder] = {}
         for candidate in sorted(self._candidates(now), key=lambda candidate: candidate.urgency):
             orders.setdefault(candidate.order.worker, candidate.order)
-        return list(orders.values())[:room]
+        return list(orders.values())[:free_loads]
 
-    def _settle(self, now: float) -> None:
-        """Forget orders whose effect is seen, or that took too long."""
+    def _drop_finished_orders(self, now: float) -> None:
+        """Drop pending orders that took effect or timed out."""
         for name, pending in list(self._pending.items()):
             worker = self._workers.worker(name)
             done = worker is None or worker.versions.get(pending.model, 0) >= pending.version
-            if done or now >= pending.until:
+            if done or now >= pending.expires_at:
                 del self._pending[name]
                 if worker is not None:
                     worker.loading_until.pop(pending.model, None)
 
     def _candidates(self, now: float) -> list[_Candidate]:
-        """Return the orders that may be sent now, as if each were alone."""
+        """Return the orders that may be sent now, apart from the limit on concurrent loads."""
         models = self._models()
         sets = self._sets(models)
         candidates: list[_Candidate] = []
@@ -178,7 +176,7 @@
             ]
             if self._policy.engine_sets and len(models) > 1:
                 engines = [e for e in engines if sets.get(e.announcement.worker) == model]
-            for worker in self._due(engines, model, version):
+            for worker in self._engines_to_change(engines, model, version):
                 name = worker.announcement.worker
                 if name in self._pending or self._not_before.get(name, -math.inf) > now:
                     continue
@@ -187,7 +185,7 @@
         return candidates
 
     def _engines(self) -> list[Worker]:
-        """Return the listed workers that may get work."""
+        """Return the listed workers of configured services outside evacuated zones."""
         evacuated = self._evacuated()
         return [
             worker
@@ -197,11 +195,11 @@
         ]
 
     def _models(self) -> list[str]:
-        """Return the models that are trained."""
+        """Return the models with a named version or a batch."""
         return sorted(self._named.keys() | self._minimum.keys())
 
     def _sets(self, models: list[str]) -> dict[str, str]:
-        """Return the model of each engine, as the demand is now."""
+        """Assign each engine to a model by the current demand."""
         sets: dict[str, str] = {}
         for held, engines in engines_by_models(self._engines(), models).items():
             shares = self._demand.shares(held)
@@ -210,15 +208,15 @@
             sets.update(assign_engines(engines, named, sizes))
         return sets
 
-    def _due(self, engines: list[Worker], model: str, version: int) -> list[Worker]:
-        """Return the engines to change, the least loaded of the oldest first."""
+    def _engines_to_change(self, engines: list[Worker], model: str, version: int) -> list[Worker]:
+        """Return the engines to change, by version and then by load, lowest first."""
         rule = ChangeRule(
             models=len(self._named),
             lag=self._lag.get(model, 0),
             own_set=self._policy.engine_sets and len(self._models()) > 1,
             half_change=self._policy.half_change,
         )
-        behind = [engine for engine in engines if not self._newest(engine, model, version)]
+        behind = [engine for engine in engines if not self._has_or_awaits(engine, model, version)]
         too_old = sum(1 for engine in behind if engine.versions[model] < version - rule.lag)
         oldest_first = sorted(
             behind,
@@ -230,8 +228,8 @@
         )
         return oldest_first[: rule.changes(len(engines), len(behind), too_old)]
 
-    def _newest(self, engine: Worker, model: str, version: int) -> bool:
-        """Whether an engine holds a version, or is being brought to it."""
+    def _has_or_awaits(self, engine: Worker, model: str, version: int) -> bool:
+        """Whether an engine holds a version, or has a pending order to load it."""
         pending = self._pending.get(engine.announcement.worker)
         if pending is not None and (pending.model, pending.version) == (model, version):
             return True
--- a/tests/gateway/version_rollouts/test_engine_sets.py
+++ b/tests/gateway/version_rollouts/test_engine_sets.py
@@ -1,4 +1,4 @@
-"""With several models each has engines of its own: fewer loads, and none without engines."""
+"""With several models, each has its own set of engines, which takes fewer loads."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
         entry = announcement(name, versions=dict.fromkeys(MODELS, version))
         self.workers.announce(entry, 0.0)
 
-    def play(self, policy: Policy, versions: range) -> int:
-        """Bring all models from version to version; return how many loads that took."""
+    def roll_out_versions(self, policy: Policy, versions: range) -> int:
+        """Roll out all models through the versions; return how many loads that took."""
         rollouts = VersionRollouts(self.workers, policy)
         loads = 0
         for version in versions:
@@ -55,8 +55,8 @@
     def usable(self, model: str, oldest: int) -> int:
         return sum(w.versions[model] >= oldest for w in self.workers.all())
 
-    def test_sets_are_of_equal_size_and_found_again_by_whoever_decides_next(self) -> None:
-        self.play(SETS, range(2, 8))
+    def test_sets_are_of_equal_size_and_the_same_for_the_next_lease_holder(self) -> None:
+        self.roll_out_versions(SETS, range(2, 8))
         named = dict.fromkeys(MODELS, 7)
         sets = self.assign(named)
         self.assertEqual([7, 8, 8], sorted(Counter(sets.values()).values()))
@@ -64,8 +64,8 @@
             held = self.workers.worker(name).versions
             self.assertEqual(max(held.values()), held[model])
 
-    def test_an_engine_that_goes_or_comes_moves_few_others(self) -> None:
-        self.play(SETS, range(2, 8))
+    def test_adding_or_removing_an_engine_moves_few_others(self) -> None:
+        self.roll_out_versions(SETS, range(2, 8))
         named = dict.fromkeys(MODELS, 7)
         before = self.assign(named)
         self.workers.remove("e3", 100.0, 0.0)
@@ -74,16 +74,16 @@
         moved = [name for name in before if name in after and before[name] != after[name]]
         self.assertLessEqual(len(moved), 1)
 
-    def test_loads_are_half_as_many_as_with_all_engines_at_all_versions(self) -> None:
-        together = self.play(Policy(engine_sets=False), range(2, 10))
-        apart = self.play(SETS, range(10, 18))
+    def test_sets_take_about_half_the_loads_of_updating_all_engines(self) -> None:
+        together = self.roll_out_versions(Policy(engine_sets=False), range(2, 10))
+        apart = self.roll_out_versions(SETS, range(10, 18))
         self.assertLess(apart, 0.65 * together)
 
-    def test_one_model_has_all_engines(self) -> None:
+    def test_a_single_model_has_all_engines(self) -> None:
         self.assertEqual({"m"}, set(self.assign({"m": 1}).values()))
         self.assertEqual({}, self.assign({}))
 
-    def test_sets_are_as_large_as_their_models_part_of_the_open_items(self) -> None:
+    def test_sets_are_sized_by_their_models_share_of_the_open_items(self) -> None:
         rollouts = VersionRollouts(self.workers, SETS)
         for model in MODELS:
             rollouts.record_named_version(model, 2)
@@ -95,7 +95,7 @@
         rollouts.record_open_items({"m": 14, "n": 40, "o": 46}, 103.0)
         self.assertEqual(sizes, Counter(rollouts._sets(list(MODELS)).values()))
 
-    def test_engines_that_hold_other_models_are_shared_out_among_those(self) -> None:
+    def test_engines_that_hold_other_models_are_assigned_to_those(self) -> None:
         for number in range(4):
             self.workers.announce(announcement(f"other{number}", versions={"p": 1}), 0.0)
         rollouts = VersionRollouts(self.workers, SETS)
@@ -108,7 +108,7 @@
         self.assertEqual({"p"}, {sets[f"other{n}"] for n in range(4)})
 
     def test_engines_of_an_evacuated_zone_belong_to_no_set_and_get_no_orders(self) -> None:
-        """What serves meanwhile holds the new version; those come after they are back."""
+        """They are assigned to sets again after the evacuation."""
         away = set(list(self.workers_named())[:8])
         for name in away:
             known = self.workers.worker(name)
@@ -126,7 +126,7 @@
     def workers_named(self) -> set[str]:
         return {worker.announcement.worker for worker in self.workers.all()}
 
-    def test_a_model_without_open_items_keeps_half_of_an_equal_part(self) -> None:
+    def test_a_model_without_open_items_keeps_half_of_an_equal_share(self) -> None:
         demand = ModelDemand()
         demand.record({"m": 0, "n": 90}, 0.0)
         shares = demand.shares(["m", "n"])
