--- a/src/stagewalk/gateway/usage/__init__.py
+++ b/src/stagewalk/gateway/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage: how many requests of each tenant began to run in each window of time, reported once."""
+"""Usage metering: counts each tenant's started requests by time window and reports them."""
--- a/src/stagewalk/gateway/usage/meter.py
+++ b/src/stagewalk/gateway/usage/meter.py
@@ -1,7 +1,6 @@
-"""Counts what began to run at this process, by window and tenant. Pure.
+"""Counts the requests started by this process, by window and tenant. Pure.
 
-Owns this process's counts and which of them no record holds yet; relies on its caller for the time
-of day (`usage.wall_clock`).
+The caller provides the wall-clock time (`usage.wall_clock`).
 """
 
 from __future__ import annotations
@@ -11,23 +10,23 @@
 from stagewalk.gateway.usage.records import UsageCounted
 
 KEPT_WINDOWS = 12
-"""Windows whose counts are kept; later counts come after their window's report."""
+"""Number of windows kept; counts of older windows would miss their report."""
 
 
 def window_of(wall: float, window_seconds: float) -> int:
-    """Return the number of the window that a time of day, in seconds since 1970, lies in."""
+    """Return the number of the window that contains a wall-clock time in seconds since 1970."""
     return int(wall // window_seconds)
 
 
 class UsageMeter:
-    """The counts of one process.
+    """The usage counts of one process.
 
-    Records hold the sum so far of a window, so one that comes twice or late changes nothing.
+    Records hold cumulative counts of a window, so that duplicates and old records have no effect.
 
     Parameters
     ----------
     process
-        Identity of this start of the process.
+        Identity of the process, different after each restart.
     """
 
     def __init__(self, process: str, window_seconds: float) -> None:
@@ -38,11 +37,11 @@
 
     @property
     def changed(self) -> bool:
-        """Whether there are counts that no record holds."""
+        """Whether there are counts that are in no record yet."""
         return bool(self._changed)
 
     def count(self, tenant: str, wall: float) -> None:
-        """Count a request that began to run at a time of day."""
+        """Count a request that started at a wall-clock time."""
         window = window_of(wall, self._window_seconds)
         self._counts.setdefault(window, Counter())[tenant] += 1
         self._changed.add(window)
--- a/src/stagewalk/gateway/usage/records.py
+++ b/src/stagewalk/gateway/usage/records.py
@@ -1,6 +1,6 @@
-"""Records of usage in the log, and the counts of a report as they are stored.
+"""Serialization of usage records in the log and of the counts of stored reports.
 
-Owns both stored forms, which stay readable by later releases; relies on `msgspec`.
+Both formats have to stay readable by later releases.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class UsageCounted(msgspec.Struct, frozen=True, array_like=True, tag="counted"):
-    """What began to run at a process in a window, so far, by tenant."""
+    """Cumulative counts by tenant of the requests started by a process in a window."""
 
     process: str
     window: int
@@ -25,7 +25,7 @@
 
 
 def decode_usage(payload: bytes) -> UsageCounted | None:
-    """Return a payload's record, None if it is none."""
+    """Return the record of a payload, None if it is not a usage record."""
     try:
         return _DECODER.decode(payload)
     except msgspec.DecodeError:
@@ -33,12 +33,12 @@
 
 
 def encode_counts(counts: dict[str, int]) -> bytes:
-    """Return the counts of a report in their stored form."""
+    """Return the counts of a report in the stored format."""
     return msgspec.msgpack.encode(dict(sorted(counts.items())))
 
 
 def decode_counts(content: bytes) -> dict[str, int] | None:
-    """Return stored counts, None if the bytes hold none."""
+    """Return the stored counts, None if `content` can't be decoded."""
     try:
         return _COUNTS.decode(content)
     except msgspec.DecodeError:
--- a/src/stagewalk/gateway/usage/reporting.py
+++ b/src/stagewalk/gateway/usage/reporting.py
@@ -1,11 +1,8 @@
 """Decides when a window's usage is summed, stored and sent. Pure.
 
-Only the holder of the lease on duties decides. A window is summed once: what was stored under the
-holder's fencing token is sent, by the holder of that time, and never summed again. So two reports
-of one window are always equal, whatever the outcome of a call or the fate of a holder.
-
-Owns the reports of this process's view and their retries; relies on `usage.account` for the sums
-and on its caller for storing and sending.
+Only the lease holder decides. The sum of a window is stored once, under the holder's fencing token,
+and every holder sends the stored counts. So all reports of a window are equal, also after lost
+answers and changes of the holder. The caller stores and sends the reports.
 """
 
 from __future__ import annotations
@@ -18,22 +15,22 @@
 from stagewalk.gateway.usage.meter import window_of
 
 SUM_DELAY_SECONDS = 3.5
-"""How long after a window's end it is summed: counts are in the log 0.3 s after a request began,
-and a node that is cut off reaches it through another node within 2 s."""
+"""Delay from a window's end until it is summed: counts are in the log within 0.3 s, or within 2 s
+if a node has to append them through another node."""
 
 POSTED_SECONDS = 1.5
-"""How long after a window's end all its counts are in the log: 1.0 s of requests still under way,
-and 0.3 s until they are appended."""
+"""Time after a window's end by which all its counts are in the log: 1.0 s for requests that are
+still running and not counted yet, and 0.3 s until counts are appended."""
 
 RESERVE_SECONDS = 2.0
-"""How long before its due time a report is made from the counts at hand, even if the view of them
-is not current: time for a few tries of the call."""
+"""Time before the due time at which a report is made from the known counts, even if the view is not
+current: it leaves time for some retries."""
 
 RETRY_SECONDS = 0.4
-"""Between two tries at a report: three fit into the reserve."""
+"""Pause between two attempts to send a report: three fit into `RESERVE_SECONDS`."""
 
 MAXIMUM_RECORDS_BEHIND = 24
-"""Windows that are further behind are not reported any more."""
+"""Windows older than this number of windows are not reported any more."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +59,7 @@
 
 @dataclass(slots=True)
 class UsageReporting:
-    """The reports of the latest windows, as this process knows them.
+    """This process's view of the reports of the latest windows.
 
     Attributes
     ----------
@@ -75,33 +72,33 @@
     window_seconds: float
     due_seconds: float
     _reports: dict[int, _Report] = field(default_factory=dict)
-    _begins: int | None = None
-    """The first window to report where none was stored."""
+    _start_window: int | None = None
+    """The first window to report if no report is stored."""
 
     def apply_written_report(self, window: int, counts: dict[str, int]) -> None:
-        """Apply a stored report; the first one of a window stands."""
+        """Apply a stored report; later ones of the same window are ignored."""
         self._reports.setdefault(window, _Report(counts))
         for old in sorted(self._reports)[:-MAXIMUM_RECORDS_BEHIND]:
             del self._reports[old]
 
     def decide(
-        self, account: UsageAccount, wall: float, now: float, seen_to: float
+        self, account: UsageAccount, wall: float, now: float, complete_until: float
     ) -> list[WriteReport | SendReport]:
         """Return the reports to store and to send now.
 
         Parameters
         ----------
         wall, now
-            The time of day and of the steady clock, in seconds.
-        seen_to
-            The time of day as of which the view of the counts is complete.
+            Times of the wall clock and of the steady clock, in seconds.
+        complete_until
+            Wall-clock time up to which the view of the counts is complete.
         """
         steps: list[WriteReport | SendReport] = []
         window = self._next_window(account, wall)
-        while self._may_sum(window, wall, seen_to):
+        while self._may_sum(window, wall, complete_until):
             steps.append(WriteReport(window, account.total(window)))
             window += 1
-        return [*steps, *self._sends(wall, now)]
+        return [*steps, *self._reports_to_send(wall, now)]
 
     def mark_sending(self, window: int) -> None:
         """Record that a report is being sent."""
@@ -121,19 +118,19 @@
         if self._reports:
             first = max(self._reports) + 1
         else:
-            if self._begins is None:
-                self._begins = current
+            if self._start_window is None:
+                self._start_window = current
             counted = account.first_window
-            first = self._begins if counted is None else min(counted, self._begins)
+            first = self._start_window if counted is None else min(counted, self._start_window)
         return max(first, current - MAXIMUM_RECORDS_BEHIND)
 
-    def _may_sum(self, window: int, wall: float, seen_to: float) -> bool:
+    def _may_sum(self, window: int, wall: float, complete_until: float) -> bool:
         end = (window + 1) * self.window_seconds
         latest = self.due_seconds - RESERVE_SECONDS
-        whole = seen_to >= end + POSTED_SECONDS
-        return wall - end >= latest or (whole and wall - end >= min(SUM_DELAY_SECONDS, latest))
+        complete = complete_until >= end + POSTED_SECONDS
+        return wall - end >= latest or (complete and wall - end >= min(SUM_DELAY_SECONDS, latest))
 
-    def _sends(self, wall: float, now: float) -> list[SendReport]:
+    def _reports_to_send(self, wall: float, now: float) -> list[SendReport]:
         oldest = window_of(wall - self.due_seconds, self.window_seconds) - 1
         return [
             SendReport(window, report.counts)
--- a/src/stagewalk/gateway/usage/wall_clock.py
+++ b/src/stagewalk/gateway/usage/wall_clock.py
@@ -1,6 +1,6 @@
-"""Time of day that does not follow a clock which jumps and returns. Pure.
+"""Wall-clock time that ignores temporary jumps of the system clock. Pure.
 
-Owns the offsets between the two clocks; relies on its caller to read both.
+The caller reads the system clock and the steady clock.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 from statistics import median_low
 
 SAMPLES = 120
-"""A minute of samples: a jump counts once it has lasted for more than half of them."""
+"""Samples kept, one minute: a jump is followed once it lasts for more than half of them."""
 
 SAMPLE_SECONDS = 0.5
-"""Least time between two samples."""
+"""Minimum time between two samples."""
 
 
 class WallClock:
-    """Time of day by the steady clock, with the median of the offsets seen between the two."""
+    """The steady clock plus the median of its recent offsets to the system clock."""
 
     def __init__(self, wall: float, steady: float) -> None:
         self._offsets = deque([wall - steady], maxlen=SAMPLES)
@@ -24,8 +24,7 @@
         self._sampled_at = steady
 
     def sample(self, wall: float, steady: float) -> None:
-        """Record a reading of both clocks, in seconds, unless it comes within `SAMPLE_SECONDS` of
-        the last one."""
+        """Record a reading of both clocks, in seconds, once per `SAMPLE_SECONDS` at most."""
         if steady - self._sampled_at < SAMPLE_SECONDS:
             return
         self._sampled_at = steady
@@ -33,5 +32,5 @@
         self._offset = median_low(self._offsets)
 
     def at(self, steady: float) -> float:
-        """Return the time of day, in seconds since 1970, of a time of the steady clock."""
+        """Convert a time of the steady clock to seconds since 1970."""
         return steady + self._offset
--- a/tests/gateway/usage/test_reporting.py
+++ b/tests/gateway/usage/test_reporting.py
@@ -1,7 +1,8 @@
-"""One report for each window: written down under the fence, then sent, whoever holds the lease.
+"""Each window has one report, stored under the fence before it is sent, by any lease holder.
 
-Processes freeze, lose answers, lag and die in a world on a virtual clock; the platform carries
-calls out late and checks fences. Mutants show that the checks find what they are for."""
+A simulation on a virtual clock freezes and restarts processes and delays or loses calls. Mutations
+show that the checks detect a missing mechanism.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +36,7 @@
 DUE = 10.0
 QUIET = 3.0
 STEP = 0.1
-BEGAN = 1_000_000.0
+WALL_START = 1_000_000.0
 SECONDS = 90.0
 
 
@@ -50,17 +51,17 @@
         wall = 200_001 * WINDOW + after_end
         return self.reporting.decide(self.account, wall, after_end, wall - seen)
 
-    def test_a_window_is_summed_once_its_counts_are_there(self) -> None:
+    def test_a_window_is_summed_once_its_counts_are_in_the_log(self) -> None:
         self.assertEqual([], self.decide(SUM_DELAY_SECONDS - 0.1))
         self.assertEqual([WriteReport(200_000, {"a": 3})], self.decide(SUM_DELAY_SECONDS))
 
-    def test_a_view_that_lags_is_waited_for_until_the_report_is_nearly_due(self) -> None:
+    def test_a_lagging_view_delays_the_sum_until_the_report_is_nearly_due(self) -> None:
         lag = SUM_DELAY_SECONDS - POSTED_SECONDS + 0.1
         self.assertEqual([], self.decide(SUM_DELAY_SECONDS, lag))
         nearly_due = DUE - RESERVE_SECONDS
         self.assertIn(WriteReport(200_000, {"a": 3}), self.decide(nearly_due, 60.0))
 
-    def test_what_was_written_is_sent_again_until_it_is_taken(self) -> None:
+    def test_a_stored_report_is_sent_until_it_is_accepted(self) -> None:
         self.reporting.apply_written_report(200_000, {"a": 2})
         self.reporting.apply_written_report(200_000, {"a": 3})
         send = SendReport(200_000, {"a": 2})
@@ -77,7 +78,7 @@
         self.reporting.apply_written_report(200_000, {"a": 3})
         self.assertIn(WriteReport(200_001, {}), self.decide(WINDOW + SUM_DELAY_SECONDS))
 
-    def test_counts_are_kept_exactly(self) -> None:
+    def test_stored_counts_are_decoded_unchanged(self) -> None:
         counts = {"b": 2, "a": 1}
         self.assertEqual(counts, decode_counts(encode_counts(counts)))
         self.assertIsNone(decode_counts(b"?"))
@@ -85,7 +86,7 @@
 
 @dataclass
 class Mutations:
-    """Mechanisms switched off."""
+    """Mechanisms to disable."""
 
     sum_again: bool = False
     send_before_writing: bool = False
@@ -95,42 +96,42 @@
 
 @dataclass
 class Process:
-    """A node that may hold the lease: its views lag, it may be frozen."""
+    """A process that may hold the lease, and may be frozen."""
 
     name: str
     lease: LogLease
     reporting: UsageReporting
     clock: WallClock
-    read_to: int = 0
+    next_offset: int = 0
     frozen_until: float = -1.0
     pending: list[Callable[[], None]] = field(default_factory=list)
-    """Calls decided before a freeze and made after it."""
+    """Calls decided before a freeze and executed after it."""
 
 
 class World:
     def __init__(self, seed: int, mutations: Mutations) -> None:
-        self.chooser = random.Random(seed)
+        self.rng = random.Random(seed)
         self.mutations = mutations
         self.now = 0.0
         self.records: list[bytes] = []
-        self.late: list[tuple[float, Callable[[], None]]] = []
+        self.delayed_calls: list[tuple[float, Callable[[], None]]] = []
         self.highest_fence = -1
         self.accepted: dict[int, dict[str, int]] = {}
         self.accepted_at: dict[int, float] = {}
-        self.broken: list[str] = []
-        self.truth: dict[int, dict[str, int]] = {}
+        self.violations: list[str] = []
+        self.expected_counts: dict[int, dict[str, int]] = {}
         self.account = UsageAccount()
-        """What the log holds; every process reads it in time."""
-        self.untold: list[tuple[float, UsageCounted]] = []
+        """Sums of the log's records, shared by all processes."""
+        self.unread_records: list[tuple[float, UsageCounted]] = []
         self.processes = [self._process(f"m{n}", n) for n in range(3)]
 
     def _process(self, machine: str, number: int) -> Process:
-        off = 1.7 * number if self.mutations.window_by_local_clock else 0.0
+        clock_error = 1.7 * number if self.mutations.window_by_local_clock else 0.0
         return Process(
             machine,
-            LogLease(f"{machine}#{self.chooser.random()}", QUIET, 0.15 * number),
+            LogLease(f"{machine}#{self.rng.random()}", QUIET, 0.15 * number),
             UsageReporting(WINDOW, DUE),
-            WallClock(BEGAN + off, 0.0),
+            WallClock(WALL_START + clock_error, 0.0),
         )
 
     # The platform.
@@ -142,40 +143,40 @@
         known = self.accepted.setdefault(window, counts)
         self.accepted_at.setdefault(window, self.now)
         if known != counts:
-            self.broken.append(f"window {window}: {known} and {counts}")
+            self.violations.append(f"window {window}: {known} and {counts}")
 
-    # What happens.
+    # The simulation.
 
-    def play(self) -> World:
+    def simulate(self) -> World:
         while self.now < SECONDS:
             self.now = round(self.now + STEP, 3)
             self._traffic()
-            for due, call in [entry for entry in self.late if entry[0] <= self.now]:
-                self.late.remove((due, call))
+            for due, call in [entry for entry in self.delayed_calls if entry[0] <= self.now]:
+                self.delayed_calls.remove((due, call))
                 call()
             for process in self.processes:
-                self._disturb(process)
+                self._inject_faults(process)
                 if self.now >= process.frozen_until:
                     self._step(process)
         return self
 
     def _traffic(self) -> None:
-        window = int((BEGAN + self.now) // WINDOW)
-        tenant = self.chooser.choice("abc")
-        counts = self.truth.setdefault(window, {})
+        window = int((WALL_START + self.now) // WINDOW)
+        tenant = self.rng.choice("abc")
+        counts = self.expected_counts.setdefault(window, {})
         counts[tenant] = counts.get(tenant, 0) + 1
-        cut_off = self.chooser.random() < 0.02
-        told_at = self.now + (self.chooser.uniform(1.0, 9.0) if cut_off else 0.25)
+        cut_off = self.rng.random() < 0.02
+        visible_at = self.now + (self.rng.uniform(1.0, 9.0) if cut_off else 0.25)
         record = UsageCounted(f"p{self.now}", window, {tenant: 1})
-        self.untold.append((told_at, record))
-        for told_at, record in [entry for entry in self.untold if entry[0] <= self.now]:
-            self.untold.remove((told_at, record))
+        self.unread_records.append((visible_at, record))
+        for visible_at, record in [entry for entry in self.unread_records if entry[0] <= self.now]:
+            self.unread_records.remove((visible_at, record))
             self.account.apply(record)
 
-    def _disturb(self, process: Process) -> None:
-        if self.chooser.random() < 0.004:
-            process.frozen_until = self.now + self.chooser.uniform(0.5, 9.0)
-        if self.chooser.random() < 0.002:
+    def _inject_faults(self, process: Process) -> None:
+        if self.rng.random() < 0.004:
+            process.frozen_until = self.now + self.rng.uniform(0.5, 9.0)
+        if self.rng.random() < 0.002:
             index = self.processes.index(process)
             self.processes[index] = self._process(process.name, index)
             self.processes[index].frozen_until = self.now + 1.0
@@ -190,7 +191,7 @@
             self._report(process)
 
     def _read(self, process: Process) -> None:
-        for offset in range(process.read_to, len(self.records)):
+        for offset in range(process.next_offset, len(self.records)):
             record = decode_lease_record(self.records[offset])
             process.lease.skip(offset + 1)
             if isinstance(record, LeaseRecord):
@@ -200,7 +201,7 @@
                 if valid and not self.mutations.sum_again:
                     window = int(record.subject.partition("/")[2])
                     process.reporting.apply_written_report(window, decode_counts(record.content))
-        process.read_to = len(self.records)
+        process.next_offset = len(self.records)
 
     def _keep_lease(self, process: Process) -> None:
         step = process.lease.decide(self.now, current=True)
@@ -236,23 +237,25 @@
     def _send(self, process: Process, step: SendReport, fence: int) -> None:
         def call() -> None:
             outcome = DutyOutcome.DONE
-            luck = self.chooser.random()
-            if luck < 0.15:
-                due = self.now + self.chooser.uniform(2.0, 12.0)
-                self.late.append((due, lambda: self.report(fence, step.window, step.counts)))
+            draw = self.rng.random()
+            if draw < 0.15:
+                due = self.now + self.rng.uniform(2.0, 12.0)
+                self.delayed_calls.append(
+                    (due, lambda: self.report(fence, step.window, step.counts))
+                )
                 outcome = DutyOutcome.UNKNOWN
-            elif luck < 0.25:
+            elif draw < 0.25:
                 outcome = DutyOutcome.REFUSED
-            elif luck < 0.35:
+            elif draw < 0.35:
                 self.report(fence, step.window, step.counts)
                 outcome = DutyOutcome.UNKNOWN
             else:
                 self.report(fence, step.window, step.counts)
             process.reporting.sent(step.window, outcome, self.now)
 
-        if self.chooser.random() < 0.05:
-            # Frozen with the call on its way: it is made when the process wakes.
-            process.frozen_until = self.now + self.chooser.uniform(1.0, 8.0)
+        if self.rng.random() < 0.05:
+            # The process freezes before the call, which is executed when it resumes.
+            process.frozen_until = self.now + self.rng.uniform(1.0, 8.0)
             process.pending.append(call)
         else:
             call()
@@ -261,42 +264,43 @@
 SEEDS = range(30)
 
 
-class DutyWorldTests(testtools.TestCase):
-    def broken(self, mutations: Mutations) -> list[str]:
-        return [text for seed in SEEDS for text in World(seed, mutations).play().broken]
+class UsageSimulationTests(testtools.TestCase):
+    def violations(self, mutations: Mutations) -> list[str]:
+        return [text for seed in SEEDS for text in World(seed, mutations).simulate().violations]
 
     def test_no_two_reports_of_a_window_differ(self) -> None:
-        self.assertEqual([], self.broken(Mutations()))
+        self.assertEqual([], self.violations(Mutations()))
 
-    def test_most_windows_are_reported_in_time_and_right(self) -> None:
+    def test_most_windows_are_reported_in_time_and_correctly(self) -> None:
         reported = missed = 0
         for seed in SEEDS:
-            world = World(seed, Mutations()).play()
-            first = min(world.truth) + 1
-            last = int((BEGAN + SECONDS - DUE) // WINDOW)
+            world = World(seed, Mutations()).simulate()
+            first = min(world.expected_counts) + 1
+            last = int((WALL_START + SECONDS - DUE) // WINDOW)
             for window in range(first, last):
-                end = (window + 1) * WINDOW - BEGAN
+                end = (window + 1) * WINDOW - WALL_START
                 in_time = world.accepted_at.get(window, SECONDS) <= end + DUE
-                right = world.accepted.get(window) == world.truth[window]
-                reported += in_time and right
-                missed += not (in_time and right)
-        # Each of three processes is frozen or killed every 17 s on average, and of one window in
-        # three a count is told too late, which nobody can mend.
+                correct = world.accepted.get(window) == world.expected_counts[window]
+                reported += in_time and correct
+                missed += not (in_time and correct)
+        # Each of three processes is frozen or killed every 17 s on average, and in one window of
+        # three a count arrives too late to be reported.
         self.assertGreater(reported, missed)
 
-    def test_mutants_are_caught(self) -> None:
+    def test_mutations_are_detected(self) -> None:
         for mutations in (
             Mutations(sum_again=True),
             Mutations(send_before_writing=True),
             Mutations(ignore_fences=True, sum_again=True),
         ):
-            self.assertNotEqual([], self.broken(mutations), mutations)
+            self.assertNotEqual([], self.violations(mutations), mutations)
 
-    def test_windows_by_clocks_that_differ_are_wrong(self) -> None:
+    def test_windows_by_differing_clocks_give_wrong_counts(self) -> None:
         wrong = 0
         for seed in SEEDS:
-            world = World(seed, Mutations(window_by_local_clock=True)).play()
+            world = World(seed, Mutations(window_by_local_clock=True)).simulate()
             wrong += sum(
-                counts != world.truth.get(window) for window, counts in world.accepted.items()
+                counts != world.expected_counts.get(window)
+                for window, counts in world.accepted.items()
             )
         self.assertGreater(wrong, 0)
