--- a/src/stagewalk/gateway/ports/__init__.py
+++ b/src/stagewalk/gateway/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols behind which the platform's services stand."""
+"""Protocols of the platform's services, implemented by adapters."""
--- a/src/stagewalk/gateway/ports/duties.py
+++ b/src/stagewalk/gateway/ports/duties.py
@@ -1,4 +1,4 @@
-"""Port of the platform's duties: calls that one node at a time makes, under its fencing token."""
+"""Port of the platform's duties: calls made by one node at a time, under its fencing token."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DutyOutcome(StrEnum):
-    """Outcome of a call."""
+    """Outcome of a duty call."""
 
     DONE = "done"
     CONFLICT = "conflict"
@@ -16,9 +16,9 @@
     REFUSED = "refused"
     """Nothing was done: throttled or down."""
     REJECTED = "rejected"
-    """The platform knows no such call."""
+    """The platform does not support the call."""
     UNKNOWN = "unknown"
-    """No answer: it may have been carried out, or may be, seconds later."""
+    """No answer: the call may have been executed, or may still be, seconds later."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """How many requests of each tenant began to run in a window; windows are numbered from 1970."""
+    """The number of requests started by each tenant in a window; windows are numbered from 1970."""
 
     window: int
     counts: dict[str, int]
@@ -44,7 +44,7 @@
     Attributes
     ----------
     spot
-        Whether they are the cheaper kind, which the platform may take away.
+        Whether they are spot workers: cheaper, but the platform may reclaim them.
     """
 
     service: str
@@ -54,17 +54,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerOrder:
-    """Order how many workers a group holds."""
+    """An order that sets the number of workers of a group."""
 
     group: WorkerGroup
     count: int
 
 
 class DutyClient(Protocol):
-    """Calls of the platform by the holder of a duty."""
+    """Calls of the platform by the lease holder."""
 
     async def report_usage(self, holder: DutyHolder, report: UsageReport) -> DutyOutcome:
-        """Report a window's usage; an exact repeat changes nothing."""
+        """Report a window's usage; an identical repeat has no effect."""
 
     async def request_worker_count(self, holder: DutyHolder, order: WorkerOrder) -> DutyOutcome:
-        """Order workers."""
+        """Set the number of workers of a group."""
--- a/src/stagewalk/gateway/ports/keyed_records.py
+++ b/src/stagewalk/gateway/ports/keyed_records.py
@@ -1,4 +1,4 @@
-"""Port of a handler of some keys of a compacted partition that it shares with others."""
+"""Port of a handler of some of the keys in a shared compacted partition."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class KeyedRecordHandler(Protocol):
-    """Handles the records of the keys that are its own."""
+    """Handles the records of the keys it owns."""
 
     def owns(self, record: KeyedRecord) -> bool:
-        """Whether a record's key is its own."""
+        """Whether the handler owns a record's key."""
 
     def apply(self, record: KeyedRecord) -> None:
         """Apply one record."""
 
     def replace(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Replace all of them: keys that are not among them are gone."""
+        """Replace all records: keys that are not among `records` were dropped."""
--- a/src/stagewalk/gateway/ports/partitioned_log.py
+++ b/src/stagewalk/gateway/ports/partitioned_log.py
@@ -1,7 +1,6 @@
 """Port of the platform's partitioned log: ordered records, conditional and idempotent appends.
 
-Owns the types of calls and failures. Nodes send them to each other, so their fields' names are on
-the wire.
+Nodes send these types to each other, so their field names are part of the wire format.
 """
 
 from __future__ import annotations
@@ -18,22 +17,22 @@
     """Why a call to the log failed."""
 
     REFUSED = "refused"
-    """The log said that nothing was done: throttled, busy or down."""
+    """The log replied that it did not execute the call: throttled, busy or down."""
     UNKNOWN = "unknown"
-    """No answer: the call may have been done, or may still be done later."""
+    """No answer: the call may have been executed, or may still be, later."""
     CONFLICT = "conflict"
     """The condition of an append did not hold."""
     OUT_OF_SEQUENCE = "out_of_sequence"
-    """An idempotent append did not follow the producer's last one."""
+    """The sequence number of an idempotent append did not follow the producer's last one."""
     DROPPED = "dropped"
-    """The records asked for are gone; see `LogFailure.first_offset`."""
+    """The requested records were deleted; see `LogFailure.first_offset`."""
     REJECTED = "rejected"
     """The log never accepts such a call."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogFailure:
-    """A failed call. `first_offset` is the oldest kept record's, for `LogFault.DROPPED`."""
+    """A failed call. For `LogFault.DROPPED`, `first_offset` is that of the oldest kept record."""
 
     fault: LogFault
     detail: str
@@ -53,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionRecord:
-    """A record and its place in the partition."""
+    """A record and its offset in the partition."""
 
     offset: int
     payload: bytes
@@ -61,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordPage:
-    """Records in offset order; `next_offset` follows the last of them, `end` the partition's."""
+    """Records in offset order, the offset after the last of them, and the end of the partition."""
 
     records: tuple[PartitionRecord, ...]
     next_offset: int
@@ -70,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """The value of a key as of an offset; `None` says that the key is dropped."""
+    """The value of a key as of an offset; `None` means that the key was deleted."""
 
     key: str
     value: bytes | None
@@ -79,9 +78,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedPage:
-    """Keyed records in offset order; `next_offset` follows the last of them, `end` the partition's.
+    """Keyed records in offset order, the offset after the last of them, and the partition's end.
 
-    An `end` of 0 is unknown: then there are no more records.
+    An `end` of 0 means that it is unknown and that there are no more records.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -91,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProducerSequence:
-    """Makes an append idempotent: the log accepts each sequence of a producer's epoch once."""
+    """Makes an append idempotent: the log accepts each sequence number of an epoch once."""
 
     producer: str
     epoch: int
@@ -99,7 +98,7 @@
 
 
 class PartitionedLog(Protocol):
-    """The log. A topic comes into being at its first use."""
+    """The log. Topics are created at their first use."""
 
     async def append(
         self, partition: Partition, payloads: Sequence[bytes], sequence: ProducerSequence
@@ -114,17 +113,17 @@
     async def append_keyed(
         self, partition: Partition, key: str, value: bytes
     ) -> Result[int, LogFailure]:
-        """Set a key of a compacted topic, or drop it with an empty value; return the offset."""
+        """Set a key of a compacted topic, or delete it with an empty value; return the offset."""
 
     async def read(
         self, partition: Partition, offset: int, wait_seconds: float
     ) -> Result[RecordPage, LogFailure]:
-        """Read from an offset on, waiting for a first record."""
+        """Read from an offset on; wait up to `wait_seconds` for a first record."""
 
     async def read_keyed(
         self, partition: Partition, offset: int, wait_seconds: float
     ) -> Result[KeyedPage, LogFailure]:
-        """Read changes of a compacted topic from an offset on, waiting for a first one."""
+        """Read changes of a compacted topic from an offset on; wait for a first one."""
 
     async def newest(self, partition: Partition) -> Result[KeyedPage, LogFailure]:
         """Read the newest record of each key, and the offset from which to read changes."""
--- a/src/stagewalk/gateway/ports/send_permits.py
+++ b/src/stagewalk/gateway/ports/send_permits.py
@@ -1,8 +1,7 @@
-"""Permission to send a request to a worker: decided by the product, confirmed by the client.
+"""Permission to send a request to a worker: issued by the gateway, confirmed by the client.
 
-A request may wait for a connection between the choice of its worker and the moment its first byte
-is sent. So a client of the workers gets a permit, not an address, and confirms it just before that
-byte.
+After its worker is chosen, a request may wait for a connection while the worker becomes ineligible.
+So the client gets a permit instead of an address, and confirms it just before the first byte.
 """
 
 from __future__ import annotations
@@ -17,14 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerTarget:
-    """Where to send, and which worker must be there.
+    """The address to send to, and the worker expected there.
 
     Attributes
     ----------
     worker
-        Name that the worker answers to.
+        Name of the worker.
     start
-        Identity of its start, empty if that is `worker`: connections are kept to a start.
+        Identity of the worker's process, empty if that is `worker`; connections are not reused
+        across restarts.
     """
 
     worker: str
@@ -33,19 +33,19 @@
 
 
 Confirm = Callable[[float], Denial | None]
-"""Returns why a request must not be sent at a time of the steady clock, None if it may be."""
+"""Called with a steady time; returns why the request must not be sent then, None if it may."""
 
 
 @final
 class SendPermit:
-    """Permission to send one request to one worker; only `gateway.eligibility` issues any.
+    """Permission to send one request to one worker, issued by `gateway.eligibility` only.
 
     Parameters
     ----------
     target
         The worker.
     confirm
-        Judges the request once more, and counts it as sent if it may be.
+        Checks eligibility again, and counts the request as sent if it may be.
     """
 
     def __init__(self, target: WorkerTarget, confirm: Confirm) -> None:
--- a/src/stagewalk/gateway/ports/workers.py
+++ b/src/stagewalk/gateway/ports/workers.py
@@ -1,6 +1,6 @@
-"""Port of the workers: back ends of services, model engines among them.
+"""Port of the workers: back ends of services, including model engines.
 
-Owns the types of requests, answers and failures, and the time bounds of a connection.
+Defines the types of requests, answers and failures, and the timeouts of a connection.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 POOL_TIMEOUT_SECONDS = 0.3
 CONNECT_TIMEOUT_SECONDS = 0.6
-"""How long an attempt at a worker waits for a place among the connections to it, and then for its
+"""How long an attempt waits for a place in the worker's connection pool, and then for its
 connection to be established."""
 
 MAXIMUM_SEND_DELAY_SECONDS = POOL_TIMEOUT_SECONDS + CONNECT_TIMEOUT_SECONDS
-"""Longest time from the start of an attempt until its request is on its way, or it has failed. What
-must not reach a worker after some moment is decided this long before it."""
+"""Longest time from the start of an attempt until its request is sent or the attempt has failed. To
+keep requests from reaching a worker after some time, decide this long before it."""
 
 
 class AttemptFault(StrEnum):
-    """How an attempt at a worker failed, by what it proves about execution."""
+    """How an attempt failed, by what is known about execution of the request."""
 
     WITHHELD = "withheld"
-    """This process did not send it: what allowed it was no longer true."""
+    """This process did not send it: its permit was no longer valid."""
     NOT_SENT = "not_sent"
     """No byte of the request reached the worker."""
     NOT_RUN = "not_run"
-    """The worker said that it did not run the request."""
+    """The worker replied that it did not run the request."""
     WRONG_WORKER = "wrong_worker"
     """Another worker has the address; it did not run the request."""
     MAY_HAVE_RUN = "may_have_run"
@@ -50,13 +50,13 @@
     """How contact with a worker was lost after a request had been sent."""
 
     CLOSED = "closed"
-    """The connection ended before a whole answer: at once where the worker's process ended."""
+    """The connection closed before a whole answer, as it does at once when the process ends."""
     TIMED_OUT = "silent"
-    """Nothing whole came in time: a worker whose machine is gone, or one that is slow."""
+    """No whole answer in time: the worker's machine is down, or the worker is slow."""
 
 
 class SendPurpose(StrEnum):
-    """What a worker is called for."""
+    """The purpose of a request to a worker."""
 
     FORWARDED = "forwarded"
     ITEM = "item"
@@ -70,21 +70,21 @@
     """Why a new connection to a worker was opened."""
 
     FIRST = "first"
-    """None had been opened to it."""
+    """No connection had been opened to it."""
     ALL_BUSY = "surge"
-    """All were in use."""
+    """All connections were in use."""
     IDLE_CLOSED = "idle_closed"
-    """An idle one was closed, by either side."""
+    """An idle connection was closed, by either side."""
     WORKER_CLOSES = "worker_closes"
-    """The worker said that it closes the last one."""
+    """The worker announced that it closes the last connection."""
     REFUSED = "refused"
-    """The last one brought a refusal, which was not read to its end."""
+    """The last connection returned a refusal that was not read to its end."""
     CUT = "cut"
-    """This node had ended the request on the last one."""
+    """This node cancelled the request on the last connection."""
     LOST = "lost"
-    """The last one broke."""
+    """The last connection broke."""
     NOT_REUSABLE = "not_kept"
-    """The request may not go over a kept one."""
+    """The request must not use a pooled connection."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,10 +94,10 @@
     Attributes
     ----------
     running, waiting, slots
-        Requests, and how many it runs at once.
+        Numbers of running and waiting requests, and how many the worker runs at once.
     pace
-        How long work takes there at the moment, in parts of the usual: 1.0 is usual, 2.0 twice as
-        long. It varies many times a second. None: the worker doesn't say.
+        Current duration of work relative to normal: 1.0 is normal, 2.0 takes twice as long. It
+        changes many times a second. None: not reported.
     """
 
     running: int
@@ -108,28 +108,28 @@
 
 @dataclass(frozen=True, slots=True)
 class OutboundRequest:
-    """An opaque request as it goes to a worker.
+    """An opaque request to be sent to a worker.
 
     Attributes
     ----------
     target
         Path and query, exactly as the caller sent them.
     deadline_seconds
-        How long the worker may work on it; None without a limit.
+        Time limit for the worker; None: no limit.
     repeatable
-        Whether a kept connection may be used, which can break just as the request is sent.
+        Whether a pooled connection may be used, which can break while the request is sent.
     resume_after
         The last event already received, for a stream that is resumed.
     expected_version
         Weight version the worker must hold to run it.
     tenant
-        Whose request it is, `ANONYMOUS` if nobody's. It replaces the tenant that the caller named,
-        and the worker does not see the caller's key. None: no tenants are in force, and the
-        caller's headers stay as they are.
+        Tenant of the request, `ANONYMOUS` if it has none. It replaces a tenant named by the caller,
+        and the caller's key is removed. None: no tenants are in force, and the caller's headers
+        are sent unchanged.
     priority
         0 is the most urgent; None: the worker's default.
     purpose
-        For counts only.
+        Used for metrics only.
     """
 
     request_id: str
@@ -148,12 +148,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerAnswer:
-    """A worker's whole answer, checked to belong to the request.
+    """A worker's whole answer, verified to belong to the request.
 
     Attributes
     ----------
     signature
-        The worker's signature of what it answers, empty if the answer carries none.
+        The worker's signature of the answer, empty if it has none.
     leaving
         Whether the worker closes the connection.
     """
@@ -167,7 +167,7 @@
 
     @property
     def is_signed(self) -> bool:
-        """Whether it carries the worker's signature."""
+        """Whether the answer has a signature."""
         return bool(self.signature)
 
 
@@ -178,7 +178,7 @@
     Attributes
     ----------
     contact_loss
-        How contact was lost, None if the worker answered, doesn't read, or was never reached.
+        How contact was lost; None if the worker answered, does not read, or was never reached.
     local_limit
         Whether a limit of this node ended it, which says nothing about the worker.
     """
@@ -202,7 +202,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event: its number, its data, and the weight version if it changed here."""
+    """One complete event; `version` is the weight version if it changed with this event."""
 
     number: int
     data: str
@@ -216,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnd:
-    """A stream ended whole; any status but 200 comes with a plain answer instead of events."""
+    """The end of a complete stream; a status other than 200 has a plain answer, no events."""
 
     status: int
     headers: HeaderList = ()
@@ -230,11 +230,11 @@
     Attributes
     ----------
     ordering
-        Whether an order is under way.
+        Whether an order is being executed.
     orders_taken
-        Orders that it accepted since its start.
+        Number of orders accepted since the engine's start.
     running, waiting
-        Requests.
+        Numbers of requests.
     """
 
     versions: dict[str, int]
@@ -246,7 +246,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionOrder:
-    """A fenced order to bring a model to a version, if `orders_taken` is still true."""
+    """A fenced order to load a version of a model, valid only if `orders_taken` still matches."""
 
     model: str
     version: int
@@ -261,19 +261,19 @@
     TAKEN = "taken"
     HELD_ALREADY = "held_already"
     CONFLICT = "conflict"
-    """Another order is under way, or the count of orders taken differs."""
+    """Another order is being executed, or `orders_taken` differs."""
     FENCED = "fenced"
-    """A holder with a higher fence has ordered already."""
+    """A lease holder with a higher fence has sent an order."""
     REFUSED = "refused"
     UNKNOWN = "unknown"
-    """No answer: it may be carried out, now or seconds later."""
+    """No answer: the order may be executed, now or seconds later."""
 
 
 class WorkerClient(Protocol):
     """Calls of workers.
 
-    A request's permit is confirmed once its connection is there, just before its first byte goes;
-    denied then, it ends as `AttemptFault.WITHHELD`.
+    A permit is confirmed once there is a connection, just before the first byte is sent. If denied,
+    the request fails with `AttemptFault.WITHHELD`.
     """
 
     async def send(
@@ -284,7 +284,7 @@
     async def stream(
         self, permit: SendPermit, request: OutboundRequest, deliver: StreamSink
     ) -> Result[StreamEnd, AttemptFailure]:
-        """Send a request and deliver its head and whole events as they arrive."""
+        """Send a request and deliver the answer's head and complete events as they arrive."""
 
     async def is_listening(self, target: WorkerTarget) -> bool | None:
         """Return whether any process listens at a worker's address; None if that is unknown."""
