--- a/src/stagewalk/node/requests/__init__.py
+++ b/src/stagewalk/node/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a completion request: claim, admission, attempts, retries, one final answer."""
+"""Completion requests: claim, admission, attempts, retries and the final answer."""
--- a/src/stagewalk/node/requests/answer.py
+++ b/src/stagewalk/node/requests/answer.py
@@ -1,9 +1,8 @@
-"""Puts an answer together from the chunks of one attempt, and rejects what breaks its framing.
+"""Assembles an answer from the chunks of one attempt and detects framing faults.
 
-An engine's or a network's fault shows in the frames: a chunk may come doubled, late, out of
-order, overlapping, or not at all, and a broken engine may send without end. Only the chunk
-that continues the answer exactly is appended; the final count says whether it is whole. Owns the
-text of one attempt; relies on `MemoryConfig` for its bounds.
+Chunks may be duplicated, delayed, reordered, overlapping or lost, and a faulty engine may send
+without end. Only a chunk that starts at the current end is appended; the token count of the final
+frame shows whether the answer is complete. `MemoryConfig` holds the limits.
 """
 
 from __future__ import annotations
@@ -23,8 +22,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldAnswer:
-    """The part of an answer that is certain: a resumed attempt goes on after it."""
+class PartialAnswer:
+    """The contiguous part of an answer received so far, from which an attempt can resume."""
 
     text: str = ""
     token_count: int = 0
@@ -33,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FramingFault:
-    """Why a chunk proves that its attempt can't give a whole answer."""
+    """A chunk fault after which the attempt can't produce a complete answer."""
 
     detail: str
 
@@ -45,13 +44,13 @@
     Attributes
     ----------
     request
-        Bounds its length and the versions that may have produced it.
+        Limits the answer's length and the weight versions allowed in it.
     mixed_versions
-        Whether several versions may have produced one answer.
+        Whether one answer may contain tokens of several weight versions.
     bounds
-        An answer longer than they allow counts as endless.
+        Limits on the answer's length and on buffered chunks.
     reordered
-        Chunks held, by offset, while one before them is missing.
+        Buffered chunks by offset, waiting for an earlier missing chunk.
     """
 
     request: CompletionRequest
@@ -65,14 +64,14 @@
     reordered: dict[int, TokenChunk] = field(default_factory=dict)
 
     @classmethod
-    def after(
+    def continuing(
         cls,
-        held: HeldAnswer,
+        held: PartialAnswer,
         request: CompletionRequest,
         mixed_versions: bool,
         bounds: MemoryConfig,
     ) -> AnswerAssembly:
-        """Return an assembly that goes on after what is held."""
+        """Return an assembly that continues a partial answer."""
         return cls(
             request=request,
             mixed_versions=mixed_versions,
@@ -84,9 +83,9 @@
         )
 
     def add(self, chunk: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
-        """Add a chunk; return those that now continue the answer, in order.
+        """Add a chunk; return the chunks that this appends to the answer, in order.
 
-        A repeated chunk is dropped. A fault means that the attempt must be given up.
+        A duplicate chunk is dropped. After a fault the attempt must be cancelled.
         """
         if chunk.token_count <= 0 or chunk.offset < 0 or chunk.sequence < 0:
             return Error(FramingFault("a chunk has no tokens or a negative position"))
@@ -96,22 +95,22 @@
         if end <= self.token_count:
             return Ok([])
         if chunk.offset < self.token_count:
-            return Error(FramingFault(f"a chunk overlaps the {self.token_count} tokens held"))
+            return Error(FramingFault(f"a chunk overlaps the {self.token_count} tokens received"))
         if end > self.request.max_tokens:
             return Error(FramingFault(f"more than {self.request.max_tokens} tokens were sent"))
         if self.characters + len(chunk.text) > self.bounds.maximum_answer_characters:
-            return Error(FramingFault("the answer is longer than any may be"))
+            return Error(FramingFault("the answer exceeds the maximum length"))
         if chunk.offset > self.token_count:
-            return self._hold_back(chunk)
+            return self._buffer_chunk(chunk)
         return self._append_from(chunk)
 
-    def whole(self, token_count: int) -> bool:
-        """Return whether the final count matches what is held, with nothing missing."""
+    def is_complete(self, token_count: int) -> bool:
+        """Return whether the final token count equals the number of tokens received."""
         return token_count == self.token_count
 
-    def held(self) -> HeldAnswer:
-        """Return what is certain so far."""
-        return HeldAnswer(self.text(), self.token_count, self.spans)
+    def held(self) -> PartialAnswer:
+        """Return the partial answer received so far."""
+        return PartialAnswer(self.text(), self.token_count, self.spans)
 
     def text(self) -> str:
         """Return the text so far."""
@@ -120,10 +119,10 @@
         return self.pieces[0] if self.pieces else ""
 
     def result(self, finish_reason: str) -> CompletionResult:
-        """Return the whole answer."""
+        """Return the complete answer."""
         return CompletionResult(self.text(), self.token_count, self.spans, finish_reason)
 
-    def _hold_back(self, chunk: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
+    def _buffer_chunk(self, chunk: TokenChunk) -> Result[list[TokenChunk], FramingFault]:
         if chunk.offset in self.reordered:
             return Ok([])
         if len(self.reordered) >= self.bounds.maximum_reordered_chunks:
@@ -137,20 +136,20 @@
         appended = []
         following: TokenChunk | None = first
         while following is not None:
-            unsuitable = self._version_fault(following)
-            if unsuitable is not None:
-                return Error(unsuitable)
+            version_fault = self._version_fault(following)
+            if version_fault is not None:
+                return Error(version_fault)
             self._append(following)
             appended.append(following)
             following = self.reordered.pop(self.token_count, None)
         if any(offset < self.token_count for offset in self.reordered):
-            return Error(FramingFault("chunks held back overlap the tokens held"))
+            return Error(FramingFault("buffered chunks overlap the tokens received"))
         return Ok(appended)
 
     def _version_fault(self, chunk: TokenChunk) -> FramingFault | None:
-        """Return why a chunk's version may not continue the answer; None if it may.
+        """Return why a chunk's version may not be appended to the answer; None if it may.
 
-        An engine may change its weights while it generates.
+        An engine may swap its weights during generation.
         """
         minimum = self.request.minimum_version
         maximum = self.request.maximum_version
@@ -160,7 +159,9 @@
             return FramingFault(f"version {chunk.version} may not serve the request")
         mixed = bool(self.spans) and self.spans[-1].version != chunk.version
         if mixed and not self.mixed_versions:
-            return FramingFault(f"version {chunk.version} may not go on with another's answer")
+            return FramingFault(
+                f"version {chunk.version} may not continue an answer of another version"
+            )
         return None
 
     def _append(self, chunk: TokenChunk) -> None:
--- a/src/stagewalk/node/requests/attempt_rules.py
+++ b/src/stagewalk/node/requests/attempt_rules.py
@@ -1,10 +1,10 @@
-"""The rules for attempts of a request: start, resume, hedge, retry, wait for an engine, give up.
+"""Rules for the attempts of a request: start, resume, hedge, retry, wait for an engine, give up.
 
-Pure functions of a request's record; `AttemptRunner` carries out what they return. Times are in
-seconds of the node's clock. The constants, with their reasons, are fields of `RequestConfig`.
+Pure functions of a request's record, applied by `AttemptRunner`. Times are in seconds of the
+node's clock. The parameters are fields of `RequestConfig`.
 
-The one rule for requests that are not repeatable: an attempt starts only while the claim is held,
-no attempt is under way, and none that ended may have run.
+A request that is not repeatable starts an attempt only while its claim is held, no attempt is in
+progress, and no ended attempt may have run.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from stagewalk.common.identities import WeightVersion
 from stagewalk.node.core.completions import CompletionRequest, Priority
-from stagewalk.node.requests.answer import HeldAnswer
+from stagewalk.node.requests.answer import PartialAnswer
 from stagewalk.node.requests.config import RequestConfig, RetryConfig
 from stagewalk.node.requests.delays import DelayWindow
 from stagewalk.node.requests.record import Attempt, RequestRecord
@@ -21,7 +21,7 @@
 
 
 def may_start(record: RequestRecord) -> bool:
-    """Return whether another attempt may start: one of a request not repeatable only once."""
+    """Return whether another attempt may start, so that no non-repeatable request runs twice."""
     if record.request.repeatable:
         return True
     return record.claim_held and not record.may_have_run and not record.attempts
@@ -30,7 +30,7 @@
 def pinned_request(record: RequestRecord) -> CompletionRequest:
     """Return the request for the next attempt.
 
-    An answer partly given to a caller who allows no mixed versions goes on under its version.
+    Once part of an answer is streamed, its version is pinned unless mixed versions are allowed.
     """
     if record.mixed_versions or record.streamed_tokens == 0:
         return record.request
@@ -38,25 +38,25 @@
     return replace(record.request, minimum_version=version, maximum_version=version)
 
 
-def resumable_answer(record: RequestRecord, version: WeightVersion) -> HeldAnswer:
-    """Return the part of the answer that an attempt under a version goes on after.
+def resumable_answer(record: RequestRecord, version: WeightVersion) -> PartialAnswer:
+    """Return the partial answer that an attempt under a version resumes from.
 
-    A part that no caller has seen is dropped rather than continued under another version, unless
-    the tenant allows mixed versions.
+    A partial answer of another version is dropped if none of it was streamed, unless the tenant
+    allows mixed versions.
     """
     if record.mixed_versions or record.streamed_tokens > 0 or record.held.token_count == 0:
         return record.held
     if record.held.spans[-1].version != version:
-        return HeldAnswer()
+        return PartialAnswer()
     return record.held
 
 
 def hedge_delay(record: RequestRecord, delays: DelayWindow, config: RequestConfig) -> float | None:
-    """Return how long the first attempt has before a second one is started beside it.
+    """Return the delay after which a hedge is started; None if the request is not hedged.
 
-    A request is hedged if it is repeatable, not streamed (two attempts without a seed answer
-    differently) and interactive (rollouts wait for throughput, which hedges cost). The delay is a
-    percentile of recent first tokens. None: it is not hedged.
+    Only repeatable, interactive requests are hedged that are not streamed: without a seed, two
+    attempts answer differently, and for rollouts throughput matters more than latency. The delay
+    is a percentile of recent first-token delays.
     """
     hedge = config.hedge
     if record.stream or len(delays) < hedge.minimum_samples:
@@ -69,14 +69,14 @@
 
 
 def may_hedge_now(record: RequestRecord, first: Attempt) -> bool:
-    """Return whether the hedge that was set for a first attempt is still of use."""
+    """Return whether a hedge is still useful for a first attempt: it has no chunk yet."""
     if first.last_chunk_at is not None or len(record.attempts) > 1:
         return False
     return record.request.repeatable and not record.stream
 
 
-def silent_until(attempt: Attempt, config: RequestConfig) -> float:
-    """Return when an attempt is given up unless a chunk comes before."""
+def stall_deadline(attempt: Attempt, config: RequestConfig) -> float:
+    """Return when an attempt is cancelled unless a chunk arrives first."""
     if attempt.last_chunk_at is None:
         return attempt.started_at + config.first_token_seconds
     return attempt.last_chunk_at + config.stall_seconds
@@ -88,22 +88,22 @@
 
 
 def may_retry(record: RequestRecord, pause_seconds: float, config: RetryConfig, now: float) -> bool:
-    """Return whether attempts and time are left for a retry; its tenant's budget is asked next."""
+    """Return whether attempts and time are left for a retry; the retry budget is not checked."""
     if record.attempt_count >= config.maximum_attempts:
         return False
     return now + pause_seconds < record.request.deadline
 
 
-def retries_at_once(record: RequestRecord, outcome: AttemptClass) -> bool:
-    """Return whether a retry needs no pause.
+def retries_immediately(record: RequestRecord, outcome: AttemptClass) -> bool:
+    """Return whether a retry needs no backoff.
 
-    The first retry of an attempt that was refused or not sent: another engine probably has room.
+    True for the first retry of an attempt refused or not sent: another engine may have capacity.
     """
     return outcome is not AttemptClass.MAY_HAVE_RUN and record.attempt_count <= 1
 
 
-def next_look_at(record: RequestRecord, config: RetryConfig, now: float) -> float | None:
-    """Return when a request without an eligible engine looks again; None if it gives up."""
+def next_engine_search_at(record: RequestRecord, config: RetryConfig, now: float) -> float | None:
+    """Return when to search for an eligible engine again; None if the request fails instead."""
     waited = 0.0 if record.no_engine_since is None else now - record.no_engine_since
     again = now + config.no_engine_interval_seconds
     if waited >= config.no_engine_limit_seconds or again >= record.request.deadline:
--- a/src/stagewalk/node/requests/attempts.py
+++ b/src/stagewalk/node/requests/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts of admitted requests: dispatch, chunks, ends, retries, hedges and stalls.
+"""Attempts of admitted requests: dispatch, chunks, results, retries, hedges and stalls.
 
-Owns the attempts' ids, the delays of first tokens and the tenants' retry budgets. Relies on
-`attempt_rules` for what may be tried, on the router for an engine and on the store for state.
+Owns the attempt ids, the first-token delays and the tenants' retry budgets. `attempt_rules`
+decides what may be tried, the router selects engines, and the store holds the records.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class AttemptRunner:
-    """Starts attempts and handles what becomes of them."""
+    """Starts attempts and handles their events."""
 
     def __init__(
         self,
@@ -56,15 +56,15 @@
         self._budget = RetryBudget(config.retry)
 
     def set_tenants(self, tenants: frozenset[TenantName]) -> None:
-        """Drop the retry budgets of tenants that are no more."""
+        """Drop the retry budgets of removed tenants."""
         self._budget.retain(tenants)
 
     def record_submission(self, tenant: TenantName) -> None:
-        """Add to a tenant's retry budget what a new request earns."""
+        """Credit a tenant's retry budget for a new request."""
         self._budget.record_request(tenant)
 
     def dispatch(self, record: RequestRecord, now: float) -> None:
-        """Start an attempt of a record in `ROUTING`, or look again later, or give up."""
+        """Start an attempt of a record in `ROUTING`, schedule another search, or fail it."""
         if now >= record.request.deadline:
             error = errors.deadline_passed(record, self._identity.name, ErrorStep.ROUTING)
             self._fail(record, Cause.DEADLINE, error, now)
@@ -81,7 +81,7 @@
         self._start(record, request, choice.ok, Cause.DISPATCHED, now)
 
     def handle(self, event: AttemptEvent, now: float) -> None:
-        """Handle what became of an attempt; an event of an unknown one is late or foreign."""
+        """Handle an event of an attempt; events of unknown or ended attempts are ignored."""
         record = self._store.by_attempt.get(event.attempt)
         if record is None:
             return
@@ -97,7 +97,7 @@
                 self._handle_failed(record, attempt, event, now)
 
     def handle_hedge_timer(self, record: RequestRecord, timer: RequestTimer, now: float) -> None:
-        """Start a second attempt if the first has not answered by now."""
+        """Start a second attempt if the first has produced no chunk yet."""
         first = record.attempts.get(timer.attempt) if timer.attempt is not None else None
         if first is None or not attempt_rules.may_hedge_now(record, first):
             return
@@ -108,12 +108,12 @@
         self._start(record, record.request, choice.ok, Cause.HEDGED, now)
 
     def handle_stall_timer(self, record: RequestRecord, timer: RequestTimer, now: float) -> None:
-        """Give up an attempt that has been silent for too long; its request is resumed."""
+        """Cancel an attempt that has stalled; its request is resumed."""
         attempt = record.attempts.get(timer.attempt) if timer.attempt is not None else None
         if attempt is None or timer.at != attempt.stall_timer_at:
             return
-        if now >= attempt_rules.silent_until(attempt, self._config):
-            self._give_up_attempt(record, attempt, "the engine fell silent", now)
+        if now >= attempt_rules.stall_deadline(attempt, self._config):
+            self._abort_attempt(record, attempt, "the engine sent no chunk in time", now)
             return
         self._set_stall_timer(record, attempt)
 
@@ -125,12 +125,12 @@
     def _handle_chunk(
         self, record: RequestRecord, attempt: Attempt, event: AttemptChunk, now: float
     ) -> None:
-        """Handle a piece of an answer."""
+        """Add a chunk to the answer and stream what is new."""
         before = attempt.assembly.characters
         taken = attempt.assembly.add(event.chunk)
         self._store.count_characters(record, attempt.assembly.characters - before)
         if taken.is_error():
-            self._give_up_attempt(record, attempt, taken.error.detail, now)
+            self._abort_attempt(record, attempt, taken.error.detail, now)
             return
         if not taken.ok:
             return
@@ -143,8 +143,8 @@
     def _handle_finished(
         self, record: RequestRecord, attempt: Attempt, event: AttemptFinished, now: float
     ) -> None:
-        """Handle the final frame: the answer is whole only if the count agrees."""
-        if attempt.assembly.whole(event.token_count):
+        """Handle the final frame: the answer is complete only if the token counts agree."""
+        if attempt.assembly.is_complete(event.token_count):
             self._finish(record, attempt, event.finish_reason, now)
             return
         held = attempt.assembly.token_count
@@ -154,9 +154,9 @@
     def _handle_refused(
         self, record: RequestRecord, attempt: Attempt, event: AttemptRefused, now: float
     ) -> None:
-        """Handle a refusal; one after the first token contradicts itself and proves nothing."""
+        """Handle a refusal; after a first token it doesn't prove that the request did not run."""
         if attempt.last_chunk_at is not None:
-            detail = f"refused after it had begun: {event.detail}"
+            detail = f"refused after the first token: {event.detail}"
             self._attempt_ended(record, attempt, AttemptClass.MAY_HAVE_RUN, detail, now)
             return
         retry_after = event.retry_after_seconds
@@ -197,7 +197,7 @@
             address=choice.address,
             started_at=now,
             resume_offset=record.held.token_count,
-            assembly=AnswerAssembly.after(
+            assembly=AnswerAssembly.continuing(
                 record.held, request, record.mixed_versions, self._config.memory
             ),
         )
@@ -227,7 +227,7 @@
             self._store.set_timer(record, RequestTimerKind.HEDGE, now + delay, attempt.attempt)
 
     def _set_stall_timer(self, record: RequestRecord, attempt: Attempt) -> None:
-        attempt.stall_timer_at = attempt_rules.silent_until(attempt, self._config)
+        attempt.stall_timer_at = attempt_rules.stall_deadline(attempt, self._config)
         self._store.set_timer(
             record, RequestTimerKind.STALL, attempt.stall_timer_at, attempt.attempt
         )
@@ -241,7 +241,7 @@
             self._set_stall_timer(record, attempt)
 
     def _stream(self, record: RequestRecord, attempt: Attempt, taken: list[TokenChunk]) -> None:
-        """Stream what came, unless a second attempt might answer otherwise."""
+        """Stream the new text, unless a concurrent attempt may produce another answer."""
         if not record.stream or len(record.attempts) > 1:
             return
         if taken[0].offset == record.streamed_tokens:
@@ -254,16 +254,16 @@
         self, record: RequestRecord, attempt: Attempt, finish_reason: str, now: float
     ) -> None:
         self._router.record_finished(attempt.engine, attempt.attempt, now)
-        self._forget(record, attempt)
+        self._remove_attempt(record, attempt)
         record.may_have_run = True
         self.cancel_all(record, now)
         self._admission.ended(record.key, now)
         self._store.finish(record, Cause.WHOLE, attempt.assembly.result(finish_reason), now)
 
-    def _give_up_attempt(
+    def _abort_attempt(
         self, record: RequestRecord, attempt: Attempt, detail: str, now: float
     ) -> None:
-        """Cancel an attempt that can't give a whole answer any more."""
+        """Cancel an attempt that can no longer produce a complete answer."""
         self._store.output(CancelAttempt(attempt.attempt, attempt.engine, attempt.address))
         self._attempt_ended(record, attempt, AttemptClass.MAY_HAVE_RUN, detail, now)
 
@@ -277,18 +277,18 @@
         *,
         retry_after_seconds: float | None = None,
     ) -> None:
-        """Handle an attempt's end without a whole answer, and go on as its class allows."""
-        self._forget(record, attempt)
+        """Handle an attempt that ended without a complete answer: retry, wait or fail."""
+        self._remove_attempt(record, attempt)
         if outcome is not AttemptClass.REFUSED:
             self._router.record_failed(attempt.engine, attempt.attempt, now)
         if outcome is AttemptClass.MAY_HAVE_RUN:
             record.may_have_run = True
-            self._keep(record, attempt)
+            self._keep_partial_answer(record, attempt)
         record.excluded.add(attempt.engine)
         if record.held.token_count >= record.request.max_tokens:
             self._finish_at_length(record, now)
             return
-        error = self._error_of(record, attempt.engine, outcome, detail, retry_after_seconds)
+        error = self._attempt_error(record, attempt.engine, outcome, detail, retry_after_seconds)
         record.last_error = error
         if record.attempts:
             self._store.move(record, Cause.ATTEMPT_LOST)
@@ -309,16 +309,16 @@
             self._fail(record, Cause.GAVE_UP, error, now)
             return
         self._store.move(record, Cause.RETRIED)
-        if attempt_rules.retries_at_once(record, outcome):
+        if attempt_rules.retries_immediately(record, outcome):
             self.dispatch(record, now)
         else:
             self._store.set_timer(record, RequestTimerKind.ROUTE, now + pause)
 
     def _wait_for_engine(self, record: RequestRecord, error: StagewalkError, now: float) -> None:
-        """Look again soon, or fail with the error of the last attempt, if there was one."""
+        """Schedule another search, or fail with the last attempt's error if there was one."""
         if record.no_engine_since is None:
             record.no_engine_since = now
-        again = attempt_rules.next_look_at(record, self._config.retry, now)
+        again = attempt_rules.next_engine_search_at(record, self._config.retry, now)
         if again is None:
             final = replace(record.last_error or error, ran=record.ran)
             self._fail(record, Cause.GAVE_UP, final, now)
@@ -326,20 +326,20 @@
         self._store.set_timer(record, RequestTimerKind.ROUTE, again)
 
     def _finish_at_length(self, record: RequestRecord, now: float) -> None:
-        """End an answer that has all the tokens it may have; only its final frame was lost."""
+        """Finish an answer that has reached `max_tokens` although its final frame was lost."""
         self.cancel_all(record, now)
         self._admission.ended(record.key, now)
         held = record.held
         result = CompletionResult(held.text, held.token_count, held.spans, FINISH_REASON_LENGTH)
         self._store.finish(record, Cause.WHOLE, result, now)
 
-    def _keep(self, record: RequestRecord, attempt: Attempt) -> None:
-        """Keep what an attempt brought, to resume from; callers' text must remain its start."""
+    def _keep_partial_answer(self, record: RequestRecord, attempt: Attempt) -> None:
+        """Keep an attempt's partial answer to resume from; streamed text must stay its prefix."""
         longer = attempt.assembly.token_count > record.held.token_count
         if longer or record.streamed_tokens > 0:
             record.held = attempt.assembly.held()
 
-    def _error_of(
+    def _attempt_error(
         self,
         record: RequestRecord,
         engine: EngineName,
@@ -358,10 +358,10 @@
     def _cancel(self, record: RequestRecord, attempt: Attempt, now: float) -> None:
         self._store.output(CancelAttempt(attempt.attempt, attempt.engine, attempt.address))
         self._router.record_cancelled(attempt.attempt, now)
-        self._forget(record, attempt)
+        self._remove_attempt(record, attempt)
         record.may_have_run = True
 
-    def _forget(self, record: RequestRecord, attempt: Attempt) -> None:
+    def _remove_attempt(self, record: RequestRecord, attempt: Attempt) -> None:
         del record.attempts[attempt.attempt]
         del self._store.by_attempt[attempt.attempt]
 
--- a/src/stagewalk/node/requests/claim_gate.py
+++ b/src/stagewalk/node/requests/claim_gate.py
@@ -1,9 +1,9 @@
-"""The claim that comes before a request that is not repeatable may be sent.
+"""Claims for requests that are not repeatable, won before a request is sent.
 
-The claim is a write-once register shared by all nodes. Its value names this process by a nonce
-that only this process's memory holds, so of all submissions of a request, through any nodes,
-at most one process ever believes that it may send it. Owns the records whose claim is undecided;
-relies on the claims core, through notifications, for the decisions.
+A claim is a write-once register shared by all nodes. Its value identifies this process by a nonce
+that exists only in its memory, so at most one process may ever send the request, whichever nodes
+it was submitted to. Owns the records whose claim is undecided; the claims core reports decisions
+through notifications.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 from stagewalk.node.requests.timers import RequestTimerKind
 
 NONCE_BITS = 128
-"""Enough that no two processes ever draw the same nonce."""
+"""Large enough to make nonce collisions negligible."""
 
 
 class ClaimGate:
-    """Proposes claims and handles their decisions; a record passes only when its own claim won."""
+    """Proposes claims and handles their decisions; a record proceeds only if its claim won."""
 
     def __init__(
         self,
@@ -55,8 +55,8 @@
     def propose(self, record: RequestRecord) -> None:
         """Propose the claim that makes this process the only one to send the request.
 
-        A record of a request whose earlier submission here never ran has that one's claim:
-        it may have been chosen since, and then it is proposed again and wins.
+        After an earlier submission here that never ran, its claim is proposed again: that value
+        may have been decided since, and a new one would lose to it.
         """
         if record.claim is None:
             record.claim = ClaimValue(
@@ -86,10 +86,10 @@
         return None
 
     def undecided(self, key: str, error: StagewalkError, now: float) -> None:
-        """Fail a request whose claim nobody can vouch for; it is never sent later.
+        """Fail a request whose claim could not be decided; this submission is never sent.
 
-        The error says `ran: unknown`: this node never sends it, but the caller may have sent
-        the same request through another node before, and only the claim could tell.
+        The error says `ran: unknown`: the caller may have sent the same request through another
+        node before, and only the claim would show it.
         """
         record = self._claiming.pop(key, None)
         if record is None or record.state is not RequestState.CLAIMING:
@@ -102,12 +102,12 @@
     def answer_fetched(
         self, key: RequestKey, result: CompletionResult | None, detail: str, now: float
     ) -> None:
-        """Handle the answer of a lost claim's owner, or None and why there is none."""
+        """Handle the answer of a lost claim's owner; `detail` says why `result` is None."""
         record = self._store.records.get(key)
         if record is None or record.state is not RequestState.AWAITING_OWNER:
             return
         if result is None:
-            self.fail_unknown(record, Cause.ANSWER_UNKNOWN, detail, now)
+            self.fail_outcome_unknown(record, Cause.ANSWER_UNKNOWN, detail, now)
             return
         record.may_have_run = True
         self._store.finish(record, Cause.ANSWER_FETCHED, result, now)
@@ -115,8 +115,8 @@
     def hand_over(self, key: RequestKey, nonce: str, now: float) -> bool:
         """Hand over the claim of a request that never ran here; return whether it was.
 
-        From then on this process does not hold it, whether or not the other node learns of it:
-        of all processes at most one ever believes that it may send the request.
+        This process gives the claim up even if its reply is lost, so that at most one process
+        ever holds it.
         """
         outcome = self._store.retained.get(key, now)
         if key in self._store.records or outcome is None or outcome.may_have_run:
@@ -129,8 +129,8 @@
     def handed_over(self, key: RequestKey, query_id: int) -> RequestRecord | None:
         """Handle a claim handed over; return the record if it may be sent from now on.
 
-        The query id is the record's serial number: a reply to an earlier record's query, late
-        or doubled, names a claim that may have gone on to another node since.
+        The query id is the record's serial number. A late or duplicate reply to an earlier
+        record's query is ignored: that claim may have been handed to another node since.
         """
         record = self._store.records.get(key)
         if record is None or record.state is not RequestState.AWAITING_OWNER:
@@ -143,20 +143,22 @@
         return record
 
     def forget(self, record: RequestRecord) -> None:
-        """Drop a record that no longer waits; its claim may still be chosen, to no effect."""
+        """Drop a record that no longer waits; a later decision of its claim has no effect."""
         if record.state is RequestState.CLAIMING:
             self._claiming.pop(request_claim_key(record.key), None)
 
-    def fail_unknown(self, record: RequestRecord, cause: Cause, detail: str, now: float) -> None:
+    def fail_outcome_unknown(
+        self, record: RequestRecord, cause: Cause, detail: str, now: float
+    ) -> None:
         """Fail a request that another submission may have run."""
         peer = str(self._identity.name) if record.owner is None else str(record.owner)
         self._store.fail(record, cause, errors.outcome_unknown(ErrorStep.CLAIM, peer, detail), now)
 
     def _lost(self, record: RequestRecord, chosen: ClaimValue | None, now: float) -> None:
-        """Fail a request that another submission owns, or ask that one's node for the answer."""
+        """Fetch the answer from the node that owns the claim, or fail the request."""
         if chosen is None:
             detail = "the claim is held by an unknown owner"
-            self.fail_unknown(record, Cause.OUTCOME_UNKNOWN, detail, now)
+            self.fail_outcome_unknown(record, Cause.OUTCOME_UNKNOWN, detail, now)
             return
         record.owner = chosen.node
         if chosen.fingerprint != record.fingerprint:
@@ -165,7 +167,7 @@
             return
         if chosen.node == self._identity.name:
             detail = f"node {chosen.node} owns the request and may have run it"
-            self.fail_unknown(record, Cause.OUTCOME_UNKNOWN, detail, now)
+            self.fail_outcome_unknown(record, Cause.OUTCOME_UNKNOWN, detail, now)
             return
         self._store.move(record, Cause.CLAIM_LOST)
         until = now + self._config.fetch_timeout_seconds
--- a/src/stagewalk/node/requests/claim_value.py
+++ b/src/stagewalk/node/requests/claim_value.py
@@ -1,8 +1,8 @@
 """Keys and values of the claims that make a request run at most once.
 
-The value names the only process that may ever dispatch the request. The nonce binds it to one
-process's memory: a restarted node under the same name and incarnation does not know it, so it
-can't take an old claim for its own.
+The value names the only process that may dispatch the request. Its nonce exists only in that
+process's memory, so a restarted node of the same name and incarnation can't mistake an old claim
+for its own.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     nonce
         Random, known only to the process that proposed the claim.
     fingerprint
-        Hash of the request's content, to tell another request under the same id.
+        Hash of the request's content, to detect another request with the same id.
     """
 
     node: NodeName
@@ -35,12 +35,12 @@
 
 
 def encode_claim(value: ClaimValue) -> bytes:
-    """Return the claim's octets: equal for equal values."""
+    """Return the encoded claim; equal values have equal encodings."""
     return msgspec.json.encode(value)
 
 
 def decode_claim(octets: bytes) -> ClaimValue | None:
-    """Return the claim, or None if the octets are not one."""
+    """Return the decoded claim, or None if the octets are malformed."""
     try:
         return msgspec.json.decode(octets, type=ClaimValue)
     except msgspec.DecodeError:
--- a/src/stagewalk/node/requests/config.py
+++ b/src/stagewalk/node/requests/config.py
@@ -1,4 +1,4 @@
-"""Parameters of the request state machine, with units and where the figures come from."""
+"""Parameters of the request state machine, with units."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     maximum_attempts
         Attempts of one request, hedges included.
     budget_per_request
-        What each submitted request adds to its tenant's retry budget: retries add at most a fifth
-        to a tenant's load in the long run, so that they can't multiply an overload.
+        Credit that each submitted request adds to its tenant's retry budget. It limits the
+        long-run retry rate so that retries can't amplify an overload.
     budget_capacity
-        Most that a tenant's budget holds; it starts full.
+        Maximum of a tenant's budget; it starts full.
     first_backoff_seconds, maximum_backoff_seconds
         Range of the exponential backoff, whose jitter is uniform from 0.
     no_engine_interval_seconds
-        How often a request without an eligible engine looks again.
+        Interval at which a request without an eligible engine searches again.
     no_engine_limit_seconds
-        How long it does so before it fails: twice the time for which an engine's report vouches.
+        How long it searches before it fails: twice the validity of an engine's report.
     """
 
     maximum_attempts: int = 8
@@ -44,9 +44,9 @@
     percentile
         A request is hedged when its first token takes longer than this percentile.
     minimum_samples, window
-        Measured delays needed, and kept.
+        Samples required before hedging, and samples kept.
     minimum_delay_seconds
-        Least delay of a hedge, so that quick engines are not hedged for noise.
+        Minimum delay of a hedge, so that jitter of fast engines doesn't trigger hedges.
     """
 
     percentile: float = 0.95
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryConfig:
-    """Bounds of what a node keeps in memory for requests.
+    """Limits on what a node keeps in memory for requests.
 
     Attributes
     ----------
@@ -68,11 +68,11 @@
     maximum_held_characters
         Prompts and answers of all requests in progress; above it new requests are refused.
     maximum_answer_characters
-        One answer; an engine that sends more is broken.
+        One answer; an attempt that exceeds it is cancelled.
     maximum_reordered_chunks
-        Chunks of one attempt kept while one before them is missing.
+        Chunks of one attempt buffered while an earlier chunk is missing.
     maximum_retained, maximum_retained_characters
-        Outcomes of ended requests, of each kind: repeatable and not.
+        Outcomes of ended requests; applies separately to repeatable and other requests.
     """
 
     maximum_requests: int = 4096
@@ -93,9 +93,9 @@
     fetch_timeout_seconds
         How long the owner of a lost claim has to send its answer.
     stall_seconds
-        Longest silence of a repeatable attempt that has begun to answer; it is then given up.
+        A repeatable attempt is cancelled if no chunk follows the last one for this time.
     first_token_seconds
-        A repeatable attempt without any token is given up after this time.
+        A repeatable attempt is cancelled if it produces no token in this time.
     """
 
     fetch_timeout_seconds: float = 5.0
--- a/src/stagewalk/node/requests/core.py
+++ b/src/stagewalk/node/requests/core.py
@@ -1,8 +1,8 @@
-"""The request core: every completion request of this node, from submission to its one answer.
+"""The request core: every completion request of this node, from submission to its final answer.
 
-A request that is not repeatable is claimed first, then every request passes admission, then
-attempts are made until one answer is whole or nothing more may be tried. Relies on
-the claim gate, admission, the router and the attempt runner, which it composes.
+A request that is not repeatable is claimed first. Every request then passes admission, and attempts
+are made until one answer is complete or no further attempt is allowed. Composes the claim gate,
+admission, the router and the attempt runner.
 `states.TRANSITIONS` and `docs/REQUESTS.md` list all transitions.
 """
 
@@ -41,7 +41,7 @@
 from stagewalk.node.requests.submission_rules import (
     NodeLoad,
     Resubmission,
-    ran_before,
+    execution_status_of,
     refusal_of,
     resubmission,
 )
@@ -50,7 +50,7 @@
 from stagewalk.node.routing.router import Router
 
 POOL_REFRESH_INTERVAL_SECONDS = 0.1
-"""Least time between two views of a pool: a fifth of the poll interval."""
+"""Minimum time between two updates of a pool's capacity: a fifth of the poll interval."""
 
 CLAIM_STATES = frozenset({RequestState.CLAIMING, RequestState.AWAITING_OWNER})
 
@@ -63,7 +63,7 @@
     identity
         This node: its name, incarnation and a nonce bind claims to this process.
     router, admission
-        Used by this core alone.
+        Used by this core only.
     generator
         Source of nonces and jitter.
     """
@@ -97,14 +97,14 @@
         self._runner.set_tenants(frozenset(self._tenants))
 
     def submit(self, request: CompletionRequest, now: float) -> list[RequestOutput]:
-        """Start a request of a caller or of a trainer's lot.
+        """Start a request of a caller or of a rollout lot.
 
         The same request submitted again joins the first, or gets its retained answer.
         """
         key = RequestKey(request.tenant, request.request_id)
         parameters = self._tenants.get(request.tenant)
         if parameters is None or request.model not in parameters.models:
-            self._reject(key, self._unknown(request, parameters))
+            self._reject(key, self._unknown_tenant_or_model(request, parameters))
             return self._store.drain()
         request = apply_parameters(request, parameters)
         fingerprint = fingerprint_of(request)
@@ -115,11 +115,11 @@
         outcome = self._store.retained.get(key, now)
         if outcome is not None and self._answer_from(outcome, key, request, fingerprint):
             return self._store.drain()
-        self._open(request, parameters, fingerprint, outcome, now)
+        self._start_request(request, parameters, fingerprint, outcome, now)
         return self._store.drain()
 
     def handle(self, event: AttemptEvent, now: float) -> list[RequestOutput]:
-        """Handle what became of an attempt."""
+        """Handle an event of an attempt."""
         self._runner.handle(event, now)
         if not isinstance(event, AttemptChunk):
             self._release(now)
@@ -133,14 +133,14 @@
         return self._store.drain()
 
     def claim_undecided(self, key: str, error: StagewalkError, now: float) -> list[RequestOutput]:
-        """Fail a request whose claim nobody can vouch for, at once; it is never sent later."""
+        """Fail a request whose claim could not be decided; this submission is never sent."""
         self._gate.undecided(key, error, now)
         return self._store.drain()
 
     def answer_fetched(
         self, key: RequestKey, result: CompletionResult | None, detail: str, now: float
     ) -> list[RequestOutput]:
-        """Handle the answer of a claim's owner, or None and why there is none."""
+        """Handle the answer of a claim's owner; `detail` says why `result` is None."""
         self._gate.answer_fetched(key, result, detail, now)
         return self._store.drain()
 
@@ -168,9 +168,9 @@
         return len(self._store.records)
 
     def abandon(self, key: RequestKey, now: float) -> list[RequestOutput]:
-        """Handle that the last call of a request has gone.
+        """Handle that the last caller of a request has disconnected.
 
-        One that may not run again, and runs, is kept running so that its answer is retained.
+        A running request that is not repeatable runs to its end, so that its answer is retained.
         """
         record = self._store.records.get(key)
         if record is None:
@@ -190,7 +190,7 @@
         self._stopping = True
 
     def tick(self, now: float) -> list[RequestOutput]:
-        """Handle due timers, admit waiting requests and drop what has expired."""
+        """Handle due timers, admit waiting requests and drop expired outcomes."""
         for record, timer in self._store.due_timers(now):
             self._handle_timer(record, timer, now)
         self._refresh_pools(now)
@@ -225,15 +225,17 @@
         request: CompletionRequest,
         fingerprint: str,
     ) -> bool:
-        """Answer from a retained outcome; return False if the request is to be run."""
+        """Answer from a retained outcome; return False if the request must be run."""
         match resubmission(outcome, fingerprint):
             case Resubmission.OTHER_REQUEST:
-                self._reject(key, errors.duplicate(self._identity.name, ran_before(outcome)))
+                self._reject(
+                    key, errors.duplicate(self._identity.name, execution_status_of(outcome))
+                )
             case Resubmission.ANSWER:
                 assert outcome.result is not None
                 self._store.answer_again(key, outcome.result, request.stream)
             case Resubmission.ERROR:
-                detail = "it was sent before, and may not be sent again"
+                detail = "the request was sent before and may not be sent again"
                 error = errors.outcome_unknown(
                     ErrorStep.EXECUTION, str(self._identity.name), detail
                 )
@@ -242,7 +244,7 @@
                 return False
         return True
 
-    def _open(
+    def _start_request(
         self,
         request: CompletionRequest,
         parameters: TenantParameters,
@@ -300,7 +302,7 @@
         self._runner.dispatch(record, now)
 
     def _release(self, now: float) -> None:
-        """Start waiting requests that there is room for now."""
+        """Start waiting requests that admission now releases."""
         if not self._admission.waiting_count():
             return
         for key in self._admission.release(now):
@@ -324,8 +326,8 @@
                 self._runner.handle_stall_timer(record, timer, now)
             case RequestTimerKind.FETCH:
                 if record.state is RequestState.AWAITING_OWNER:
-                    detail = "the owner of the request did not say its answer"
-                    self._gate.fail_unknown(record, Cause.ANSWER_UNKNOWN, detail, now)
+                    detail = "the owner of the request did not send its answer in time"
+                    self._gate.fail_outcome_unknown(record, Cause.ANSWER_UNKNOWN, detail, now)
 
     def _handle_deadline(self, record: RequestRecord, now: float) -> None:
         if record.state is RequestState.WAITING:
@@ -339,7 +341,7 @@
         self._store.fail(record, Cause.DEADLINE, error, now)
 
     def _shed(self, record: RequestRecord, now: float) -> None:
-        """Fail a waiting request as soon as it can't be answered in time any more."""
+        """Fail a waiting request that can no longer meet its deadline."""
         wait = self._admission.expected_wait_seconds(record.request.model, record.request.priority)
         self._admission.withdraw(record.key)
         error = errors.shed(self._identity.name, record.ran, wait)
@@ -350,7 +352,7 @@
             self._refresh_pool(model, now)
 
     def _refresh_pool(self, model: ModelName, now: float) -> None:
-        """Set admission's view of a pool, at most once in `POOL_REFRESH_INTERVAL_SECONDS`."""
+        """Update a pool's capacity, at most once per `POOL_REFRESH_INTERVAL_SECONDS`."""
         if now - self._pool_views_at.get(model, -math.inf) < POOL_REFRESH_INTERVAL_SECONDS:
             return
         self._pool_views_at[model] = now
@@ -360,14 +362,14 @@
     def _reject(self, key: RequestKey, error: StagewalkError) -> None:
         self._store.output(SubmissionRejected(key, error))
 
-    def _unknown(
+    def _unknown_tenant_or_model(
         self, request: CompletionRequest, parameters: TenantParameters | None
     ) -> StagewalkError:
         if parameters is None:
             kind, field, detail = ErrorKind.UNKNOWN_TENANT, "tenant", "no such tenant"
         else:
             kind, field, detail = ErrorKind.UNKNOWN_MODEL, "model", "not a model of the tenant"
-        # A node that has just started knows no tenant: another may have run the request before.
+        # A node that has just started knows no tenants yet; another may have run the request.
         unproven = request.resent or not request.repeatable
         ran = ExecutionStatus.UNKNOWN if unproven else ExecutionStatus.NO
         node = str(self._identity.name)
--- a/src/stagewalk/node/requests/delays.py
+++ b/src/stagewalk/node/requests/delays.py
@@ -1,4 +1,4 @@
-"""Percentile of recent delays until the first token, from which hedges are timed."""
+"""Percentiles of recent first-token delays, which determine the hedge delay."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DelayWindow:
-    """The last delays measured, kept sorted too so that a percentile is cheap."""
+    """A sliding window of delays, also kept sorted so that a percentile is cheap."""
 
     def __init__(self, size: int) -> None:
         self._recent: deque[float] = deque()
@@ -18,7 +18,7 @@
         return len(self._recent)
 
     def add(self, seconds: float) -> None:
-        """Add a delay, dropping the oldest above the window's size."""
+        """Add a delay; drop the oldest if the window is full."""
         self._recent.append(seconds)
         insort(self._sorted, seconds)
         if len(self._recent) > self._size:
--- a/src/stagewalk/node/requests/errors.py
+++ b/src/stagewalk/node/requests/errors.py
@@ -1,6 +1,6 @@
 """The errors a request can end with.
 
-Owns their texts and their advice when to retry; relies on the record for whether it may have run.
+Each function returns one error, with its text and its Retry-After if it has one.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 from stagewalk.node.requests.record import RequestRecord
 
 STOPPING_RETRY_AFTER_SECONDS = 0.0
-"""Retry-After of a stopping node: another one takes the request at once."""
+"""Retry-After of a stopping node: another node can take the request immediately."""
 
 BUSY_RETRY_AFTER_SECONDS = 1.0
-"""Least Retry-After of a node or engine without room."""
+"""Minimum Retry-After of a node or engine without free capacity."""
 
 
 def deadline_passed(record: RequestRecord, node: NodeName, step: ErrorStep) -> StagewalkError:
@@ -24,7 +24,7 @@
 
 
 def outcome_unknown(step: ErrorStep, peer: str, detail: str) -> StagewalkError:
-    """Return the error of a request that may have run and may not run again."""
+    """Return the error of a request that may have run and must not run again."""
     return StagewalkError(
         ErrorKind.OUTCOME_UNKNOWN, step, peer, detail, ran=ExecutionStatus.UNKNOWN
     )
@@ -55,7 +55,7 @@
 
 
 def too_many(node: NodeName, ran: ExecutionStatus, detail: str) -> StagewalkError:
-    """Return the error of a submission beyond what the node can hold."""
+    """Return the error of a submission that exceeds the node's limits."""
     return StagewalkError(
         ErrorKind.OVERLOADED,
         ErrorStep.ADMISSION,
@@ -95,7 +95,7 @@
 
 
 def shed(node: NodeName, ran: ExecutionStatus, wait_seconds: float) -> StagewalkError:
-    """Return the error of a waiting request that can't be answered in time any more."""
+    """Return the error of a waiting request that can no longer meet its deadline."""
     return StagewalkError(
         ErrorKind.OVERLOADED,
         ErrorStep.ADMISSION,
--- a/src/stagewalk/node/requests/notifications.py
+++ b/src/stagewalk/node/requests/notifications.py
@@ -1,4 +1,4 @@
-"""What the request core returns for the node's other cores; the node core dispatches it by type."""
+"""Outputs of the request core for the node's other cores; the node core dispatches them by type."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 class RequestJoined:
     """The submission just made joined an earlier one of the same request.
 
-    `held` is the text that earlier calls have been streamed already: this call lacks it.
+    `held` is the text already streamed to earlier calls, which this call has not received.
     """
 
     key: RequestKey
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """The whole answer, for every call of the request; sent once for each submission's life."""
+    """The complete answer, for every call of the request; returned once."""
 
     key: RequestKey
     result: CompletionResult
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmissionRejected:
-    """The submission just made fails, and only it: other calls of the same id go on."""
+    """The submission just made fails; other calls with the same id are not affected."""
 
     key: RequestKey
     error: StagewalkError
@@ -61,9 +61,9 @@
     Attributes
     ----------
     nonce
-        Of the claim that was decided.
+        Nonce of the decided claim.
     query_id
-        Tells the reply to this query from replies to earlier ones for the same request.
+        Distinguishes replies to this query from replies to earlier ones of the same request.
     """
 
     key: RequestKey
--- a/src/stagewalk/node/requests/record.py
+++ b/src/stagewalk/node/requests/record.py
@@ -1,6 +1,6 @@
-"""What the core keeps of a request in progress and of its attempts.
+"""Records of requests in progress and of their attempts.
 
-Plain data, owned by the store and changed by the core, the gate and the attempt runner.
+Plain data, owned by the store and changed by the core, the claim gate and the attempt runner.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from stagewalk.common.errors import ExecutionStatus, StagewalkError
 from stagewalk.common.identities import Address, AttemptId, EngineName, NodeName, RequestKey
 from stagewalk.node.core.completions import CompletionRequest
-from stagewalk.node.requests.answer import AnswerAssembly, HeldAnswer
+from stagewalk.node.requests.answer import AnswerAssembly, PartialAnswer
 from stagewalk.node.requests.claim_value import ClaimValue
 from stagewalk.node.requests.states import RequestState
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt under way at an engine; times are of the node's clock, in seconds.
+    """One attempt in progress at an engine; times are in seconds of the node's clock.
 
-    `stall_timer_at` names the one timer that still counts among those set for it.
+    `stall_timer_at` is the time of the latest stall timer; earlier ones are ignored.
     """
 
     attempt: AttemptId
@@ -41,27 +41,27 @@
     Attributes
     ----------
     serial
-        Tells it from an earlier request under the same key.
+        Distinguishes it from an earlier request with the same key.
     request
         The request with the tenant's parameters applied.
     claim, claim_held
         The claim proposed for it, and whether it was won.
     owner, owners_claim
-        The node that holds the claim, if another one won it, and that claim.
+        The node that won the claim, if it is another one, and that claim.
     attempt_count
-        Attempts started, those under way included.
+        Attempts started, including those in progress.
     may_have_run
-        Whether an attempt that ended may have been executed.
+        Whether an ended attempt may have been executed.
     held
-        The longest part of the answer that is certain, to resume from.
+        The partial answer from which the next attempt resumes.
     stream
         Whether a call streams the answer.
     streamed_tokens, streamed_characters, next_sequence
-        How much of the answer was streamed, and in how many pieces.
+        How much of the answer was streamed, and in how many chunks.
     excluded
         Engines that failed or refused it.
     no_engine_since
-        Since when no engine was eligible; `None` if one was.
+        Since when no engine has been eligible; `None` if one was at the last search.
     """
 
     key: RequestKey
@@ -80,7 +80,7 @@
     attempts: dict[AttemptId, Attempt] = field(default_factory=dict)
     attempt_count: int = 0
     may_have_run: bool = False
-    held: HeldAnswer = field(default_factory=HeldAnswer)
+    held: PartialAnswer = field(default_factory=PartialAnswer)
     streamed_tokens: int = 0
     streamed_characters: int = 0
     next_sequence: int = 0
@@ -91,10 +91,10 @@
 
     @property
     def ran(self) -> ExecutionStatus:
-        """Return what may be said of the request: `no` only if it is proven.
+        """Return the request's execution status: `no` only if that is proven.
 
-        A request that is not repeatable may have been sent through another node before: only
-        its claim tells. Of a repeatable one, only the caller can say that it sent it before.
+        A request that is not repeatable may have been sent through another node before, unless
+        its claim is held. For a repeatable one, `resent` says whether the caller sent it before.
         """
         proven = not self.request.resent if self.request.repeatable else self.claim_held
         if self.may_have_run or self.attempts or not proven:
@@ -103,7 +103,7 @@
 
 
 def fingerprint_of(request: CompletionRequest) -> str:
-    """Return the hash of what makes two submissions under one id the same request."""
+    """Return the hash of the content that two submissions of the same request share."""
     content = (
         f"{request.model}\x00{request.max_tokens}\x00{request.seed}\x00{request.repeatable}\x00"
         f"{request.prompt}"
--- a/src/stagewalk/node/requests/retained.py
+++ b/src/stagewalk/node/requests/retained.py
@@ -1,6 +1,6 @@
-"""Outcomes of ended requests, kept for a while so that the same id gets the same answer.
+"""Outcomes of ended requests, retained so that a resubmission gets the same answer.
 
-Owns bounded stores in memory; after a restart only claims protect requests that may not run again.
+Held in bounded memory; after a restart only claims keep a request from running twice.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
     may_have_run
         Whether an engine may have executed any part of it.
     claim
-        The claim this node proposed for it, if any: a later submission of the same request,
-        if it never ran, proposes the same value again and so can still win with it.
+        The claim this node proposed for it, if any. If the request never ran, a resubmission
+        proposes the same value again and can still win.
     expires_at
         Node's clock, seconds.
     """
@@ -47,10 +47,10 @@
 
 
 class RetainedOutcomes:
-    """Bounded memory of ended requests, oldest first out.
+    """Bounded memory of ended requests; the oldest are evicted first.
 
-    Those that are not repeatable have a store of their own, so that a flood of the others
-    can't push them out.
+    Requests that are not repeatable have a separate store, so that repeatable ones can't evict
+    them.
     """
 
     def __init__(self, config: MemoryConfig) -> None:
@@ -65,7 +65,7 @@
         return None
 
     def put(self, key: RequestKey, outcome: RetainedOutcome) -> None:
-        """Keep an outcome in place of any earlier one."""
+        """Store an outcome, replacing any earlier one."""
         for store in self._stores.values():
             store.drop(key)
         self._stores[outcome.repeatable].put(key, outcome)
--- a/src/stagewalk/node/requests/retries.py
+++ b/src/stagewalk/node/requests/retries.py
@@ -1,7 +1,7 @@
-"""Retry budget and backoff: retries may not multiply an overload.
+"""Retry budget and backoff, which keep retries from amplifying an overload.
 
-Owns the tenants' budgets; relies on the core for every submitted request. Budgets are in retries,
-pauses in seconds; the constants are fields of `RetryConfig`.
+Owns the tenants' budgets. Budgets are in retries, pauses in seconds; the parameters are fields of
+`RetryConfig`.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 class RetryBudget:
-    """A token bucket per tenant, filled by requests and emptied by retries and hedges."""
+    """A token bucket per tenant, filled by requests and drained by retries and hedges."""
 
     def __init__(self, config: RetryConfig) -> None:
         self._config = config
         self._tokens: dict[TenantName, float] = {}
 
     def record_request(self, tenant: TenantName) -> None:
-        """Add what a new request earns."""
+        """Add the credit of a new request."""
         capacity = self._config.budget_capacity
         tokens = self._tokens.get(tenant, capacity) + self._config.budget_per_request
         self._tokens[tenant] = min(capacity, tokens)
 
     def spend(self, tenant: TenantName) -> bool:
-        """Spend one retry of a tenant's budget; return whether there was one."""
+        """Take one retry from a tenant's budget; return whether one was available."""
         tokens = self._tokens.get(tenant, self._config.budget_capacity)
         if tokens < 1.0:
             return False
--- a/src/stagewalk/node/requests/states.py
+++ b/src/stagewalk/node/requests/states.py
@@ -1,7 +1,7 @@
-"""States of a request, classes of its attempts, and the table of all transitions.
+"""States of a request, classes of its attempts, and the transition table.
 
-`docs/REQUESTS.md` shows the same table; a test keeps the two equal. The core looks every
-transition up here, so one that is not in the table is a programming error, found at once.
+`docs/REQUESTS.md` shows the same table; a test keeps the two equal. Every transition is looked up
+here; one that is not in the table raises `KeyError`.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 class RequestState(StrEnum):
-    """Where a request stands."""
+    """State of a request."""
 
     NEW = "new"
-    """Submitted, nothing decided."""
+    """Submitted; not yet claimed or admitted."""
     CLAIMING = "claiming"
     """Not repeatable: its claim is being decided; nothing may be sent."""
     AWAITING_OWNER = "awaiting_owner"
@@ -22,19 +22,19 @@
     WAITING = "waiting"
     """In admission's queue."""
     ROUTING = "routing"
-    """Admitted, without an attempt: looks for an engine or backs off."""
+    """Admitted, without an attempt: searching for an engine or backing off."""
     RUNNING = "running"
     """At least one attempt is at an engine."""
     FINISHED = "finished"
-    """Ended with its whole answer."""
+    """Ended with a complete answer."""
     FAILED = "failed"
     """Ended with an error."""
     ABANDONED = "abandoned"
-    """Ended without an answer: its callers went away."""
+    """Ended without an answer: its callers disconnected."""
 
 
 class Cause(StrEnum):
-    """Why a request changes its state."""
+    """Cause of a state transition."""
 
     CLAIM_WANTED = "claim_wanted"
     CLAIM_LOST = "claim_lost"
@@ -59,19 +59,19 @@
 
 
 class AttemptClass(StrEnum):
-    """What is proven about an attempt."""
+    """What is known about whether an attempt ran."""
 
     NOT_SENT = "not_sent"
-    """No byte of it can have reached the engine."""
+    """Nothing of it can have reached the engine."""
     REFUSED = "refused"
-    """The engine said that it has not run any of it."""
+    """The engine reported that it did not run it."""
     MAY_HAVE_RUN = "may_have_run"
-    """Anything else: also while it is under way, and when it was cancelled."""
+    """Anything else, including attempts in progress or cancelled."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """One row of the table; `meaning` says when it happens and why it must exist."""
+    """One row of the table; `meaning` describes when it happens."""
 
     state: RequestState
     cause: Cause
@@ -134,5 +134,5 @@
 
 
 def next_state(state: RequestState, cause: Cause) -> RequestState:
-    """Return the state a cause leads to; raise `KeyError` for one not in the table."""
+    """Return the state that a cause leads to; raise `KeyError` if it is not in the table."""
     return _NEXT_STATES[state, cause]
--- a/src/stagewalk/node/requests/store.py
+++ b/src/stagewalk/node/requests/store.py
@@ -1,7 +1,7 @@
-"""All requests in progress at this node, and the only places where one moves or ends.
+"""All requests in progress at this node, and the functions that change or end them.
 
-Owns records, timers, retained outcomes and the outputs not yet drained, and counts the text they
-hold. Relies on `states` for which moves exist.
+Owns records, timers, retained outcomes and the outputs not yet drained, and counts the characters
+that records hold. `states` defines the allowed transitions.
 """
 
 from __future__ import annotations
@@ -27,22 +27,23 @@
 
 COMPACTION_SPARE_TIMERS = 1024
 COMPACTION_TIMERS_PER_REQUEST = 8
-"""Timers kept without looking for those of ended requests."""
+"""Timers of ended requests are dropped when the queue exceeds the spare timers plus this many per
+request in progress."""
 
 
 class RequestStore:
-    """Records, timers, retained outcomes and pending outputs, with their memory counted.
+    """Records, timers, retained outcomes and pending outputs.
 
     Attributes
     ----------
     records
         Requests in progress.
     by_attempt
-        The request of each attempt under way.
+        The request of each attempt in progress.
     retained
         Outcomes of ended requests.
     held_characters
-        Text held by all records; `count_characters` keeps it.
+        Characters held by all records; updated by `count_characters`.
     """
 
     def __init__(self, config: RequestConfig) -> None:
@@ -55,7 +56,7 @@
         self._serial = 0
 
     def next_serial(self) -> int:
-        """Return a number no other record of this process has."""
+        """Return a serial number unique in this process."""
         self._serial += 1
         return self._serial
 
@@ -65,28 +66,28 @@
         self.count_characters(record, len(record.request.prompt))
 
     def count_characters(self, record: RequestRecord, more: int) -> None:
-        """Count text that a record holds from now on."""
+        """Count characters added to a record."""
         record.characters += more
         self.held_characters += more
 
     def output(self, output: RequestOutput) -> None:
-        """Append an output, in order."""
+        """Append an output."""
         self._outputs.append(output)
 
     def drain(self) -> list[RequestOutput]:
-        """Return the outputs since the last time."""
+        """Return the outputs since the last call, in order."""
         outputs = self._outputs
         self._outputs = []
         return outputs
 
     def move(self, record: RequestRecord, cause: Cause) -> None:
-        """Change a record's state as the table of transitions says."""
+        """Change a record's state according to the transition table."""
         record.state = next_state(record.state, cause)
 
     def stream_up_to(
         self, record: RequestRecord, text: str, token_count: int, version: WeightVersion
     ) -> None:
-        """Stream a text to the calls, after which they have this many tokens."""
+        """Stream the next text to the calls; `token_count` is the total streamed after it."""
         piece = TokenChunk(
             sequence=record.next_sequence,
             offset=record.streamed_tokens,
@@ -102,7 +103,7 @@
     def finish(
         self, record: RequestRecord, cause: Cause, result: CompletionResult, now: float
     ) -> None:
-        """End a record with its whole answer, after what streaming calls still lack of it."""
+        """End a record with its complete answer, after streaming the rest of it."""
         if record.stream and result.token_count > record.streamed_tokens:
             rest = result.text[record.streamed_characters :]
             self.stream_up_to(record, rest, result.token_count, result.spans[-1].version)
@@ -123,7 +124,7 @@
         self._end(record, cause, now, error=error)
 
     def abandon(self, record: RequestRecord, now: float) -> None:
-        """End a record whose callers left."""
+        """End a record whose callers disconnected."""
         self._end(record, Cause.ABANDONED, now)
 
     def set_timer(
@@ -133,11 +134,11 @@
         at: float,
         attempt: AttemptId | None = None,
     ) -> None:
-        """Set a timer of a record; it is never removed, and ignored once the record has ended."""
+        """Set a timer of a record; it is ignored once the record has ended."""
         self._timers.add(at, RequestTimer(at, kind, record.key, record.serial, attempt))
 
     def due_timers(self, now: float) -> Iterator[tuple[RequestRecord, RequestTimer]]:
-        """Yield the due timers of records in progress, each with its record as it is then."""
+        """Yield the due timers of records still in progress, each with its record."""
         for timer in self._timers.pop_due(now):
             record = self.records.get(timer.key)
             if record is not None and record.serial == timer.serial:
--- a/src/stagewalk/node/requests/submission_rules.py
+++ b/src/stagewalk/node/requests/submission_rules.py
@@ -1,7 +1,7 @@
-"""The rules for a submission: refuse it, answer it from an earlier one's outcome, or run it.
+"""Rules for a submission: refuse it, answer it from an earlier outcome, or run it.
 
-Pure functions. Inputs: the request, what the node holds in memory, and how an earlier submission
-of the same id ended here, if that is still known. The bounds are fields of `MemoryConfig`.
+Pure functions of the request, the node's load, and the retained outcome of an earlier submission
+with the same id. The limits are fields of `MemoryConfig`.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLoad:
-    """What a node holds of requests in progress.
+    """A node's load of requests in progress.
 
     Attributes
     ----------
     claiming
         Requests whose claim is being decided.
     held_characters
-        Prompts and answers of all requests.
+        Characters of the prompts and answers of all requests.
     """
 
     requests: int
@@ -36,7 +36,7 @@
 
 
 class Resubmission(Enum):
-    """What a submission gets whose id ended here before."""
+    """How a submission is handled whose id has a retained outcome."""
 
     OTHER_REQUEST = auto()
     """An error: the id belongs to a request of other content."""
@@ -45,13 +45,13 @@
     ERROR = auto()
     """An error: it may have run, and must not run again."""
     RUN = auto()
-    """It is run, as if it were new."""
+    """It is run like a new request."""
 
 
 def refusal_of(
     record: RequestRecord, load: NodeLoad, memory: MemoryConfig, node: NodeName, now: float
 ) -> StagewalkError | None:
-    """Return why a new request is refused before anything is done for it; None if it isn't."""
+    """Return why a new request is refused; None if it is accepted."""
     if load.stopping:
         return errors.stopping(node, record.ran)
     if now >= record.request.deadline:
@@ -59,14 +59,16 @@
     if load.requests >= memory.maximum_requests:
         return errors.too_many(node, record.ran, "too many requests are in progress")
     if load.held_characters >= memory.maximum_held_characters:
-        return errors.too_many(node, record.ran, "too much text is held")
+        return errors.too_many(
+            node, record.ran, "the text of the requests in progress exceeds the limit"
+        )
     if not record.request.repeatable and load.claiming >= memory.maximum_claiming:
         return errors.too_many(node, record.ran, "too many claims are being decided")
     return None
 
 
 def resubmission(outcome: RetainedOutcome, fingerprint: str) -> Resubmission:
-    """Return what a submission gets after an earlier one of its id ended with an outcome."""
+    """Return how a submission is handled, given the outcome of an earlier one of its id."""
     if outcome.fingerprint != fingerprint:
         return Resubmission.OTHER_REQUEST
     if outcome.result is not None:
@@ -76,6 +78,6 @@
     return Resubmission.ERROR
 
 
-def ran_before(outcome: RetainedOutcome) -> ExecutionStatus:
-    """Return what may be said of an ended request to a submission of other content."""
+def execution_status_of(outcome: RetainedOutcome) -> ExecutionStatus:
+    """Return the execution status of an ended request."""
     return ExecutionStatus.UNKNOWN if outcome.may_have_run else ExecutionStatus.NO
--- a/src/stagewalk/node/requests/tenancy.py
+++ b/src/stagewalk/node/requests/tenancy.py
@@ -1,4 +1,4 @@
-"""Applies a tenant's parameters to a request: versions pinned, classes not repeatable."""
+"""Applies a tenant's parameters to a request: version bounds and non-repeatable classes."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 def apply_parameters(request: CompletionRequest, parameters: TenantParameters) -> CompletionRequest:
-    """Return the request as its tenant's parameters make it: versions pinned, class obeyed."""
+    """Return the request with its tenant's version bounds and non-repeatable classes applied."""
     repeatable = request.repeatable and (
         request.request_class not in parameters.non_repeatable_classes
     )
     return replace(
         request,
         repeatable=repeatable,
-        minimum_version=_tighter(max, request.minimum_version, parameters.minimum_version),
-        maximum_version=_tighter(min, request.maximum_version, parameters.maximum_version),
+        minimum_version=_stricter_bound(max, request.minimum_version, parameters.minimum_version),
+        maximum_version=_stricter_bound(min, request.maximum_version, parameters.maximum_version),
     )
 
 
-def _tighter(
+def _stricter_bound(
     choose: Callable[[WeightVersion, WeightVersion], WeightVersion],
     one: WeightVersion | None,
     other: WeightVersion | None,
--- a/src/stagewalk/node/requests/timers.py
+++ b/src/stagewalk/node/requests/timers.py
@@ -1,4 +1,4 @@
-"""Timers of requests: nothing is done for a request until its time comes.
+"""Timers of requests.
 
 Plain data; the store owns the queue and ignores a timer whose record has ended.
 """
@@ -12,7 +12,7 @@
 
 
 class RequestTimerKind(IntEnum):
-    """What is due."""
+    """What a timer is for."""
 
     DEADLINE = 0
     SHED = 1
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTimer:
-    """Something due for a request.
+    """A timer of a request.
 
     Attributes
     ----------
     at
         Node's clock, seconds.
     serial
-        Distinguishes a request from an earlier one of the same key.
+        Distinguishes a request from an earlier one with the same key.
     """
 
     at: float
--- a/tests/node/requests/__init__.py
+++ b/tests/node/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the requests subsystem."""
+"""Tests of `stagewalk.node.requests`."""
--- a/tests/node/requests/support.py
+++ b/tests/node/requests/support.py
@@ -1,4 +1,4 @@
-"""A request core with fake engines, driven by hand."""
+"""A request core with fake engines, driven step by step by the tests."""
 
 from __future__ import annotations
 
@@ -122,7 +122,7 @@
 
 
 class Driver:
-    """One request core, three engines that report on demand, and all it said, in order."""
+    """A request core, fake engines that report on demand, and all outputs in order."""
 
     def __init__(
         self,
--- a/tests/node/requests/test_hand_over.py
+++ b/tests/node/requests/test_hand_over.py
@@ -1,4 +1,4 @@
-"""A claim goes from a node that never ran the request to one that asks, and never to two."""
+"""A node that never ran a request hands its claim to one other node at most."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def owner(sent: bool = False) -> Driver:
-    """Return a node that won the claim and refused the request, or lost its attempt."""
+    """Return a node that won the claim and failed the request; `sent`: it may have run."""
     driver = Driver(CONFIG)
     driver.submit(repeatable=False, deadline=driver.now + 1.0)
     driver.decide()
@@ -37,7 +37,7 @@
 
 
 def asker(owners: Driver) -> Driver:
-    """Return another node to which the caller sent the same request, waiting for the owner."""
+    """Return another node with the same request, waiting for the claim's owner."""
     identity = Identity(name=NodeName("n2"), incarnation=Incarnation(7))
     driver = Driver(CONFIG, seed=2, identity=identity)
     driver.submit(repeatable=False, deadline=driver.now + 20.0)
@@ -46,13 +46,13 @@
 
 
 class HandOverTest(testtools.TestCase):
-    def test_a_claim_is_given_once_and_only_by_its_nonce(self) -> None:
+    def test_a_claim_is_handed_over_once_and_only_for_its_nonce(self) -> None:
         driver = owner()
         self.assertFalse(driver.core.hand_over_claim(KEY, "another nonce", driver.now))
         self.assertTrue(driver.core.hand_over_claim(KEY, nonce(driver), driver.now))
         self.assertFalse(driver.core.hand_over_claim(KEY, nonce(driver), driver.now))
 
-    def test_the_owner_runs_nothing_after_it_gave_its_claim(self) -> None:
+    def test_the_owner_runs_nothing_after_handing_over_its_claim(self) -> None:
         driver = owner()
         given = driver.of(ProposeClaim)[0].value
         driver.core.hand_over_claim(KEY, nonce(driver), driver.now)
@@ -73,7 +73,7 @@
             driver.take(driver.core.claim_handed_over(KEY, query_id, driver.now))
         self.assertEqual(1, len(driver.of(StartAttempt)))
 
-    def test_a_late_reply_to_an_earlier_query_gives_nothing(self) -> None:
+    def test_a_late_reply_to_an_earlier_query_is_ignored(self) -> None:
         owners = owner()
         driver = asker(owners)
         early = driver.of(FetchAnswer)[0].query_id
--- a/tests/node/requests/test_request_core.py
+++ b/tests/node/requests/test_request_core.py
@@ -1,4 +1,4 @@
-"""Requests end in their own whole answer or in a true statement of what happened."""
+"""Requests end with a complete answer or with an error whose status is correct."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
         self.assertEqual([], driver.of(StartAttempt))
 
     def test_resubmission_after_an_undecided_claim_proposes_the_same_value(self) -> None:
-        """Its value may have been chosen: another one would lose to it, and never run."""
+        """The first value may have been decided; a new one would lose to it and never run."""
         driver = Driver()
         driver.submit(repeatable=False)
         error = StagewalkError(ErrorKind.TIMEOUT, ErrorStep.CLAIM, "n2,n3", "no majority")
@@ -168,7 +168,7 @@
 
 
 class HedgeTest(testtools.TestCase):
-    """Two attempts without a seed answer differently: no caller may get parts of both."""
+    """Unseeded attempts answer differently; no caller may get parts of both."""
 
     def hedged(self) -> tuple[Driver, StartAttempt, StartAttempt]:
         hedge = HedgeConfig(minimum_samples=1, minimum_delay_seconds=0.3)
@@ -211,7 +211,7 @@
             driver.handle(AttemptFailed(driver.last_start().attempt, False, "no route"))
         self.assertEqual(9, len(driver.of(StartAttempt)))
 
-    def test_final_answer_is_not_held_back(self) -> None:
+    def test_final_error_is_returned_at_once(self) -> None:
         driver = Driver(RequestConfig(retry=RetryConfig(maximum_attempts=1)))
         driver.submit()
         said = driver.handle(AttemptRefused(driver.last_start().attempt, "full", 2.0))
@@ -228,7 +228,7 @@
         driver.handle(AttemptFailed(driver.last_start().attempt, True, "reset"))
         self.assertEqual("length", driver.results()[0].finish_reason)
 
-    def test_silent_engine_is_left_and_its_answer_resumed(self) -> None:
+    def test_stalled_attempt_is_cancelled_and_its_answer_resumed(self) -> None:
         driver = Driver()
         driver.submit(stream=True)
         first = driver.last_start()
@@ -248,7 +248,7 @@
         self.assertEqual(0, driver.core.in_flight_count())
         self.assertEqual(1, len(driver.results()))
 
-    def test_refusal_of_a_swapping_engine_says_nothing_about_room(self) -> None:
+    def test_refusal_of_a_loading_engine_does_not_lower_the_limit(self) -> None:
         driver = Driver()
         driver.submit()
         before = driver.admission._pools[driver.last_start().request.model].limiter.limit
--- a/tests/node/requests/test_request_machine.py
+++ b/tests/node/requests/test_request_machine.py
@@ -1,7 +1,7 @@
-"""Random orders of events at two nodes that share a claim register and engines.
+"""Random event orders at two nodes that share a claim register and engines.
 
-Judged against what the engines really did: a request that is not repeatable is executed at
-most once, `ran: no` is true, each call gets exactly one final answer, and answers are whole.
+Checked against what the engines executed: a request that is not repeatable runs at most once,
+`ran: no` is true, each call gets exactly one final answer, and answers are complete.
 """
 
 from __future__ import annotations
@@ -50,13 +50,13 @@
 CLAIM_OUTCOMES = ("decide", "decide", "decide", "undecided", "undecided_chosen")
 INDEX = st.integers(0, 7)
 SECONDS = (0.1, 0.5, 0.5, 6.0)
-ENGINE_ACTS = (
+ENGINE_ACTIONS = (
     *("generate",) * 6,
     *("finish",) * 3,
     *("refuse", "cut", "unsent", "lose", "newer", "overlap", "empty", "endless", "foreign"),
 )
 STEPS = (
-    *("submit", "settle_claim", "late_decision", "engine_acts"),
+    *("submit", "settle_claim", "late_decision", "engine_actions"),
     *("late_event", "advance", "abandon", "kill"),
 )
 STEP_WEIGHTS = (10, 10, 2, 20, 5, 8, 1, 1)
@@ -65,7 +65,7 @@
 
 @dataclass
 class EngineAttempt:
-    """What truly became of an attempt at its engine."""
+    """The actual state of an attempt at its engine."""
 
     node: str
     start: StartAttempt
@@ -115,7 +115,7 @@
         driver.report_all()
         return driver
 
-    # What the outputs mean to callers and engines.
+    # Outputs
 
     def take(self, node: str, outputs: list[object]) -> None:
         for output in outputs:
@@ -129,10 +129,10 @@
                 case ProposeClaim():
                     self.pending.append((node, output))
                 case _:
-                    self.tell_callers(node, output)
-        self.judge_executions()
+                    self.deliver_to_callers(node, output)
+        self.check_executions()
 
-    def tell_callers(self, node: str, output: object) -> None:
+    def deliver_to_callers(self, node: str, output: object) -> None:
         match output:
             case RequestJoined():
                 if output.held is not None and self.calls[node]:
@@ -143,10 +143,10 @@
             case RequestFinished():
                 self.answer(node, output)
             case RequestFailed():
-                self.judge_error(output.key.request_id, output.error)
+                self.check_error(output.key.request_id, output.error)
                 self.end_calls(node, output.key.request_id)
             case SubmissionRejected():
-                self.judge_error(output.key.request_id, output.error)
+                self.check_error(output.key.request_id, output.error)
                 assert self.calls[node][-1].key == output.key.request_id
                 self.calls[node].pop()
 
@@ -166,7 +166,7 @@
             assert not call.stream or call.text == result.text, "a stream lacks a part"
         self.end_calls(node, output.key.request_id)
 
-    def judge_error(self, request_id: str, error: StagewalkError) -> None:
+    def check_error(self, request_id: str, error: StagewalkError) -> None:
         ran = any(
             attempt.executed
             for attempt in self.attempts.values()
@@ -175,7 +175,7 @@
         if error.ran is ExecutionStatus.NO and request_id.startswith("once"):
             assert not ran, f"{request_id} ran, but the caller was told that it did not"
 
-    def judge_executions(self) -> None:
+    def check_executions(self) -> None:
         for request_id in REQUESTS:
             if request_id.startswith("once"):
                 live = [
@@ -190,7 +190,7 @@
     def prompt(request_id: str) -> str:
         return f"prompt of {request_id}"
 
-    # Callers.
+    # Callers
 
     @rule(node=st.sampled_from(NODES), request_id=st.sampled_from(REQUESTS), stream=st.booleans())
     def submit(self, node: str, request_id: str, stream: bool) -> None:
@@ -212,7 +212,7 @@
         self.end_calls(node, request_id)
         self.take(node, self.nodes[node].core.abandon(key_of(request_id), self.now))
 
-    # Claims.
+    # Claims
 
     @precondition(lambda self: self.pending)
     @rule(index=INDEX, outcome=st.sampled_from(CLAIM_OUTCOMES))
@@ -231,7 +231,7 @@
     @precondition(lambda self: self.answered)
     @rule(index=INDEX)
     def late_decision(self, index: int) -> None:
-        """A claim once undecided turns out decided; it stays in the list, to come doubled."""
+        """Deliver a decision late or again; the entry stays listed so that it can repeat."""
         node, wanted = self.answered[index % len(self.answered)]
         if wanted.key in self.register:
             self.decide(node, wanted)
@@ -243,7 +243,7 @@
         self.answered.append((node, wanted))
         self.take(node, core.claim_decided(wanted.key, chosen, won, self.now))
 
-    # Engines.
+    # Engines
 
     def event(self, attempt: EngineAttempt, event: object) -> None:
         node = attempt.node
@@ -255,17 +255,17 @@
     @precondition(lambda self: self.live())
     @rule(
         index=INDEX,
-        acts=st.lists(st.sampled_from(ENGINE_ACTS), min_size=1, max_size=6),
+        acts=st.lists(st.sampled_from(ENGINE_ACTIONS), min_size=1, max_size=6),
     )
-    def engine_acts(self, index: int, acts: list[str]) -> None:
-        """An attempt's engine does some things in a row, from its first token to its end."""
+    def engine_actions(self, index: int, acts: list[str]) -> None:
+        """Apply several actions of one attempt's engine in a row."""
         live = self.live()[-4:]
         attempt = live[index % len(live)]
         for act in acts:
             if not attempt.ended:
-                self.engine_act(attempt, act)
+                self.apply_engine_action(attempt, act)
 
-    def engine_act(self, attempt: EngineAttempt, act: str) -> None:
+    def apply_engine_action(self, attempt: EngineAttempt, act: str) -> None:
         match act:
             case "generate" | "newer" | "lose":
                 self.generate(attempt, 2 if act == "newer" else 1, act == "lose")
@@ -286,7 +286,7 @@
     @precondition(lambda self: any(attempt.sent for attempt in self.attempts.values()))
     @rule(index=INDEX, piece_index=INDEX)
     def late_event(self, index: int, piece_index: int) -> None:
-        """A chunk or final frame again: doubled, late, or the one lost, and so reordered."""
+        """Deliver a chunk or final frame again, or one that was lost before."""
         sent = [attempt for attempt in self.attempts.values() if attempt.sent]
         attempt = sent[-4:][index % len(sent[-4:])]
         if attempt.ended and attempt.tokens >= ANSWER_TOKENS:
@@ -325,7 +325,7 @@
             event = AttemptFinished(attempt.start.attempt, ANSWER_TOKENS, "stop")
             self.event(attempt, event)
 
-    # Time and nodes.
+    # Time and restarts
 
     @rule(seconds=st.sampled_from(SECONDS), reports=st.booleans())
     def advance(self, seconds: float, reports: bool) -> None:
@@ -337,7 +337,7 @@
     @precondition(lambda self: len(self.attempts) > 2)
     @rule(node=st.sampled_from(NODES))
     def kill(self, node: str) -> None:
-        """The process dies with all it knew; a new one starts under its name."""
+        """Kill a process with its state and start a new one with the same name."""
         self.calls[node] = []
         for attempt in self.attempts.values():
             if attempt.node == node and not attempt.ended:
@@ -346,7 +346,7 @@
         self.nodes[node] = self.new_node(node)
 
     def teardown(self) -> None:
-        """Whatever happened, every call has its final answer soon after the last deadline."""
+        """Check that every call has its final answer soon after the last deadline."""
         for _ in range(5):
             self.advance(5.0, True)
         for node in NODES:
@@ -361,8 +361,8 @@
     return RequestKey(TENANT, RequestId(request_id))
 
 
-def walk(generator: random.Random, steps: int) -> None:
-    """Take the machine's rules at random, without the cost of shrinkable draws."""
+def run_random_steps(generator: random.Random, steps: int) -> None:
+    """Run the machine's rules at random without Hypothesis, which is slower."""
     machine = RequestMachine()
     for _ in range(steps):
         index, other = generator.randrange(8), generator.randrange(8)
@@ -374,9 +374,9 @@
                 machine.settle_claim(index, generator.choice(CLAIM_OUTCOMES))
             case "late_decision" if machine.answered:
                 machine.late_decision(index)
-            case "engine_acts" if machine.live():
-                acts = generator.choices(ENGINE_ACTS, k=generator.randint(1, 4))
-                machine.engine_acts(index, acts)
+            case "engine_actions" if machine.live():
+                acts = generator.choices(ENGINE_ACTIONS, k=generator.randint(1, 4))
+                machine.engine_actions(index, acts)
             case "late_event" if any(attempt.sent for attempt in machine.attempts.values()):
                 machine.late_event(index, other)
             case "advance":
@@ -396,4 +396,4 @@
 
     def test_long_random_walks(self) -> None:
         for seed in range(120):
-            walk(random.Random(seed), 150)
+            run_random_steps(random.Random(seed), 150)
--- a/tests/node/requests/test_request_states.py
+++ b/tests/node/requests/test_request_states.py
@@ -1,4 +1,4 @@
-"""Every state is reached and met by every fault, and every row of the table is taken."""
+"""Applies every pair of faults in every state and covers every row of the table."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 )
 
 
-def fill_the_slot(driver: Driver) -> None:
+def occupy_only_slot(driver: Driver) -> None:
     driver.submit(request_id="other")
     driver.outputs.clear()
 
@@ -41,11 +41,11 @@
     driver.advance(3.0, engines_report=False, step=1.0)
 
 
-def reach(state: str, repeatable: bool) -> Driver:
-    """Return a driver whose request `KEY` stands in a state, with nothing said of it before."""
+def driver_in_state(state: str, repeatable: bool) -> Driver:
+    """Return a driver whose request `KEY` is in a state."""
     driver = Driver(CONFIG, admission=ONE_SLOT if state == "waiting" else None)
     if state == "waiting":
-        fill_the_slot(driver)
+        occupy_only_slot(driver)
     if state == "routing":
         silence_engines(driver)
     driver.submit(repeatable=repeatable, deadline=driver.now + 20.0, stream=state == "answering")
@@ -124,25 +124,25 @@
 }
 
 
-def judged(driver: Driver) -> tuple[ErrorKind, ExecutionStatus]:
+def kind_and_status(driver: Driver) -> tuple[ErrorKind, ExecutionStatus]:
     error = driver.errors()[0]
     return error.kind, error.ran
 
 
-class WalkTest(testtools.TestCase):
+class StateTransitionTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.taken: set[tuple[RequestState, Cause]] = set()
-        patch = mock.patch.object(store, "next_state", self.note)
+        patch = mock.patch.object(store, "next_state", self.record_transition)
         patch.start()
         self.addCleanup(patch.stop)
 
-    def note(self, state: RequestState, cause: Cause) -> RequestState:
+    def record_transition(self, state: RequestState, cause: Cause) -> RequestState:
         self.taken.add((state, cause))
         return next_state(state, cause)
 
     def end(self, driver: Driver, name: str, repeatable: bool, may_have_run: set[str]) -> None:
-        """Let what still runs end well, then judge the whole life of the request."""
+        """Finish the attempts still running, then check the final answer."""
         driver.advance(5.0, step=1.0)
         self.assertTrue(repeatable or not may_have_run or not driver.core._store.by_attempt, name)
         for start in driver.of(StartAttempt):
@@ -158,11 +158,11 @@
             if error.ran is ExecutionStatus.NO:
                 self.assertEqual(set(), may_have_run, name)
 
-    def walk(self, state: str, repeatable: bool, event: str, twice: str) -> None:
-        name = f"{state} repeatable={repeatable}: {event}, then {twice}"
-        driver = reach(state, repeatable)
+    def check_fault_pair(self, state: str, repeatable: bool, event: str, second_event: str) -> None:
+        name = f"{state} repeatable={repeatable}: {event}, then {second_event}"
+        driver = driver_in_state(state, repeatable)
         may_have_run: set[str] = set()
-        for each in (event, twice):
+        for each in (event, second_event):
             running = set(driver.core._store.by_attempt)
             EVENTS[each](driver)
             if each in ("engine killed", "truncated") and state != "waiting":
@@ -175,10 +175,10 @@
             states = ("waiting", "routing", "running", "answering")
             for state in states if repeatable else ("claiming", "awaiting_owner", *states):
                 for event in EVENTS:
-                    for twice in EVENTS:
-                        self.walk(state, repeatable, event, twice)
+                    for second_event in EVENTS:
+                        self.check_fault_pair(state, repeatable, event, second_event)
         self.lose_a_hedged_attempt()
-        self.take_rare_rows()
+        self.run_rare_transitions()
         self.refuse_at_admission(repeatable=True)
         self.refuse_at_admission(repeatable=False)
         missing = {(row.state, row.cause) for row in TRANSITIONS} - self.taken
@@ -196,7 +196,7 @@
         driver.handle(finished(second, 4))
         self.assertEqual("<0:4>", driver.results()[0].text)
 
-    def take_rare_rows(self) -> None:
+    def run_rare_transitions(self) -> None:
         lost = Driver(CONFIG)
         lost.submit(repeatable=False)
         lost.decide(False, b"not a claim")
@@ -208,24 +208,24 @@
         slow_owner.advance(4.0)
         self.assertEqual(ExecutionStatus.UNKNOWN, slow_owner.errors()[0].ran)
 
-        paused = reach("routing", repeatable=True)
+        paused = driver_in_state("routing", repeatable=True)
         paused.now += 60.0
         paused.take(paused.core.tick(paused.now))
-        self.assertEqual((ErrorKind.DEADLINE, ExecutionStatus.NO), judged(paused))
+        self.assertEqual((ErrorKind.DEADLINE, ExecutionStatus.NO), kind_and_status(paused))
 
         once = Driver(RequestConfig(retry=RetryConfig(maximum_attempts=1)))
         once.submit()
         fail(sent=True)(once)
-        self.assertEqual((ErrorKind.ENGINE_FAILED, ExecutionStatus.UNKNOWN), judged(once))
+        self.assertEqual((ErrorKind.ENGINE_FAILED, ExecutionStatus.UNKNOWN), kind_and_status(once))
 
-        waiting = reach("waiting", repeatable=True)
+        waiting = driver_in_state("waiting", repeatable=True)
         for attempt in list(waiting.core._store.by_attempt):
             waiting.handle(AttemptFinished(attempt, 0, "stop"))
         self.assertEqual(KEY.request_id, waiting.last_start().request.request_id)
 
     def refuse_at_admission(self, repeatable: bool) -> None:
         driver = Driver(CONFIG, admission=ONE_SLOT)
-        fill_the_slot(driver)
+        occupy_only_slot(driver)
         driver.submit(repeatable=repeatable, deadline=1.5)
         if not repeatable:
             driver.decide()
