--- a/src/stagewalk/node/claims/codec.py
+++ b/src/stagewalk/node/claims/codec.py
@@ -1,4 +1,4 @@
-"""Translation between the wire's ballots and entries and the cores' own types."""
+"""Conversion of ballots, entries and incarnations between wire messages and internal types."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def write_ballot(ballot: Ballot) -> claims_pb2.ClaimBallot:
-    """Return a ballot as the wire carries it."""
+    """Return the wire form of a ballot."""
     return claims_pb2.ClaimBallot(
         round=ballot.round,
         proposer=ballot.proposer,
@@ -31,7 +31,7 @@
 
 
 def write_entry(key: str, entry: ClaimEntry, now: float) -> claims_pb2.ClaimEntry:
-    """Return an entry as state transfer carries it; clocks differ, so times are relative."""
+    """Return the wire form of an entry; its expiry is relative, as clocks differ."""
     message = claims_pb2.ClaimEntry(
         key=key,
         value=entry.value,
@@ -46,7 +46,7 @@
 
 
 def read_entry(message: claims_pb2.ClaimEntry, now: float) -> ClaimEntry:
-    """Return the entry of a state transfer."""
+    """Return the entry of a state transfer message."""
     return ClaimEntry(
         expires_at=now + message.expires_in_seconds,
         promised=read_ballot(message.promised) if message.HasField("promised") else None,
--- a/src/stagewalk/node/claims/config.py
+++ b/src/stagewalk/node/claims/config.py
@@ -1,7 +1,6 @@
 """Limits and delays of claims, with units.
 
-What they cost is in docs/design/0040-claims.md and
-docs/CAPACITY.md.
+docs/design/0040-claims.md and docs/CAPACITY.md give their costs.
 """
 
 from __future__ import annotations
@@ -16,31 +15,31 @@
     Attributes
     ----------
     proposal_timeout_seconds
-        After this a proposal or read is given up as undecided.
+        A proposal or read fails as undecided after this time.
     resend_seconds
-        An unanswered request is sent again after this, then after twice as long, and so on.
+        Delay before an unanswered request is first resent; doubled with each resend.
     backoff_seconds
-        Mean of the first random pause after a ballot conflict; doubled with each further one.
+        Mean of the random pause after the first ballot conflict; doubled with each further one.
     backoff_limit_seconds
-        Longest mean pause.
+        Maximum of the mean pause.
     retention_seconds
-        How long a claim is held after it was last written.
+        How long a claim is retained after its decision.
     maximum_entries
-        Most claims this node holds as a replica, over all partitions.
+        Maximum number of claims this node holds as a replica, over all partitions.
     maximum_bytes
-        Most octets of keys and values (with a flat overhead each) it holds.
+        Maximum size of their keys and values, with a fixed overhead per entry.
     maximum_value_bytes
-        Longest value of a claim.
+        Maximum size of a claim's value.
     maximum_proposals
-        Most proposals and reads this node has under way at once.
+        Maximum number of concurrent proposals and reads of this node.
     transfer_retry_seconds
-        A replica that lacks a partition's state asks again after this.
+        Delay before a replica that lacks a partition's state requests it again.
     transfer_piece_bytes
-        About the size of one piece of a partition's state.
+        Approximate size of one message of a state transfer.
     abandon_seconds
-        A restarted replica gives up after it found too many others recovering for this long.
+        A restarted replica abandons recovery after too many others were recovering for this time.
     takeover_abandon_seconds
-        The same for a replica of a new group, which may be waiting for one of the group before.
+        The same for a replica of a new group, which may be waiting for the previous group.
     handover_seconds
         How long a replica that left a group keeps the state for its successors.
     """
@@ -70,10 +69,10 @@
 
     @property
     def entry_retention_seconds(self) -> float:
-        """Return how long a replica holds a promise or value after it last gave one, in seconds.
+        """Return how long a replica keeps an entry after its last promise or vote, in seconds.
 
-        The retention counts from the decision, which comes later than the votes. Bare promises
-        are held as long: forgotten earlier, a smaller ballot might decide while a vote for the
-        larger one lies unread at a paused replica.
+        Longer than the retention, which counts from the decision. Promises without a vote are
+        kept as long: if they expired earlier, a smaller ballot might decide while a paused
+        replica has yet to process an accept request of the larger one.
         """
         return self.retention_seconds + 2 * self.proposal_timeout_seconds
--- a/src/stagewalk/node/claims/core.py
+++ b/src/stagewalk/node/claims/core.py
@@ -1,8 +1,8 @@
 """Write-once registers: of all values proposed for a key, at most one is ever decided.
 
-`ClaimCore` is a proposer for its own node and a replica of the partitions placed on it, and owns
-both. Relies on the placement, from the log or from peers, for the groups, and on membership for
-addresses. The argument for its safety is in `docs/design/0040-claims.md`.
+`ClaimCore` combines a proposer for its node with a replica of the partitions placed on it. The
+placement, from the log or from peers, gives the groups, and membership gives the addresses.
+`docs/design/0040-claims.md` contains the safety argument.
 """
 
 from __future__ import annotations
@@ -39,21 +39,21 @@
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 ABANDONMENT_REPORT_INTERVAL_SECONDS = 30.0
-"""An abandoned recovery is reported again after this, until the log shows it."""
+"""Interval at which an abandoned recovery is reported until the log shows it."""
 
 PLACEMENT_REQUEST_INTERVAL_SECONDS = 2.0
-"""A node that knows no groups asks another peer after this."""
+"""Interval at which a node that knows no groups requests them from a random peer."""
 
 
 class ClaimCore:
-    """A node's part in all claims.
+    """Proposer and replica of one node.
 
     Parameters
     ----------
     identity
-        This process. Its incarnation must be larger than that of any earlier start.
+        This process. Its incarnation must exceed those of its earlier starts.
     generator
-        Source of the random pauses after conflicts.
+        Source of random pauses and random peers.
     """
 
     def __init__(
@@ -66,23 +66,24 @@
         self._members: dict[NodeName, Peer] = {}
         self._view = PlacementView()
         self._generator = generator
-        self._ask_at = float("-inf")
+        self._placement_request_at = float("-inf")
         self._placement_changed = False
         self._local: deque[ClaimMessage] = deque()
         self._outputs: list[ClaimOutput] = []
-        self._report_at = float("-inf")
+        self._abandonment_report_at = float("-inf")
 
     @property
     def ready(self) -> bool:
-        """Whether this node votes in every group in force that it is a member of."""
+        """Whether this node votes in every current group that it is a member of."""
         return not self._placement_changed and self._replica.transfers.idle
 
     @property
     def group_count(self) -> int:
-        """Return how many groups in force this process is a member of.
+        """Return how many current groups this process is a member of.
 
-        A planned stop should wait, briefly, for 0 (the planner replaces a leaving replica) and a
-        second more, in which the successors take over; not if the log is down.
+        A planned stop should wait, with a short timeout, until this is 0, since the planner
+        replaces a leaving replica, and then one more second for the successors to take over.
+        It should not wait if the log is down.
         """
         return self._replica.group_count
 
@@ -93,16 +94,16 @@
 
     @property
     def size_bytes(self) -> int:
-        """Return an estimate of the memory these take."""
+        """Return the estimated memory of these claims."""
         return self._replica.usage.size_bytes
 
     def set_placement(self, placement: GroupPlacement) -> None:
-        """Set the groups in the log; they apply before anything else is handled."""
+        """Set the groups read from the log; they take effect at the next call."""
         self._view.apply_log(placement)
         self._placement_changed = True
 
     def set_members(self, members: Mapping[NodeName, Peer]) -> None:
-        """Replace the table of where other nodes are reached."""
+        """Replace the addresses and incarnations of the other nodes."""
         self._members = dict(members)
 
     def propose(
@@ -110,22 +111,22 @@
     ) -> list[ClaimOutput]:
         """Try to make `value` the value of a key.
 
-        Ends with `ClaimDecided` or `ClaimUndecided`. Proposers must use distinct values, or
-        more than one proposer gets `won`.
+        Ends with `ClaimDecided` or `ClaimUndecided`. Proposers must use distinct values;
+        otherwise several of them get `won`.
 
         Parameters
         ----------
         renewable
-            The proposers of this key can do without a decision made before a majority of its
-            replicas lost their memory: the key may be decided anew after that. Otherwise such
-            keys are answered `OUTCOME_UNKNOWN` until the retention has passed.
+            Whether the key may be decided again after a majority of its replicas lost their
+            state. Otherwise such keys are answered `OUTCOME_UNKNOWN` until the retention has
+            passed.
         """
         self._adopt_placement(now)
         self._proposer.propose(key, value, renewable, now)
         return self._finish(now)
 
     def read(self, key: str, now: float, renewable: bool = False) -> list[ClaimOutput]:
-        """Read what is decided for a key.
+        """Read the decided value of a key.
 
         Ends with `ClaimDecided`, `ClaimAbsent` or `ClaimUndecided`. `renewable` is as in
         `propose`.
@@ -142,13 +143,13 @@
         message: ClaimMessage,
         now: float,
     ) -> list[ClaimOutput]:
-        """Handle a message of another node, that came from address `source`."""
+        """Handle a message of another node, received from address `source`."""
         self._adopt_placement(now)
         self._dispatch(source, GroupMember(sender, sender_incarnation), message, now)
         return self._finish(now)
 
     def tick(self, now: float) -> list[ClaimOutput]:
-        """Resend, retry, give up and expire what is due."""
+        """Handle due resends, retries, timeouts and expirations."""
         self._adopt_placement(now)
         self._proposer.tick(now)
         self._replica.sweep(now)
@@ -166,21 +167,21 @@
         self._proposer.adopt(self._view.placement, now)
 
     def _report_abandonments(self, now: float) -> None:
-        if now < self._report_at:
+        if now < self._abandonment_report_at:
             return
         groups = self._replica.transfers.unreported_abandonments()
         if not groups:
             return
-        self._report_at = now + ABANDONMENT_REPORT_INTERVAL_SECONDS
+        self._abandonment_report_at = now + ABANDONMENT_REPORT_INTERVAL_SECONDS
         member = MemberRecord(self._member.name, self._member.incarnation)
         payload = encode_record(RecoveryAbandoned(member=member, groups=groups))
         self._outputs.append(AppendToStream(PLACEMENT_STREAM, payload))
 
     def _request_placement(self, now: float) -> None:
-        """Request the groups from a peer while this node knows none: the log may be down."""
-        if not self._view.is_empty or now < self._ask_at:
+        """Request the groups from a peer if none are known, since the log may be down."""
+        if not self._view.is_empty or now < self._placement_request_at:
             return
-        self._ask_at = now + PLACEMENT_REQUEST_INTERVAL_SECONDS
+        self._placement_request_at = now + PLACEMENT_REQUEST_INTERVAL_SECONDS
         others = sorted(set(self._members) - {self._member.name})
         if others:
             message = ClaimMessage(placement_request=ClaimPlacementRequest())
@@ -189,7 +190,7 @@
     # Messages
 
     def _finish(self, now: float) -> list[ClaimOutput]:
-        """Deliver this node's messages to itself until there are none, and return the rest."""
+        """Deliver all messages to this node itself and return the other outputs."""
         self._outputs.extend(self._replica.transfers.take_events())
         self._collect_from_proposer()
         while self._local:
--- a/src/stagewalk/node/claims/messages.py
+++ b/src/stagewalk/node/claims/messages.py
@@ -1,6 +1,6 @@
 """Builders of claim messages: each function returns one kind of request or answer.
 
-Owns which fields each kind carries; the core adds exchange, partition, epoch and requester.
+The callers add exchange, partition, epoch and requester.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 Purpose = ClaimStateRequest.Purpose
 
 ANSWERS = frozenset({"promise", "accepted", "reject", "state"})
-"""Bodies that answer a request; a `decision` may come unasked too."""
+"""Bodies that answer a request; a `decision` may also be sent unrequested."""
 
 
 def prepare(key: str, ballot: Ballot | None, renewable: bool) -> ClaimMessage:
-    """Return a request for a promise, or, without a ballot, for what a replica holds."""
+    """Return a request for a promise, or, without a ballot, for the accepted value."""
     message = ClaimMessage()
     message.prepare.key = key
     message.prepare.renewable = renewable
@@ -39,7 +39,7 @@
 
 
 def decision_of_ballot(key: str, ballot: Ballot) -> ClaimMessage:
-    """Return the notice, to replicas that accepted `ballot`, that its value is decided."""
+    """Notify replicas that accepted `ballot` that its value is decided."""
     message = ClaimMessage()
     message.decision.key = key
     message.decision.ballot.CopyFrom(write_ballot(ballot))
@@ -47,7 +47,7 @@
 
 
 def decision_of_value(key: str, value: bytes) -> ClaimMessage:
-    """Answer that the key is decided."""
+    """Answer a request with the decided value."""
     message = ClaimMessage()
     message.decision.key = key
     message.decision.value = value
@@ -55,7 +55,7 @@
 
 
 def promise(accepted: Ballot | None, value: bytes) -> ClaimMessage:
-    """Answer a prepare: nothing smaller will be accepted; this has been accepted so far."""
+    """Answer a prepare with a promise and the value accepted so far, if any."""
     message = ClaimMessage()
     message.promise.SetInParent()
     if accepted is not None:
@@ -86,7 +86,7 @@
 def state_request(
     purpose: Purpose.ValueType, after_key: str, held_keys: Iterable[int]
 ) -> ClaimMessage:
-    """Return a request for the next piece of a partition's state, but for decisions held."""
+    """Request the next piece of a partition's state, without decisions already held."""
     return ClaimMessage(
         state_request=ClaimStateRequest(purpose=purpose, after_key=after_key, held_keys=held_keys)
     )
--- a/src/stagewalk/node/claims/notifications.py
+++ b/src/stagewalk/node/claims/notifications.py
@@ -1,4 +1,4 @@
-"""What other cores ask of the claims, and what the claims return to them."""
+"""Requests of other cores to the claim core, and its outputs."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadClaim:
-    """Read a write-once key; only a decided value is reported, absence changes nothing."""
+    """Read a write-once key; only a decided value is reported to the reader."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimDecided:
-    """A key's value is decided for good.
+    """A key's value is decided.
 
     Attributes
     ----------
     value
         The decided value, the same for every reader, until the retention ends.
     won
-        Whether that is the value `proposed` here. Proposers use values of their own, so at
-        most one of them wins.
+        Whether that is the value `proposed` here. Proposers use distinct values, so at most
+        one of them wins.
     proposed
-        What this node proposed; `None` if it was a read.
+        The value this node proposed; `None` for a read.
     """
 
     key: str
@@ -56,15 +56,15 @@
 class ClaimUndecided:
     """A proposal or read ended without an answer.
 
-    `error.kind` is `OUTCOME_UNKNOWN` if nobody can vouch for the key or this proposal's value
-    may still be decided, `TIMEOUT` if no majority answered, `OVER_LIMIT`, `UNREACHABLE` (no
+    `error.kind` is `OUTCOME_UNKNOWN` if the replicas lost the key's state or this proposal's
+    value may still be decided, `TIMEOUT` if no majority answered, `OVER_LIMIT`, `UNREACHABLE` (no
     replica group is known) or `INVALID_REQUEST`.
 
     Attributes
     ----------
     offered
-        False: the proposed value was shown to no replica and will never be decided.
-        True: it may be decided yet; a later read shows it.
+        False: the proposed value was sent to no replica and will never be decided.
+        True: it may still be decided; a later read shows it.
     """
 
     key: str
--- a/src/stagewalk/node/claims/partition.py
+++ b/src/stagewalk/node/claims/partition.py
@@ -1,7 +1,7 @@
-"""One partition as one replica holds it: which epoch it votes in, and its votes.
+"""One replica's state of one partition: the epoch it votes in, and its votes.
 
-Owns the rule that no vote is given in an epoch that this process may have voted in before, or that
-is over. Relies on transfers for the state and on the register for the entries.
+A replica doesn't vote in an epoch that is over, or in which an earlier start of this process may
+have voted until the state is recovered. Transfers provide the state; the register has the entries.
 """
 
 from __future__ import annotations
@@ -25,16 +25,17 @@
     Attributes
     ----------
     held_epoch
-        The epoch up to which the state is complete: it holds what every quorum of earlier epochs
-        voted for, and all this replica's own votes in this one. Never decreases.
+        The epoch up to which the state is complete: it includes the votes of every quorum of
+        earlier epochs and all own votes of this epoch. Never decreases.
     complete
-        False before the first state was held, and after it was dropped by a replica that left.
+        False before the first state is held, and after a replica that left has dropped it.
     known_epoch
-        The largest epoch known, from the log or a successor: no vote is given in a smaller.
+        The largest epoch known, from the log or a successor; no vote is given in smaller ones.
     incarnations
-        Latest incarnations known of the members of the group of `held_epoch`.
+        Latest known incarnations of the members of the group of `held_epoch`.
     lost_until
-        Node's clock, seconds: keys without an entry may be older than a loss of state until then.
+        Node's clock, seconds: until then, keys without an entry may have been decided before a loss
+        of state.
     """
 
     config: ClaimConfig
@@ -50,7 +51,7 @@
     def begin_epoch(
         self, group: ReplicaGroup, incarnations: dict[NodeName, Incarnation], sealed: bool = False
     ) -> None:
-        """Hold the state of an epoch completely and vote in it unless a later one is known."""
+        """Mark the state of an epoch as complete; vote in it unless a later one is known."""
         self.held_epoch = group.epoch
         self.complete = True
         self.incarnations = {member.name: member.incarnation for member in group.members}
@@ -60,11 +61,11 @@
         self.seal_below(group.epoch + 1 if sealed else group.epoch)
 
     def seal_below(self, epoch: int) -> None:
-        """Vote in no epoch before this one any more."""
+        """Stop voting in epochs before this one."""
         self.known_epoch = max(self.known_epoch, epoch)
 
     def refuse_epoch(self, epoch: int) -> ClaimMessage | None:
-        """Return the refusal of a request made in an epoch this replica does not vote in."""
+        """Return the rejection if this replica doesn't vote in an epoch, otherwise None."""
         if epoch != self.known_epoch:
             return messages.reject(Reason.EPOCH)
         if not self.complete or self.held_epoch != epoch:
@@ -72,7 +73,7 @@
         return None
 
     def prepare(self, request: ClaimPrepare, now: float) -> ClaimMessage:
-        """Promise, or say what is held, or refuse."""
+        """Answer a prepare request with a promise, the decision or a rejection."""
         entry = self._entry(request.key, now)
         if entry is not None and entry.decided:
             return messages.decision_of_value(request.key, entry.value)
@@ -89,11 +90,11 @@
         if entry.promised is not None and ballot < entry.promised:
             return messages.reject(Reason.BALLOT, entry.promised)
         entry.promised = ballot
-        self._keep(entry, now)
+        self._extend_expiry(entry, now)
         return messages.promise(entry.accepted, entry.value)
 
     def accept(self, request: ClaimAccept, now: float) -> ClaimMessage:
-        """Vote, or refuse."""
+        """Answer an accept request with a vote, the decision or a rejection."""
         ballot = read_ballot(request.ballot)
         entry = self._entry(request.key, now)
         if entry is not None and entry.decided:
@@ -111,17 +112,17 @@
         entry.promised = ballot
         entry.accepted = ballot
         self.register.set_value(entry, request.value)
-        self._keep(entry, now)
+        self._extend_expiry(entry, now)
         return messages.accepted(ballot)
 
-    def learn(self, decision: ClaimDecision, now: float) -> None:
-        """Record that the value this replica accepted is decided."""
+    def record_decision(self, decision: ClaimDecision, now: float) -> None:
+        """Mark the value this replica accepted as decided."""
         entry = self._entry(decision.key, now)
         if entry is None or entry.accepted is None or not decision.HasField("ballot"):
             return
         if entry.accepted == read_ballot(decision.ballot):
-            entry.settle()
-            self._keep(entry, now)
+            entry.mark_decided()
+            self._extend_expiry(entry, now)
 
     def _entry(self, key: str, now: float) -> ClaimEntry | None:
         entry = self.register.entries.get(key)
@@ -140,5 +141,5 @@
     def _fits(self, value_bytes: int) -> bool:
         return self.usage.size_bytes + value_bytes < self.config.maximum_bytes
 
-    def _keep(self, entry: ClaimEntry, now: float) -> None:
+    def _extend_expiry(self, entry: ClaimEntry, now: float) -> None:
         entry.expires_at = max(entry.expires_at, now + self.config.entry_retention_seconds)
--- a/src/stagewalk/node/claims/placement.py
+++ b/src/stagewalk/node/claims/placement.py
@@ -1,10 +1,10 @@
-"""Which nodes hold which claims: a deterministic fold over the log stream `placement`.
+"""Placement of claims on nodes: a deterministic fold over the log stream `placement`.
 
-Keys hash onto a fixed number of partitions. Each partition has a chain of groups, numbered by
-epochs; every change names the epoch it is based on, so of two racing changes the fold rejects
-the later one, identically at every node. A group names its members with their incarnations:
-only the incarnation named may start the epoch from the group before; any later start of the
-same node must first recover from the other members.
+Keys hash onto a fixed number of partitions. Each partition has a sequence of groups, numbered by
+epochs. Every change names the epoch it is based on, so every node rejects the later of two
+concurrent changes. A group names its members with their incarnations: only that incarnation may
+take over from the previous group; a later start of the same node must first recover from the other
+members.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from stagewalk.node.core.platform import LogRecord
 
 PLACEMENT_STREAM = "placement"
-"""Stream of the log with the changes of groups."""
+"""Log stream with the changes of replica groups."""
 
 DEFAULT_PARTITION_COUNT = 64
 """Part of the log's format: all nodes must agree on it."""
 
 REPLICATION_FACTOR = 3
-"""Replicas of a partition: the least that survive the loss of one."""
+"""Replicas of a partition: the minimum that tolerates the loss of one."""
 
 GROUP_HISTORY_LENGTH = 8
-"""Groups remembered for a partition: a replica further behind can't take over any more."""
+"""Groups kept per partition; a replica that is further behind can't take over."""
 
 
 def partition_of(key: str, partition_count: int) -> int:
@@ -36,18 +36,18 @@
 
 
 def quorum_size(group_size: int) -> int:
-    """Return how many votes decide: any two quorums of a group share a member."""
+    """Return the size of a majority: any two quorums of a group share a member."""
     return group_size // 2 + 1
 
 
 def recovery_size(group_size: int) -> int:
-    """Return how many replicas' states are sure to hold whatever a quorum has voted for."""
+    """Return how many replicas' states together include every quorum's votes."""
     return group_size - quorum_size(group_size) + 1
 
 
 @dataclass(frozen=True, slots=True)
 class GroupMember:
-    """A replica of a group, and the start of its process that the group was formed with."""
+    """A replica of a group, with its incarnation when the group was formed."""
 
     name: NodeName
     incarnation: Incarnation
@@ -60,10 +60,10 @@
     Attributes
     ----------
     forgets
-        The state of the group before was lost: this group starts with nothing, and refuses keys
-        it does not know until they can't be older than the loss.
+        The previous group's state was lost. This group starts empty and rejects unknown keys
+        until none of them can have been decided before the loss.
     certified
-        Only for a group that forgets: the group before has proved that it can't vote any more.
+        Only for a group that forgets: the previous group is proven unable to vote again.
     """
 
     epoch: int
@@ -73,12 +73,12 @@
 
     @property
     def names(self) -> tuple[NodeName, ...]:
-        """Return the members' names in the order of the record."""
+        """Return the members' names in record order."""
         return tuple(member.name for member in self.members)
 
     @property
     def quorum(self) -> int:
-        """Return how many votes decide."""
+        """Return how many votes decide a value."""
         return quorum_size(len(self.members))
 
     @property
@@ -87,7 +87,7 @@
         return recovery_size(len(self.members))
 
     def incarnation_of(self, name: NodeName) -> Incarnation | None:
-        """Return the incarnation a member joined with, or None for a stranger."""
+        """Return the incarnation a member joined with; None for a node that is no member."""
         for member in self.members:
             if member.name == name:
                 return member.incarnation
@@ -96,9 +96,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandonment:
-    """A restarted member's final word that it will not vote in an epoch.
+    """A restarted member's commitment never to vote in an epoch.
 
-    `recovering` are the other members it found recovering like itself.
+    `recovering` are the other members it found recovering as well.
     """
 
     member: GroupMember
@@ -109,7 +109,7 @@
 class GroupHistory:
     """The last groups of one partition, oldest first; empty before the first.
 
-    `abandonments` are those of members of the current group, the latest of each member.
+    `abandonments` has the latest abandonment of each member of the current group, if any.
     """
 
     groups: tuple[ReplicaGroup, ...] = ()
@@ -117,20 +117,20 @@
 
     @property
     def current(self) -> ReplicaGroup | None:
-        """Return the group in force."""
+        """Return the current group."""
         return self.groups[-1] if self.groups else None
 
     @property
     def epoch(self) -> int:
-        """Return the epoch in force, 0 before the first."""
+        """Return the current epoch, 0 before the first."""
         return self.groups[-1].epoch if self.groups else 0
 
     @property
     def lost(self) -> bool:
-        """Whether so many members gave up that nobody can ever recover from the rest.
+        """Whether too many members abandoned recovery for the rest to restore the state.
 
-        Members that gave up must have seen one another recovering in the very incarnations
-        that gave up, or an older report might count a member that has recovered since.
+        A member seen recovering in a later incarnation than the one that abandoned may have
+        recovered since; the group is not considered lost then.
         """
         group = self.current
         if group is None:
@@ -145,7 +145,7 @@
         )
 
     def group_at(self, epoch: int) -> ReplicaGroup | None:
-        """Return the group of an epoch, if it is remembered."""
+        """Return the group of an epoch, if it is still in the history."""
         for group in reversed(self.groups):
             if group.epoch == epoch:
                 return group
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupPlacement:
-    """All partitions' groups as of some offset of the log."""
+    """All partitions' groups at an offset of the log."""
 
     partitions: tuple[GroupHistory, ...]
 
@@ -169,7 +169,7 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """A member as a record names it."""
+    """A group member in a record."""
 
     name: str
     incarnation: int
@@ -200,7 +200,7 @@
 
 
 class RecoveryAbandoned(msgspec.Struct, frozen=True, tag="abandoned"):
-    """Record: a restarted replica gave up recovering in these groups and never will vote there."""
+    """Record: a restarted replica abandoned recovery in these groups and will never vote there."""
 
     member: MemberRecord
     groups: tuple[AbandonedGroup, ...]
@@ -219,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementOutcome:
-    """What the fold made of a record; each rejection is a sentence for a person."""
+    """Result of applying a record; `rejections` are messages for operators."""
 
     changed: bool
     rejections: tuple[str, ...] = ()
@@ -231,10 +231,10 @@
     def __init__(self, partition_count: int = DEFAULT_PARTITION_COUNT) -> None:
         self.placement = GroupPlacement.empty(partition_count)
         self.fence = 0
-        """Largest lease epoch seen: changes of earlier holders are rejected."""
+        """Largest lease epoch seen; changes with a smaller one are rejected."""
 
     def apply(self, record: LogRecord) -> PlacementOutcome:
-        """Fold one record in; a record that is malformed or lost a race changes nothing."""
+        """Apply one record; a malformed or outdated record changes nothing."""
         try:
             parsed = _DECODER.decode(record.payload)
         except msgspec.DecodeError as error:
@@ -257,7 +257,7 @@
             if fault is not None:
                 rejections.append(fault)
                 continue
-            chains[change.partition] = _extended(chains[change.partition], change)
+            chains[change.partition] = _with_next_group(chains[change.partition], change)
             changed = True
         self.placement = GroupPlacement(tuple(chains))
         return PlacementOutcome(changed, tuple(rejections))
@@ -274,9 +274,9 @@
         if not 1 <= len(change.members) <= REPLICATION_FACTOR or len(names) != len(change.members):
             return f"{where}: a group has 1 to {REPLICATION_FACTOR} distinct members"
         if change.forgets and not chain.groups:
-            return f"{where}: there is nothing to forget"
+            return f"{where}: the first group has no earlier state to forget"
         if chain.lost and not change.forgets:
-            return f"{where}: its state is lost, nothing can be taken over"
+            return f"{where}: its state is lost, so the next group must forget it"
         return None
 
     def _apply_abandoned(self, record: RecoveryAbandoned) -> PlacementOutcome:
@@ -291,7 +291,7 @@
                 rejections.append(f"partition {item.partition}: epoch {item.epoch} is not in force")
                 continue
             if member.name not in group.names:
-                rejections.append(f"partition {item.partition}: {member.name} is no member")
+                rejections.append(f"partition {item.partition}: {member.name} is not a member")
                 continue
             chains[item.partition] = _with_abandonment(
                 chain, Abandonment(member, tuple(_member(seen) for seen in item.recovering))
@@ -313,7 +313,7 @@
     return replace(chain, abandonments=(*others, abandonment))
 
 
-def _extended(chain: GroupHistory, change: GroupChange) -> GroupHistory:
+def _with_next_group(chain: GroupHistory, change: GroupChange) -> GroupHistory:
     group = ReplicaGroup(
         epoch=chain.epoch + 1,
         members=tuple(_member(member) for member in change.members),
--- a/src/stagewalk/node/claims/planner.py
+++ b/src/stagewalk/node/claims/planner.py
@@ -1,9 +1,9 @@
-"""The rule for which changes of replica groups the holder of the placement duty proposes.
+"""Planner of replica group changes, run by the holder of the placement duty.
 
-Owns how long nodes have been missing. Inputs: the live nodes with their zones, the groups in the
-log and the time in seconds. The rule, for each partition: form a first group, replace one that is
-lost, replace missing, leaving or given-up replicas, and else spread crowded ones over zones. Every
-change costs a transfer of state, so each waits for its delay in `PlacementPlannerConfig`.
+Tracks how long nodes have been missing. Inputs are the live nodes with their zones, the groups in
+the log, and the time in seconds. For each partition it forms a first group, replaces a lost group,
+replaces replicas that are missing, leaving or have abandoned recovery, or else spreads replicas
+over zones. Each change transfers state, so it waits for its delay in `PlacementPlannerConfig`.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementPlannerConfig:
-    """Delays of the planner; every change costs a transfer of state.
+    """Delays and limits of the planner.
 
     Attributes
     ----------
@@ -37,11 +37,11 @@
     replace_after_seconds
         A replica missing for this long is replaced.
     lost_after_seconds
-        A group that lacks too many members to hand over for this long counts as lost.
+        A group with too few members to hand over its state for this long counts as lost.
     retry_seconds
-        A proposed change that the log does not show after this is proposed again.
+        A proposed change that is not in the log after this time is proposed again.
     maximum_changes
-        Most partitions changed by one record, but for the first groups.
+        Maximum number of partitions changed by one record, not counting first groups.
     """
 
     settle_seconds: float = 3.0
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementCandidate:
-    """A live node; one that is leaving still hands its state over."""
+    """A live node; a leaving one still hands over its state."""
 
     incarnation: Incarnation
     placement: Placement
@@ -64,9 +64,9 @@
 
 
 class PlacementPlanner:
-    """Proposes changes that keep every partition on live replicas, zones apart.
+    """Proposes changes that keep every partition on live replicas in distinct zones.
 
-    It decides nothing: its records are folded by everyone, and one that lost a race is rejected.
+    A proposed change takes effect only when the placement fold accepts its record.
     """
 
     def __init__(self, config: PlacementPlannerConfig) -> None:
@@ -89,14 +89,14 @@
             change = self._plan_partition(partition, chain, now)
             if change is not None:
                 changes.append(change)
-        changes = self._limited(changes)
+        changes = self._limit_changes(changes)
         if not changes:
             return None
         self._proposed = placement
         self._retry_at = now + self._config.retry_seconds
         return PlacementChange(fence=fence, changes=tuple(changes))
 
-    def _limited(self, changes: Sequence[GroupChange]) -> list[GroupChange]:
+    def _limit_changes(self, changes: Sequence[GroupChange]) -> list[GroupChange]:
         first = [change for change in changes if change.base_epoch == 0]
         later = [change for change in changes if change.base_epoch > 0]
         return first + later[: self._config.maximum_changes]
@@ -120,41 +120,41 @@
         group = chain.current
         if group is None:
             return self._first_group(partition, now)
-        if chain.lost or self._is_given_up(group, now):
-            chosen = self._chosen(partition, [])
+        if chain.lost or self._is_unrecoverable(group, now):
+            chosen = self._select_members(partition, [])
             return self._change(partition, chain.epoch, chosen, forgets=True)
-        if len(self._present(group)) < group.recovery:
+        if len(self._live_members(group)) < group.recovery:
             return None
-        return self._renewed_group(partition, chain, group, now)
+        return self._replacement_change(partition, chain, group, now)
 
     def _first_group(self, partition: int, now: float) -> GroupChange | None:
-        if not self._settled(now):
+        if not self._is_stable(now):
             return None
-        return self._change(partition, 0, self._chosen(partition, []))
+        return self._change(partition, 0, self._select_members(partition, []))
 
-    def _renewed_group(
+    def _replacement_change(
         self, partition: int, chain: GroupHistory, group: ReplicaGroup, now: float
     ) -> GroupChange | None:
-        """Return the change that replaces replicas of a group that can hand over, if any."""
+        """Return the change, if any, that replaces replicas of a group able to hand over."""
         kept = [name for name in group.names if self._is_kept(name, now)]
-        rejoins = any(self._has_given_up(member.name, chain) for member in group.members)
+        rejoins = any(self._abandoned_recovery(member.name, chain) for member in group.members)
         if len(kept) == len(group.members) and not rejoins:
-            if not self._settled(now):
+            if not self._is_stable(now):
                 return None
-            kept = self._without_crowding(kept)
-        chosen = self._chosen(partition, kept)
+            kept = self._without_duplicate_zone(kept)
+        chosen = self._select_members(partition, kept)
         if set(chosen) == set(group.names) and not rejoins:
             return None
         return self._change(partition, chain.epoch, chosen)
 
-    def _settled(self, now: float) -> bool:
+    def _is_stable(self, now: float) -> bool:
         return now >= self._changed_at + self._config.settle_seconds
 
-    def _present(self, group: ReplicaGroup) -> list[GroupMember]:
+    def _live_members(self, group: ReplicaGroup) -> list[GroupMember]:
         return [member for member in group.members if member.name in self._members]
 
-    def _is_given_up(self, group: ReplicaGroup, now: float) -> bool:
-        """Return whether too few members are left to hand over, for long enough."""
+    def _is_unrecoverable(self, group: ReplicaGroup, now: float) -> bool:
+        """Return whether too few members have been left to hand over for long enough."""
         lost_after = self._config.lost_after_seconds
         missing = [
             name
@@ -170,15 +170,15 @@
         missing_since = self._missing_since.get(name, now)
         return now < missing_since + self._config.replace_after_seconds
 
-    def _has_given_up(self, name: NodeName, chain: GroupHistory) -> bool:
-        """Return whether a live member has abandoned its recovery: it must join anew."""
+    def _abandoned_recovery(self, name: NodeName, chain: GroupHistory) -> bool:
+        """Return whether a live member has abandoned recovery and must be added again."""
         member = self._members.get(name)
         return member is not None and any(
             item.member == GroupMember(name, member.incarnation) for item in chain.abandonments
         )
 
-    def _without_crowding(self, kept: list[NodeName]) -> list[NodeName]:
-        """Drop one replica of a zone that has two, if a zone without one could take it."""
+    def _without_duplicate_zone(self, kept: list[NodeName]) -> list[NodeName]:
+        """Drop one of two replicas in the same zone if another zone can take it."""
         zones = [self._members[name].placement for name in kept if name in self._members]
         free = {member.placement for member in self._members.values() if not member.leaving} - set(
             zones
@@ -190,8 +190,8 @@
                 return [other for other in kept if other != name]
         return kept
 
-    def _chosen(self, partition: int, kept: list[NodeName]) -> list[NodeName]:
-        """Fill a group up from live nodes: other zones first, then the highest weight."""
+    def _select_members(self, partition: int, kept: list[NodeName]) -> list[NodeName]:
+        """Fill a group from live nodes: other zones, then the same region, then hash weight."""
         chosen = list(kept)
         free = {
             name
@@ -207,7 +207,7 @@
     def _preference(
         self, partition: int, name: NodeName, chosen: list[NodeName]
     ) -> tuple[bool, bool, int, str]:
-        """Order candidates: a zone of its own, the region of the others, the hash's weight."""
+        """Return the sort key of a candidate: unused zone, same region, rendezvous hash weight."""
         placement = self._members[name].placement
         others = [self._members[other].placement for other in chosen if other in self._members]
         crowded = placement in others
--- a/src/stagewalk/node/claims/proposal.py
+++ b/src/stagewalk/node/claims/proposal.py
@@ -1,9 +1,9 @@
 """The proposer's side of one claim: single-decree Paxos in two phases.
 
-A proposal begins with phase 1 (prepare) always: the register has no fixed first proposer, and
-with diskless replicas a reserved first ballot would need a proof that its owner has never
-restarted. A read first asks without a ballot, which disturbs nobody; only when something has
-been accepted without being known as decided does it go on as a proposal without a value.
+A proposal always begins with phase 1 (prepare): there is no fixed first proposer, and with
+diskless replicas a reserved first ballot would require proof that its owner never restarted. A
+read first queries without a ballot, which doesn't conflict with proposals. If a value is accepted
+but not known to be decided, the read continues as a proposal without a value of its own.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Phase(Enum):
-    """Where an attempt stands."""
+    """Phase of an attempt."""
 
     WAITING = "waiting"
     """Between attempts, or no group is known."""
@@ -32,40 +32,40 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedValue:
-    """What a replica had accepted when it promised."""
+    """The ballot and value a replica had accepted when it promised."""
 
     ballot: Ballot | None
     value: bytes
 
 
 class PhaseOutcome(Enum):
-    """What the answers so far amount to."""
+    """Outcome of a phase, given the answers so far."""
 
     PENDING = "pending"
     QUORUM = "quorum"
     CONFLICT = "conflict"
-    """No quorum can come of this attempt; a later one may succeed."""
+    """This attempt can't reach a quorum; a later one may."""
     LOST = "lost"
-    """So many replicas can't vouch for the key that no quorum can."""
+    """Too many replicas lost the key's state for a quorum."""
     OVER_LIMIT = "over_limit"
 
 
 @dataclass(slots=True)
 class Proposal:
-    """One key's proposal or read under way at this node.
+    """One key's proposal or read in progress at this node.
 
     Attributes
     ----------
     renewable
-        The key may be decided anew after a loss of state.
+        The key may be decided again after a loss of state.
     proposed
-        The values proposed here for the key, the first of them offered; empty for reads alone.
+        The values proposed here for the key, of which the first is sent; empty for reads.
     has_reader
         Whether this node reads the key.
     deadline
-        Node's clock, seconds: nothing is counted or offered after it.
+        Node's clock, seconds: no answer is counted and no value sent after it.
     offered
-        Values of ours that some replica may have accepted.
+        Values proposed here that some replica may have accepted.
     """
 
     key: str
@@ -84,15 +84,15 @@
     largest_round: int = 0
     conflicts: int = 0
     resends: int = 0
-    """How often the requests of this phase were resent."""
+    """Number of resends in this phase."""
     offered: set[bytes] = field(default_factory=set)
     wake_at: float = float("-inf")
     """When to resend, or to begin the next attempt while waiting."""
     retry_after_seconds: float = 0.0
-    """Longest time that a refusing replica has named until it may vouch for the key."""
+    """Longest Retry-After of the rejections received."""
 
     def begin_phase(self, phase: Phase, exchange_id: int) -> None:
-        """Drop the answers of the phase before and expect those to a new exchange."""
+        """Begin a phase with a new exchange and no answers."""
         self.phase = phase
         self.resends = 0
         self.exchange_id = exchange_id
@@ -100,7 +100,7 @@
         self.refusals = {}
 
     def record_refusal(self, name: NodeName, message: ClaimMessage) -> None:
-        """Record that a replica did not vote, and why."""
+        """Record a replica's rejection."""
         self.refusals[name] = message.reject.reason
         self.retry_after_seconds = max(self.retry_after_seconds, message.reject.retry_after_seconds)
         if message.reject.HasField("promised"):
@@ -112,8 +112,8 @@
         self.refusals.pop(name, None)
         add_answer(self.answers, name, answer)
 
-    def verdict(self) -> PhaseOutcome:
-        """Return what the answers of this phase amount to."""
+    def phase_outcome(self) -> PhaseOutcome:
+        """Return the outcome of this phase, given its answers so far."""
         assert self.group is not None
         quorum = self.group.quorum
         if len(consistent_answers(self.answers)) >= quorum:
@@ -129,7 +129,7 @@
         return PhaseOutcome.CONFLICT
 
     def largest_accepted(self) -> AcceptedValue:
-        """Return what the quorum has accepted with the largest ballot, if anything."""
+        """Return the value the quorum accepted with the largest ballot, if any."""
         largest = AcceptedValue(None, b"")
         for answer in consistent_answers(self.answers).values():
             ballot = answer.payload.ballot
--- a/src/stagewalk/node/claims/proposer.py
+++ b/src/stagewalk/node/claims/proposer.py
@@ -1,7 +1,7 @@
-"""All proposals and reads of one node: when each is sent, repeated, outbid or given up.
+"""All proposals and reads of one node: sending, resending, backoff and timeouts.
 
-Owns the exchanges under way. Relies on the placement for a key's replicas and on `proposal` for the
-verdict on their answers. The constants are fields of `ClaimConfig`.
+Owns the exchanges in progress. The placement gives a key's replicas, and `proposal` evaluates their
+answers. The parameters are fields of `ClaimConfig`.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimPlacement
 
 RETRY_AFTER_SECONDS = 5.0
-"""Retry-After unless a replica knows better: about the time to replace a replica
+"""Retry-After unless a replica gives one: about the time to replace a replica
 (`PlacementPlannerConfig.replace_after_seconds`)."""
 
 Notification = ClaimDecided | ClaimAbsent | ClaimUndecided
 
 
 class ProposerCore:
-    """Drives this node's proposals to a decision, or to the time at which they are given up.
+    """Runs this node's proposals and reads until they are decided or time out.
 
     Parameters
     ----------
@@ -52,19 +52,19 @@
         self._notifications: list[Notification] = []
 
     def take_outgoing(self) -> list[Outgoing]:
-        """Return the messages to send since the last call."""
+        """Return the messages to send that were added since the last call."""
         outgoing = self._outgoing
         self._outgoing = []
         return outgoing
 
     def take_notifications(self) -> list[Notification]:
-        """Return the ends of proposals and reads since the last call."""
+        """Return the results of proposals and reads since the last call."""
         notifications = self._notifications
         self._notifications = []
         return notifications
 
     def adopt(self, placement: GroupPlacement, now: float) -> None:
-        """Begin proposals anew whose group has changed."""
+        """Apply a placement; restart proposals whose group has changed."""
         self._placement = placement
         for proposal in list(self._proposals.values()):
             if now >= proposal.deadline:
@@ -74,7 +74,7 @@
                 self._begin_attempt(proposal, now)
 
     def propose(self, key: str, value: bytes, renewable: bool, now: float) -> None:
-        """Begin a proposal, or join the one of this key that is under way."""
+        """Begin a proposal, or join the one in progress for this key."""
         if len(value) > self._config.maximum_value_bytes:
             limit = self._config.maximum_value_bytes
             detail = f"the claim's value has {len(value)} bytes, the limit is {limit}"
@@ -89,7 +89,7 @@
             self._begin_attempt(proposal, now)
 
     def read(self, key: str, renewable: bool, now: float) -> None:
-        """Begin a read, or join what is under way for this key."""
+        """Begin a read, or join the proposal or read in progress for this key."""
         proposal = self._open(key, None, renewable, now)
         if proposal is None:
             return
@@ -105,7 +105,7 @@
         if proposal is not None:
             return proposal
         if len(self._proposals) >= self._config.maximum_proposals:
-            detail = f"{len(self._proposals)} claims are under way at this node"
+            detail = f"{len(self._proposals)} claims are already in progress at this node"
             self._refuse(key, value, ErrorKind.OVER_LIMIT, detail)
             return None
         proposal = Proposal(
@@ -176,7 +176,7 @@
         if proposal is None or proposal.group is None:
             return
         if now >= proposal.deadline:
-            # This process may have been paused for longer than replicas keep their promises.
+            # This process may have been paused for longer than replicas keep promises.
             self._give_up(proposal)
         elif sender.name in proposal.group.names:
             self._handle_body(proposal, proposal.group, sender, message, now)
@@ -196,7 +196,7 @@
             proposal.record_refusal(sender.name, message)
             if message.reject.reason == Reason.EPOCH and message.epoch < group.epoch:
                 self._send_groups(proposal, sender.name)
-            self._judge(proposal, now)
+            self._apply_outcome(proposal, now)
         elif body == "promise" and proposal.phase in (Phase.QUERY, Phase.PREPARE):
             promise = message.promise
             accepted = promise.HasField("accepted_ballot")
@@ -206,7 +206,7 @@
             self._record_vote(proposal, sender, message, AcceptedValue(None, b""), now)
 
     def _send_groups(self, proposal: Proposal, name: NodeName) -> None:
-        """Send the groups to a replica that has not read of them."""
+        """Send the groups to a replica that does not know them yet."""
         message = ClaimMessage(placement=ClaimPlacement())
         chain = self._placement.partitions[proposal.partition]
         write_chain(message, proposal.partition, chain, 0)
@@ -224,19 +224,21 @@
         proposal.record_answer(
             sender.name, ReplicaAnswer(sender.incarnation, incarnations, accepted)
         )
-        self._judge(proposal, now)
+        self._apply_outcome(proposal, now)
 
-    def _judge(self, proposal: Proposal, now: float) -> None:
-        verdict = proposal.verdict()
-        if verdict == PhaseOutcome.QUORUM:
+    def _apply_outcome(self, proposal: Proposal, now: float) -> None:
+        phase_outcome = proposal.phase_outcome()
+        if phase_outcome == PhaseOutcome.QUORUM:
             self._advance(proposal, now)
-        elif verdict == PhaseOutcome.LOST:
-            detail = "the claim's replicas lost their state and cannot vouch for the key"
+        elif phase_outcome == PhaseOutcome.LOST:
+            detail = (
+                "the claim's replicas lost their state and cannot tell whether the key was decided"
+            )
             self._fail(proposal, ErrorKind.OUTCOME_UNKNOWN, detail)
-        elif verdict == PhaseOutcome.OVER_LIMIT:
-            detail = "the claim's replicas hold as many claims as they may"
+        elif phase_outcome == PhaseOutcome.OVER_LIMIT:
+            detail = "the claim's replicas have reached their limit of claims"
             self._fail(proposal, ErrorKind.OVER_LIMIT, detail)
-        elif verdict == PhaseOutcome.CONFLICT:
+        elif phase_outcome == PhaseOutcome.CONFLICT:
             self._back_off(proposal, now)
 
     def _advance(self, proposal: Proposal, now: float) -> None:
@@ -270,9 +272,10 @@
             self._outgoing.append(Outgoing(name, message))
 
     def _back_off(self, proposal: Proposal, now: float) -> None:
-        """Pause for a random time, so that one of several proposers gets through.
+        """Pause for a random time, so that one of several competing proposers succeeds.
 
-        Replicas that do not vote yet are retried more slowly than rivals are outbid.
+        The pause is longer if the conflict isn't due to a larger ballot, but to replicas that
+        don't vote yet.
         """
         proposal.phase = Phase.WAITING
         has_rival = Reason.BALLOT in proposal.refusals.values()
@@ -282,7 +285,7 @@
         proposal.conflicts = min(proposal.conflicts + 1, 16)
         proposal.wake_at = now + mean * (0.5 + self._generator.random())
 
-    # Ends
+    # Results
 
     def _decide(self, proposal: Proposal, value: bytes) -> None:
         self._end(proposal)
@@ -323,7 +326,7 @@
         self._key_of_exchange.pop(proposal.exchange_id, None)
 
     def tick(self, now: float) -> None:
-        """Resend, begin the next attempts, give up what has run out of time."""
+        """Resend requests, begin due attempts and fail what has timed out."""
         for proposal in list(self._proposals.values()):
             if now >= proposal.deadline:
                 self._give_up(proposal)
@@ -341,7 +344,7 @@
 ) -> StagewalkError:
     """Return an error of a claim.
 
-    Whatever this node knows, another may have run what the claim is for: `ran` is unknown.
+    `ran` is unknown, because another node may have won the claim and run the request.
     """
     return StagewalkError(
         kind=kind,
--- a/src/stagewalk/node/claims/quorum.py
+++ b/src/stagewalk/node/claims/quorum.py
@@ -1,11 +1,10 @@
-"""Counting answers of replicas that may have restarted without their memory.
-
-An answer is void once a later start of its replica is known to any other answerer: what the
-answer promised may have died with the process. A replica that hands its state to a restarted
-one notes the new incarnation first; so if two answers agree on the incarnations, each was given
-before the other replica's successor recovered, and that successor has recovered the answer's
-effect too ("crash-consistent" quorums: Michael, Ports, Sharma, Szekeres, "Recovering Shared
-Objects Without Stable Storage", DISC 2017).
+"""Crash-consistent quorums of replicas that may have restarted without their state.
+
+An answer is invalid once any other answerer knows a later incarnation of its replica: the promise
+may have been lost in the restart. A replica records the new incarnation before it hands its state
+to a restarted one, so if two answers agree on the incarnations, each was given before the other
+replica's successor recovered, and that successor has recovered the effect of the answer too
+(Michael, Ports, Sharma, Szekeres, "Recovering Shared Objects Without Stable Storage", DISC 2017).
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 def add_answer(
     answers: dict[NodeName, ReplicaAnswer[Payload]], name: NodeName, answer: ReplicaAnswer[Payload]
 ) -> None:
-    """Add a replica's answer; one of an earlier start never replaces that of a later."""
+    """Add a replica's answer unless one of a later incarnation is present."""
     known = answers.get(name)
     if known is None or known.incarnation <= answer.incarnation:
         answers[name] = answer
@@ -40,7 +39,7 @@
 def consistent_answers(
     answers: Mapping[NodeName, ReplicaAnswer[Payload]],
 ) -> dict[NodeName, ReplicaAnswer[Payload]]:
-    """Return the answers that no other answer shows to be of an earlier start."""
+    """Return the answers whose replica no other answer shows to have restarted since."""
     latest = merged_incarnations(answers)
     return {
         name: answer
@@ -52,7 +51,7 @@
 def merged_incarnations(
     answers: Mapping[NodeName, ReplicaAnswer[Payload]],
 ) -> dict[NodeName, Incarnation]:
-    """Return the latest incarnation of each replica that any answerer knew."""
+    """Return the latest incarnation of each replica known to any answerer."""
     latest: dict[NodeName, Incarnation] = {}
     for answer in answers.values():
         merge_incarnations(latest, answer.incarnations)
@@ -62,6 +61,6 @@
 def merge_incarnations(
     known: dict[NodeName, Incarnation], incarnations: Mapping[NodeName, Incarnation]
 ) -> None:
-    """Raise known incarnations to those of an answer."""
+    """Update known incarnations with larger ones of an answer."""
     for name, incarnation in incarnations.items():
         known[name] = max(incarnation, known.get(name, incarnation))
--- a/src/stagewalk/node/claims/register.py
+++ b/src/stagewalk/node/claims/register.py
@@ -1,6 +1,7 @@
-"""The claims one replica holds of one partition, and the memory they take.
+"""The claims one replica holds of one partition, with their memory usage.
 
-Owns the entries and their expiry; the limits are fields of `ClaimConfig`, checked by the partition.
+Owns the entries and their expiry. The partition checks the limits, which are fields of
+`ClaimConfig`.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 from stagewalk.node.claims.types import Ballot
 
 ENTRY_OVERHEAD_BYTES = 400
-"""Estimated memory of an entry besides its key and value."""
+"""Estimated memory of an entry, excluding its key and value."""
 
 
 @dataclass(slots=True)
 class ClaimEntry:
-    """What a replica knows of one key.
+    """A replica's state of one key.
 
     Attributes
     ----------
@@ -26,7 +27,7 @@
     accepted, value
         The largest ballot accepted and its value; `None` before the first.
     decided
-        The value is known to be decided: it will never differ, and ballots are kept no longer.
+        The value is known to be decided; ballots are dropped.
     expires_at
         Node's clock, seconds: the entry is removed after this.
     """
@@ -37,8 +38,8 @@
     value: bytes = b""
     decided: bool = False
 
-    def settle(self) -> None:
-        """Record that the value is decided: ballots matter no more."""
+    def mark_decided(self) -> None:
+        """Mark the value as decided and drop the ballots."""
         self.decided = True
         self.promised = None
         self.accepted = None
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class Usage:
-    """What all registers of a node hold together."""
+    """Total entries and memory of all registers of a node."""
 
     entries: int = 0
     size_bytes: int = 0
@@ -60,7 +61,7 @@
     entries: dict[str, ClaimEntry] = field(default_factory=dict)
 
     def add(self, key: str, entry: ClaimEntry) -> None:
-        """Hold a new key."""
+        """Add a new key."""
         self.entries[key] = entry
         self.usage.entries += 1
         self.usage.size_bytes += _entry_size(key, entry)
@@ -77,12 +78,12 @@
             self.remove(key)
 
     def keep_decided(self) -> None:
-        """Remove all keys but those known to be decided."""
+        """Remove all keys except those known to be decided."""
         for key in [key for key, entry in self.entries.items() if not entry.decided]:
             self.remove(key)
 
     def decided_key_hashes(self, after_key: str) -> list[int]:
-        """Return the hashes of decided keys above one, in order."""
+        """Return the sorted hashes of decided keys after a key."""
         return sorted(
             key_hash(key)
             for key, entry in self.entries.items()
@@ -90,12 +91,12 @@
         )
 
     def set_value(self, entry: ClaimEntry, value: bytes) -> None:
-        """Replace the value of an entry held."""
+        """Replace the value of an entry in the register."""
         self.usage.size_bytes += len(value) - len(entry.value)
         entry.value = value
 
     def merge(self, key: str, other: ClaimEntry) -> None:
-        """Add what another replica knows of a key: the larger of all that only grows."""
+        """Merge another replica's entry: a decision wins, otherwise the larger ballots."""
         entry = self.entries.get(key)
         if entry is None:
             self.add(key, other)
@@ -105,10 +106,10 @@
             return
         if other.decided:
             self.set_value(entry, other.value)
-            entry.settle()
+            entry.mark_decided()
             return
-        entry.promised = _larger(entry.promised, other.promised)
-        if _larger(entry.accepted, other.accepted) != entry.accepted:
+        entry.promised = _larger_ballot(entry.promised, other.promised)
+        if _larger_ballot(entry.accepted, other.accepted) != entry.accepted:
             entry.accepted = other.accepted
             self.set_value(entry, other.value)
 
@@ -120,7 +121,7 @@
 
 
 def key_hash(key: str) -> int:
-    """Return the hash by which a key is named where only its presence matters."""
+    """Return the hash that represents a key in lists of held keys."""
     return xxhash.xxh64_intdigest(key.encode())
 
 
@@ -128,7 +129,7 @@
     return ENTRY_OVERHEAD_BYTES + len(key) + len(entry.value)
 
 
-def _larger(one: Ballot | None, other: Ballot | None) -> Ballot | None:
+def _larger_ballot(one: Ballot | None, other: Ballot | None) -> Ballot | None:
     if one is None or other is None:
         return one or other
     return max(one, other)
--- a/src/stagewalk/node/claims/relay.py
+++ b/src/stagewalk/node/claims/relay.py
@@ -1,7 +1,7 @@
-"""Groups learned from peers, for nodes that can't read the log.
+"""Replica groups learned from peers, for nodes that can't read the log.
 
-A peer relays a prefix of the log, so of two chains of a partition the one with the larger epoch is
-the newer, from whichever peer it came. Owns the newest chain known of each partition.
+Peers relay a prefix of the log, so of two histories of a partition the one with the larger epoch is
+newer, whichever peer sent it. Owns the newest history known of each partition.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
         return not any(chain.groups for chain in self.placement.partitions)
 
     def apply_log(self, placement: GroupPlacement) -> None:
-        """Apply the log's groups, except for partitions of which a peer knew more."""
+        """Apply the log's groups, except where a peer has sent newer ones."""
         if self.is_empty or len(placement.partitions) != len(self.placement.partitions):
             self.placement = placement
             return
@@ -39,24 +39,24 @@
         )
 
     def apply_peer(self, message: ClaimMessage) -> bool:
-        """Apply the chains of a peer's message; return whether any was news."""
+        """Apply the histories in a peer's message; return whether any was newer."""
         if not message.chains:
             return False
         count = message.placement.partition_count
         if count and self.is_empty and count != len(self.placement.partitions):
             self.placement = GroupPlacement.empty(count)
         partitions = list(self.placement.partitions)
-        news = False
+        changed = False
         for partition, chain in _read_chains(message):
             if partition < len(partitions) and chain.epoch > partitions[partition].epoch:
-                partitions[partition] = _joined(partitions[partition], chain)
-                news = True
-        if news:
+                partitions[partition] = _merged(partitions[partition], chain)
+                changed = True
+        if changed:
             self.placement = GroupPlacement(tuple(partitions))
-        return news
+        return changed
 
     def write_all(self, message: ClaimMessage) -> None:
-        """Write all chains into an answer."""
+        """Write all histories into an answer."""
         message.placement.partition_count = len(self.placement.partitions)
         for partition, chain in enumerate(self.placement.partitions):
             if chain.groups:
@@ -66,7 +66,7 @@
 def write_chain(
     message: ClaimMessage, partition: int, chain: GroupHistory, first_epoch: int
 ) -> None:
-    """Write a partition's groups into a message, from one epoch on."""
+    """Write a partition's groups from an epoch on into a message."""
     written = message.chains.add(partition=partition)
     for group in chain.groups:
         if group.epoch < first_epoch:
@@ -78,11 +78,11 @@
             item.members.add(name=member.name, incarnation=member.incarnation)
 
 
-def _joined(known: GroupHistory, news: GroupHistory) -> GroupHistory:
-    """Return a chain with the groups known before those that are news."""
-    first_epoch = news.groups[0].epoch
+def _merged(known: GroupHistory, newer: GroupHistory) -> GroupHistory:
+    """Return a newer history, preceded by the known groups of earlier epochs."""
+    first_epoch = newer.groups[0].epoch
     older = tuple(group for group in known.groups if group.epoch < first_epoch)
-    return GroupHistory((*older, *news.groups)[-GROUP_HISTORY_LENGTH:])
+    return GroupHistory((*older, *newer.groups)[-GROUP_HISTORY_LENGTH:])
 
 
 def _read_chains(message: ClaimMessage) -> list[tuple[int, GroupHistory]]:
--- a/src/stagewalk/node/claims/replica.py
+++ b/src/stagewalk/node/claims/replica.py
@@ -1,7 +1,7 @@
-"""The replica's side of claims: which epochs it votes in, its votes, and handing over its state.
+"""The replica's side of claims: joining groups, voting and handing over state.
 
-Owns this process's partitions. Relies on the placement for its groups and on transfers for the
-state of those it joins.
+Owns this process's partitions. The placement gives its groups, and transfers provide the state of
+those it joins.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from stagewalk.node.wire.claims_pb2 import ClaimMessage, ClaimState, ClaimStateRequest
 
 SWEEP_INTERVAL_SECONDS = 1.0
-"""Time between two removals of expired entries."""
+"""Interval between sweeps for expired entries, of one partition each."""
 
 
 class ReplicaCore:
-    """All partitions of which this process is, was or becomes a replica.
+    """All partitions of which this process is or was a replica, or is becoming one.
 
     Parameters
     ----------
@@ -42,22 +42,22 @@
         self._config = config
         self._partitions: dict[int, PartitionReplica] = {}
         self.transfers = TransferCore(member, config, self._partitions)
-        """The state this replica lacks."""
+        """Transfers of the state this replica lacks."""
         self._left_at: dict[int, float] = {}
         self._order: list[int] = []
-        """Partitions in the order of their first appearance, in which they are swept."""
+        """Partitions in sweep order."""
         self._sweep_position = 0
         self._sweep_at = float("-inf")
 
     @property
     def group_count(self) -> int:
-        """Return how many groups in force this process is a member of."""
+        """Return how many current groups this process is a member of."""
         return len(self._partitions) - len(self._left_at)
 
     # Placement
 
     def adopt(self, placement: GroupPlacement, now: float) -> None:
-        """Apply a new placement: stop voting in old epochs, start or await new ones."""
+        """Apply a placement: stop voting in old epochs, and join new ones."""
         for partition, chain in enumerate(placement.partitions):
             known = self._partitions.get(partition)
             if known is not None and known.chain == chain:
@@ -82,21 +82,23 @@
         else:
             self._left_at.setdefault(partition, now)
         for group in chain.groups:
-            self._enter_group(partition, replica, group, now)
+            self._join_group(partition, replica, group, now)
         self.transfers.drop_obsolete(partition)
 
-    def _enter_group(
+    def _join_group(
         self, partition: int, replica: PartitionReplica, group: ReplicaGroup, now: float
     ) -> None:
         joined_as = group.incarnation_of(self.member.name)
         if joined_as is None or group.epoch <= replica.held_epoch:
             return
         if joined_as > self.member.incarnation:
-            return  # A later start of this node exists: this process must never vote here.
+            return  # The group names a later incarnation, so this process must never vote here.
         if joined_as == self.member.incarnation and group.forgets:
-            # A vote or promise alone says nothing any more: a larger one may have been lost.
+            # Undecided votes and promises are useless now: larger ones may have been lost.
             replica.register.keep_decided()
-            replica.lost_until = max(replica.lost_until, now + self._quarantine(group))
+            replica.lost_until = max(
+                replica.lost_until, now + self._unknown_key_refusal_seconds(group)
+            )
             replica.begin_epoch(group, {})
             self.transfers.log("claims_forgotten", partition, group, level="warning")
         elif joined_as == self.member.incarnation and group.epoch == 1:
@@ -104,11 +106,11 @@
         else:
             self.transfers.begin(partition, group, now)
 
-    def _quarantine(self, group: ReplicaGroup) -> float:
+    def _unknown_key_refusal_seconds(self, group: ReplicaGroup) -> float:
         seconds = self._config.entry_retention_seconds
         return seconds if group.certified else 2 * seconds
 
-    # Requests of others
+    # Requests
 
     def handle_request(
         self,
@@ -121,18 +123,18 @@
         body = message.WhichOneof("body")
         if body == "decision":
             if replica is not None:
-                replica.learn(message.decision, now)
+                replica.record_decision(message.decision, now)
             return None
         if replica is None:
             answer = messages.reject(Reason.EPOCH)
-            return self._answered(message, answer, 0, {})
+            return self._complete_answer(message, answer, 0, {})
         if body == "state_request":
             answer = self._hand_over(replica, sender, message, now)
         else:
             answer = self._vote(replica, message, now)
         if answer.HasField("reject") and replica.chain.epoch > message.epoch:
             write_chain(answer, message.partition, replica.chain, message.epoch + 1)
-        return self._answered(message, answer, replica.known_epoch, replica.incarnations)
+        return self._complete_answer(message, answer, replica.known_epoch, replica.incarnations)
 
     @staticmethod
     def _vote(replica: PartitionReplica, message: ClaimMessage, now: float) -> ClaimMessage:
@@ -144,7 +146,7 @@
         return replica.accept(message.accept, now)
 
     @staticmethod
-    def _answered(
+    def _complete_answer(
         request: ClaimMessage,
         answer: ClaimMessage,
         known_epoch: int,
@@ -172,16 +174,16 @@
         else:
             allowed = replica.complete and replica.held_epoch == epoch
         if not allowed:
-            overtaken = replica.known_epoch > epoch and replica.held_epoch != epoch
-            return messages.reject(Reason.EPOCH if overtaken else Reason.RECOVERING)
+            superseded = replica.known_epoch > epoch and replica.held_epoch != epoch
+            return messages.reject(Reason.EPOCH if superseded else Reason.RECOVERING)
         if request.purpose == Purpose.RECOVERY:
-            # Noted before any of the state is read: from here on, answers of the sender's
-            # earlier start can't be counted together with answers of this replica.
+            # Recorded before any state is sent: from now on, answers of the sender's earlier
+            # incarnation can't form a quorum with answers of this replica.
             known = replica.incarnations.get(sender.name, sender.incarnation)
             replica.incarnations[sender.name] = max(known, sender.incarnation)
-        return self._piece(replica, epoch, request, now)
+        return self._state_piece(replica, epoch, request, now)
 
-    def _piece(
+    def _state_piece(
         self, replica: PartitionReplica, epoch: int, request: ClaimStateRequest, now: float
     ) -> ClaimMessage:
         state = ClaimState(
@@ -204,7 +206,7 @@
         return ClaimMessage(state=state)
 
     def sweep(self, now: float) -> None:
-        """Expire one partition's entries a second: votes on a key expire it themselves."""
+        """Expire one partition's entries if due; votes check the expiry of their key anyway."""
         if now < self._sweep_at or not self._order:
             return
         self._sweep_at = now + SWEEP_INTERVAL_SECONDS
--- a/src/stagewalk/node/claims/transfer.py
+++ b/src/stagewalk/node/claims/transfer.py
@@ -1,6 +1,6 @@
-"""One transfer of a partition's state from other replicas, after a restart or a change of group.
+"""One transfer of a partition's state from other replicas, after a restart or a group change.
 
-Owns how far each source was read, and the rule for when enough of them were.
+Owns the progress of each source and the rule for when enough sources are read.
 """
 
 from __future__ import annotations
@@ -20,10 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldState:
-    """What a replica said of the state it handed over.
+    """Properties of the state that a replica handed over.
 
-    `held_epoch` is the epoch up to which it is complete; `sealed` says that the answerer knows
-    of an epoch after the one asked for; `lost_seconds` as in `PartitionReplica.lost_until`.
+    `held_epoch` is the epoch up to which it is complete, `sealed` says that the replica knows an
+    epoch after the requested one, and `lost_seconds` is the time left until
+    `PartitionReplica.lost_until`.
     """
 
     held_epoch: int
@@ -33,10 +34,10 @@
 
 @dataclass(slots=True)
 class Source:
-    """How far the state of one replica has been read.
+    """Progress of reading the state of one replica.
 
-    `incarnation` is that of the replica being read: its successor is read from the start.
-    `recovering` is the incarnation in which it last said that it lacks the state itself.
+    `incarnation` is that of the replica being read; after its restart, reading starts over.
+    `recovering` is its incarnation if its last answer said that it is recovering itself.
     """
 
     exchange_id: int = 0
@@ -54,18 +55,18 @@
 
 @dataclass(slots=True)
 class StateTransfer:
-    """One replica's way into one epoch of a partition.
+    """The transfer by which a replica joins one epoch of a partition.
 
     Attributes
     ----------
     purpose
-        `RECOVERY`: this is a later start of a member, which may have voted in the epoch; it
+        `RECOVERY`: an earlier incarnation of this process may have voted in the epoch, so it
         needs the states of `group.recovery` other members that vote in this epoch.
-        `TAKEOVER`: this process has not voted in the epoch; it needs the states of
-        `previous.recovery` members of the group before, all of which have stopped voting, or
-        the state of one member of its own group that has taken over.
+        `TAKEOVER`: this process has not voted in the epoch, so it needs the states of
+        `previous.recovery` members of the previous group, which have stopped voting, or the
+        state of one member of its own group that has taken over.
     stuck_since
-        Node's clock, seconds, since when too many other members have been found recovering.
+        Node's clock, seconds: since when too many other members have been recovering.
     """
 
     partition: int
@@ -97,35 +98,41 @@
             transfer.sources[name] = Source()
         return transfer
 
-    def stagger(self, needed: int, now: float, delay: float, overtaken: bool) -> None:
-        """Delay all sources but those needed, since a state may be large.
+    def schedule_first_requests(
+        self, needed: int, now: float, delay: float, superseded: bool
+    ) -> None:
+        """Schedule the first requests: now to the sources needed, later to the others.
 
-        Members of the group before come first, as those of the new one lack the state too. An
-        epoch that is in force no more is asked for later: its state is rarely needed.
+        A state may be large, so others are asked only if needed. Members of the previous group
+        come first, as new members lack the state too. Requests for a superseded epoch are
+        delayed further, since its state is rarely needed.
         """
         previous = self.previous.names if self.previous is not None else ()
         order = sorted(self.sources, key=lambda name: (name not in previous, name))
-        rounds = 2 if overtaken else 0
+        base_delay_count = 2 if superseded else 0
         for position, name in enumerate(order):
-            late = rounds + (position >= needed)
-            self.sources[name].next_request_at = now + late * delay
+            delay_count = base_delay_count + (position >= needed)
+            self.sources[name].next_request_at = now + delay_count * delay
 
     @property
     def purpose_name(self) -> str:
-        """Return the purpose as log lines show it."""
+        """Return the purpose as shown in log lines."""
         return Purpose.Name(self.purpose).lower()
 
     def record_state(self, name: NodeName, answer: ReplicaAnswer[HeldState]) -> None:
-        """Record that a replica's state was read to its end."""
+        """Record that a replica's state was read completely."""
         add_answer(self.answers, name, answer)
-        for void in sorted(set(self.answers) - set(consistent_answers(self.answers))):
-            del self.answers[void]
-            self.sources[void].restart()
+        for stale in sorted(set(self.answers) - set(consistent_answers(self.answers))):
+            del self.answers[stale]
+            self.sources[stale].restart()
 
     def finished(self, own: GroupMember, own_answer: ReplicaAnswer[HeldState] | None) -> bool:
-        """Return whether the states read so far are sure to hold all that may not be lost."""
+        """Return whether the states read so far include every vote that may have decided."""
         if self.purpose == Purpose.RECOVERY:
-            return self._count(self.answers, self.group, self.group.epoch) >= self.group.recovery
+            return (
+                self._count_holders(self.answers, self.group, self.group.epoch)
+                >= self.group.recovery
+            )
         taken_over = any(
             answer.payload.held_epoch >= self.group.epoch for answer in self.answers.values()
         )
@@ -135,12 +142,12 @@
         if own_answer is not None and self.previous.incarnation_of(own.name) is not None:
             answers[own.name] = own_answer
         consistent = consistent_answers(answers)
-        return self._count(consistent, self.previous, self.group.epoch - 1) >= (
+        return self._count_holders(consistent, self.previous, self.group.epoch - 1) >= (
             self.previous.recovery
         )
 
     @staticmethod
-    def _count(
+    def _count_holders(
         answers: dict[NodeName, ReplicaAnswer[HeldState]], group: ReplicaGroup, held_epoch: int
     ) -> int:
         return sum(
@@ -149,7 +156,7 @@
         )
 
     def incarnations(self) -> dict[NodeName, Incarnation]:
-        """Return the incarnations known to those whose state belongs to this epoch."""
+        """Return the incarnations known to the replicas whose state is of this epoch."""
         incarnations: dict[NodeName, Incarnation] = {}
         for name in sorted(self.answers):
             answer = self.answers[name]
@@ -159,23 +166,23 @@
 
     @property
     def sealed(self) -> bool:
-        """Whether any answerer knows of a later epoch."""
+        """Whether any source knows a later epoch."""
         return any(answer.payload.sealed for answer in self.answers.values())
 
     @property
     def lost_seconds(self) -> float:
-        """Return how long unknown keys must still be refused, in seconds."""
+        """Return how long unknown keys must still be rejected, in seconds."""
         return max((answer.payload.lost_seconds for answer in self.answers.values()), default=0.0)
 
     def recovering_members(self) -> tuple[GroupMember, ...]:
-        """Return the other members of the group found recovering, with their incarnations."""
+        """Return the other members of the group that are recovering, with their incarnations."""
         return tuple(
             GroupMember(name, source.recovering)
             for name, source in sorted(self.sources.items())
             if source.recovering is not None and name in self.group.names
         )
 
-    def is_hopeless(self) -> bool:
-        """Return whether too few members are left that might hold the state."""
+    def cannot_complete(self) -> bool:
+        """Return whether too few other members may still hold the state."""
         others = len(self.group.members) - 1
         return others - len(self.recovering_members()) < self.group.recovery
--- a/src/stagewalk/node/claims/transfers.py
+++ b/src/stagewalk/node/claims/transfers.py
@@ -1,7 +1,7 @@
-"""All transfers of partitions' state to this replica: which run, their requests, and giving up.
+"""All transfers of partition state to this replica: requests, completion and abandonment.
 
-Owns the exchanges of the running transfers. Relies on the partitions, which it completes, and on
-the placement for which groups this process joins.
+Owns the exchanges of running transfers. The replica starts transfers for the groups it joins, and
+a finished transfer completes its partition.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from stagewalk.node.wire.claims_pb2 import ClaimMessage
 
 MAXIMUM_RETRY_FACTOR = 8
-"""Unanswered requests for state are retried with doubling delays, up to this many times
-`ClaimConfig.transfer_retry_seconds`."""
+"""Maximum delay between retries of a state request, in units of
+`ClaimConfig.transfer_retry_seconds`; the delay doubles with each retry."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,14 +35,14 @@
 
 
 class TransferCore:
-    """Obtains the state of partitions that this process is to vote in but does not hold.
+    """Obtains the state of partitions that this process needs in order to vote.
 
     Parameters
     ----------
     member
         This process.
     partitions
-        The partitions of the replica, shared with it: finished transfers change them.
+        The partitions of the replica, shared with it and updated by finished transfers.
     """
 
     def __init__(
@@ -59,31 +59,31 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no group in force is being waited for or has been given up."""
+        """Whether no transfer for a current group is running or abandoned."""
         waiting = (*self._transfers, *self._abandoned)
         return not any(
             epoch == self._partitions[partition].chain.epoch for partition, epoch in waiting
         )
 
     def take_events(self) -> list[WriteLogLine]:
-        """Return the log lines due since the last call."""
+        """Return the log lines added since the last call."""
         events = self._events
         self._events = []
         return events
 
     def begin(self, partition: int, group: ReplicaGroup, now: float) -> None:
-        """Obtain a partition's state for a group, unless that is under way or was given up."""
+        """Start a transfer for a group, unless it is running or was abandoned."""
         identity = (partition, group.epoch)
         if identity in self._transfers or identity in self._abandoned:
             return
         previous = self._partitions[partition].chain.group_at(group.epoch - 1)
         transfer = StateTransfer.begin(partition, group, previous, self._member, now)
         replica = self._partitions[partition]
-        transfer.stagger(
+        transfer.schedule_first_requests(
             needed=self._sources_needed(transfer, replica),
             now=now,
             delay=self._config.transfer_retry_seconds,
-            overtaken=group.epoch < replica.chain.epoch,
+            superseded=group.epoch < replica.chain.epoch,
         )
         self._transfers[identity] = transfer
         self.log("claims_state_wanted", partition, group, purpose=transfer.purpose_name)
@@ -95,7 +95,7 @@
         return transfer.previous.recovery - own
 
     def drop_obsolete(self, partition: int) -> None:
-        """Drop transfers of epochs no longer needed, and what was given up in earlier ones."""
+        """Drop transfers no longer needed, and abandonments of earlier epochs."""
         replica = self._partitions[partition]
         for identity in [key for key in self._transfers if key[0] == partition]:
             if identity[1] <= replica.held_epoch:
@@ -121,7 +121,7 @@
             self._transfer_of_exchange.pop(source.exchange_id, None)
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Return requests for missing state, with doubling delays; give up what is hopeless."""
+        """Return the state requests due; abandon transfers that can't complete."""
         outgoing: list[Outgoing] = []
         for identity in sorted(self._transfers):
             transfer = self._transfers[identity]
@@ -137,7 +137,7 @@
     ) -> Outgoing:
         self._transfer_of_exchange.pop(source.exchange_id, None)
         self._exchange_count += 1
-        # Odd, so that exchanges of transfers and of proposals never share an id.
+        # Odd; the exchange ids of proposals are even.
         source.exchange_id = 2 * self._exchange_count + 1
         source.next_request_at = now + self._config.transfer_retry_seconds * source.retry_factor
         source.retry_factor = min(2 * source.retry_factor, MAXIMUM_RETRY_FACTOR)
@@ -155,7 +155,7 @@
     def handle_answer(
         self, sender: GroupMember, message: ClaimMessage, now: float
     ) -> list[Outgoing]:
-        """Handle a piece of state, or the refusal of one."""
+        """Handle a piece of state, or a rejection."""
         identity, name = self._transfer_of_exchange.get(message.exchange_id, (None, sender.name))
         transfer = self._transfers.get(identity) if identity is not None else None
         if transfer is None or name != sender.name:
@@ -172,9 +172,9 @@
             source.restart()
             return [self._request_piece(transfer, name, source, now)]
         source.incarnation = sender.incarnation
-        return self._take_piece(transfer, source, sender, message, now)
+        return self._handle_piece(transfer, source, sender, message, now)
 
-    def _take_piece(
+    def _handle_piece(
         self,
         transfer: StateTransfer,
         source: Source,
@@ -224,7 +224,7 @@
     def _give_up(self, transfer: StateTransfer, now: float) -> bool:
         identity = (transfer.partition, transfer.group.epoch)
         if transfer.group.epoch != self._partitions[transfer.partition].chain.epoch:
-            # Kept for a while: a later group may need this epoch's state from here.
+            # Kept until the hand-over time is up: a later group may need this epoch's state.
             if now < transfer.started_at + self._config.handover_seconds:
                 return False
             self._remove(identity)
@@ -244,7 +244,7 @@
         return True
 
     def _is_stuck(self, transfer: StateTransfer, now: float) -> bool:
-        if not transfer.is_hopeless():
+        if not transfer.cannot_complete():
             transfer.stuck_since = None
             return False
         if transfer.stuck_since is None:
@@ -255,7 +255,7 @@
         return now >= transfer.stuck_since + limit
 
     def unreported_abandonments(self) -> tuple[AbandonedGroup, ...]:
-        """Return the groups given up that the log does not show yet."""
+        """Return the abandoned groups that are not in the log yet."""
         return tuple(
             item
             for (partition, _), item in sorted(self._abandoned.items())
--- a/src/stagewalk/node/claims/types.py
+++ b/src/stagewalk/node/claims/types.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Where another node is reached now, and which start of it that is."""
+    """Current address and incarnation of another node."""
 
     address: Address
     incarnation: Incarnation
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """Totally ordered identity of one attempt of one proposer.
+    """Totally ordered identity of one proposer's attempt.
 
-    `attempt` counts the proposer's attempts over all keys, so no two attempts share a ballot,
-    and `incarnation` keeps those of a restarted proposer apart.
+    `attempt` counts the proposer's attempts over all keys, so no two attempts share a ballot, and
+    `incarnation` distinguishes those of a restarted proposer.
     """
 
     round: int
--- a/tests/node/claims/network.py
+++ b/tests/node/claims/network.py
@@ -1,4 +1,4 @@
-"""Claim cores joined by a network that loses, doubles, delays and reorders messages."""
+"""Claim cores on a network that loses, duplicates, delays and reorders messages."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Network:
-    """Runs one `ClaimCore` a node on virtual time; each node sees the log with its own lag."""
+    """Runs one `ClaimCore` per node on virtual time; each node reads the log independently."""
 
     def __init__(
         self, names: str, seed: int = 0, loss: float = 0.0, config: ClaimConfig | None = None
@@ -59,7 +59,7 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start a node, or start it again without its memory."""
+        """Start a node, or restart it without its state."""
         self.incarnations[name] = self.incarnations.get(name, 0) + 1
         self.down.discard(name)
         identity = NodeIdentity(
@@ -86,7 +86,7 @@
         self.log.append(encode_record(PlacementChange(fence=1, changes=(change,))))
 
     def chain(self) -> GroupHistory:
-        """Return the partition's groups as of the log's end."""
+        """Return the partition's groups at the end of the log."""
         fold = PlacementStateMachine(1)
         for offset, payload in enumerate(self.log):
             fold.apply(LogRecord(offset, RecordId(str(offset)), payload))
@@ -99,7 +99,7 @@
         self._take(name, self.cores[name].read(key, self.now))
 
     def run(self, seconds: float) -> None:
-        """Let time pass, tick by tick."""
+        """Advance time tick by tick."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self._deliver_until(self.now + TICK)
@@ -110,28 +110,28 @@
                     self._take(name, self.cores[name].tick(self.now))
 
     def deliver(self, count: int) -> None:
-        """Deliver the next messages only, without letting timers run."""
+        """Deliver the next messages without running timers."""
         for _ in range(count):
             self._deliver_next()
 
     def step(self) -> None:
-        """Deliver the next message, or let time pass if there is none."""
+        """Deliver the next message, or advance time by a tick if there is none."""
         if self._queue:
             self._deliver_next()
         else:
             self.run(TICK)
 
-    def hold(self, to: str) -> list[tuple[str, SendPeerMessage]]:
-        """Take the messages on their way to a node out of the network."""
+    def in_flight_to(self, to: str) -> list[tuple[str, SendPeerMessage]]:
+        """Return the messages in flight to a node."""
         held = [(sender, output) for _, _, sender, output in self._queue]
         return [item for item in held if item[1].address.host == to]
 
     def drop_all(self) -> None:
-        """Lose all messages on their way."""
+        """Drop all messages in flight."""
         self._queue.clear()
 
     def release(self, held: list[tuple[str, SendPeerMessage]]) -> None:
-        """Put messages that were held back into the network."""
+        """Send messages that were kept back."""
         for sender, output in held:
             self._send(sender, output)
 
--- a/tests/node/claims/test_claims.py
+++ b/tests/node/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims on a stable group: one value is decided, whoever proposes and whatever is lost."""
+"""Claims on a stable group: one value is decided, also with a replica down."""
 
 from __future__ import annotations
 
--- a/tests/node/claims/test_examples.py
+++ b/tests/node/claims/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples run and show what they say."""
+"""The scripts in `examples/` run and print the expected lines."""
 
 from __future__ import annotations
 
--- a/tests/node/claims/test_explorer.py
+++ b/tests/node/claims/test_explorer.py
@@ -1,4 +1,4 @@
-"""A bounded exploration of message interleavings, and proof that it would find a fault."""
+"""Bounded exploration of message interleavings, with mutations that it must detect."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class MutantTest(testtools.TestCase):
-    """Each mechanism, switched off, leads the explorer to two decided values."""
+    """With any one safety mechanism disabled, the explorer finds two decided values."""
 
     def assert_found(self, limits: Limits, walks: int, seed: int) -> None:
         self.assertRaises(DecidedTwice, walk, walks, 120, limits, seed)
@@ -50,6 +50,6 @@
             replica.known_epoch = known_epoch
             return answer
 
-        untold = mock.patch.object(PlacementView, "apply_peer", lambda *_: False)
-        with untold, mock.patch.object(ReplicaCore, "_hand_over", without_seal):
+        without_relay = mock.patch.object(PlacementView, "apply_peer", lambda *_: False)
+        with without_relay, mock.patch.object(ReplicaCore, "_hand_over", without_seal):
             self.assert_found(Limits(restarts=0, timers=0, group_changes=1), 60, seed=7)
--- a/tests/node/claims/test_faults.py
+++ b/tests/node/claims/test_faults.py
@@ -1,4 +1,4 @@
-"""Claims while replicas lose their memory, groups change and messages go astray."""
+"""Claims while replicas lose their state, groups change and messages are lost."""
 
 from __future__ import annotations
 
@@ -123,7 +123,7 @@
         network.run(0.5)
         self.assertEqual([ClaimDecided("k", b"1", False, b"2")], network.results("f", "k"))
 
-    def test_a_replica_that_left_knows_it_and_hands_over_all_the_same(self) -> None:
+    def test_a_replica_that_left_still_hands_over_its_state(self) -> None:
         network = Network("abcd")
         network.append(0, "abc")
         network.run(0.5)
@@ -152,7 +152,7 @@
         self.assertLess(network.bytes_to["a"], 5000)
         self.assertGreater(network.bytes_to["d"], 15000)
 
-    def test_two_changes_read_at_once_are_taken_step_by_step(self) -> None:
+    def test_two_changes_read_at_once_are_applied_in_order(self) -> None:
         network = Network("abcde")
         network.append(0, "abc")
         network.run(0.5)
@@ -165,7 +165,7 @@
         network.run(0.5)
         self.assertEqual([ClaimDecided("k", b"1", False, b"2")], network.results("e", "k"))
 
-    def test_claims_go_on_while_the_log_is_unreachable(self) -> None:
+    def test_claims_are_decided_while_the_log_is_unreachable(self) -> None:
         network = Network("abc")
         network.append(0, "abc")
         network.run(0.5)
@@ -196,7 +196,7 @@
         network.run(1.0)
         self.assertEqual([ClaimDecided("new", b"3", True, b"3")], network.results("c", "new"))
 
-    def test_an_old_group_that_handed_over_decides_nothing(self) -> None:
+    def test_a_group_that_handed_over_decides_nothing(self) -> None:
         network = Network("abcd")
         network.append(0, "abc")
         network.run(0.5)
@@ -208,12 +208,12 @@
         network.run(4.0)
         self.assertIsInstance(network.results("b", "k")[-1], ClaimUndecided)
         network.propose("d", "k", b"2")
-        network.run(3.0)  # c learns of its group from d only now.
+        network.run(3.0)  # c learns of its group from d here.
         self.assertEqual([ClaimDecided("k", b"2", True, b"2")], network.results("d", "k"))
 
 
 class LossTest(testtools.TestCase):
-    def lose_everything(self) -> Network:
+    def lose_all_state(self) -> Network:
         network = Network("abcd", config=QUICK)
         network.append(0, "abc")
         network.run(0.5)
@@ -226,7 +226,7 @@
         return network
 
     def test_after_a_loss_keys_are_refused_until_none_can_be_older(self) -> None:
-        network = self.lose_everything()
+        network = self.lose_all_state()
         network.append(1, "abc", forgets=True)
         network.run(1.0)
         network.propose("d", "old", b"2")
@@ -243,7 +243,7 @@
         self.assertEqual([ClaimDecided("new", b"3", True, b"3")], network.results("d", "new"))
 
     def test_renewable_keys_are_decided_anew_at_once(self) -> None:
-        network = self.lose_everything()
+        network = self.lose_all_state()
         network.append(1, "abc", forgets=True)
         network.run(1.0)
         network.propose("d", "slot", b"2", renewable=True)
@@ -251,13 +251,13 @@
         self.assertEqual([ClaimDecided("slot", b"2", True, b"2")], network.results("d", "slot"))
 
     def test_nobody_votes_between_a_loss_and_the_next_group(self) -> None:
-        network = self.lose_everything()
+        network = self.lose_all_state()
         network.propose("d", "old", b"2", renewable=True)
         network.run(4.0)
         self.assertIsInstance(network.results("d", "old")[-1], ClaimUndecided)
 
-    def test_a_bare_promise_is_no_knowledge_after_a_loss(self) -> None:
-        """A replica that survives a loss with a promise alone must not vouch for the key."""
+    def test_a_promise_without_a_vote_is_dropped_after_a_loss(self) -> None:
+        """A replica with only a promise must not answer for the key after a loss of state."""
         network = Network("abcd", config=QUICK)
         network.append(0, "abc")
         network.run(0.5)
@@ -282,14 +282,14 @@
 
 class PausedReplicaTest(testtools.TestCase):
     def test_a_promise_outlives_a_vote_that_lies_unread(self) -> None:
-        """A late vote for a larger ballot must not be found after a smaller one has decided."""
+        """A late accept of a larger ballot must not take effect after a smaller one decided."""
         network = Network("abcpw", config=QUICK)
         network.append(0, "abc")
         network.run(0.5)
         network.cut.add(frozenset("wb"))
         network.propose("w", "k", b"w")
-        network.deliver(5)  # a and c have promised, and the request for c's vote is on its way.
-        late = network.hold("c")
+        network.deliver(5)  # a and c have promised; the accept request to c is in flight.
+        late = network.in_flight_to("c")
         self.assertEqual(1, len(late))
         network.drop_all()
         network.cut.update({frozenset("wa"), frozenset("wc")})
--- a/tests/node/claims/test_placement.py
+++ b/tests/node/claims/test_placement.py
@@ -1,4 +1,4 @@
-"""The fold of group changes, and what the planner proposes."""
+"""Tests of the placement fold and of the placement planner."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
         assert group is not None
         self.assertEqual((2, ("a", "b", "d")), (group.epoch, group.names))
 
-    def test_an_overtaken_planner_is_rejected(self) -> None:
+    def test_a_change_with_an_older_fence_is_rejected(self) -> None:
         _, outcomes = self.fold(change(0, "abc", fence=2), change(1, "abd", fence=1))
         self.assertEqual([True, False], outcomes)
 
-    def test_nonsense_is_rejected(self) -> None:
+    def test_malformed_records_are_rejected(self) -> None:
         fold, outcomes = self.fold(change(0, "abcd"), change(0, "aa"), change(0, ""))
         self.assertEqual([False] * 3, outcomes)
         self.assertFalse(fold.apply(LogRecord(3, RecordId("3"), b"{")).changed)
@@ -65,7 +65,7 @@
         self.assertFalse(fold.placement.partitions[0].lost)
         fold, _ = self.fold(change(0, "abc"), abandoned("a", 2, "b", 2), abandoned("b", 2, "a", 2))
         self.assertTrue(fold.placement.partitions[0].lost)
-        # b saw a later start of a than the one that gave up: that start may have recovered.
+        # b saw a later incarnation of a than the one that gave up; it may have recovered.
         fold, _ = self.fold(change(0, "abc"), abandoned("a", 2, "b", 2), abandoned("b", 3, "a", 4))
         self.assertFalse(fold.placement.partitions[0].lost)
 
@@ -83,7 +83,7 @@
         self.offset = 0
 
     def members(self, names: str, incarnation: int = 1) -> dict[NodeName, PlacementCandidate]:
-        """Return nodes whose first letter is their zone's."""
+        """Return nodes placed in the zone named by their first letter."""
         return {
             NodeName(name): PlacementCandidate(
                 Incarnation(incarnation), Placement("region", name[0])
@@ -100,7 +100,7 @@
         self.offset += 1
         return True
 
-    def settle(self, members: dict[NodeName, PlacementCandidate], start: float) -> None:
+    def run_planner(self, members: dict[NodeName, PlacementCandidate], start: float) -> None:
         for step in range(400):
             self.plan(members, start + step * 0.5)
 
@@ -108,32 +108,32 @@
         groups = [chain.current for chain in self.fold.placement.partitions]
         return [group.names for group in groups if group is not None]
 
-    def test_groups_span_zones_and_stand_still(self) -> None:
+    def test_groups_span_zones_and_stay_unchanged(self) -> None:
         members = self.members("a1 a2 b1 b2 c1 c2")
-        self.settle(members, 0.0)
+        self.run_planner(members, 0.0)
         self.assertEqual(8, len(self.groups()))
         for names in self.groups():
             self.assertEqual({"a", "b", "c"}, {name[0] for name in names})
         self.assertFalse(self.plan(members, 1000.0))
 
     def test_a_dead_replica_is_replaced_and_only_it(self) -> None:
-        self.settle(self.members("a1 a2 b1 b2 c1 c2"), 0.0)
+        self.run_planner(self.members("a1 a2 b1 b2 c1 c2"), 0.0)
         before = self.groups()
-        self.settle(self.members("a2 b1 b2 c1 c2"), 300.0)
+        self.run_planner(self.members("a2 b1 b2 c1 c2"), 300.0)
         for old, new in zip(before, self.groups(), strict=True):
             self.assertEqual({name for name in old if name != "a1"} - set(new), set())
             self.assertEqual({"a", "b", "c"}, {name[0] for name in new})
             self.assertNotIn("a1", new)
 
     def test_groups_shrink_without_spare_nodes_and_grow_again(self) -> None:
-        self.settle(self.members("a1 b1 c1"), 0.0)
-        self.settle(self.members("a1 b1"), 300.0)
+        self.run_planner(self.members("a1 b1 c1"), 0.0)
+        self.run_planner(self.members("a1 b1"), 300.0)
         self.assertEqual([("a1", "b1")] * 8, [tuple(sorted(names)) for names in self.groups()])
-        self.settle(self.members("a1 b1 c1"), 600.0)
+        self.run_planner(self.members("a1 b1 c1"), 600.0)
         self.assertEqual([3] * 8, [len(names) for names in self.groups()])
 
     def test_a_group_without_enough_members_to_hand_over_is_forgotten_late(self) -> None:
-        self.settle(self.members("a1 b1 c1"), 0.0)
+        self.run_planner(self.members("a1 b1 c1"), 0.0)
         left = self.members("a1 a2 b2")
         for now in (300.0, 310.0, 400.0):
             self.assertFalse(self.plan(left, now))
