--- a/tests/gateway/explain/test_timeline.py
+++ b/tests/gateway/explain/test_timeline.py
@@ -116,7 +116,7 @@
 
 class LogLineTests(testtools.TestCase):
     @given(st.text(max_size=30), st.floats(0, 2e9))
-    def test_a_written_line_can_be_parsed(self, value: str, at: float) -> None:
+    def test_what_is_written_can_be_read(self, value: str, at: float) -> None:
         text = line(at, "n1", "event", "warning", detail=value)
         parsed = parse_line("  12.5 n1 | " + text, "file")
         assert parsed is not None
