--- a/src/stagewalk/gateway/admission/fair_queue.py
+++ b/src/stagewalk/gateway/admission/fair_queue.py
@@ -4,12 +4,12 @@
 - Within a class, new requests start before retries, since they can still be answered within their
   target. One start in four goes to a retry, unless its tenant has already exceeded its share.
 - Among new requests, and among retries, tenants get equal shares by start-time fair queueing: each
-  request advances its tenant's start tag by the time that it is expected to be in flight. Start
-  tags are kept for a second after a tenant's queue is empty, which is the usual state on a node
-  with one request in flight; a round robin would forget the tenant at once.
+  request advances its tenant's start tag by the time that it is expected to be in flight. A start
+  tag is kept for a second after it was assigned, since on a node with one request in flight a
+  tenant's queue is usually empty.
 - Within a tenant, requests start in the order of their due times.
-- A queued request that was promised a start and has passed its latest start time is overdue. One
-  start in four goes to an overdue request, whatever its class.
+- A committed request that has passed its latest start time is overdue. One start in four goes to
+  an overdue request, whatever its class.
 
 `admission.service_admission` decides which requests are queued at all.
 """
@@ -35,11 +35,11 @@
 """Upper bound on the cost of one request, relative to the average."""
 
 TENANT_HISTORY_SECONDS = 1.0
-"""How long a tenant's start tag is kept. It is about as long as a typical target: with a longer
-history, tenants of a node with few starts would wait for each other needlessly."""
+"""How long a tenant's start tag is kept. With a longer history, tenants of a node with few starts
+would wait for each other needlessly."""
 
 MAXIMUM_IDLE_TENANTS = 256
-"""Start tags kept before those that no longer affect the order are pruned."""
+"""Number of start tags above which those that no longer affect the order are pruned."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
     retried
         Whether its caller appears to have been rejected before.
     committed
-        Whether it stays queued until it starts: it passed the final check of its expected wait.
+        Whether it passed the final check of its expected wait, and so stays queued until it starts.
     started
         Whether it has been started.
     """
@@ -105,7 +105,7 @@
 
 
 class _VirtualClock:
-    """Virtual time and start tags of tenants; it stands still while earlier tags are served."""
+    """Virtual time and start tags of tenants. The time is the latest start tag served so far."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -179,7 +179,7 @@
     def remove(self, waiting: QueueEntry) -> bool:
         """Remove a request that won't start; return whether it was queued.
 
-        Its tenant's last start tag is removed, so that the earlier ones stay with those queued.
+        Its tenant's last start tag is removed, so that the other requests keep the earlier ones.
         """
         if not self._remove(waiting, -1):
             return False
@@ -218,7 +218,7 @@
         return self._start_tag(request, now)[0] > self._clock.now
 
     def _start_tag(self, request: AdmissionRequest, now: float) -> tuple[float, int, str]:
-        """Return the start tag of a request: its tenant's next one if it isn't queued yet."""
+        """Return the start tag at a request's position in its tenant's queue, or the next one."""
         queue = self._tenants.get(request.tenant)
         own = 0 if queue is None else bisect_left(queue.requests, request.due_at, key=_due)
         if queue is not None and own < len(queue.start_tags):
--- a/src/stagewalk/gateway/admission/limit.py
+++ b/src/stagewalk/gateway/admission/limit.py
@@ -15,12 +15,12 @@
 from stagewalk.gateway.admission.recent_values import SpanMaximum
 
 MINIMUM_STARTS_PER_SECOND = 4.0
-"""The limit never reduces a node below this rate: a node that sends fewer requests gets too few
-answers to adjust the limit by."""
+"""The limit always allows this rate: a node that sends fewer requests gets too few answers to
+adjust the limit."""
 
 PLACES_PER_SLOT = 1.25
-"""Maximum requests in flight for each slot of the service: a worker has its next request when a
-slot becomes free, without building up a queue of its own."""
+"""Maximum requests in flight for each slot of the service. It is above 1 so that a worker has its
+next request when a slot becomes free, and low enough that no long queue builds up there."""
 
 REFUSAL_DECREASE_FACTOR = 0.8
 """The limit is multiplied by this after a refusal by a full worker."""
@@ -29,11 +29,11 @@
 """The limit is multiplied by this after a slow answer, or one from a worker with a queue."""
 
 ADDITIVE_INCREASE = 0.5
-"""Added to the limit over as many answers without congestion as the limit allows in flight."""
+"""Increase of a limit of N (1 or more) over N answers without congestion."""
 
 USED_SHARE = 0.5
-"""Queues and latencies change the limit only while this share of it is in use, since otherwise
-other nodes cause them. Refusals always count."""
+"""Answers change the limit only while at least this share of it is in use; otherwise queues and
+latencies are caused by other nodes. Refusals always count."""
 
 QUEUED_SHARE = 0.25
 """A worker counts as having a queue from this many waiting requests per slot."""
--- a/src/stagewalk/gateway/admission/service_admission.py
+++ b/src/stagewalk/gateway/admission/service_admission.py
@@ -42,21 +42,21 @@
 from stagewalk.gateway.workers.worker import Worker
 
 FINAL_DECISION_SHARE = 0.1
-"""Share of its target after which a queued request is rejected or committed. Callers have to know
-within an eighth of the target; the difference allows for late timers."""
+"""Share of its target after which a queued request is rejected or committed. A rejection has
+to reach its caller within an eighth of the target; the difference allows for late timers."""
 
 MAXIMUM_WAIT_SHARE = 0.33
 """Maximum expected wait, as a share of the target and of the time until the deadline. The rest is
 for the worker and for the error of the estimate."""
 
 CONFIDENT_WAIT_SHARE = 0.45
-"""The same where the estimate is more certain. For the first request in the queue it is off by one
-start at most, and a node with few starts per second would otherwise reject every request that
-arrives while one is in flight. A request already queued is rejected only once its expected wait has
-grown by more than the error of the estimate."""
+"""The same for a request that is first in the queue or is rechecked. The estimate for the first is
+off by at most one start, and with the lower share a node with few starts per second would reject
+every request that arrives while one is in flight. A queued request is thus rejected only once its
+expected wait has grown by more than the error of the estimate."""
 
 START_DEADLINE_RESERVE_SECONDS = 0.05
-"""Time kept before the deadline for the transfer of the answer and for a slower worker."""
+"""Time reserved before the deadline for sending the answer, and in case the worker is slow."""
 
 DEFAULT_HOLDING_SHARE = 0.5
 """Assumed time in flight, as a share of the target, before any request has ended."""
@@ -65,7 +65,7 @@
 """Maximum requests in the queue of a service; bounds memory and tasks."""
 
 MINIMUM_AVAILABLE_SHARE = 0.05
-"""Minimum share of the starts that an estimate assumes for a request, whatever overtakes it."""
+"""Minimum share of all starts that an estimate assumes a request can get, whatever overtakes it."""
 
 NEW_REQUEST_TIMEOUT_SHARE = 0.9
 """A request counts as new if its timeout is at least this share of the longest recent timeout on
@@ -76,7 +76,7 @@
 """How long a load report is taken as proof that a worker has spare capacity."""
 
 RESIDUAL_INTERVAL_SHARE = 0.5
-"""Expected rest of the current interval between two starts when a request arrives."""
+"""Expected time to the next start when a request arrives, as a share of the start interval."""
 
 SPARE_OCCUPANCY = 0.5
 """A worker with fewer requests per slot than this gets another one regardless of the limit, so that
@@ -216,7 +216,7 @@
         return not self._queue and self._has_place(now)
 
     def stop(self) -> None:
-        """Reject from now on all requests that can't start at once."""
+        """Begin to reject all requests that can't start at once."""
         self._stopping = True
 
     def seconds_until_recheck(self, waiting: QueueEntry, now: float) -> float:
@@ -298,7 +298,7 @@
     def _final_rejection_reason(
         self, request: AdmissionRequest, now: float
     ) -> RejectionReason | None:
-        """Return why a request is rejected even if it is committed; None if it isn't."""
+        """Return a reason to reject a request even if it is committed, None if there is none."""
         if self._current_summary(now).workers == 0:
             return RejectionReason.NO_WORKER
         if self._stopping:
@@ -371,7 +371,10 @@
         return 1.0 if not usual else min(MAXIMUM_RELATIVE_COST, self._holding(request) / usual)
 
     def _latest_start_for_target(self, request: AdmissionRequest, *, confident: bool) -> float:
-        """Return the latest start for the target, not before the final decision is due."""
+        """Return the latest start that the allowed shares of the target and the deadline permit.
+
+        The target doesn't require a start before the final decision is due.
+        """
         target = request.target_seconds
         share = CONFIDENT_WAIT_SHARE if confident else MAXIMUM_WAIT_SHARE
         wait = share * target
@@ -381,7 +384,7 @@
         return request.arrived_at + min(max(wait, FINAL_DECISION_SHARE * target), of_deadline)
 
     def _latest_start_for_deadline(self, request: AdmissionRequest) -> float:
-        """Return the latest start at which it can be answered before its deadline."""
+        """Return the latest start at which a request can be answered before its deadline."""
         return request.deadline_at - START_DEADLINE_RESERVE_SECONDS - self._holding(request)
 
     def _mark_overdue(self, now: float) -> None:
--- a/src/stagewalk/gateway/batches/attempt_starter.py
+++ b/src/stagewalk/gateway/batches/attempt_starter.py
@@ -48,14 +48,14 @@
 from stagewalk.gateway.zones.distance import Proximity
 
 RESUBMITTED_ITEM_PRIORITY = 4
-"""Priority of an item resubmitted in a later batch, one above the engines' default. Its trainer
-waits for its group in any case, and an engine out of memory preempts the newest of its runs with
-the lowest priority."""
+"""Priority of an item resubmitted in a later batch: one step more urgent than the engines' default,
+since its trainer waits for its group in any case. An engine out of memory preempts the newest of
+its least urgent runs."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Places:
-    """Whose places a batch's items take, at which service, and the claimant's limit there."""
+    """The claimant and the service whose places a batch's items take, and the limit on them."""
 
     claimant: Claimant
     service: str
@@ -79,11 +79,11 @@
     numbers
         Attempt numbers, shared with the score calls.
     workers
-        The engines, for their usual time per event.
+        The engines, with their usual time per event and the places that an item takes.
     route_of
-        Finds the route of a batch: its service, and when it is due.
+        Finds the route of a batch, which states its service and when it is due.
     proximity
-        This node's location: near engines are preferred.
+        Distances of zones from this node; near engines are preferred.
     may_start
         Whether items of a batch may be sent to workers at a given time.
     room
@@ -128,7 +128,7 @@
         self._may_start = may_start
 
     def start_due(self, now: float) -> list[StartItem]:
-        """Begin attempts at waiting items as far as engines have room.
+        """Begin attempts at the waiting items that engines have room for.
 
         Items whose claimant has used all its places keep waiting.
         """
@@ -209,7 +209,7 @@
     def _bounds(
         self, runs: Iterable[BatchRun], places: Mapping[str, _Places], now: float
     ) -> dict[str, StepBounds]:
-        """Return by batch what limits when it can complete."""
+        """Return the values that bound when each batch can complete, by batch."""
         bounds: dict[str, StepBounds] = {}
         paces: dict[str, float] = {}
         for run in runs:
--- a/src/stagewalk/gateway/batches/engine_memory.py
+++ b/src/stagewalk/gateway/batches/engine_memory.py
@@ -27,28 +27,28 @@
 ServiceLookup = Callable[[str], Service | None]
 
 MEMORY_MARGIN_SHARE = 0.15
-"""Share of an engine's memory that is kept free, since lengths are estimates and only the number of
-other nodes' runs is known."""
+"""Share of an engine's memory that is kept free, since the lengths of runs are estimates and the
+sizes of other nodes' runs are unknown."""
 
 MAXIMUM_WITHHELD_SECONDS = 0.5
-"""Longest wait of an item that no engine has memory for. After it the item goes to the engine with
-the smallest shortfall: a preempted run delays its step less than a longer wait."""
+"""Maximum wait of an item that no engine has memory for. It then goes to the engine with the
+smallest shortfall, since a preempted run delays its step less than a longer wait does."""
 
 WITHHELD_RECHECK_SECONDS = 0.1
 """Interval at which engines are checked again for such an item."""
 
 MAXIMUM_ENGINES_CHECKED = 32
-"""How many engines, the cheapest first, are checked for one item: the others are busier still."""
+"""Maximum number of engines checked for one item, in order of increasing cost."""
 
 OTHER_RUNS_VALID_SECONDS = 4.0
-"""How long a reported number of other nodes' runs counts. It declines linearly over this time,
-because runs take seconds and an engine reports its load only with its responses."""
+"""How long a reported number of other nodes' runs is used. It is reduced linearly to zero over this
+time, because runs take seconds and an engine reports its load only with its responses."""
 
 MAXIMUM_RUNS_SAMPLED = 200
 """How many runs of this node are averaged to estimate a run of another node."""
 
 RUNS_CACHE_SECONDS = 0.2
-"""How long the expected memory use of runs is cached: the time of a few events."""
+"""How long the expected memory use of runs is cached; a run generates few events in this time."""
 
 
 def unknown_service(_name: str) -> Service | None:
@@ -73,7 +73,7 @@
 
 
 def expected_peak(runs: Iterable[ExpectedRun], within: float = math.inf) -> float:
-    """Return the expected peak of the tokens of text that runs hold together.
+    """Return the expected peak of the total number of text tokens that runs hold in memory.
 
     All runs of an engine advance by one token a step and release their memory as they end, so the
     peak is just before one of them ends.
@@ -150,7 +150,7 @@
         self._other_runs: dict[str, _ReportedRuns] = {}
         """By engine."""
         self._mean_run_tokens: dict[str, float] = {}
-        """Mean tokens of a run of this node, by service; stands for runs of other nodes too."""
+        """Mean tokens of a run of this node, by service; also used for runs of other nodes."""
         self._withheld: list[ItemAwaitingMemory] = []
 
     def record_report(self, engine: Worker, load: WorkerLoad | None, now: float) -> None:
@@ -167,8 +167,8 @@
     def has_unanswered_attempt(self, engine: Worker) -> bool:
         """Whether an engine has not yet responded to an attempt of this node.
 
-        Nodes that send to an engine at the same time learn of each other only when it reports its
-        load with a response head, and a full engine doesn't respond.
+        An engine reports its load with a response head, and doesn't respond while it is full. Until
+        then, this node can't know what other nodes have sent to it.
         """
         attempts = self._attempts.at(engine.announcement.worker)
         return any(running.item.awaiting_answer for running in reversed(attempts.values()))
@@ -196,7 +196,7 @@
     ) -> float:
         """Return how many tokens an engine lacks for an item; 0.0 or less if there is room.
 
-        The engine's other runs count only up to the item's expected end. An idle engine takes any
+        Memory use is predicted only up to the item's expected end. An idle engine has room for any
         item.
 
         Parameters
--- a/src/stagewalk/gateway/batches/scheduler.py
+++ b/src/stagewalk/gateway/batches/scheduler.py
@@ -1,12 +1,12 @@
 """Schedules a node's batches: applies events to their items and returns instructions. Pure.
 
 Holds the batches that this node runs and their items without a result. `attempt_events` handles the
-outcomes of attempts, `attempt_starter` starts, `item_moves` moves, `retry_rules` giving up and
-`item_scores` scores.
+outcomes of attempts, `attempt_starter` begins attempts, `item_moves` moves items to other workers,
+`retry_rules` decides when to give up, and `item_scores` obtains scores.
 
 A trainer needs complete groups in time. So the longest items start first, items move away from
-silent or slow workers (any worker resumes after the last event received), and attempts that are no
-longer needed are stopped at once.
+silent or slow workers (any worker can resume after the last event received), and attempts that are
+no longer needed are stopped at once.
 """
 
 from __future__ import annotations
@@ -49,9 +49,8 @@
 
 PUBLISH_SECONDS = 1.0
 PUBLISH_EVENTS = 20
-"""Every `PUBLISH_SECONDS`, the progress of items with at least this many events beyond those in the
-log is recorded, which limits the work lost in a takeover. Recording each event would save little
-more and write four times the bytes."""
+"""Every `PUBLISH_SECONDS`, the progress of items with at least `PUBLISH_EVENTS` events beyond those
+in the log is recorded. This limits the work lost when another node takes over a batch."""
 
 GIVEN_UP = "given up"
 
--- a/src/stagewalk/gateway/cold_starts/core.py
+++ b/src/stagewalk/gateway/cold_starts/core.py
@@ -1,8 +1,8 @@
 """Decides which workers are cold, and whether this node may send to them. Pure.
 
 A worker is cold for the time that its entry states, and after an evacuation of its zone for the
-time that its service states. Workers also count as cold while this node can't know better: after
-the first listing of workers, and while or shortly after its views are outdated. One node at a time
+time that its service states. All workers also count as cold while this node can't tell: after the
+first listing of workers, and while or shortly after its views are outdated. One node at a time
 may send to a cold worker (`cold_starts.leases`), at a limited rate (`cold_starts.rate`). See
 `docs/design/0142`.
 """
@@ -27,17 +27,17 @@
 every 1.2 s, so all that are cold have stated it by then."""
 
 OLDEST_VIEW_SECONDS = 3.0
-"""With older views of workers or operators' records, all workers count as cold. Views are read at
-least every 2.1 s while the log is available. An evacuation shorter than this may go unseen."""
+"""With older views of workers or operators' records, all workers count as cold; an evacuation
+shorter than this may go unseen. Views are read at least every 2.1 s while the log is available."""
 
 LEASE_REQUEST_VALID_SECONDS = 1.0
 """How long a node tries to acquire a cold worker's lease after a request needed it."""
 
 FIRST_CHOICE_HEAD_START_SECONDS = 0.3
-"""How long other nodes leave a lease to the node whose first choice the worker is."""
+"""How long other nodes leave a worker's lease to the node that is the worker's first choice."""
 
 MAXIMUM_SECOND_CHOICES = 2
-"""Maximum number of leases that a node acquires at a time on other nodes' first choices."""
+"""Maximum leases that a node acquires at a time on workers whose first choice is another node."""
 
 ViewAge = Callable[[float], float]
 """Returns the age of the node's views at a time, in seconds."""
@@ -149,7 +149,7 @@
         Parameters
         ----------
         first_choice
-            Returns whether a worker's first choice, of the nodes that run batches, is this node.
+            Returns whether this node is a worker's first choice among the nodes that run batches.
         """
         self._requests = {
             w: request for w, request in self._requests.items() if now < request.until
--- a/src/stagewalk/gateway/cold_starts/leases.py
+++ b/src/stagewalk/gateway/cold_starts/leases.py
@@ -21,8 +21,8 @@
 """How long before its end a lease is renewed by a holder that still needs it."""
 
 HANDOVER_SECONDS = 1.2
-"""How long after a lease others may acquire it. The rate limit applies to any span of one second;
-with 0.2 s for requests in flight, no such span has requests of two holders."""
+"""How long after the end of a lease others may acquire it: the second that the rate limit applies
+to, and 0.2 s for requests in flight, so that no such second has requests of two holders."""
 
 
 class ColdLease(msgspec.Struct, frozen=True, array_like=True, tag="cold"):
@@ -90,7 +90,7 @@
                 self._valid_until.pop(worker, None)
 
     def record_gap(self, now: float) -> None:
-        """Record that records were lost unread, so that others may hold any lease."""
+        """Record that records were dropped before they were read; others may hold any lease."""
         self._gap_until = now + COLD_LEASE_SECONDS + HANDOVER_SECONDS
 
     def record_won(self, record: ColdLease, sent_at: float) -> None:
--- a/src/stagewalk/gateway/cold_starts/rate.py
+++ b/src/stagewalk/gateway/cold_starts/rate.py
@@ -8,14 +8,13 @@
 class SlidingWindow:
     """Limits the number of requests in any span of the window's length.
 
-    A request counts from its reservation until it is sent, then from the time of sending, since it
-    may have waited for a connection while others were sent.
+    A request counts at the time of its reservation until it is sent, and then at the time of
+    sending, since it may have waited for a connection in between.
 
     Parameters
     ----------
     rate
-        Maximum requests per second. Below one, the window is extended to one request in each span
-        of `1 / rate` seconds.
+        Maximum requests per second. Below one, one request is allowed in `1 / rate` seconds.
     """
 
     def __init__(self, rate: float) -> None:
--- a/src/stagewalk/gateway/eligibility/core.py
+++ b/src/stagewalk/gateway/eligibility/core.py
@@ -45,7 +45,7 @@
     Attributes
     ----------
     denied
-        By serving worker that may not get the request, the reason.
+        Reasons why other serving workers may not get the request, by worker.
     """
 
     workers: list[Worker]
@@ -125,7 +125,7 @@
     def candidates(self, service: str, scope: RequestScope, now: float) -> Candidates:
         """Return the workers of a service that a request may be sent to now.
 
-        Results are cached for one moment, since many items ask at the same time.
+        Results are cached for calls with the same `now`, since many items ask at the same time.
         """
         if self._is_quarantined(scope):
             serving = self._workers.serving(service)
@@ -159,7 +159,7 @@
         Parameters
         ----------
         withheld
-            Returns a further reason of the sender not to send it; called just before the send.
+            Returns the sender's own reason not to send the request, if any, just before it is sent.
         """
         if scope is None:
             return Error(self._report(Denial.NO_ROUTE))
@@ -234,7 +234,7 @@
         return self._cold.confirm(worker, service, reserved_at, now)
 
     def _zone_restored(self, zone: str, now: float) -> None:
-        """Mark a zone's workers cold as its evacuation ends: they may have become so meanwhile."""
+        """Mark a zone's workers as cold when its evacuation ends, since they may have become so."""
         for worker in self._workers.all():
             service = self._routes.service(worker.announcement.service)
             if worker.announcement.zone == zone and service is not None and service.cold_rate > 0.0:
--- a/src/stagewalk/gateway/eligibility/retry_after.py
+++ b/src/stagewalk/gateway/eligibility/retry_after.py
@@ -24,8 +24,8 @@
 }
 """Seconds by the reason for a denial. An evacuation or the loss of a region lasts for seconds at
 least. A quarantined request is tried again after 15 s at the earliest
-(`quarantine.hold_rule.FIRST_HOLD_SECONDS`). For a cold worker, half of the window in which its
-requests are counted has passed after 0.5 s, and a lease is obtained in 0.3 s."""
+(`quarantine.hold_rule.FIRST_HOLD_SECONDS`). In 0.5 s, half of a cold worker's rate window passes,
+or a lease on it is acquired."""
 
 
 def retry_after_seconds(
--- a/src/stagewalk/gateway/forwarding/admission_gate.py
+++ b/src/stagewalk/gateway/forwarding/admission_gate.py
@@ -1,8 +1,8 @@
 """Queues forwarded requests until their service has capacity, or rejects them.
 
 The asynchronous part of `admission`: it wakes queued requests, reports the outcomes of started ones
-and logs each decision. `ServiceAdmission` makes the decisions, one for each service whose workers
-report a pace; requests to other services pass at once.
+and logs each decision. Each service whose workers report a pace has a `ServiceAdmission`, which
+makes the decisions; requests to other services pass at once.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from stagewalk.gateway.workers.worker import Worker
 
 REPORTS_VALID_SECONDS = 10.0
-"""Admission control of a service ends if its workers have reported no pace for so long."""
+"""Requests to a service pass at once if its workers have reported no pace for this long."""
 
 ServiceWorkers = Callable[[str], Sequence[Worker]]
 """Returns the workers of a service that may get new work."""
@@ -187,7 +187,7 @@
             core.limit.record_answered(seconds, queued, core.in_flight, now)
 
     def retry_after(self, name: str, request: AdmissionRequest) -> float | None:
-        """Return when the caller of a request that only full workers refused may retry.
+        """Return the retry delay for a request that only full workers refused.
 
         Returns
         -------
@@ -200,9 +200,9 @@
         return service.core.retry_after(request, now)
 
     def stop(self) -> None:
-        """Reject queued requests, and from now on all that can't start at once.
+        """Reject queued requests, and begin to reject new ones that can't start at once.
 
-        To be called before the listeners close, so that callers get the rejections.
+        Must be called before the listeners close, so that callers get the rejections.
         """
         self._stopping = True
         for service in self._services.values():
--- a/src/stagewalk/gateway/forwarding/attempts.py
+++ b/src/stagewalk/gateway/forwarding/attempts.py
@@ -1,8 +1,8 @@
 """Single attempts of a forwarded request: choice of the worker, outbound request, outcome.
 
 This is the common part of `Forwarder` and `StreamForwarder`, which differ in how they send a
-request and pass on the answer. Whether an attempt is allowed is decided by `ForwardedRequest`,
-which workers are eligible by `Eligibility`, when the first attempt may start by `AdmissionGate`.
+request and pass on the answer. `ForwardedRequest` decides whether an attempt is allowed,
+`Eligibility` which workers are eligible, and `AdmissionGate` when the first attempt may start.
 """
 
 from __future__ import annotations
@@ -132,7 +132,7 @@
         found = self._eligibility.candidates(forwarding.service, scope, now)
         self._eligibility.request_leases(found, now)
         state.denied = found.denied
-        # Only repeatable requests may reuse a connection: it can break as they are sent.
+        # Only repeatable requests may reuse a connection, since it can break while they are sent.
         repeatable = state.route.kind is RouteKind.REPEATABLE
         return choose_worker(
             found.workers,
@@ -236,7 +236,7 @@
 
 
 def record_denied(attempt: Attempt, denial: Denial) -> None:
-    """Record an attempt that was denied a send permit, so that nothing of it was sent."""
+    """Record an attempt of which nothing was sent, because it was denied a send permit."""
     attempt.worker.record_ended()
     record_failure(attempt, AttemptFailure(AttemptFault.WITHHELD, denial.value))
 
@@ -302,7 +302,7 @@
 
 
 def _contact_loss_fields(request: InboundRequest, failure: AttemptFailure) -> dict[str, str]:
-    """Return the log fields by which requests that repeatedly lose their workers are found."""
+    """Return log fields for finding requests that repeatedly lose their workers."""
     if failure.contact_loss is None:
         return {}
     return {"contact_loss": failure.contact_loss.value, "content": request.content.digest}
--- a/src/stagewalk/gateway/forwarding/stream_forwarder.py
+++ b/src/stagewalk/gateway/forwarding/stream_forwarder.py
@@ -92,7 +92,8 @@
     Parameters
     ----------
     readers
-        Bounds what is buffered for slow callers; None: no buffering, a slow caller slows reading.
+        Bounds the data buffered for slow callers; None: no buffering, a worker's stream is read
+        only as fast as its caller reads.
     """
 
     def __init__(
@@ -126,7 +127,7 @@
         *,
         on_cut_off: Callable[[], None] = ignore_cut_off,
     ) -> Result[StreamEnd, Unanswered]:
-        """Forward a stream; return the worker's end of it, or how it ended without one.
+        """Forward a stream; return the end sent by the worker, or how it ended without one.
 
         After an error, an answer that has started must not look complete to the caller.
 
--- a/src/stagewalk/gateway/held_memory/bodies.py
+++ b/src/stagewalk/gateway/held_memory/bodies.py
@@ -1,7 +1,8 @@
 """Memory reservation for the body of one request.
 
-Large bodies are refused while half of the budget is still free, so that many of them at once don't
-block small requests, answers and streams. A refused request has not been sent to any worker.
+A large body is refused if more than half of the budget would then be in use, so that many of them
+at once don't block small requests, answers and streams. A refused request has not been sent to any
+worker.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 """Bodies above this size are large; prompts and calls of trainers are mostly smaller."""
 
 LARGE_BODIES_SHARE = 0.5
-"""Share of the budget in use from which large bodies are refused."""
+"""A large body is refused if more than this share of the budget would then be in use."""
 
 
 class BodyReservation:
@@ -29,8 +30,8 @@
     def admits(self, announced_bytes: int) -> bool:
         """Whether a body of an announced length may be received.
 
-        Small bodies always may: memory for them is reserved, and if necessary reclaimed, as they
-        arrive.
+        Small bodies are always admitted: memory for them is reserved, and reclaimed if necessary,
+        as they arrive.
         """
         return announced_bytes <= LARGE_BODY_BYTES or self._leaves_room(announced_bytes)
 
--- a/src/stagewalk/gateway/held_memory/budget.py
+++ b/src/stagewalk/gateway/held_memory/budget.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 
 BUFFER_MEMORY_SHARE = 0.2
-"""Share of a node's memory. A body or an answer may exist twice while it is copied to a socket, and
-the process itself needs half of the memory."""
+"""The budget's share of a node's memory. The process itself needs half of the memory, and a body or
+an answer may exist twice while it is copied to a socket."""
 
 MEGABYTE = 1_000_000
 
--- a/src/stagewalk/gateway/held_memory/readers.py
+++ b/src/stagewalk/gateway/held_memory/readers.py
@@ -21,7 +21,7 @@
 
 
 class CutOffReason(StrEnum):
-    """Which limit a caller was cut off for."""
+    """The limit that caused a caller to be cut off."""
 
     READER_LIMIT = "reader_limit"
     """The data buffered for it exceeded the limit for one caller of a stream."""
--- a/src/stagewalk/gateway/place_shares/claims.py
+++ b/src/stagewalk/gateway/place_shares/claims.py
@@ -1,4 +1,4 @@
-"""Claims: what nodes announce to each other of their demand for places. Pure.
+"""Claims: the demand for places that nodes announce to each other. Pure.
 
 The records are sent between nodes, so their fields and the order of the fields are fixed. Only the
 node that runs a claimant's items needs its names, so a claimant is announced as a short hash.
@@ -14,13 +14,13 @@
 from stagewalk.gateway.place_shares.demand import Claimant, PlaceDemand
 
 MAXIMUM_ANNOUNCED_CLAIMS = 16
-"""Claimants of a service that a node announces individually: more than the largest deployment has
-trainers. The node's other claimants are announced as one sum."""
+"""Maximum claimants of a service that a node announces individually. Its other claimants are
+announced as one sum."""
 
 SIGNIFICANT_INCREASE_SHARE = 0.25
 MINIMUM_SIGNIFICANT_ITEMS = 4
-"""An increase of demand is announced at once if it is at least this share of the new demand and
-this many items: a step that begins is significant, a few returning items are not."""
+"""An increase of demand is announced at once if it is at least this share of the new demand and at
+least this many items, as when a step begins, but not when a few items return."""
 
 
 class PlaceClaim(msgspec.Struct, frozen=True, array_like=True):
--- a/src/stagewalk/gateway/place_shares/limits.py
+++ b/src/stagewalk/gateway/place_shares/limits.py
@@ -16,9 +16,9 @@
 from stagewalk.gateway.place_shares.shares import ServiceShares, share_places
 
 MAXIMUM_VIEW_AGE_SECONDS = 1.8
-"""With an older view of other nodes' claims, a claimant gets no more than its guaranteed floor. The
-other nodes count a disconnected node for longer than this, so it has returned the places above the
-floor before they redistribute them."""
+"""With an older view of other nodes' claims, a claimant gets no more than its guaranteed floor.
+Other nodes count the claims of a disconnected node for longer than this, so it stops taking places
+above the floor before they redistribute them."""
 
 MINIMUM_PLACES = 1.0
 """Minimum places of a claimant at each node that runs items of it, however many claimants there
@@ -98,7 +98,7 @@
         }
 
     def clear(self) -> None:
-        """Remove all shares, as this node runs no items."""
+        """Remove all shares; called when this node runs no items."""
         self._shares = {}
         self._own_items = {}
 
--- a/src/stagewalk/gateway/place_shares/shares.py
+++ b/src/stagewalk/gateway/place_shares/shares.py
@@ -13,8 +13,8 @@
 from stagewalk.gateway.place_shares.claims import ServiceClaims
 
 OVERCOMMIT_FACTOR = 1.05
-"""Factor by which more places are shared than exist, so that a place is taken again as soon as its
-item ends, and the fractions lost to rounding are used."""
+"""Ratio of the places shared to those that exist. It is above 1 so that a place is taken again as
+soon as its item ends, and to make up for rounding."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     items
         Sum of their items.
     totals
-        By claimant key, its items at all nodes.
+        Items at all nodes, by claimant key.
     """
 
     places: float
--- a/src/stagewalk/gateway/quarantine/core.py
+++ b/src/stagewalk/gateway/quarantine/core.py
@@ -1,6 +1,6 @@
 """Crash records of all nodes, as known to one node, and the contents quarantined by them. Pure.
 
-How many crashes it takes, and for how long a content is held back, is in `quarantine.hold_rule`.
+`quarantine.hold_rule` determines how many crashes quarantine a content, and for how long.
 `nodes.crash_watch` supplies the records.
 """
 
--- a/src/stagewalk/gateway/quarantine/hold_rule.py
+++ b/src/stagewalk/gateway/quarantine/hold_rule.py
@@ -1,9 +1,9 @@
 """Number of crashes that quarantine a request, and duration of the quarantine. Pure.
 
-A crashing worker takes all its requests with it, and a rack that loses power takes many workers. To
-spare the other requests, only consecutive crashes count: the request was sent with the crash before
-already known, and its content was not answered in between. The count of a request that crashes
-every worker grows with each run; that of any other is cleared by its first answer. See
+A worker that crashes fails all its requests, and a power failure of a rack stops many workers. To
+spare the other requests, only consecutive crashes count: the previous crash was already known when
+the request was sent, and its content was not answered in between. The count of a request that
+crashes every worker grows with each run; that of any other is cleared by its first answer. See
 `docs/design/0150`.
 """
 
@@ -17,16 +17,16 @@
 """Consecutive crashes after which a request is quarantined, as required by users."""
 
 HELD_AFTER_CRASHES_OF_ITEM = 5
-"""The same for an item of a batch; higher since its whole group is lost with it. Users tolerate up
-to three further runs."""
+"""The same for an item of a batch; higher because its whole group is lost with it. Users tolerate
+up to three further runs."""
 
 HELD_AFTER_CRASHES_AT_ONE_ADDRESS = 5
-"""The same if all crashes were at one address. The worker may be at fault, but it may also be the
-only one of its service."""
+"""The same if all crashes were at one address. It is higher because the worker may be at fault, and
+finite because it may be the only one of its service."""
 
 CRASHES_REMEMBERED_SECONDS = 600.0
-"""How long the crashes of a content that is not quarantined count: long enough for callers that
-retry within minutes, too short for a request that loses a worker twice a day."""
+"""How long the crashes of a content that is not quarantined count. This covers callers that retry
+within minutes, but not a request that loses a worker twice a day."""
 
 FIRST_HOLD_SECONDS = 15.0
 LATER_HOLD_SECONDS = 6 * 3600.0
--- a/src/stagewalk/gateway/quarantine/lost_connections.py
+++ b/src/stagewalk/gateway/quarantine/lost_connections.py
@@ -71,7 +71,7 @@
             del self._pending[next(iter(self._pending))]
 
     def answered(self, content: str) -> None:
-        """Drop a content's losses, as it did not cause them: one of its requests was answered."""
+        """Drop a content's losses: one of its requests was answered, so it did not cause them."""
         self._take([key for key in self._pending if key[0] == content])
 
     def ended(self, worker: str) -> list[LostConnection]:
--- a/src/stagewalk/gateway/routes/route.py
+++ b/src/stagewalk/gateway/routes/route.py
@@ -49,9 +49,9 @@
     priority
         0 is the most urgent.
     give_up_seconds
-        Time after its submission from which an item of a batch may be given up.
+        Time after the submission of a batch at which its items may be given up.
     due_seconds
-        Time after its submission at which all results of a batch are due.
+        Time after the submission of a batch at which all its results are due.
     single_version
         Whether a result must be produced by a single weight version.
     public
--- a/src/stagewalk/gateway/routes/table.py
+++ b/src/stagewalk/gateway/routes/table.py
@@ -80,14 +80,14 @@
         return any(route.public and route.kind is RouteKind.BATCH for route in routes)
 
     def priority_of(self, tenant: str | None) -> int | None:
-        """Return the priority of a tenant that overrides that of the route, if any."""
+        """Return the tenant's own priority, which overrides the route's; None if it has none."""
         known = None if tenant is None else self.keys.named(tenant)
         return None if known is None else known.priority
 
     def regions_of(self, route: Route, tenant: str | None) -> AllowedRegions:
         """Return the regions where a tenant's requests on a route may be served.
 
-        Both the route as matched by the request and its version now in force apply.
+        The matched route, its version now in force and the tenant must all allow a region.
         """
         now = self._by_name.get(route.name, route)
         known = None if tenant is None else self.keys.named(tenant)
@@ -120,8 +120,8 @@
     def choose_back_end(self, route: Route) -> BackEnd:
         """Return the next back end by smooth weighted round robin.
 
-        With many nodes that get few requests each, the shares over all nodes would be off if all
-        nodes began with the back end of the largest weight. So each begins at its own offset.
+        Each node begins at its own offset. Otherwise, the back end of the largest weight would get
+        too many requests where many nodes get few requests each.
         """
         if len(route.back_ends) == 1:
             return route.back_ends[0]
@@ -138,7 +138,7 @@
 
 
 def _next_back_end(route: Route, credits: dict[str, float]) -> BackEnd:
-    """Add its weight to each back end's credit, and charge the one with most credit the total."""
+    """Add each back end's weight to its credit; choose the highest, and deduct the total weight."""
     for back_end in route.back_ends:
         credits[back_end.service] = credits.get(back_end.service, 0.0) + back_end.weight
     chosen = max(route.back_ends, key=lambda back_end: credits[back_end.service])
--- a/src/stagewalk/gateway/scoring/core.py
+++ b/src/stagewalk/gateway/scoring/core.py
@@ -235,7 +235,7 @@
 
     @staticmethod
     def _delay_retry(pending: _PendingCall, now: float) -> None:
-        """Delay the next attempt unless another one is in flight, with exponential backoff."""
+        """Delay the next attempt with exponential backoff; ignored while another is in flight."""
         pending.consecutive_failures += 1
         pending.retry_at = now + retry_delay_seconds(pending.consecutive_failures)
 
@@ -269,7 +269,7 @@
         )
 
     def _may_start_attempt(self, pending: _PendingCall, route: Route, now: float) -> bool:
-        """Whether an attempt may start: a retry, or a hedge if all others are slow."""
+        """Whether an attempt may start: the first, a retry, or a hedge if all others are slow."""
         if not self._may_start(pending.batch, now):
             return False
         in_flight = pending.in_flight.values()
--- a/src/stagewalk/gateway/scoring/retry_rules.py
+++ b/src/stagewalk/gateway/scoring/retry_rules.py
@@ -12,7 +12,7 @@
 from stagewalk.gateway.routes.route import Route
 
 MAXIMUM_ATTEMPT_SECONDS = 1.5
-"""Maximum duration of an attempt, short compared with a step to leave time for another one."""
+"""Maximum duration of an attempt; short, so that a step has time for another attempt."""
 
 MAXIMUM_CONCURRENT_ATTEMPTS = 3
 """Maximum number of attempts at one call in flight, including hedges."""
@@ -55,7 +55,7 @@
 
 
 def maximum_attempts_in_flight(allowed_failures: int, failures: int, *, hedges: bool) -> int:
-    """Return the maximum number of attempts in flight: no more than may still fail.
+    """Return the maximum number of attempts in flight, at most the number of failures left.
 
     Parameters
     ----------
--- a/src/stagewalk/gateway/workers/speed.py
+++ b/src/stagewalk/gateway/workers/speed.py
@@ -1,9 +1,9 @@
 """Separates a machine's baseline speed from temporary slowdowns. Pure.
 
-On shared machines work takes twice as long for a few hundred milliseconds, then runs at full speed
-again. Avoiding a machine for that is pointless: the next one slows down a moment later. So the
-baseline is estimated from latencies divided by the pace that the worker reported, and a reported
-slowdown counts as a property of the machine only if it is sustained.
+On a shared machine, work may take twice as long for a few hundred milliseconds. Avoiding the
+machine then doesn't help, since the others have such slowdowns too. So the baseline is estimated
+from latencies divided by the pace that the worker reported, and a reported slowdown counts as a
+property of the machine only if it is sustained.
 
 A pace is a factor on the usual duration, as in `ports.workers.WorkerLoad`. Times are in seconds.
 """
--- a/src/stagewalk/gateway/workers/table.py
+++ b/src/stagewalk/gateway/workers/table.py
@@ -64,7 +64,7 @@
     until its next heartbeat is due.
 
     A draining worker stays draining: older entries that arrive late are ignored. A worker that
-    restarts under its name is another worker, and replaces the one before. Late entries of an
+    restarts under the same name is a new worker, and replaces the earlier one. Late entries of an
     earlier incarnation are ignored while the later one is seen.
 
     Parameters
@@ -167,7 +167,7 @@
             self._drop(incarnation)
 
     def expire(self, now: float) -> None:
-        """Drop stale workers that were not listed again, and records of workers long gone."""
+        """Drop stale workers that were not listed again, and old records of draining workers."""
         for worker, draining_at in list(self._draining_at.items()):
             if now - draining_at > DEPARTURE_REMEMBERED_SECONDS:
                 del self._draining_at[worker]
@@ -215,8 +215,8 @@
     def _is_superseded(self, announcement: WorkerAnnouncement, now: float) -> bool:
         """Whether an entry is of an earlier incarnation than the known one, which is still seen.
 
-        If a worker's clock steps back between two starts, the later one looks like the earlier. It
-        is accepted once the other has missed its heartbeats.
+        If a worker's clock steps back between two starts, the new incarnation looks like the
+        earlier one. It is accepted once the known incarnation has missed its heartbeats.
         """
         known = self._workers.get(self._incarnation_by_name.get(announcement.listed_as, ""))
         if known is None:
--- a/src/stagewalk/gateway/workers/worker.py
+++ b/src/stagewalk/gateway/workers/worker.py
@@ -28,7 +28,7 @@
 """Samples are capped at this multiple of the smoothed latency, so that one pause weighs little."""
 
 LATENCY_VALID_SECONDS = 9.0
-"""Age up to which a latency is used; after that the worker counts as being as fast as any."""
+"""Age up to which a latency is used; after that the worker counts as one of the fastest."""
 
 LOAD_VALID_SECONDS = 1.5
 """Age up to which a reported load is used; after that, only this node's own requests count."""
@@ -66,8 +66,8 @@
     cold_seconds
         How much longer it stays cold, as of when the entry was written.
     name
-        Name that its entry is listed under, and that it answers to; empty if that is `worker`. A
-        restarted worker may have the same name.
+        Name under which its entry is listed, and which requests to it state; empty if that is
+        `worker`. A restarted worker may have the same name.
     born_milliseconds
         When it started, in Unix time; None if its entry doesn't state it.
     """
@@ -106,7 +106,7 @@
     load_at
         When the load was received.
     sent_since_load, ended_since_load
-        Requests of this node that were sent to it, and that ended, since then.
+        Requests of this node that were sent to it, and that ended, since `load_at`.
     uses_reported_pace
         Whether the pace that it reports is used.
     """
@@ -122,16 +122,16 @@
     ended_since_load: int = 0
     uses_reported_pace: bool = True
     latency: float | None = None
-    """Smoothed time to a complete answer, for engines to the next event, in seconds."""
+    """Smoothed time to a complete answer, or for engines to the next event, in seconds."""
     latency_at: float = -math.inf
     speed: BaselineLatency = field(default_factory=BaselineLatency)
-    """Baseline of the machine; only for a worker that reports a pace."""
+    """Baseline latency of the machine; updated only if the worker reports a pace."""
     sustained_pace: SustainedPace = field(default_factory=SustainedPace)
     versions: dict[str, int] = field(default_factory=dict)
     """Version by model: the latest from its entry, reports and answers."""
     warm_until: float = -math.inf
     kept_connections: int = 0
-    """Estimated number of open connections: the most concurrent requests while they were kept."""
+    """Estimated number of open connections: the most concurrent requests since all were closed."""
     cold_until: float = -math.inf
     """Until when it can handle only few requests a second."""
     loading_until: dict[str, float] = field(default_factory=dict)
@@ -228,7 +228,7 @@
         -------
         float or None
             In seconds. For a worker that reports a pace, this is the baseline at the sustained
-            pace; the current pace is only in `expected_seconds`.
+            pace; only `expected_seconds` considers the current pace.
         """
         if now - self.latency_at >= LATENCY_VALID_SECONDS:
             return None
--- a/src/stagewalk/gateway/zones/distance.py
+++ b/src/stagewalk/gateway/zones/distance.py
@@ -17,7 +17,6 @@
     SAME_ZONE = 0
     SAME_REGION = 1
     OTHER_REGION = 2
-    """In another region."""
 
 
 class Proximity:
