--- a/src/stagewalk/node/routing/__init__.py
+++ b/src/stagewalk/node/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where a request runs: evidence about engines, scores, and policies to choose by."""
+"""Routing of requests to engines: engine health, scoring and selection."""
--- a/src/stagewalk/node/routing/choice.py
+++ b/src/stagewalk/node/routing/choice.py
@@ -1,10 +1,8 @@
-"""The rule for which engine gets an attempt: least expected time among a few drawn at random.
+"""Engine selection: the lowest expected completion time among a random sample of engines.
 
-Inputs: the engines that may serve the request and are not set aside, the request's shape and the
-time. Few random choices keep nodes with the same lagging reports from all taking the same engine;
-the engine with the longest cached prefix is always compared too. What other choices earn is in
-docs/RESULTS.md. Relies on `scoring` for the expected seconds and on the prefix index for what
-engines cache.
+The sampling keeps nodes that hold the same stale reports from all choosing the same engine. The
+engine with the longest cached prefix is always a candidate. A comparison with other policies is in
+docs/RESULTS.md.
 """
 
 from __future__ import annotations
@@ -23,7 +21,7 @@
     Parameters
     ----------
     choices
-        Engines drawn at random; all are compared if there are no more.
+        Number of engines sampled at random; all are compared if there are no more than that.
     """
 
     def __init__(
@@ -41,7 +39,7 @@
     def choose(
         self, shape: RequestShape, candidates: Sequence[EngineRecord], now: float
     ) -> EngineRecord:
-        """Return the candidate with the least score among those drawn; there is at least one."""
+        """Return the lowest-scoring of the sampled candidates, which must not be empty."""
         drawn = self._draw(shape.blocks, candidates)
         return min(drawn, key=lambda record: self._model.score(shape, record, now))
 
@@ -61,9 +59,9 @@
 def longest_match(
     prefix_index: PrefixIndex, blocks: PrefixBlockHashes, candidates: Sequence[EngineRecord]
 ) -> EngineRecord | None:
-    """Return the candidate with the longest cached prefix, the less loaded among equals.
+    """Return the candidate with the longest cached prefix; ties go to the less loaded engine.
 
-    None if no candidate has any of it.
+    None if no candidate caches any of the prompt.
     """
     best: EngineRecord | None = None
     best_tokens = 0.0
--- a/src/stagewalk/node/routing/config.py
+++ b/src/stagewalk/node/routing/config.py
@@ -1,51 +1,53 @@
-"""Parameters of the engine table and the router, with units and where the figures come from."""
+"""Parameters of the engine table and the router."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 USABLE_POLL_FRACTION = 0.75
-"""Part of the polls that evidence's lifetime allows for which engines are taken: one in four may be
-lost."""
+"""Fraction of the polls within `evidence_seconds` that the subset size is planned for, so that one
+poll in four may be lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineTableConfig:
-    """How evidence about engines is gathered and how long it holds.
+    """How engine reports are polled and how long they remain valid.
 
     Attributes
     ----------
     subset_size
-        Engines of each service this node routes over; a pool no larger is used whole. Fewer
-        are used when the polling budget can't keep the evidence about so many fresh.
+        Engines of each service this node routes to; a smaller pool is used whole. Fewer are
+        used when the polling budget can't keep the reports of so many engines fresh.
     poll_interval_seconds
         Time between two polls of one engine, if the budget allows.
     idle_poll_interval_seconds, idle_after_seconds
-        The same at a node that has routed nothing for a while; it must leave evidence fresh.
+        Poll interval of an idle node, and how long it must have routed nothing to count as
+        idle. The interval must be shorter than `evidence_seconds`.
     polls_per_second
-        Budget of polls over all engines; a larger subset is polled more slowly.
+        Polling budget over all engines; a larger subset is polled less often.
     large_polls_per_second, large_deployment_engines
-        The budget when more engines than that are listed: the nodes before them are many too,
-        and each has little processor time and bandwidth for control. What a
-        poll costs is in docs/design/0161-choices.md.
+        The budget when more engines than that are listed: such a deployment has many nodes,
+        and each has little CPU time and bandwidth for control traffic. What a poll costs is
+        in docs/design/0161-choices.md.
     poll_timeout_seconds
-        A poll unanswered for so long is given up and may be sent again.
+        Timeout of a poll, after which it may be sent again.
     evidence_seconds
-        How long after a poll was sent its report vouches for the engine: five poll intervals, and
-        more than an idle node's interval.
+        How long a report is valid, counted from when its poll was sent: five poll intervals,
+        and more than an idle node's interval.
     local_zone_weight, local_region_weight
         Weights in rendezvous hashing of engines in this node's zone and region, relative to 1
         for all others.
     refusal_pause_seconds
-        Longest time an engine that refused work is spared though a newer report says that it
+        Longest time an engine gets no work after a refusal once a newer report says that it
         serves; until such a report it gets none in any case.
     report_lag_seconds
-        How much older than its poll a report may be and still hold for the full time; one
-        that is older, as from an engine whose reports are stuck, expires sooner.
+        How much older than its poll a report may be and still be valid for the full time. An
+        older one, as from an engine that no longer updates its report, expires sooner.
     clock_drift_fraction
-        Largest drift assumed between this clock and an engine's.
+        Largest drift rate assumed between this node's clock and an engine's.
     clock_step_seconds
-        A report older than the last one by more is taken as a step of the engine's clock.
+        If a report is older than the previous one by more than this, the engine's clock is
+        assumed to have been set back.
     """
 
     subset_size: int = 16
@@ -68,20 +70,24 @@
         if self.subset_size < 1:
             raise ValueError("subset_size must be at least 1")
         if min(self.poll_interval_seconds, self.polls_per_second, self.evidence_seconds) <= 0:
-            raise ValueError("intervals and budgets must be positive")
+            raise ValueError(
+                "poll_interval_seconds, polls_per_second and evidence_seconds must be positive"
+            )
         if not self.poll_interval_seconds <= self.idle_poll_interval_seconds:
-            raise ValueError("an idle node must not poll faster")
+            raise ValueError(
+                "idle_poll_interval_seconds must not be less than poll_interval_seconds"
+            )
         if self.idle_poll_interval_seconds >= self.evidence_seconds:
-            raise ValueError("an idle node's evidence must not expire between polls")
+            raise ValueError("idle_poll_interval_seconds must be less than evidence_seconds")
 
     def poll_budget(self, engine_count: int) -> float:
-        """Return the polls a second that a node spends when so many engines are listed."""
+        """Return the polling budget, in polls per second, for a number of listed engines."""
         if engine_count > self.large_deployment_engines:
             return min(self.polls_per_second, self.large_polls_per_second)
         return self.polls_per_second
 
     def sustainable_engines(self, engine_count: int) -> int:
-        """Return how many engines the budget keeps fresh, one poll of each lost now and then."""
+        """Return how many engines the budget can keep fresh despite occasional lost polls."""
         budget = self.poll_budget(engine_count)
         return max(1, int(budget * self.evidence_seconds * USABLE_POLL_FRACTION))
 
@@ -93,9 +99,9 @@
     Attributes
     ----------
     prefill_tokens_per_second
-        Prompt tokens an engine takes in per second.
+        Prompt tokens an engine processes per second.
     decode_tokens_per_second
-        Rate of one sequence assumed until an engine's own rate is seen.
+        Decode rate of one sequence assumed until an engine has reported its own.
     expected_answer_fraction
         Expected answer length as a fraction of `max_tokens`.
     expected_answer_tokens
@@ -103,11 +109,12 @@
     batch_slowdown
         Relative slowdown of a sequence in a full batch against an empty one.
     zone_cost_seconds, region_cost_seconds
-        Cost of leaving this node's zone or region.
+        Penalty for an engine in another zone or region.
     kv_pressure_threshold
-        Fraction of KV memory in use above which evictions make an engine slower.
+        Fraction of KV cache memory in use above which evictions slow an engine down.
     slow_start_seconds, slow_start_factor
-        A new engine's score grows by this factor at first, fading over this time.
+        Penalty of an engine that has just begun to serve: its score is multiplied by one plus
+        the factor, which falls linearly to zero over this time.
     """
 
     prefill_tokens_per_second: float = 4000.0
@@ -124,16 +131,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixIndexConfig:
-    """Memory bounds of the index of prompt prefixes that engines probably cache.
+    """Size limits of the index of prompt prefixes that engines probably cache.
 
     Attributes
     ----------
     block_characters
         Length of one hashed block of a prompt.
     maximum_blocks_per_prompt
-        Blocks of a prompt that are looked at; the rest counts as not cached.
+        Blocks of a prompt that are hashed; the rest counts as not cached.
     maximum_blocks_per_engine
-        Blocks remembered for one engine, least recently used dropped first.
+        Blocks remembered per engine; the least recently used are evicted first.
     characters_per_token
         Estimated length of a token.
     """
@@ -146,16 +153,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OutlierConfig:
-    """When an engine that fails attempts is set aside.
+    """When an engine that fails attempts is ejected.
 
     Attributes
     ----------
     failures_to_eject
-        Failures in a row, without a success, that eject an engine.
+        Consecutive failures that eject an engine.
     ejection_seconds, maximum_ejection_seconds
-        First and longest time set aside; it doubles with each ejection in a row.
+        First and longest ejection; the time doubles with each consecutive ejection.
     maximum_ejected_fraction
-        Never more than this fraction of the eligible engines is set aside.
+        Ejections are ignored while more than this fraction of the eligible engines is ejected.
     """
 
     failures_to_eject: int = 3
@@ -171,8 +178,9 @@
     Attributes
     ----------
     choices
-        Engines drawn at random and compared by score, besides the one with the longest cached
-        prefix: nodes with the same lagging reports must not all take the same engine.
+        Engines sampled at random and compared by score, besides the one with the longest cached
+        prefix. The sampling keeps nodes with the same stale reports from all choosing the same
+        engine.
     """
 
     choices: int = 4
--- a/src/stagewalk/node/routing/engine_record.py
+++ b/src/stagewalk/node/routing/engine_record.py
@@ -1,7 +1,7 @@
-"""What a node knows of one engine: row, report, own attempts since, and recent failures.
+"""State of one engine at a node: machine list entry, last report, own attempts, recent failures.
 
-Owns the correction of the report's load by this node's attempts; `evidence` and `outliers` decide
-what changes the rest.
+Corrects the reported load for this node's own attempts. The other fields are updated by `evidence`
+and `outliers`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from stagewalk.node.core.platform import EngineReport, EngineState, Machine, MachineState
 
 MAXIMUM_ENDED_ATTEMPTS = 256
-"""Ended attempts kept until a report counts them out: bounds memory."""
+"""Most ended attempts kept until a newer report no longer counts them: bounds memory."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,27 +35,29 @@
 
 @dataclass(slots=True)
 class EngineRecord:
-    """Mutable knowledge of one engine; all times are of this node's clock, in seconds.
+    """Mutable state of one engine; all times are in seconds of this node's clock.
 
     Attributes
     ----------
     evidence_until
-        The last good report vouches for the engine until then.
+        When the last accepted report expires.
     reported_at
         When the report was made, translated to this node's clock.
     clock_offset, clock_offset_at
-        Smallest difference seen between arrival and `generated_at`, and when it was updated.
+        Smallest difference seen between a report's arrival and its `generated_at`, and when it
+        was last updated.
     refused_at, refused_until, spared_until
-        When the engine last refused work, and until when it gets none for it: for ever until
-        a report made later arrives, which shortens that to the time it is spared for.
+        When the engine last refused work, and until when it gets no new work: indefinitely,
+        until a report made after the refusal arrives, which shortens it to `spared_until`.
     ejected_until
-        The engine is set aside as an outlier until then.
+        The engine is ejected as an outlier until then.
     added_sequences, added_tokens
-        What this node's attempts add to the report's load, or take from it if negative.
+        Correction of the reported load for this node's attempts; negative if more of them
+        ended than started since the report.
     cached_blocks
-        Hashed prompt blocks it probably has in its cache, least recently used first.
+        Hashes of prompt blocks the engine probably caches, least recently used first.
     sequence_rate
-        Tokens per second of one sequence as last seen; 0 if never seen.
+        Last reported tokens per second of one sequence; 0 if none was reported.
     """
 
     machine: Machine
@@ -85,7 +87,7 @@
 
     @property
     def version(self) -> WeightVersion | None:
-        """Return the weights the engine said it runs."""
+        """Return the weight version the engine last reported."""
         return None if self.report is None else self.report.active_version
 
     @property
@@ -96,7 +98,7 @@
         return max(0, self.report.running + self.report.waiting + self.added_sequences)
 
     def serves(self, now: float) -> bool:
-        """Return whether fresh evidence vouches that the engine takes new work."""
+        """Return whether a report that is still valid says that the engine takes new work."""
         return (
             self.report is not None
             and now <= self.evidence_until
@@ -106,13 +108,13 @@
         )
 
     def begin_attempt(self, attempt: AttemptId, load: AttemptLoad) -> None:
-        """Add an attempt that the report can't know yet."""
+        """Add an attempt that the last report doesn't count yet."""
         self.attempts[attempt] = load
         self.added_sequences += 1
         self.added_tokens += load.expected_tokens
 
     def end_attempt(self, attempt: AttemptId, now: float) -> None:
-        """Remove an attempt, from the report's load too if that counts it."""
+        """Remove an attempt and subtract it from the load, including a reported one."""
         load = self.attempts.pop(attempt, None)
         if load is None:
             return
@@ -122,7 +124,7 @@
         del self.ended[:-MAXIMUM_ENDED_ATTEMPTS]
 
     def apply_report(self, report: EngineReport, reported_at: float) -> None:
-        """Replace the report by a newer one and count anew what it can't know."""
+        """Store a newer report and recompute the correction for attempts it doesn't reflect."""
         self.report = report
         self.reported_at = reported_at
         self.ended = [end for end in self.ended if end.ended_at > reported_at]
@@ -136,7 +138,7 @@
             self.sequence_rate = report.tokens_per_second / report.running
 
     def reset(self) -> None:
-        """Reset all that was known of an older incarnation; its attempts died with it."""
+        """Reset all state after a restart of the engine, which ended its attempts."""
         fresh = EngineRecord(machine=self.machine)
         for name in EngineRecord.__dataclass_fields__:
             setattr(self, name, getattr(fresh, name))
--- a/src/stagewalk/node/routing/engine_table.py
+++ b/src/stagewalk/node/routing/engine_table.py
@@ -1,9 +1,8 @@
-"""The engines this node routes over: which may get new work, and how loaded they are.
+"""The engines this node routes to: which may get new work, and how loaded they are.
 
-An engine is eligible only while fresh evidence vouches for it: its own report, read within
-`evidence_seconds`, saying that it serves. Absence of news makes it ineligible, and so does any
-sign of leaving, whichever comes first: its report, the machine list, or a refusal. Owns the
-engines' records; relies on `evidence`, `polling` and `subsets` for the rules.
+An engine is eligible only while a report read within `evidence_seconds` says that it serves. It
+becomes ineligible when the report expires, or as soon as its report, the machine list or a refusal
+shows that it is leaving. The rules are in `evidence`, `polling` and `subsets`.
 """
 
 from __future__ import annotations
@@ -28,9 +27,9 @@
     Attributes
     ----------
     engines
-        Eligible engines seen.
+        Number of eligible engines.
     slots
-        Sequences they decode at once, in sum.
+        Total of the sequences they can decode concurrently.
     load
         Sequences running or waiting at them, corrected for this node's attempts.
     """
@@ -41,14 +40,14 @@
 
 
 class EngineTable:
-    """Knowledge of all engines this node routes over.
+    """State of all engines this node routes to.
 
     Parameters
     ----------
     identity
         This node; its name and place decide the subset.
     config
-        Polling budget and lifetimes.
+        Polling budget and report lifetimes.
     """
 
     def __init__(self, identity: ProcessIdentity, config: EngineTableConfig) -> None:
@@ -62,9 +61,9 @@
         self._polls = PollSchedule(config)
 
     def handle_machines(self, machines: Iterable[Machine], now: float) -> None:
-        """Apply the platform's machine list, which may lag behind reality.
+        """Apply the platform's machine list, which may be out of date.
 
-        An engine missing from it is kept while its own reports still vouch for it.
+        An engine missing from it is kept while its last report is valid.
         """
         engines = {
             EngineName(machine.name): machine
@@ -86,13 +85,13 @@
             evidence.apply_report(record, report, self._config, now)
 
     def handle_report_failed(self, engine: EngineName) -> None:
-        """Record that a poll failed: the engine's evidence goes on expiring."""
+        """Record that a poll failed; the last report stays valid until it expires."""
         record = self._records.get(engine)
         if record is not None:
             record.poll_sent_at = None
 
     def record_demand(self, now: float) -> None:
-        """Record that a request needs an engine: an idle node begins to poll faster."""
+        """Record that a request needs an engine, which ends idle polling."""
         self._polls.record_demand(now)
 
     def record_started(
@@ -106,13 +105,13 @@
         self._attempts[attempt] = engine
 
     def record_progress(self, attempt: AttemptId) -> None:
-        """Record that an attempt's engine generates: it is not failing."""
+        """Record that an attempt's engine generates, which resets its failure count."""
         record = self._record_of(attempt)
         if record is not None:
             record.failures_in_row = 0
 
     def record_ended(self, attempt: AttemptId, now: float) -> None:
-        """Record that an attempt ended, however it did."""
+        """Record that an attempt ended, whatever its outcome."""
         record = self._record_of(attempt)
         self._attempts.pop(attempt, None)
         if record is not None:
@@ -128,15 +127,15 @@
         return evidence.apply_refusal(record, retry_after_seconds, self._config, now)
 
     def record(self, engine: EngineName) -> EngineRecord | None:
-        """Return what is known of an engine."""
+        """Return the record of an engine, if there is one."""
         return self._records.get(engine)
 
     def names(self) -> frozenset[EngineName]:
-        """Return the names of the engines routed over, or with attempts of this node."""
+        """Return the names of the engines this node routes to or has attempts at."""
         return frozenset(self._records)
 
     def eligible(self, model: ModelName, now: float) -> list[EngineRecord]:
-        """Return the engines of the subset that may get new work for a model, by name."""
+        """Return the engines of the subset that may get new work for a model, sorted by name."""
         return [
             record
             for record in self._routable
@@ -144,7 +143,7 @@
         ]
 
     def pool_view(self, model: ModelName, now: float) -> PoolView:
-        """Return slots and load of the engines that serve a model, as far as they are seen."""
+        """Return the slots and load of the eligible engines that serve a model."""
         records = self.eligible(model, now)
         slots = 0
         load = 0
@@ -154,7 +153,7 @@
         return PoolView(len(records), slots, load)
 
     def tick(self, now: float) -> list[PollEngine]:
-        """Return the polls that are due, within the budget; none is doubled in flight."""
+        """Return the polls that are due, within the budget, skipping those in flight."""
         engines = self._polls.due(
             len(self._machines), lambda engine: self._poll_in_flight(engine, now), now
         )
--- a/src/stagewalk/node/routing/evidence.py
+++ b/src/stagewalk/node/routing/evidence.py
@@ -1,10 +1,9 @@
-"""The rules of evidence: what a report or a refusal proves about an engine, and for how long.
+"""How reports and refusals change the record of an engine, and how long a report is valid.
 
-Pure functions that change one `EngineRecord`; times in seconds of this node's clock. A report
-vouches for an engine from when its poll was *sent*, since it may have been made any time later,
-and for little more from when it was *made*, so that an engine whose reports are stuck expires
-although polls succeed. After a refusal only a report made later makes the engine eligible again.
-The constants are fields of `EngineTableConfig`.
+Times are in seconds of this node's clock. A report's lifetime counts from when its poll was
+*sent*, since the report may have been made at any time after that. It is also bounded from when
+the report was *made*, so that an engine that no longer updates its report expires although polls
+succeed. After a refusal, only a report made later makes the engine eligible again.
 """
 
 from __future__ import annotations
@@ -19,10 +18,10 @@
 def apply_report(
     record: EngineRecord, report: EngineReport, config: EngineTableConfig, now: float
 ) -> None:
-    """Apply an engine's report; a new incarnation resets all that was known of the old."""
+    """Apply an engine's report; a new incarnation resets the record."""
     sent_at = now if record.poll_sent_at is None else record.poll_sent_at
     record.poll_sent_at = None
-    if report.engine != record.name or not _is_news(record, report, config):
+    if report.engine != record.name or not _is_newer_report(record, report, config):
         return
     _translate_clock(record, report, config, now)
     was_serving = record.report is not None and record.report.state is EngineState.SERVING
@@ -46,8 +45,8 @@
     Returns
     -------
     bool
-        Whether the engine looked full. Otherwise it refused for its state, as when it drains or
-        swaps weights, which says nothing about the pool's room.
+        Whether the engine looked full. Otherwise it refused because of its state, such as
+        draining or swapping weights, which says nothing about the pool's free capacity.
     """
     report = record.report
     if report is None:
@@ -61,11 +60,11 @@
     return report.running + report.waiting + record.added_sequences >= report.batch_limit
 
 
-def _is_news(record: EngineRecord, report: EngineReport, config: EngineTableConfig) -> bool:
-    """Return whether a report is neither of an older incarnation nor older than the last.
+def _is_newer_report(record: EngineRecord, report: EngineReport, config: EngineTableConfig) -> bool:
+    """Return whether a report is neither from an older incarnation nor older than the last.
 
-    A newer incarnation resets the record; a large step back of the engine's clock resets only
-    the estimate of its offset.
+    A newer incarnation resets the record. If the engine's clock was set back by more than
+    `clock_step_seconds`, only the estimate of its offset is reset.
     """
     known = record.report
     if known is None:
@@ -85,7 +84,7 @@
 def _translate_clock(
     record: EngineRecord, report: EngineReport, config: EngineTableConfig, now: float
 ) -> None:
-    """Track the least lag seen: `generated_at` is of the engine's clock, not of this node's."""
+    """Update the estimated offset between the engine's clock and this node's."""
     offset = now - report.generated_at
     drifted = (now - record.clock_offset_at) * config.clock_drift_fraction
     record.clock_offset = min(offset, record.clock_offset + drifted)
--- a/src/stagewalk/node/routing/outliers.py
+++ b/src/stagewalk/node/routing/outliers.py
@@ -1,8 +1,8 @@
-"""The rule that sets failing engines aside for a while, but never most of them at once.
+"""Outlier ejection: an engine that fails several attempts in a row gets no work for a while.
 
-Inputs are this node's own attempts: failures in a row without a success eject an engine, for a
-time that doubles with each ejection. If too many would be set aside the fault is likely not theirs,
-and none is. The constants are fields of `OutlierConfig`.
+Only this node's own attempts count. The ejection time doubles with each consecutive ejection. If
+more than `maximum_ejected_fraction` of the engines is ejected, the fault is probably elsewhere
+and ejections are ignored.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 
 def record_success(record: EngineRecord) -> None:
-    """End an engine's row of failures."""
+    """Reset an engine's counts of consecutive failures and ejections."""
     record.failures_in_row = 0
     record.ejections_in_row = 0
 
 
 def record_failure(record: EngineRecord, config: OutlierConfig, now: float) -> None:
-    """Count a failure and eject the engine when there were enough in a row."""
+    """Count a failure; eject the engine after `failures_to_eject` consecutive ones."""
     record.failures_in_row += 1
     if record.failures_in_row < config.failures_to_eject:
         return
@@ -31,7 +31,7 @@
 def without_outliers(
     records: list[EngineRecord], config: OutlierConfig, now: float
 ) -> list[EngineRecord]:
-    """Return the engines not set aside; all of them if too many are set aside."""
+    """Return the engines that are not ejected, or all of them if too many are."""
     kept = [record for record in records if record.ejected_until <= now]
     ejected = len(records) - len(kept)
     if ejected > config.maximum_ejected_fraction * len(records):
--- a/src/stagewalk/node/routing/polling.py
+++ b/src/stagewalk/node/routing/polling.py
@@ -1,8 +1,6 @@
-"""When each engine is polled for its report: a fixed interval, within a budget of polls a second.
+"""Schedule of engine polls: a fixed interval per engine, within a budget of polls per second.
 
-Owns the queue of due polls and the budget. Relies on the engine table for the engines to poll and
-for which polls are unanswered. Times in seconds of the node's clock; the constants, with the
-measurement behind the budget, are fields of `EngineTableConfig`.
+Times are in seconds of the node's clock; the constants are fields of `EngineTableConfig`.
 """
 
 from __future__ import annotations
@@ -16,22 +14,22 @@
 
 
 class PollSchedule:
-    """Due times of polls, one an engine."""
+    """Due time of the next poll of each engine, with a token bucket for the budget."""
 
     def __init__(self, config: EngineTableConfig) -> None:
         self._config = config
         self._queue: list[tuple[float, EngineName]] = []
         self._tokens = config.polls_per_second
-        self._tokens_at: float | None = None
+        self._refilled_at: float | None = None
         self._demand_at = -math.inf
 
     def set_engines(self, engines: Iterable[EngineName], now: float) -> None:
-        """Replace the engines to poll; a new one is due at once."""
+        """Replace the engines to poll; new ones are due immediately."""
         due = {name: at for at, name in self._queue}
         self._queue = sorted((due.get(name, now), name) for name in engines)
 
     def record_demand(self, now: float) -> None:
-        """Record that a request needs an engine: an idle node begins to poll faster."""
+        """Record that a request needs an engine; if the node was idle, all polls are due now."""
         if self._is_idle(now):
             self._queue = [(min(at, now), name) for at, name in self._queue]
             heapq.heapify(self._queue)
@@ -40,14 +38,14 @@
     def due(
         self, listed_engines: int, in_flight: Callable[[EngineName], bool], now: float
     ) -> list[EngineName]:
-        """Return the engines to poll now, within the budget; none with a poll in flight.
+        """Return the engines to poll now, within the budget, except those with a poll in flight.
 
         Parameters
         ----------
         listed_engines
-            Engines in the machine list, which decide the budget.
+            Number of engines in the machine list, which determines the budget.
         in_flight
-            Whether an engine's last poll may still be answered.
+            Returns whether an engine's last poll may still be answered.
         """
         self._refill(listed_engines, now)
         interval = self._interval(now)
@@ -69,6 +67,6 @@
 
     def _refill(self, listed_engines: int, now: float) -> None:
         rate = self._config.poll_budget(listed_engines)
-        if self._tokens_at is not None:
-            self._tokens = min(rate, self._tokens + (now - self._tokens_at) * rate)
-        self._tokens_at = now
+        if self._refilled_at is not None:
+            self._tokens = min(rate, self._tokens + (now - self._refilled_at) * rate)
+        self._refilled_at = now
--- a/src/stagewalk/node/routing/prefix_index.py
+++ b/src/stagewalk/node/routing/prefix_index.py
@@ -1,9 +1,8 @@
-"""Which prompt prefixes an engine probably has in its cache, by this node's own history.
+"""Prompt prefixes that an engine probably caches, estimated from what this node sent it.
 
-A prompt is cut into blocks; each block's hash is chained to the one before, so that equal
-hashes mean equal prefixes. Engines publish cache events late and with gaps, so the index is a
-guess that costs time when wrong, never correctness. Relies on the engine's record, which owns the
-blocks; the bounds are fields of `PrefixIndexConfig`.
+A prompt is cut into blocks, and the hash of each block is chained to the one before, so that equal
+hashes mean equal prefixes. The index is an estimate: a wrong entry costs time but not correctness.
+The blocks are kept in the engine's record.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 def hash_blocks(prompt: str, config: PrefixIndexConfig) -> PrefixBlockHashes:
-    """Return the chained hashes of a prompt's whole blocks, bounded in number."""
+    """Return the chained hashes of a prompt's whole blocks, up to the maximum number."""
     size = config.block_characters
     octets = prompt[: size * config.maximum_blocks_per_prompt].encode()
     count = min(len(octets) // size, config.maximum_blocks_per_prompt)
@@ -32,9 +31,9 @@
 
 
 class PrefixIndex:
-    """Bounded memory of the prefix blocks sent to each engine, least recently used first out.
+    """Bounded LRU index of the prefix blocks sent to each engine.
 
-    The blocks are kept in the engine's record, and go with it when the engine restarts.
+    The blocks are kept in the engine's record, which is reset when the engine restarts.
     """
 
     def __init__(self, config: PrefixIndexConfig) -> None:
@@ -42,35 +41,35 @@
         self._tokens_per_block = config.block_characters / config.characters_per_token
 
     def record_sent(self, record: EngineRecord, blocks: PrefixBlockHashes) -> None:
-        """Record that an engine was sent a prompt and caches its blocks now."""
-        held = record.cached_blocks
+        """Record that a prompt was sent to an engine, which then caches its blocks."""
+        cached = record.cached_blocks
         for block in reversed(blocks):
-            held[block] = None
-            held.move_to_end(block)
-        while len(held) > self._config.maximum_blocks_per_engine:
-            held.popitem(last=False)
+            cached[block] = None
+            cached.move_to_end(block)
+        while len(cached) > self._config.maximum_blocks_per_engine:
+            cached.popitem(last=False)
 
     def matched_tokens(self, record: EngineRecord, blocks: PrefixBlockHashes) -> float:
-        """Return the estimated number of prompt tokens an engine need not take in again."""
-        held = record.cached_blocks
-        if not blocks or blocks[0] not in held:
+        """Return the estimated number of prompt tokens that an engine has cached."""
+        cached = record.cached_blocks
+        if not blocks or blocks[0] not in cached:
             return 0.0
-        return self._longest_held(held, blocks) * self._tokens_per_block
+        return self._longest_cached_prefix(cached, blocks) * self._tokens_per_block
 
     @staticmethod
-    def _longest_held(held: OrderedDict[int, None], blocks: PrefixBlockHashes) -> int:
-        """Return how many leading blocks are held, the first of which is.
+    def _longest_cached_prefix(cached: OrderedDict[int, None], blocks: PrefixBlockHashes) -> int:
+        """Return how many leading blocks are cached, given that the first one is.
 
-        A prompt's later blocks are always less recently used than its earlier ones and go
-        first, so no held block lacks one before it, and halving finds the border.
+        A prompt's later blocks are evicted before its earlier ones, so a cached block implies
+        that all before it are cached, and binary search finds the last one.
         """
-        if blocks[-1] in held:
+        if blocks[-1] in cached:
             return len(blocks)
-        least, above = 1, len(blocks) - 1
-        while least < above:
-            middle = (least + above + 1) // 2
-            if blocks[middle - 1] in held:
-                least = middle
+        low, high = 1, len(blocks) - 1
+        while low < high:
+            middle = (low + high + 1) // 2
+            if blocks[middle - 1] in cached:
+                low = middle
             else:
-                above = middle - 1
-        return least
+                high = middle - 1
+        return low
--- a/src/stagewalk/node/routing/router.py
+++ b/src/stagewalk/node/routing/router.py
@@ -1,7 +1,7 @@
-"""Chooses the engine for an attempt, and records what becomes of attempts.
+"""Chooses the engine for an attempt and records the outcome of attempts.
 
-Owns the prefix index. Relies on the engine table for evidence, on `outliers` for which engines are
-set aside and on `choice` for the engine.
+The engine table lists the eligible engines, `outliers` drops the ejected ones and `choice` selects
+one of the rest.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from stagewalk.node.routing.scoring import CompletionTimeModel, expected_tokens, shape_of
 
 NO_ENGINE_RETRY_AFTER_SECONDS = 1.0
-"""Retry-After when no engine may take a request: two polls of each engine."""
+"""Retry-After if no engine can serve a request: time for two polls of each engine."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     Attributes
     ----------
     version
-        Weights it said it runs.
+        Weight version the engine last reported.
     """
 
     engine: EngineName
@@ -58,16 +58,16 @@
 
 
 class Router:
-    """Chooses engines among those with fresh evidence.
+    """Chooses engines among those with a valid report.
 
     Parameters
     ----------
     identity
-        This node; its place decides the cost of other zones.
+        This node; its placement determines the penalty of other zones.
     engine_table
-        Evidence about engines; this router records all attempts in it.
+        State of the engines; the router records all attempts in it.
     generator
-        Source of random choices.
+        Random generator for sampling engines.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
     def choose(
         self, request: CompletionRequest, excluded: frozenset[EngineName], now: float
     ) -> Result[EngineChoice, StagewalkError]:
-        """Return the engine for an attempt; the error is `NO_ENGINE`, never sent (`ran: no`)."""
+        """Return the engine for an attempt, or a `NO_ENGINE` error with `ran: no`."""
         self._table.record_demand(now)
         serving = self._table.eligible(request.model, now)
         suitable = self._suitable(request, serving, excluded)
@@ -121,14 +121,14 @@
         self._table.record_progress(attempt)
 
     def record_finished(self, engine: EngineName, attempt: AttemptId, now: float) -> None:
-        """Record that an attempt ended whole."""
+        """Record that an attempt completed successfully."""
         record = self._table.record(engine)
         self._table.record_ended(attempt, now)
         if record is not None:
             record_success(record)
 
     def record_cancelled(self, attempt: AttemptId, now: float) -> None:
-        """Record that this node cancelled an attempt: no fault of the engine."""
+        """Record that this node cancelled an attempt; it doesn't count as an engine failure."""
         self._table.record_ended(attempt, now)
 
     def record_refused(
@@ -150,7 +150,7 @@
             record_failure(record, self._config.outlier, now)
 
     def _blocks_of(self, prompt: str) -> PrefixBlockHashes:
-        """Return a prompt's blocks; a request's choice and its start hash them only once."""
+        """Return a prompt's blocks, cached so that `choose` and `record_started` hash it once."""
         if prompt is not self._last_prompt:
             self._last_prompt = prompt
             self._last_blocks = hash_blocks(prompt, self._config.prefix_index)
@@ -162,7 +162,7 @@
         serving: list[EngineRecord],
         excluded: frozenset[EngineName],
     ) -> list[EngineRecord]:
-        """Return the serving engines not excluded whose version may serve the request."""
+        """Return the serving engines that aren't excluded and have a suitable version."""
         unbounded = request.minimum_version is None and request.maximum_version is None
         if unbounded and not excluded:
             return serving
--- a/src/stagewalk/node/routing/scoring.py
+++ b/src/stagewalk/node/routing/scoring.py
@@ -1,9 +1,8 @@
 """The score of an engine for a request: the expected seconds from dispatch to the last token.
 
-Pure. Sums prefill of what is not cached, queue, decode, pressure on KV memory and distance, and
-raises it for an engine that started lately. Inputs: the engine's report, corrected by this node's
-attempts that it can't count yet. Units are seconds and tokens; the constants are fields of
-`ScoreConfig`.
+The sum of uncached prefill, queueing, decode, KV cache pressure and the penalty of another zone or
+region, increased for an engine that has just begun to serve. The load is the engine's report,
+corrected for this node's attempts. The constants are fields of `ScoreConfig`.
 """
 
 from __future__ import annotations
@@ -17,13 +16,13 @@
 from stagewalk.node.routing.prefix_index import PrefixBlockHashes, PrefixIndex
 
 KV_PRESSURE_FACTOR = 10.0
-"""How much slower decode counts per unit of KV memory in use above the threshold: a full memory
-doubles it."""
+"""Decode slowdown per unit of KV cache use above the threshold: with the default threshold of 0.9,
+a full cache doubles the decode time."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestShape:
-    """What a request's cost depends on, worked out once for all engines.
+    """Properties of a request that its cost depends on, computed once for all engines.
 
     Attributes
     ----------
@@ -41,7 +40,7 @@
 
 
 def expected_tokens(request: CompletionRequest, config: ScoreConfig) -> float:
-    """Return how long an answer is expected to be, in tokens."""
+    """Return the expected length of an answer, in tokens."""
     bound = request.max_tokens * config.expected_answer_fraction
     return max(1.0, min(bound, config.expected_answer_tokens))
 
@@ -49,7 +48,7 @@
 def shape_of(
     request: CompletionRequest, blocks: PrefixBlockHashes, config: RouterConfig
 ) -> RequestShape:
-    """Return the shape of a request whose blocks are known."""
+    """Return the shape of a request, given the hashed blocks of its prompt."""
     tokens = float(request.prompt_token_count)
     if tokens <= 0:
         tokens = len(request.prompt) / config.prefix_index.characters_per_token
@@ -58,7 +57,7 @@
 
 @dataclass(slots=True)
 class CompletionTimeModel:
-    """Estimates, in seconds, how long a request would take at an engine."""
+    """Estimates how many seconds a request would take at an engine."""
 
     placement: Placement
     config: RouterConfig
@@ -95,7 +94,7 @@
         return decode + excess * mean_remaining / (rate * batch) + self._kv_pressure(record, decode)
 
     def _kv_pressure(self, record: EngineRecord, decode_seconds: float) -> float:
-        """Return the cost of evictions at an engine whose KV memory is nearly full."""
+        """Return the expected delay from evictions at an engine whose KV cache is nearly full."""
         report = record.report
         if report is None or report.kv_capacity_tokens <= 0:
             return 0.0
@@ -104,7 +103,7 @@
         return max(0.0, excess) * KV_PRESSURE_FACTOR * decode_seconds
 
     def _slow_start(self, record: EngineRecord, now: float) -> float:
-        """Return the factor of a new engine: one restarted has cold caches and is unproved."""
+        """Return the score factor of an engine that began to serve lately, with cold caches."""
         config = self.config.score
         age = now - record.serving_since
         if age >= config.slow_start_seconds:
--- a/src/stagewalk/node/routing/subsets.py
+++ b/src/stagewalk/node/routing/subsets.py
@@ -1,8 +1,7 @@
-"""The rule for which engines a node routes over: rendezvous hashing, weighted by zone and region.
+"""Subsetting of engines: rendezvous hashing, weighted by zone and region.
 
-Pure. Bounds what a node polls and holds whatever the size of the pool; a change of one engine
-moves only the nodes that had or will have it. The weights and the size are fields of
-`EngineTableConfig`.
+The subset bounds polling and memory independently of the pool's size. Adding or removing an engine
+affects only the nodes that use it.
 """
 
 from __future__ import annotations
@@ -21,10 +20,10 @@
 
 
 def rendezvous_score(node: NodeName, engine: str, weight: float) -> float:
-    """Return the score of an engine for a node: weighted rendezvous hashing.
+    """Return the weighted rendezvous hashing score of an engine for a node.
 
-    `-weight / ln(uniform)` makes an engine's chance to be chosen proportional to its weight,
-    and a change of one engine moves only the nodes that had or will have it.
+    `-weight / ln(uniform)` makes the probability that an engine is chosen proportional to its
+    weight.
     """
     digest = xxhash.xxh64_intdigest(f"{node}\x00{engine}".encode())
     uniform = (digest + 0.5) / HASH_VALUE_COUNT
@@ -32,7 +31,7 @@
 
 
 def placement_weight(own: Placement, other: Placement, config: EngineTableConfig) -> float:
-    """Return the weight of an engine's place as seen from this node's."""
+    """Return the weight of an engine by its distance from this node: zone, region or beyond."""
     if own.region != other.region:
         return 1.0
     if own.zone != other.zone:
@@ -43,7 +42,7 @@
 def choose_subset(
     node: NodeName, placement: Placement, engines: list[Machine], config: EngineTableConfig
 ) -> frozenset[str]:
-    """Return the names of the engines this node routes over, per service at most the size."""
+    """Return the names of the engines this node routes to, at most `subset_size` per service."""
     by_service: dict[str, list[tuple[float, str]]] = {}
     for engine in engines:
         weight = placement_weight(placement, engine.placement, config)
--- a/tests/node/routing/test_engine_table.py
+++ b/tests/node/routing/test_engine_table.py
@@ -1,4 +1,4 @@
-"""An engine gets new work only while fresh evidence vouches for it."""
+"""Tests that an engine gets new work only while it has a valid report that says it serves."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
             table.handle_report(E1, report("e1", 0.0), tenth / 10)
         self.assertEqual([], eligible(table, 4.0))
 
-    def test_any_sign_of_leaving_ends_new_work(self) -> None:
+    def test_leaving_engine_gets_no_new_work(self) -> None:
         for state in (EngineState.DRAINING, EngineState.LEAVING, EngineState.LOADING):
             table = table_of("e1")
             table.handle_report(E1, report("e1", 0.0), 0.0)
@@ -66,7 +66,7 @@
         self.assertEqual([], eligible(table, 0.1))
 
     def test_refusal_holds_until_a_report_made_after_it(self) -> None:
-        """A report lags by up to a second: an older one still says that the engine serves."""
+        """A report made before the refusal may arrive later and still say that it serves."""
         table = table_of("e1")
         table.handle_report(E1, report("e1", 0.0), 0.0)
         table.record_refused(E1, 0.1, 1.0)
@@ -109,7 +109,7 @@
         table.handle_report(E1, report("e1", 500.0), 1.0)
         self.assertEqual(["e1"], eligible(table, 3.0))
 
-    def test_moved_engine_starts_anew(self) -> None:
+    def test_engine_with_a_new_address_is_reset(self) -> None:
         table = table_of("e1")
         table.handle_report(E1, report("e1", 0.0), 0.0)
         moved = replace(machine("e1"), address=Address("127.0.0.2", 9000))
@@ -118,7 +118,7 @@
 
 
 class LagTest(testtools.TestCase):
-    def test_report_is_corrected_for_what_it_can_not_know(self) -> None:
+    def test_load_is_corrected_for_attempts_since_the_report(self) -> None:
         table = table_of("e1")
         for attempt, at in (("a1", 0.2), ("a2", 0.8)):
             table.record_started(E1, AttemptId(attempt), 50.0, at)
@@ -131,7 +131,7 @@
         table.handle_report(E1, report("e1", 1.2, running=1), 1.2)
         self.assertEqual(0, record.added_sequences)
 
-    def test_pool_view_counts_them(self) -> None:
+    def test_pool_view_includes_own_attempts(self) -> None:
         table = table_of("e1")
         table.handle_report(E1, report("e1", 0.0, running=3, waiting=2), 0.0)
         table.record_started(E1, AttemptId("a1"), 50.0, 0.1)
@@ -140,7 +140,7 @@
 
 
 class PollTest(testtools.TestCase):
-    def test_a_poll_in_flight_is_not_doubled(self) -> None:
+    def test_poll_in_flight_is_not_repeated(self) -> None:
         table = table_of("e1")
         table.record_demand(0.0)
         sent = [len(table.tick(tenth / 10)) for tenth in range(14)]
@@ -185,7 +185,7 @@
         table.handle_machines([machine(name) for name in names], 0.0)
         return set(table.names())
 
-    def test_one_engine_less_changes_one_place(self) -> None:
+    def test_removing_an_engine_replaces_only_that_engine(self) -> None:
         before = self.subset("n1", 100)
         gone = min(before)
         self.assertEqual(16, len(before))
--- a/tests/node/routing/test_router.py
+++ b/tests/node/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The least expected completion time wins."""
+"""Tests that the router chooses the engine with the lowest expected completion time."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     return [f"e{number}" for number in range(1, count + 1)]
 
 
-class Site:
-    """A router over engines that have just reported."""
+class RouterFixture:
+    """A router with engines that have just reported."""
 
     def __init__(self, config: RouterConfig | None = None, count: int = 3) -> None:
         self.now = 0.0
@@ -54,81 +54,83 @@
 
 
 class RouterTest(testtools.TestCase):
-    def test_avoids_the_loaded(self) -> None:
-        site = Site()
-        site.report("e1", running=8, waiting=4, pending_tokens=900)
-        site.report("e2", running=8, waiting=1, pending_tokens=700)
-        self.assertEqual("e3", site.choose())
+    def test_loaded_engines_are_avoided(self) -> None:
+        fixture = RouterFixture()
+        fixture.report("e1", running=8, waiting=4, pending_tokens=900)
+        fixture.report("e2", running=8, waiting=1, pending_tokens=700)
+        self.assertEqual("e3", fixture.choose())
 
     def test_own_attempts_since_the_report_count_as_load(self) -> None:
-        site = Site()
+        fixture = RouterFixture()
         for number in range(6):
-            site.start(site.choose(), f"a{number}")
-        sent = [site.table.record(EngineName(name)).added_sequences for name in engines(3)]
+            fixture.start(fixture.choose(), f"a{number}")
+        sent = [fixture.table.record(EngineName(name)).added_sequences for name in engines(3)]
         self.assertEqual([2, 2, 2], sent)
 
     def test_version_bounds_are_obeyed(self) -> None:
-        site = Site()
-        site.report("e2", active_version=3)
-        self.assertEqual("e2", site.choose(minimum_version=2, maximum_version=3))
-        refused = site.router.choose(request(minimum_version=4), frozenset(), 0.0).error
+        fixture = RouterFixture()
+        fixture.report("e2", active_version=3)
+        self.assertEqual("e2", fixture.choose(minimum_version=2, maximum_version=3))
+        refused = fixture.router.choose(request(minimum_version=4), frozenset(), 0.0).error
         self.assertEqual((ErrorKind.NO_ENGINE, ExecutionStatus.NO), (refused.kind, refused.ran))
 
     def test_excluded_engines_are_not_chosen(self) -> None:
-        self.assertEqual("e3", Site().choose(excluded=("e1", "e2")))
+        self.assertEqual("e3", RouterFixture().choose(excluded=("e1", "e2")))
 
     def test_cached_prefix_attracts_until_the_engine_restarts(self) -> None:
-        site = Site()
-        site.start("e2", "a1", prompt=LONG_PROMPT)
-        site.router.record_finished(EngineName("e2"), AttemptId("a1"), 0.0)
-        self.assertEqual("e2", site.choose(prompt=LONG_PROMPT + "and what follows"))
-        site.report("e2", incarnation=Incarnation(2))
-        self.assertNotEqual("e2", site.choose(prompt=LONG_PROMPT))
+        fixture = RouterFixture()
+        fixture.start("e2", "a1", prompt=LONG_PROMPT)
+        fixture.router.record_finished(EngineName("e2"), AttemptId("a1"), 0.0)
+        self.assertEqual("e2", fixture.choose(prompt=LONG_PROMPT + "and what follows"))
+        fixture.report("e2", incarnation=Incarnation(2))
+        self.assertNotEqual("e2", fixture.choose(prompt=LONG_PROMPT))
 
     def test_new_engine_is_loaded_slowly(self) -> None:
-        site = Site(RouterConfig(), count=2)
-        site.now = 20.0
-        site.report("e1", running=2)
-        site.report("e2", incarnation=Incarnation(2))
-        self.assertEqual("e1", site.choose())
-        site.now = 26.0
-        site.report("e1", running=2)
-        site.report("e2", incarnation=Incarnation(2))
-        self.assertEqual("e2", site.choose())
-
-    def test_outliers_are_set_aside_but_not_all(self) -> None:
-        site = Site(RouterConfig(score=NO_SLOW_START, outlier=OutlierConfig(failures_to_eject=2)))
+        fixture = RouterFixture(RouterConfig(), count=2)
+        fixture.now = 20.0
+        fixture.report("e1", running=2)
+        fixture.report("e2", incarnation=Incarnation(2))
+        self.assertEqual("e1", fixture.choose())
+        fixture.now = 26.0
+        fixture.report("e1", running=2)
+        fixture.report("e2", incarnation=Incarnation(2))
+        self.assertEqual("e2", fixture.choose())
+
+    def test_outliers_are_ejected_but_not_all(self) -> None:
+        fixture = RouterFixture(
+            RouterConfig(score=NO_SLOW_START, outlier=OutlierConfig(failures_to_eject=2))
+        )
         for name in ("e1", "e2", "e3"):
             for number in range(2):
-                site.start(name, f"{name}{number}")
-                site.router.record_failed(EngineName(name), AttemptId(f"{name}{number}"), 0.0)
+                fixture.start(name, f"{name}{number}")
+                fixture.router.record_failed(EngineName(name), AttemptId(f"{name}{number}"), 0.0)
             if name == "e1":
-                chosen = {site.choose() for _ in range(10)}
+                chosen = {fixture.choose() for _ in range(10)}
                 self.assertNotIn("e1", chosen)
-        self.assertIn(site.choose(), engines(3))
+        self.assertIn(fixture.choose(), engines(3))
 
-    def test_own_region_first(self) -> None:
-        site = Site()
+    def test_own_region_is_preferred(self) -> None:
+        fixture = RouterFixture()
         far = machine("e1", Placement("jordan", "abdali-vault"))
         near = machine("e2", Placement(PLACE.region, "hall-east"))
-        site.table.handle_machines([far, near], 0.0)
-        self.assertEqual("e2", site.choose(excluded=("e3",)))
+        fixture.table.handle_machines([far, near], 0.0)
+        self.assertEqual("e2", fixture.choose(excluded=("e3",)))
 
     def test_work_is_spread_over_equal_engines(self) -> None:
-        site = Site(RouterConfig(score=NO_SLOW_START))
+        fixture = RouterFixture(RouterConfig(score=NO_SLOW_START))
         for number in range(30):
             prompt = f"{number} {LONG_PROMPT}"
-            site.start(site.choose(prompt=prompt), f"a{number}", prompt=prompt)
-        sent = [site.table.record(EngineName(name)).added_sequences for name in engines(3)]
+            fixture.start(fixture.choose(prompt=prompt), f"a{number}", prompt=prompt)
+        sent = [fixture.table.record(EngineName(name)).added_sequences for name in engines(3)]
         self.assertTrue(all(count >= 5 for count in sent), f"{sent}")
 
     def test_same_inputs_same_choices(self) -> None:
         def run() -> list[str]:
-            site = Site(count=12)
+            fixture = RouterFixture(count=12)
             chosen = []
             for number in range(40):
-                chosen.append(site.choose(prompt=f"{number % 5} {LONG_PROMPT}"))
-                site.start(chosen[-1], f"a{number}", prompt=f"{number % 5} {LONG_PROMPT}")
+                chosen.append(fixture.choose(prompt=f"{number % 5} {LONG_PROMPT}"))
+                fixture.start(chosen[-1], f"a{number}", prompt=f"{number % 5} {LONG_PROMPT}")
             return chosen
 
         self.assertEqual(run(), run())
