--- a/src/stagewalk/node/admission/__init__.py
+++ b/src/stagewalk/node/admission/__init__.py
@@ -1,1 +1,1 @@
-"""How many requests may run at once, and whose turn it is."""
+"""Admission control: concurrency limits, tenant shares and request queues."""
--- a/src/stagewalk/node/admission/config.py
+++ b/src/stagewalk/node/admission/config.py
@@ -1,4 +1,4 @@
-"""Parameters of admission, with units and where the figures come from."""
+"""Parameters of admission control."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LimiterConfig:
-    """The adaptive limit of requests in flight: it grows with completions, falls at refusals.
+    """Adaptive limit of requests in flight: it grows on completions and shrinks on refusals.
 
     Attributes
     ----------
     initial_limit, minimum_limit, maximum_limit
-        Requests of one pool in flight from this node. Even a pool that refuses everything gets
+        Requests of one pool in flight from this node. A pool that refuses everything still gets
         the minimum, so that its recovery is noticed.
     growth_per_completion
-        What a completion adds to a limit that is in use, once it has fallen for the first
-        time; until then each adds one, so that the limit doubles in a service time. A quarter
-        makes it grow by a quarter of itself in a service time.
+        Increase per completion while the limit is in use, after its first decrease. Until then
+        each completion adds one, so that the limit doubles within a service time. With 0.25 it
+        grows by a quarter per service time.
     decrease_factor
-        Fraction of the limit that stays after a refusal by an engine.
+        Factor applied to the limit after an engine refused a request.
     delay_decrease_factor
-        Fraction that stays after a first token much later than usual: a weaker sign than a
-        refusal, so it costs less.
+        Factor applied after a first token much later than usual, which is a weaker sign of
+        overload than a refusal.
     decrease_interval_seconds
-        The limit falls at most once in this time: refusals come in bursts.
+        Least time between two decreases, since refusals come in bursts.
     delay_tolerance
-        A first token is late when it takes so many times the usual.
+        A first token is late if its delay exceeds this multiple of the baseline delay.
     delay_allowance_seconds
-        Added to that, so that noise of small delays counts for nothing.
+        Added to that threshold, so that noise in small delays is ignored.
     baseline_growth
-        Fraction by which the usual delay moves towards a longer one seen.
+        Fraction of the difference by which a longer delay raises the baseline.
     """
 
     initial_limit: float = 64.0
@@ -52,29 +52,29 @@
     Attributes
     ----------
     maximum_waiting
-        Requests waiting at this node in one pool, over all tenants.
+        Most requests waiting at this node for one pool, over all tenants.
     maximum_waiting_per_tenant
-        Requests of one tenant waiting in one pool.
+        Most requests of one tenant waiting for one pool.
     share_reserve
-        Fraction of each tenant's unused share that is kept free and not lent, so that its
-        next request starts at once; the rest comes back with the borrowers' completions.
+        Fraction of each tenant's unused share that other tenants may not borrow, so that its
+        next request can start immediately. The rest is returned as borrowers' requests complete.
     interactive_reserve
-        Fraction of the pool that rollouts leave to interactive requests.
+        Fraction of the pool reserved for interactive requests.
     pool_overcommit
-        Load of the pool, as a multiple of its slots, above which nothing is admitted: a
-        short queue at the engines keeps their batches full.
+        Load of the pool, as a multiple of its slots, above which nothing is admitted. A short
+        queue at the engines keeps their batches full.
     free_room_fraction
-        Part of the pool's reported free slots that this node may take between two views of
-        it, whatever its adaptive limit: several nodes see the same free slots.
+        Fraction of the pool's reported free slots that this node may use until the next update,
+        even beyond its adaptive limit. Several nodes see the same free slots.
     service_smoothing
-        Weight of the newest duration in the moving mean of service times.
+        Weight of the newest duration in the moving average of service times.
     initial_service_seconds
         Duration of a request assumed until one is measured.
     shed_service_fraction
-        A waiting request is refused when what is left until its deadline, after the
-        expected wait, is less than this fraction of the mean service time.
+        A request is rejected when the time left until its deadline, after the expected wait,
+        is less than this fraction of the average service time.
     minimum_retry_after_seconds, maximum_retry_after_seconds
-        Bounds of the advice given with a rejection.
+        Bounds of the Retry-After given with a rejection.
     """
 
     maximum_waiting: int = 512
--- a/src/stagewalk/node/admission/controller.py
+++ b/src/stagewalk/node/admission/controller.py
@@ -1,9 +1,8 @@
-"""Admission: carries out the rules of `admission.rules` for every pool at this node.
+"""Admission controller: applies `admission.rules` to every pool at this node.
 
-Owns the pools' state and which requests wait or are admitted. Relies on the request core for
-every start, end and view of the engines. There is no central point: each node enforces the
-tenants' shares over what it sees, its own adaptive limit and the load of the engines it routes
-over. A rejection is given at once, says `ran: no`, and names when to retry.
+There is no central coordinator: each node enforces the tenants' shares of its own adaptive limit
+and respects the load of the engines it routes to. A rejection is returned immediately, with
+`ran: no` and a Retry-After.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
 
 
 class AdmissionDecision(StrEnum):
-    """What became of a request that was not rejected."""
+    """Whether a request that was not rejected started or waits."""
 
     ADMITTED = "admitted"
     WAITING = "waiting"
@@ -40,12 +39,12 @@
 
 
 class AdmissionController:
-    """Shares, queues and adaptive limit of each pool, at this node.
+    """Admits, queues or rejects requests for each pool at this node.
 
     Parameters
     ----------
     owner
-        This node: the peer that its errors name.
+        This node, named as the peer in errors.
     """
 
     def __init__(self, owner: NodeName, config: AdmissionConfig) -> None:
@@ -63,7 +62,7 @@
             pool.shares = self._shares_of(model)
 
     def set_pool_capacity(self, model: ModelName, capacity: PoolCapacity) -> None:
-        """Replace the view of a pool's slots and load."""
+        """Update a pool's slots and load."""
         self._pool(model).set_capacity(capacity)
 
     def models(self) -> tuple[ModelName, ...]:
@@ -83,13 +82,13 @@
     def admit(
         self, key: RequestKey, request: CompletionRequest, now: float
     ) -> Result[AdmissionDecision, StagewalkError]:
-        """Admit a request, queue it, or reject it at once; the rejection says `ran: no`."""
+        """Admit, queue or reject a request; a rejection says `ran: no`."""
         pool = self._pool(request.model)
         queue = QueueName(request.priority, key.tenant)
-        if not rules.waits_behind_own_tenant(pool, queue) and self._may_start(pool, queue):
+        if not rules.has_waiting_request_ahead(pool, queue) and self._may_start(pool, queue):
             self._start(key, request.model, request.priority, now)
             return Ok(AdmissionDecision.ADMITTED)
-        rejection = rules.rejection_of(pool, key.tenant, request, self._config, now)
+        rejection = rules.rejection_reason(pool, key.tenant, request, self._config, now)
         if rejection is not None:
             return Error(self._error_of(rejection))
         pool.waiting.add(key, request.priority)
@@ -97,14 +96,14 @@
         return Ok(AdmissionDecision.WAITING)
 
     def release(self, now: float) -> list[RequestKey]:
-        """Admit the waiting requests that may start now; return them in the order of the rules."""
+        """Admit the waiting requests that may start now and return them in admission order."""
         released: list[RequestKey] = []
         for model in sorted(set(self._waiting.values())):
             released.extend(self._release_pool(model, now))
         return released
 
     def withdraw(self, key: RequestKey) -> None:
-        """Remove a request, waiting or admitted, whose end says nothing about the pool."""
+        """Remove a waiting or admitted request without updating service times or the limit."""
         model = self._waiting.pop(key, None)
         if model is not None:
             self._pool(model).waiting.remove(key)
@@ -112,7 +111,7 @@
         self._end(key)
 
     def ended(self, key: RequestKey, now: float) -> None:
-        """Record that an admitted request was answered; its duration is measured."""
+        """Record that an admitted request completed, with its duration."""
         admitted = self._end(key)
         if admitted is None:
             return
@@ -121,7 +120,7 @@
         pool.limiter.record_completed(pool.in_flight + 1)
 
     def record_refused(self, model: ModelName, now: float) -> None:
-        """Record that an engine of a pool refused work for want of room."""
+        """Record that an engine of a pool refused work because it was full."""
         self._pool(model).limiter.record_refused(now)
 
     def record_first_token(self, model: ModelName, delay_seconds: float, now: float) -> None:
@@ -129,15 +128,15 @@
         self._pool(model).limiter.record_first_token(delay_seconds, now)
 
     def limit(self, model: ModelName) -> float:
-        """Return the adaptive limit of a pool, in requests in flight."""
+        """Return how many requests of a pool may be in flight."""
         return self._pool(model).limit
 
     def expected_wait_seconds(self, model: ModelName, priority: Priority) -> float:
-        """Return how long a request of a priority would wait if it came now."""
+        """Return how long a request of a priority would wait if it arrived now."""
         return rules.expected_wait_seconds(self._pool(model), priority)
 
     def latest_start(self, request: CompletionRequest) -> float:
-        """Return when a waiting request must start, at the latest, to be answered in time."""
+        """Return the latest time a waiting request can start to meet its deadline."""
         return rules.latest_start(self._pool(request.model), request, self._config)
 
     def _may_start(self, pool: Pool, queue: QueueName) -> bool:
@@ -152,7 +151,7 @@
             ]
             if not startable:
                 break
-            chosen = min(startable, key=lambda queue: rules.order_of_queue(pool, queue))
+            chosen = min(startable, key=lambda queue: rules.queue_sort_key(pool, queue))
             key = pool.waiting.first(chosen)
             pool.waiting.remove(key)
             del self._waiting[key]
--- a/src/stagewalk/node/admission/limiter.py
+++ b/src/stagewalk/node/admission/limiter.py
@@ -1,7 +1,7 @@
-"""Adaptive limit of requests in flight, driven by refusals and by late first tokens.
+"""Adaptive concurrency limit, driven by completions, refusals and late first tokens.
 
-Owns one number for each pool. It guards against reports that lag: the load that engines report is
-checked besides (`admission.rules`). Relies on the controller for completions and refusals.
+It limits a pool's load while the engines' reports are out of date; the reported load is checked
+separately, in `admission.rules`.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 
 class AdaptiveLimiter:
-    """Grows while it is in use, falls by a factor when the pool pushes back.
+    """Concurrency limit with multiplicative decrease, increased per completion while it is in use.
 
-    A service time is seconds to minutes, so the limit must grow by a part of itself in each;
-    growth by one left a pool two thirds empty while a step waited.
+    Since a service time is seconds to minutes, the limit grows by a fraction of itself, rather
+    than by one, per service time.
     """
 
     def __init__(self, config: LimiterConfig) -> None:
         self._config = config
         self._limit = config.initial_limit
         self._decreased_at = -math.inf
-        self._usual_delay = math.inf
+        self._baseline_delay = math.inf
 
     @property
     def limit(self) -> float:
@@ -38,19 +38,19 @@
         self._limit = min(self._config.maximum_limit, self._limit + growth)
 
     def record_refused(self, now: float) -> None:
-        """Lower the limit: an engine had no room."""
+        """Decrease the limit because an engine was full."""
         self._decrease(self._config.decrease_factor, now)
 
     def record_first_token(self, delay_seconds: float, now: float) -> None:
-        """Lower the limit a little if a first token came much later than usual."""
-        if delay_seconds < self._usual_delay:
-            self._usual_delay = delay_seconds
+        """Decrease the limit slightly if a first token came much later than usual."""
+        if delay_seconds < self._baseline_delay:
+            self._baseline_delay = delay_seconds
             return
-        late = self._usual_delay * self._config.delay_tolerance
+        late = self._baseline_delay * self._config.delay_tolerance
         if delay_seconds > late + self._config.delay_allowance_seconds:
             self._decrease(self._config.delay_decrease_factor, now)
-        growth = self._config.baseline_growth * (delay_seconds - self._usual_delay)
-        self._usual_delay += growth
+        growth = self._config.baseline_growth * (delay_seconds - self._baseline_delay)
+        self._baseline_delay += growth
 
     def _decrease(self, factor: float, now: float) -> None:
         if now - self._decreased_at < self._config.decrease_interval_seconds:
--- a/src/stagewalk/node/admission/pool.py
+++ b/src/stagewalk/node/admission/pool.py
@@ -1,8 +1,6 @@
-"""State of one model's pool at this node: what runs, what waits, what the pool can take.
+"""State of one model's pool at this node: requests in flight, queues, limits and capacity.
 
-Owns the counts by tenant, the waiting queues, the adaptive limit and the last view of the engines.
-Relies on the controller to report each start, end and new view; it decides nothing
-(`admission.rules` does).
+The decisions based on this state are in `admission.rules`.
 """
 
 from __future__ import annotations
@@ -19,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolCapacity:
-    """Slots and load of a pool's engines, in sequences, as far as this node sees them."""
+    """Slots and load, in sequences, of the pool's engines that this node routes to."""
 
     slots: int
     load: int
@@ -31,26 +29,26 @@
     Parameters
     ----------
     shares
-        Fraction of the pool that each tenant is guaranteed.
+        Fraction of the pool guaranteed to each tenant.
 
     Attributes
     ----------
     in_use
         Requests in flight, by tenant; tenants without any are absent.
-    started_since
-        Requests started since the last view of the pool, which can't count them yet.
+    started_since_update
+        Requests started since the last capacity update, whose load doesn't include them.
     """
 
     def __init__(self, config: AdmissionConfig, shares: Mapping[TenantName, float]) -> None:
         self._config = config
         self._service_seconds = dict.fromkeys(Priority, config.initial_service_seconds)
-        self._room_limit = 0.0
+        self._free_slot_limit = 0.0
         self.limiter = AdaptiveLimiter(config.limiter)
         self.shares = shares
         self.in_use: dict[TenantName, int] = {}
         self.waiting = WaitingQueues()
         self.capacity: PoolCapacity | None = None
-        self.started_since = 0
+        self.started_since_update = 0
 
     @property
     def in_flight(self) -> int:
@@ -59,35 +57,35 @@
 
     @property
     def limit(self) -> float:
-        """Return the requests that may be in flight: what the limiter learnt, or the room seen."""
-        return max(self.limiter.limit, self._room_limit)
+        """Return how many requests may be in flight: the higher of adaptive and free-slot limit."""
+        return max(self.limiter.limit, self._free_slot_limit)
 
     def service_seconds(self, priority: Priority) -> float:
-        """Return the smoothed duration of a request of a priority."""
+        """Return the moving average of the duration of requests of a priority."""
         return self._service_seconds[priority]
 
     def set_capacity(self, capacity: PoolCapacity) -> None:
-        """Replace the view of the engines, and with it the room that this node may use."""
+        """Update the capacity of the pool, and with it how many free slots this node may use."""
         self.capacity = capacity
-        self.started_since = 0
+        self.started_since_update = 0
         free = max(0.0, capacity.slots * self._config.pool_overcommit - capacity.load)
-        self._room_limit = self.in_flight + self._config.free_room_fraction * free
+        self._free_slot_limit = self.in_flight + self._config.free_room_fraction * free
 
     def start(self, tenant: TenantName) -> None:
-        """Count a request that starts."""
+        """Count a started request."""
         self.in_use[tenant] = self.in_use.get(tenant, 0) + 1
-        self.started_since += 1
+        self.started_since_update += 1
 
     def end(self, tenant: TenantName) -> None:
-        """Count a request that ended."""
+        """Remove an ended request from the counts."""
         left = self.in_use[tenant] - 1
         if left:
             self.in_use[tenant] = left
         else:
             del self.in_use[tenant]
-        self.started_since = max(0, self.started_since - 1)
+        self.started_since_update = max(0, self.started_since_update - 1)
 
     def record_duration(self, priority: Priority, seconds: float) -> None:
-        """Move the smoothed duration of a priority towards a measured one."""
+        """Update the moving average of the duration of requests of a priority."""
         old = self._service_seconds[priority]
         self._service_seconds[priority] = old + self._config.service_smoothing * (seconds - old)
--- a/src/stagewalk/node/admission/shares.py
+++ b/src/stagewalk/node/admission/shares.py
@@ -1,6 +1,6 @@
-"""Arithmetic of weighted shares: what is guaranteed, what may be borrowed.
+"""Weighted shares of a pool: how much a tenant is guaranteed and how much it may borrow.
 
-Pure functions of shares (fractions of a pool), counts and a capacity, both in requests.
+Pure functions of shares (fractions of a pool), and of counts and a capacity, both in requests.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def guaranteed(shares: Mapping[TenantName, float], tenant: TenantName, capacity: float) -> float:
-    """Return a tenant's guaranteed part of a capacity; overcommitted shares are scaled down."""
+    """Return a tenant's guaranteed part of a capacity; shares above 1 in total are scaled down."""
     total = max(1.0, sum(shares.values()))
     return shares.get(tenant, 0.0) / total * capacity
 
@@ -23,7 +23,7 @@
     capacity: float,
     reserve: float,
 ) -> float:
-    """Return what a borrower must leave free: a part of each other tenant's unused share."""
+    """Return how much a borrower must leave free: a part of every other tenant's unused share."""
     kept = 0.0
     for other in shares:
         if other != tenant:
@@ -39,7 +39,7 @@
     capacity: float,
     reserve: float,
 ) -> bool:
-    """Return whether a tenant may use one more slot, of its own share or borrowed."""
+    """Return whether a tenant may use one more slot, from its own share or borrowed."""
     used = sum(in_use.values())
     if used + 1 > max(1.0, capacity):
         return False
--- a/src/stagewalk/node/admission/waiting.py
+++ b/src/stagewalk/node/admission/waiting.py
@@ -1,6 +1,6 @@
 """Queues of requests that wait for a slot of a pool, by tenant and priority.
 
-Owns the order inside a queue; `admission.rules` bounds the queues and picks between them.
+Each queue is first in, first out; `admission.rules` limits the queues and chooses between them.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueueName:
-    """One tenant's requests of one priority."""
+    """Identifies the queue of one tenant's requests of one priority."""
 
     priority: Priority
     tenant: TenantName
 
 
 class WaitingQueues:
-    """First-in-first-out queues by tenant and priority, counted."""
+    """First-in-first-out queues by tenant and priority, with counts per tenant."""
 
     def __init__(self) -> None:
         self._queues: dict[QueueName, OrderedDict[RequestKey, None]] = {}
@@ -35,7 +35,7 @@
     def __contains__(self, key: RequestKey) -> bool:
         return key in self._names
 
-    def of_tenant(self, tenant: TenantName) -> int:
+    def count_of_tenant(self, tenant: TenantName) -> int:
         """Return how many requests of a tenant wait."""
         return self._by_tenant.get(tenant, 0)
 
@@ -51,7 +51,7 @@
         self._by_tenant[key.tenant] = self._by_tenant.get(key.tenant, 0) + 1
 
     def remove(self, key: RequestKey) -> bool:
-        """Remove a request, wherever it stands; return whether it waited."""
+        """Remove a request from any position; return whether it was queued."""
         name = self._names.pop(key, None)
         if name is None:
             return False
--- a/tests/node/admission/test_admission.py
+++ b/tests/node/admission/test_admission.py
@@ -1,4 +1,4 @@
-"""Shares hold at any moment, unused share is lent and comes back, refusals are at once."""
+"""Tests of tenant shares, borrowing, immediate rejections and the adaptive limit."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Desk:
-    """A controller, and what a careful clerk knows of it."""
+    """A controller with an independent record of the running and waiting requests."""
 
     def __init__(self, config: AdmissionConfig = CONFIG) -> None:
         self.controller = AdmissionController(NodeName("n1"), config)
@@ -101,14 +101,14 @@
                     own = guaranteed(SHARES, key.tenant, 10.0)
                     self.assertGreater(desk.used(key.tenant) + 1, own, "a guaranteed slot idles")
 
-    def test_unused_share_is_lent_but_for_a_reserve(self) -> None:
+    def test_unused_share_is_lent_except_for_a_reserve(self) -> None:
         desk = Desk()
         while desk.admit("a").is_ok() and not desk.waiting:
             pass
         self.assertEqual(9, desk.used("a"), "20% of the others' 5 slots stay free")
         self.assertEqual(AdmissionDecision.ADMITTED, desk.admit("b").ok)
 
-    def test_lent_slots_go_back_with_the_first_completions(self) -> None:
+    def test_lent_slots_return_with_the_first_completions(self) -> None:
         desk = Desk()
         for _ in range(12):
             desk.admit("a")
@@ -126,7 +126,7 @@
         self.assertEqual(AdmissionDecision.WAITING, late.ok)
         self.assertEqual([desk.waiting[-1]], desk.end(0))
 
-    def test_rollouts_leave_a_part_of_the_pool_to_interactive(self) -> None:
+    def test_part_of_the_pool_is_reserved_for_interactive(self) -> None:
         desk = Desk()
         desk.controller.set_pool_capacity(MODEL, PoolCapacity(slots=100, load=101))
         self.assertEqual(AdmissionDecision.WAITING, desk.admit("a", ROLLOUT).ok)
@@ -137,7 +137,7 @@
         desk.controller.set_pool_capacity(MODEL, PoolCapacity(slots=100, load=110))
         self.assertEqual(AdmissionDecision.WAITING, desk.admit("a").ok)
 
-    def test_hopeless_deadline_is_refused_before_it_waits(self) -> None:
+    def test_request_with_an_unreachable_deadline_is_rejected(self) -> None:
         desk = Desk()
         while not desk.waiting:
             desk.admit("a")
@@ -146,7 +146,7 @@
             (ErrorKind.OVERLOADED, ExecutionStatus.NO), (refused.error.kind, refused.error.ran)
         )
 
-    def test_new_shares_hold_at_once(self) -> None:
+    def test_new_shares_apply_immediately(self) -> None:
         desk = Desk()
         while not desk.waiting:
             desk.admit("a")
@@ -160,7 +160,7 @@
 
 
 class LimiterTest(testtools.TestCase):
-    def test_falls_at_refusals_once_in_an_interval_and_grows_back(self) -> None:
+    def test_limit_falls_once_per_interval_and_recovers(self) -> None:
         limiter = AdaptiveLimiter(LimiterConfig(initial_limit=8.0))
         limiter.record_completed(3)
         self.assertEqual(8.0, limiter.limit, "it was not in use")
@@ -174,7 +174,7 @@
             limiter.record_completed(8)
         self.assertEqual(13.0, limiter.limit, "a quarter each after the first refusal")
 
-    def test_late_first_tokens_lower_it(self) -> None:
+    def test_late_first_tokens_lower_the_limit(self) -> None:
         limiter = AdaptiveLimiter(LimiterConfig(initial_limit=10.0))
         limiter.record_first_token(0.1, 0.0)
         limiter.record_first_token(0.4, 1.0)
@@ -183,8 +183,8 @@
         self.assertEqual(9.5, limiter.limit)
 
 
-class FreeRoomTest(testtools.TestCase):
-    def test_a_pool_seen_empty_is_filled_by_parts_whatever_the_learnt_limit(self) -> None:
+class FreeSlotsTest(testtools.TestCase):
+    def test_free_slots_are_used_beyond_the_adaptive_limit(self) -> None:
         limiter = LimiterConfig(initial_limit=1.0, minimum_limit=1.0)
         desk = Desk(AdmissionConfig(limiter=limiter, pool_overcommit=1.0, share_reserve=0.0))
         in_flight = []
