--- a/src/stagewalk/node/samples/__init__.py
+++ b/src/stagewalk/node/samples/__init__.py
@@ -1,1 +1,1 @@
-"""Rollout lots, their slots, the delivery cursor and the staleness gate."""
+"""Sample ledger: rollout lots and their slots, delivery cursors and staleness checks."""
--- a/src/stagewalk/node/samples/config.py
+++ b/src/stagewalk/node/samples/config.py
@@ -1,4 +1,4 @@
-"""Parameters of the sample ledger, with units and where the figures come from."""
+"""Parameters of the sample ledger."""
 
 from __future__ import annotations
 
@@ -12,62 +12,63 @@
     Attributes
     ----------
     maximum_outstanding_per_lot
-        Most slots of one lot that run at once, duplicates not counted; they start by predicted
-        length, which earns nothing where lengths can't be predicted (docs/SAMPLES.md).
+        Most slots of one lot that run at the same time, not counting duplicates. Slots start in
+        order of predicted length, longest first (docs/SAMPLES.md).
     maximum_slots_per_lot
-        Largest lot accepted.
+        Most slots of an accepted lot.
     request_deadline_seconds
-        Least time a rollout has before it counts as failed.
+        Minimum time from the start of a rollout to its deadline.
     retry_base_seconds, retry_limit_seconds
-        First and largest delay before a failed rollout, score or claim is tried again.
+        First and largest delay before a failed rollout, score or claim is retried.
     no_room_retry_seconds
-        Largest delay before a rollout that found no engine or no room is tried again.
+        Largest retry delay of a rollout that found no engine or no free capacity.
     claim_wait_seconds
         How long a scored sample waits for its claim before it is delivered without one.
     maximum_claim_bytes
-        Largest sample the claim register takes; a larger one is delivered without a claim.
+        Largest encoded sample that is claimed; a larger one is delivered without a claim.
     hand_over_margin_seconds
-        Added to a sample's age in seconds, for the way of the answer to the trainer, which
-        drops an answer that takes longer than its pull's wait and this.
+        Added to a sample's age to allow for the transfer to the trainer, which drops an answer
+        that takes longer than its pull's wait plus this margin.
     news_lag_seconds
-        Longest time that a read of the weight store takes, all timeouts of its client together:
-        what an answer says was still true when the read began.
+        Longest duration of a read of the weight store, including all timeouts of its client.
+        A result is treated as being that old when it arrives.
     version_poll_seconds, version_watch_seconds
-        Time between reads of the store's versions of a model that a tenant with a bound in
-        seconds uses: while this node runs lots of it, and while it does not. A trainer may come
-        at any time, and a node that never read can't tell the age of any version.
+        Time between reads of a model's versions in the weight store, if a tenant that uses it
+        has a staleness bound in seconds: while this node runs lots of the model, and otherwise.
+        Versions are read without lots too, so that their ages are known when a lot arrives.
     tail_fraction
-        A step is near its end when at most this share of its slots is unfinished.
+        A lot is near its end when at most this fraction of its slots is unfinished.
     straggler_factor
-        A slot is a straggler when it has run this many times the lot's 90th percentile.
+        A slot is a straggler when it has run for this multiple of the 90th percentile of the
+        lot's durations.
     duplicate_fraction
-        Most duplicates of stragglers, as a share of the lot's slots (at least one).
+        Most duplicates of stragglers, as a fraction of the lot's slots (at least one).
     look_ahead_steps
         Steps after a trainer's current one that may run before the trainer pulls them. Without
-        any, trainers idle longer (docs/SAMPLES.md).
+        any, trainers are idle for longer (docs/SAMPLES.md).
     retained_steps
         Steps of one trainer kept besides the newest; older ones are dropped.
     retention_seconds
-        How long a completed lot is kept for pulls that are repeated.
+        How long a completed lot is kept for repeated pulls.
     pulled_pause_seconds, idle_pause_seconds
-        A lot whose trainer has been silent for so long here stops running: one that it was
-        pulling, and one that it was not.
+        Time without calls of its trainer after which a lot is paused: if the trainer has pulled
+        it without completing it, and otherwise.
     idle_retention_seconds
-        A lot whose trainer has been silent for so long here is dropped.
+        Time without calls of its trainer after which an incomplete lot is dropped.
     stuck_after_failures, stuck_log_seconds
-        Failures of one slot in a row after which it is logged as stuck, and the least time
-        between two such log lines of a lot.
+        Consecutive failures after which a slot is logged as stuck, and the least time between
+        two such log lines of a lot.
     claim_probes
-        Claims of a new lot that are read to find out whether another node runs it.
+        Number of claims of a new lot that are read to find out whether another node runs it.
     probe_seconds
-        How long a new lot waits for the answers to such reads before anything of it runs.
+        How long a new lot waits for the results of these reads before its rollouts start.
     claim_read_seconds, last_claim_read_seconds
-        Time between reads of the claims of a lot that another node runs, and the same when no
-        more than `claim_probes` of its slots are open.
+        Time between reads of the claims of a lot that another node runs, and the same when at
+        most `claim_probes` of its slots are unfinished.
     quiet_seconds
-        How long no new claim must be found in them before the lot is run here.
+        Time without new claims from the other node after which the lot is run here.
     retained_bytes
-        Text of acknowledged samples kept for trainers that go back to an older cursor.
+        Memory for acknowledged samples, kept for trainers that go back to an older cursor.
     """
 
     maximum_outstanding_per_lot: int = 256
--- a/src/stagewalk/node/samples/cursor.py
+++ b/src/stagewalk/node/samples/cursor.py
@@ -1,9 +1,8 @@
-"""The delivery cursor: which slots of a step its trainer holds, carried by the trainer itself.
+"""The delivery cursor: which slots of a step its trainer has received, kept by the trainer.
 
-The cursor is the whole delivery state. A node that gets one needs no memory of earlier pulls, so
-any node may answer any pull, and a pull whose answer was lost is repeated with the old cursor.
-It is bound to its lot by a digest and guarded by a checksum: a foreign or damaged cursor is
-refused, never guessed at.
+The cursor is the complete delivery state, so any node can answer any pull, and a pull whose answer
+was lost is repeated with the old cursor. A digest of the lot and a checksum in the cursor make sure
+that a damaged cursor, or one of another lot, is rejected.
 """
 
 from __future__ import annotations
@@ -18,15 +17,15 @@
 from expression import Error, Ok, Result
 
 CURSOR_FORMAT_VERSION = 1
-"""Raised when the encoding changes; a cursor of another format is refused."""
+"""Incremented when the encoding changes; a cursor of another format is rejected."""
 
 MAXIMUM_CURSOR_CHARACTERS = 65536
-"""Longest cursor looked at, against hostile input."""
+"""Longest cursor that is decoded, to bound the work for malicious input."""
 
 
 @dataclass(frozen=True, slots=True)
-class CursorFault:
-    """Why a cursor was refused, in one sentence for a person."""
+class CursorError:
+    """Why a cursor was rejected, as a human-readable sentence."""
 
     detail: str
 
@@ -66,44 +65,44 @@
     return base64.urlsafe_b64encode(octets).rstrip(b"=").decode("ascii")
 
 
-def decode_cursor(cursor: str, lot_digest: int, slot_count: int) -> Result[int, CursorFault]:
-    """Return the set of delivered slots, or why the cursor is not one of this lot.
+def decode_cursor(cursor: str, lot_digest: int, slot_count: int) -> Result[int, CursorError]:
+    """Return the bitmap of delivered slots, or why the cursor is invalid for this lot.
 
-    The empty cursor is the one that a trainer begins with: nothing is delivered.
+    A trainer starts with the empty cursor, which means that nothing is delivered.
     """
     if not cursor:
         return Ok(0)
     if len(cursor) > MAXIMUM_CURSOR_CHARACTERS:
-        return Error(CursorFault("the cursor is too long"))
+        return Error(CursorError("the cursor is too long"))
     try:
         octets = base64.b64decode(
             cursor.encode("ascii") + b"=" * (-len(cursor) % 4), altchars=b"-_", validate=True
         )
         encoded = _DECODER.decode(octets)
     except (UnicodeEncodeError, binascii.Error, msgspec.DecodeError):
-        return Error(CursorFault("the cursor is damaged"))
+        return Error(CursorError("the cursor is damaged"))
     return _check(encoded, lot_digest, slot_count)
 
 
-def _check(encoded: _EncodedCursor, lot_digest: int, slot_count: int) -> Result[int, CursorFault]:
+def _check(encoded: _EncodedCursor, lot_digest: int, slot_count: int) -> Result[int, CursorError]:
     expected = _checksum(
         encoded.format_version, encoded.lot_digest, encoded.slot_count, encoded.compressed_bitmap
     )
     if encoded.checksum != expected:
-        return Error(CursorFault("the cursor is damaged"))
+        return Error(CursorError("the cursor is damaged"))
     if encoded.format_version != CURSOR_FORMAT_VERSION:
-        return Error(CursorFault(f"the cursor has the unknown format {encoded.format_version}"))
+        return Error(CursorError(f"the cursor has the unknown format {encoded.format_version}"))
     if encoded.lot_digest != lot_digest or encoded.slot_count != slot_count:
-        return Error(CursorFault("the cursor belongs to another tenant, trainer, step or lot"))
+        return Error(CursorError("the cursor belongs to another tenant, trainer, step or lot"))
     size = (slot_count + 7) // 8
     decompressor = zlib.decompressobj()
     try:
         bitmap = decompressor.decompress(encoded.compressed_bitmap, size + 1)
     except zlib.error:
-        return Error(CursorFault("the cursor is damaged"))
+        return Error(CursorError("the cursor is damaged"))
     delivered = int.from_bytes(bitmap, "little")
     if len(bitmap) != size or delivered >> slot_count:
-        return Error(CursorFault("the cursor is damaged"))
+        return Error(CursorError("the cursor is damaged"))
     return Ok(delivered)
 
 
--- a/src/stagewalk/node/samples/delivery.py
+++ b/src/stagewalk/node/samples/delivery.py
@@ -1,7 +1,7 @@
-"""Delivery of samples: pulls, their cursors, and pulls that wait for a first sample.
+"""Delivery of samples: answers pulls, and parks pulls that wait for a first sample.
 
-Owns the parked pulls and the text kept of acknowledged samples. Relies on the staleness gate for
-what may be delivered, and on the trainer's cursor alone for what it holds.
+Only the trainer's cursor determines which slots it has received. Acknowledged samples are kept for
+a while, for trainers that go back to an older cursor.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenPull:
-    """A pull that is to be answered; `delivered` is the bitmap of its cursor."""
+    """An unanswered pull; `delivered` is the bitmap of its cursor."""
 
     call: CallId
     pull: SamplePull
@@ -43,8 +43,8 @@
 class Delivery:
     """Answers pulls.
 
-    A delivered sample stays ready until a cursor covers its slot: if the answer is lost, the same
-    pull gets it again.
+    A delivered sample stays ready until a cursor covers its slot, so that a repeated pull gets it
+    again if the answer was lost.
     """
 
     def __init__(
@@ -63,24 +63,24 @@
         self._retained_bytes = 0
 
     def pull(self, lot: Lot, opened: OpenPull, now: float) -> list[LotOutput]:
-        """Answer a pull, or park it until there is something to deliver."""
+        """Answer a pull, or park it until a sample is ready or its wait ends."""
         outdated = opened.delivered != lot.acknowledged and (
             opened.delivered | lot.acknowledged == lot.acknowledged
         )
         parked = self._parked.get(lot.key)
         if parked is not None and outdated:
-            # A delayed repetition of an earlier pull: the one parked since is the trainer's own.
+            # A delayed duplicate of an earlier pull: the parked pull is the newer one.
             return [self._empty_answer(lot, opened)]
         output = self._acknowledge(lot, opened.delivered)
         if parked is not None:
-            # A trainer has one pull open at a time, so nobody waits for the parked one.
+            # A trainer has one open pull at a time, so it no longer waits for the parked one.
             del self._parked[lot.key]
             output.append(self._empty_answer(lot, parked))
         output += self._answer(lot, opened, now)
         return output
 
     def answer_parked_if_full(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Answer the pull that waits for a lot if no more could come with its batch."""
+        """Answer the parked pull of a lot if its batch is as large as it can get."""
         parked = self._parked.get(lot.key)
         if parked is None:
             return []
@@ -92,9 +92,9 @@
         return self._answer(lot, parked, now)
 
     def answer_all_parked(self, now: float) -> list[LotOutput]:
-        """Answer pulls for which there are samples, or whose wait is over.
+        """Answer parked pulls for which samples are ready or whose wait is over.
 
-        Done once a tick, so that samples that finish together travel together.
+        Called once per tick, so that samples that finish together are delivered together.
         """
         if not self._parked:
             return []
@@ -107,7 +107,7 @@
         return output
 
     def abandon(self, call: CallId) -> None:
-        """Drop a pull whose caller went away; what it would have got stays ready."""
+        """Drop a pull whose caller disconnected; its samples stay ready."""
         for key, parked in list(self._parked.items()):
             if parked.call == call:
                 del self._parked[key]
@@ -117,13 +117,13 @@
         return key in self._parked
 
     def drop(self, lot: Lot) -> list[LotOutput]:
-        """Answer the pull of a lot that is about to be dropped."""
+        """Answer the parked pull of a lot that is about to be dropped."""
         parked = self._parked.pop(lot.key, None)
         return [] if parked is None else [self._empty_answer(lot, parked)]
 
     def _answer(self, lot: Lot, opened: OpenPull, now: float) -> list[LotOutput]:
         output: list[LotOutput] = []
-        handed = opened.delivered
+        covered = opened.delivered
         samples: list[Sample] = []
         for index in self._available(lot, opened.delivered):
             if len(samples) >= opened.pull.max_samples:
@@ -131,20 +131,20 @@
             sample = lot.slots[index].sample
             if sample is None:
                 continue
-            match self._judge(lot, sample, opened.pull, now):
+            match self._freshness_of(lot, sample, opened.pull, now):
                 case SampleFreshness.FRESH:
                     samples.append(sample)
-                    handed |= 1 << index
+                    covered |= 1 << index
                 case SampleFreshness.STALE:
-                    output += self._settlement.run_again(lot, index, "too stale at hand-over")
-        complete = handed == lot.all_slots
+                    output += self._settlement.run_again(lot, index, "too stale at delivery")
+        complete = covered == lot.all_slots
         if not samples and not complete and now < opened.pull.wait_until:
             self._parked[lot.key] = opened
             return output
         if complete and lot.completed_at is None:
             lot.completed_at = now
-        cursor = encode_cursor(lot.digest, len(lot.slots), handed)
-        remaining = (lot.all_slots & ~handed).bit_count()
+        cursor = encode_cursor(lot.digest, len(lot.slots), covered)
+        remaining = (lot.all_slots & ~covered).bit_count()
         batch = SamplePage(tuple(samples), cursor, complete, remaining)
         output.append(DeliverSamples(opened.call, batch))
         return output
@@ -153,7 +153,9 @@
         ready = sorted(lot.indices[SlotPhase.READY])
         return [index for index in ready if not delivered >> index & 1]
 
-    def _judge(self, lot: Lot, sample: Sample, pull: SamplePull, now: float) -> SampleFreshness:
+    def _freshness_of(
+        self, lot: Lot, sample: Sample, pull: SamplePull, now: float
+    ) -> SampleFreshness:
         parameters = self._store.parameters(lot.key.tenant)
         if parameters is None:
             return SampleFreshness.UNCERTAIN
@@ -167,10 +169,11 @@
         )
 
     def _acknowledge(self, lot: Lot, delivered: int) -> list[LotOutput]:
-        """Apply a pull's cursor: what it covers is done, what it lacks is to be delivered.
+        """Apply a pull's cursor: acknowledge the slots it covers and reopen those it lacks.
 
-        A cursor may lack what an earlier one covered: the trainer went back to a checkpoint, or
-        a delayed pull came late. Such a slot is served from its kept sample or run again.
+        A cursor may lack slots that an earlier one covered, if the trainer went back to a
+        checkpoint or the pull was delayed. Such a slot is served from its retained sample or run
+        again.
         """
         output: list[LotOutput] = []
         for index in _set_bits(delivered & ~lot.acknowledged):
@@ -183,7 +186,7 @@
         return output
 
     def _retain(self, lot: Lot, index: int) -> None:
-        """Keep an acknowledged sample for an older cursor, as long as there is room."""
+        """Retain an acknowledged sample, and drop the oldest ones beyond `retained_bytes`."""
         sample = lot.slots[index].sample
         if sample is None:
             return
@@ -211,7 +214,7 @@
 
 
 def _set_bits(bitmap: int) -> list[int]:
-    """Return the positions of a bitmap's ones, ascending."""
+    """Return the positions of the bits that are set, in ascending order."""
     positions = []
     while bitmap:
         lowest = bitmap & -bitmap
--- a/src/stagewalk/node/samples/lengths.py
+++ b/src/stagewalk/node/samples/lengths.py
@@ -1,6 +1,6 @@
 """Online prediction of answer lengths, so that the longest rollouts start first.
 
-Owns moving means by prompt, family and tenant, in tokens.
+Predictions are moving averages by prompt, prompt family and tenant, in tokens.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from stagewalk.node.core.rollouts import RolloutPrompt
 
 MAXIMUM_PREDICTOR_ENTRIES = 20_000
-"""Prompts and families remembered; the least recently used go first."""
+"""Most moving averages kept; the least recently used are evicted first."""
 
 _SMOOTHING = 0.2
-"""Weight of a new length in a moving mean, once it rests on several."""
+"""Least weight of a new length in a moving average."""
 
 _PRIOR_STRENGTH = 2.0
-"""How many observations of its own an estimate needs to weigh as much as the coarser one."""
+"""Number of observations at which an estimate has the same weight as the coarser one."""
 
 _UNKNOWN_SHARE_OF_LIMIT = 0.5
-"""Predicted share of `max_tokens` while nothing is known of a tenant."""
+"""Predicted fraction of `max_tokens` without any observations of a tenant."""
 
 
 @dataclass(slots=True)
@@ -38,9 +38,9 @@
 
 
 class LengthPredictor:
-    """Moving means of answer lengths by prompt, by prompt family and by tenant.
+    """Moving averages of answer lengths by prompt, by prompt family and by tenant.
 
-    A fine estimate is shrunk towards the coarser one while it rests on few observations.
+    A fine estimate is shrunk towards the coarser one while it has few observations.
     """
 
     def __init__(self, maximum_entries: int = MAXIMUM_PREDICTOR_ENTRIES) -> None:
@@ -75,6 +75,6 @@
 
 
 def _levels(prompt: RolloutPrompt) -> tuple[str, str, str]:
-    """Return the keys of the means that speak of a prompt, coarsest first."""
+    """Return the keys of the averages that apply to a prompt, coarsest first."""
     digest = xxhash.xxh64_hexdigest(prompt.prompt.encode())
     return ("", f"family/{prompt_family(prompt.prompt_id)}", f"prompt/{digest}")
--- a/src/stagewalk/node/samples/lots.py
+++ b/src/stagewalk/node/samples/lots.py
@@ -1,8 +1,4 @@
-"""A lot at one node: its slots in their deterministic order and what became of each.
-
-Plain state, changed by the parts of the ledger; owns the phases' index and the queue of waiting
-slots.
-"""
+"""State of a lot at one node: its slots in a deterministic order, and the phase of each."""
 
 from __future__ import annotations
 
@@ -33,17 +29,17 @@
 
 
 class SlotPhase(Enum):
-    """How far a slot has come at this node."""
+    """Processing phase of a slot at this node."""
 
     WAITING = "waiting"
-    """To be run, when its turn comes or the timer of a failed rollout is due."""
+    """Waits in the queue, or for the retry timer of a failed rollout."""
     RUNNING = "running"
     SCORING = "scoring"
     CLAIMING = "claiming"
     READY = "ready"
     """Its sample may be delivered."""
     ACKNOWLEDGED = "acknowledged"
-    """A pull's cursor covers it; its sample, if there is one, is kept for an older cursor."""
+    """A pull's cursor covers it; its sample may be retained for an older cursor."""
 
 
 _PHASES_BEFORE_ANSWER = frozenset({SlotPhase.WAITING, SlotPhase.RUNNING})
@@ -56,35 +52,35 @@
     Attributes
     ----------
     generation
-        Grows when the chosen sample is too stale to be delivered: the slot is then run again.
-    tries
+        Incremented when the slot's sample is too stale to be delivered and the slot is run again.
+    rollouts_started
         Rollouts started for it at this node; makes request ids unique.
     failures
-        Failures in a row: of its rollouts until there is an answer, then of its present phase.
+        Consecutive failures: of its rollouts until there is an answer, then in its current phase.
     requests
-        Rollouts running for it, with the time each was started: two for a straggler.
-    candidate
-        The finished answer that is being scored or claimed, with its request's id.
+        Running rollouts with their start times; two for a duplicated straggler.
+    candidate_id, candidate
+        Request id and answer of the finished rollout that is being scored.
     sample
-        What a pull would get.
+        The sample to deliver.
     decided
-        Whether the sample is the one the claim chose.
-    change
-        Grows with each change of phase; a timer set before it is out of date.
+        Whether the claim has decided on the sample.
+    phase_changes
+        Incremented on each change of phase, which invalidates the timers set before.
     """
 
     key: SampleSlotKey
     prompt: RolloutPrompt
     phase: SlotPhase = SlotPhase.WAITING
     generation: int = 0
-    tries: int = 0
+    rollouts_started: int = 0
     failures: int = 0
     requests: dict[RequestId, float] = field(default_factory=dict)
     candidate_id: RequestId | None = None
     candidate: CompletionResult | None = None
     sample: Sample | None = None
     decided: bool = False
-    change: int = 0
+    phase_changes: int = 0
 
 
 @dataclass(slots=True)
@@ -94,32 +90,32 @@
     Attributes
     ----------
     digest
-        Binds cursors to the lot's identity and contents.
+        Hash of the lot's identity and contents, which binds cursors to it.
     acknowledged
-        Bitmap of the newest pull's cursor.
+        Bitmap of the last applied cursor.
     active_at
-        When the trainer last submitted or pulled it here.
+        When the trainer last submitted or pulled any of its lots here.
     pulled
-        Whether a pull for it has come to this node.
+        Whether this node has received a pull for it.
     window, window_shrunk_at
-        Rollouts that may run at once; shrinks with refusals, grows with answers. When it last
-        shrank.
+        How many rollouts may run at the same time, which grows with answers and shrinks with
+        refusals, and when it last shrank.
     paused
-        Its trainer has been silent for long: nothing of it is run.
+        Whether it is paused because its trainer has been inactive.
     completed_at
         When a pull's answer first covered every slot, if one did.
     durations
-        Seconds that finished rollouts took, ascending.
+        Durations of finished rollouts in seconds, ascending.
     held_until
-        Nothing of it is started before: its claims are being probed for another node's work.
-    moved
-        Another node runs it, or did: its claims are read from time to time.
+        No rollouts start before, while claims are probed for work of another node.
+    run_elsewhere
+        Whether another node runs or ran it; its claims are then read periodically.
     following
-        That node finished slots lately: nothing is started here.
-    news_at, next_read_at
-        When a claim that another node had decided was last found, and when claims are read next.
-    used
-        Order among its trainer's lots in which it was last submitted or pulled.
+        Whether no rollouts start here because that node has decided claims lately.
+    claim_found_at, next_claim_read_at
+        When a claim decided by another node was last found, and when claims are read next.
+    last_call
+        Sequence number of the last call that submitted or pulled it.
     stuck_logged_at
         When one of its slots was last logged as stuck.
     """
@@ -140,11 +136,11 @@
     durations: list[float] = field(default_factory=list)
     duplicates: int = 0
     held_until: float = 0.0
-    moved: bool = False
+    run_elsewhere: bool = False
     following: bool = False
-    news_at: float | None = None
-    next_read_at: float = 0.0
-    used: int = 0
+    claim_found_at: float | None = None
+    next_claim_read_at: float = 0.0
+    last_call: int = 0
     stuck_logged_at: float | None = None
 
     @property
@@ -153,7 +149,7 @@
         return (1 << len(self.slots)) - 1
 
     def move(self, index: int, phase: SlotPhase, *, keep_timers: bool = False) -> None:
-        """Bring a slot to a phase; its timers are out of date then, unless they are kept."""
+        """Move a slot to a phase and invalidate its timers, unless `keep_timers` is set."""
         slot = self.slots[index]
         self.indices[slot.phase].discard(index)
         self.indices[phase].add(index)
@@ -161,10 +157,10 @@
         if phase not in _PHASES_BEFORE_ANSWER:
             slot.failures = 0
         if not keep_timers:
-            slot.change += 1
+            slot.phase_changes += 1
 
     def enqueue(self, index: int, predicted_tokens: float) -> None:
-        """Queue a waiting slot by its predicted length, the longest first."""
+        """Queue a waiting slot by predicted length, longest first."""
         heapq.heappush(self.queue, (-predicted_tokens, index))
 
     def next_in_queue(self) -> int | None:
@@ -188,7 +184,7 @@
 def lot_digest(lot: RolloutLot) -> int:
     """Return the xxHash64 of a lot's identity and contents.
 
-    Versions and deadlines are left out: a step submitted again may name newer ones.
+    Versions and deadlines are left out, since a step submitted again may have newer ones.
     """
     contents = (
         lot.tenant,
@@ -202,7 +198,7 @@
 
 
 def make_lot(lot: RolloutLot, window: int, now: float) -> Lot:
-    """Return a lot with all its slots waiting, in the order its cursors count them."""
+    """Return a lot with all slots waiting, in the order of its cursors' bitmaps."""
     slots = [
         Slot(SampleSlotKey(lot.tenant, lot.trainer, lot.step, prompt.prompt_id, index), prompt)
         for prompt in lot.prompts
--- a/src/stagewalk/node/samples/maintenance.py
+++ b/src/stagewalk/node/samples/maintenance.py
@@ -1,7 +1,7 @@
-"""The rules for lots over time: pause silent ones, drop old ones, take over moved ones.
+"""Lot maintenance: pauses inactive lots, drops old ones and follows lots run by other nodes.
 
-Owns when the store's versions were read. Relies on claims to see what another node makes of a lot:
-what that node finishes, it claims. Times in seconds; the constants are fields of `LotConfig`.
+The progress of another node on a lot is visible in the claims that it has decided. Times are in
+seconds; the constants are fields of `LotConfig`.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from stagewalk.node.samples.sample_codec import sample_claim_key
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.settlement import LotOutput
-from stagewalk.node.samples.store import LotStore, SlotPlace
+from stagewalk.node.samples.store import LotStore, SlotLocation
 
-_UNFINISHED = (SlotPhase.WAITING, SlotPhase.RUNNING)
+_UNFINISHED_PHASES = (SlotPhase.WAITING, SlotPhase.RUNNING)
 
 
 class LotMaintenance:
-    """Bounds what lots cost while no trainer pulls them."""
+    """Pauses, drops and follows lots, and reads the weight store's versions."""
 
     def __init__(
         self,
@@ -41,18 +41,18 @@
         self._versions_read_at: dict[ModelName, float] = {}
 
     def check(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Drop or pause a lot whose trainer has been silent, or start what may run."""
-        if self._is_over(lot, now):
+        """Drop or pause a lot whose trainer is inactive, or start the rollouts that may run."""
+        if self._is_expired(lot, now):
             return self.forget(lot)
         output: list[LotOutput] = []
-        if not lot.paused and self._is_silent(lot, now):
+        if not lot.paused and self._is_inactive(lot, now):
             output += self._pause(lot, now)
         output += self._scheduler.dispatch(lot, now)
         output += self._scheduler.duplicate_stragglers(lot, now)
         return output
 
     def read_versions(self, now: float) -> list[LotOutput]:
-        """Read the store's versions of models whose samples are bound in seconds."""
+        """Read the store's versions of models that have a staleness bound in seconds."""
         running = {lot.lot.model for lot in self._store.lots.values() if not lot.paused}
         output: list[LotOutput] = []
         for model in sorted(self._bounded_models):
@@ -75,37 +75,37 @@
         }
 
     def probe(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Read some claims of a lot that is new here, to find out whether another node runs it."""
+        """Read some claims of a new lot to find out whether another node runs it."""
         count = len(lot.slots)
         probes = min(count, self._config.claim_probes)
         lot.held_until = now + self._config.probe_seconds
-        lot.next_read_at = lot.held_until
+        lot.next_claim_read_at = lot.held_until
         return [self._read_claim(lot, probe * count // probes) for probe in range(probes)]
 
-    def take_over(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Follow a lot that began at another node, which may be dead or at it still.
+    def start_following(self, lot: Lot, now: float) -> list[LotOutput]:
+        """Start following a lot that began at another node, which may be dead or still running it.
 
-        Running the same slots here as well would take the engines from it, so nothing is started
-        while new claims of it are found.
+        While new claims of that node are found, no rollouts start here, since running the same
+        slots twice would waste engine capacity.
         """
-        lot.moved = True
+        lot.run_elsewhere = True
         lot.following = True
-        lot.news_at = now
+        lot.claim_found_at = now
         return self._read_claims(lot, now)
 
-    def follow(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Go on reading another node's claims of a lot; run it here once no new ones are found."""
-        if now < lot.next_read_at or lot.paused:
+    def continue_following(self, lot: Lot, now: float) -> list[LotOutput]:
+        """Read another node's claims of a lot again; stop following when no new ones are found."""
+        if now < lot.next_claim_read_at or lot.paused:
             return []
-        if not lot.moved:
-            # The probes' answers are in.
-            return [] if lot.news_at is None else self.take_over(lot, now)
-        if lot.news_at is None or now - lot.news_at >= self._config.quiet_seconds:
+        if not lot.run_elsewhere:
+            # The probes have been answered.
+            return [] if lot.claim_found_at is None else self.start_following(lot, now)
+        if lot.claim_found_at is None or now - lot.claim_found_at >= self._config.quiet_seconds:
             lot.following = False
         return self._read_claims(lot, now)
 
     def forget(self, lot: Lot) -> list[LotOutput]:
-        """Drop a lot; what was delivered of it is in its trainer's cursor."""
+        """Drop a lot and cancel its rollouts."""
         output = self._delivery.drop(lot)
         for slot in lot.slots:
             output += self._scheduler.cancel(slot)
@@ -113,22 +113,22 @@
         return output
 
     def forget_superseded(self, key: LotKey) -> list[LotOutput]:
-        """Drop all lots of a trainer but those it used last."""
+        """Drop all lots of a trainer except the most recently used."""
         lots = [lot for lot in self._store.lots_of_trainer(key) if lot.key != key]
-        lots.sort(key=lambda lot: (lot.used, lot.key.step))
+        lots.sort(key=lambda lot: (lot.last_call, lot.key.step))
         kept = self._config.retained_steps + self._config.look_ahead_steps
         output: list[LotOutput] = []
         for lot in lots[: max(0, len(lots) - kept)]:
             output += self.forget(lot)
         return output
 
-    def _is_over(self, lot: Lot, now: float) -> bool:
+    def _is_expired(self, lot: Lot, now: float) -> bool:
         silent = now - lot.active_at
         if lot.completed_at is not None:
             return silent > self._config.retention_seconds
         return silent > self._config.idle_retention_seconds
 
-    def _is_silent(self, lot: Lot, now: float) -> bool:
+    def _is_inactive(self, lot: Lot, now: float) -> bool:
         if self._delivery.has_parked(lot.key):
             return False
         pulling = lot.pulled and lot.completed_at is None
@@ -136,7 +136,7 @@
         return now - lot.active_at > limit
 
     def _pause(self, lot: Lot, now: float) -> list[LotOutput]:
-        """Stop running a lot: its trainer seems to be gone, or served by another node."""
+        """Pause a lot whose trainer has probably stopped or moved to another node."""
         lot.paused = True
         output: list[LotOutput] = []
         for index in sorted(lot.indices[SlotPhase.RUNNING]):
@@ -152,15 +152,15 @@
         return [*output, WriteLogLine("lot_paused", fields)]
 
     def _read_claims(self, lot: Lot, now: float) -> list[LotOutput]:
-        unfinished = [index for phase in _UNFINISHED for index in sorted(lot.indices[phase])]
+        unfinished = [index for phase in _UNFINISHED_PHASES for index in sorted(lot.indices[phase])]
         interval = self._config.claim_read_seconds
         if len(unfinished) <= self._config.claim_probes:
             interval = self._config.last_claim_read_seconds
-        lot.next_read_at = now + interval
+        lot.next_claim_read_at = now + interval
         return [self._read_claim(lot, index) for index in unfinished]
 
     def _read_claim(self, lot: Lot, index: int) -> ReadClaim:
         slot = lot.slots[index]
         key = sample_claim_key(slot.key, slot.generation, lot.digest)
-        self._store.claims[key] = SlotPlace(lot.key, index)
+        self._store.claims[key] = SlotLocation(lot.key, index)
         return ReadClaim(key)
--- a/src/stagewalk/node/samples/notifications.py
+++ b/src/stagewalk/node/samples/notifications.py
@@ -1,4 +1,4 @@
-"""What the sample ledger asks of the request core; for claims it uses `claims.notifications`."""
+"""Notifications from the sample ledger to the request core and the claim register."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRollout:
-    """Cancel a rollout: its slot is filled or acknowledged. No outcome is expected."""
+    """Cancel a rollout that is no longer needed; no outcome is reported."""
 
     tenant: TenantName
     request_id: RequestId
--- a/src/stagewalk/node/samples/sample_codec.py
+++ b/src/stagewalk/node/samples/sample_codec.py
@@ -1,4 +1,4 @@
-"""Samples as values of the claim register: the stored form, which other nodes and releases read."""
+"""Encoding of samples as claim values, a stored format that other nodes and releases read."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from stagewalk.node.core.rollouts import Sample
 
 SAMPLE_CLAIM_KEY_PREFIX = "slot/"
-"""Begins the keys of all claims that decide slots."""
+"""Prefix of the keys of claims that decide slots."""
 
 _MINIMUM_COMPRESSED_BYTES = 256
-"""Text shorter than this is stored as it is."""
+"""Shorter text is stored uncompressed."""
 
 
 class _EncodedSample(msgspec.Struct, frozen=True, array_like=True):
-    """MessagePack form of a sample; `text` is compressed if `compressed` says so."""
+    """MessagePack form of a sample; `text` is compressed if `compressed` is set."""
 
     sample_id: str
     compressed: bool
@@ -34,14 +34,14 @@
 def sample_claim_key(slot: SampleSlotKey, generation: int, lot_digest: int) -> str:
     """Return the key of the claim that decides a slot's sample.
 
-    A generation whose chosen sample grew too stale is dead; the next one has a key of its own.
-    So has a step that was submitted elsewhere with other prompts: its samples are not this one's.
+    The key contains the generation, since a slot that is run again needs a new decision, and the
+    digest, since samples of a step submitted elsewhere with other prompts must not be used.
     """
     return f"{SAMPLE_CLAIM_KEY_PREFIX}{slot}/{generation}/{lot_digest:016x}"
 
 
 def encode_sample(sample: Sample) -> bytes:
-    """Return a sample as octets, without its slot, which the claim's key names."""
+    """Return the encoded sample without its slot, which is in the claim's key."""
     text = sample.text.encode()
     compressed = len(text) >= _MINIMUM_COMPRESSED_BYTES
     return msgspec.msgpack.encode(
@@ -57,9 +57,9 @@
 
 
 def decode_sample(slot: SampleSlotKey, value: bytes, now: float) -> Sample | None:
-    """Return the sample in a claim's value, or None if it is not one.
+    """Return the sample encoded in a claim's value, or None if the value is invalid.
 
-    `now` becomes its `finished_at`: clocks of other nodes mean nothing here.
+    `finished_at` is set to `now`, since clocks of other nodes are not comparable.
     """
     try:
         encoded = _DECODER.decode(value)
--- a/src/stagewalk/node/samples/scheduler.py
+++ b/src/stagewalk/node/samples/scheduler.py
@@ -1,8 +1,7 @@
-"""The rules for which slots run next: order, window, look-ahead, and duplicates of stragglers.
+"""Rollout scheduling: order of slots, window, look-ahead, and duplicates of stragglers.
 
-Owns the prediction of answer lengths. Inputs: phases of a lot's slots, the trainer's step and
-version, the versions that exist and that engines run. A lot's window bounds how many of its
-rollouts run; it grows with answers and shrinks with refusals.
+A lot's window bounds how many of its rollouts run at the same time; it grows with answers and
+shrinks with refusals.
 """
 
 from __future__ import annotations
@@ -17,23 +16,23 @@
 from stagewalk.node.samples.lengths import LengthPredictor
 from stagewalk.node.samples.lots import Lot, Slot, SlotPhase
 from stagewalk.node.samples.notifications import CancelRollout, LotNotification, StartRollout
-from stagewalk.node.samples.staleness import version_slack
-from stagewalk.node.samples.store import LotStore, SlotPlace
+from stagewalk.node.samples.staleness import allowed_version_lag
+from stagewalk.node.samples.store import LotStore, SlotLocation
 
 _MINIMUM_DURATIONS = 5
-"""Finished rollouts of a lot needed before any other counts as a straggler."""
+"""Finished rollouts of a lot needed before stragglers are detected."""
 
 _STRAGGLER_PERCENTILE = 0.9
-"""Of a lot's durations: the usual longest, which `straggler_factor` multiplies."""
+"""Percentile of a lot's durations that `straggler_factor` multiplies."""
 
 MINIMUM_WINDOW_ROLLOUTS = 4
-"""Rollouts of a lot that may run at once even if they are refused: they notice free room."""
+"""Smallest window of a lot, so that free capacity is noticed even after many refusals."""
 
 _WINDOW_DECREASE = 0.8
-"""What stays of a window after a refusal, as in admission's `decrease_factor`."""
+"""Factor applied to the window after a refusal, like admission's `decrease_factor`."""
 
 _WINDOW_DECREASE_SECONDS = 1.0
-"""A window shrinks at most once in this time: refusals come in bursts."""
+"""Least time between two decreases of a window, since refusals come in bursts."""
 
 
 class RolloutScheduler:
@@ -61,11 +60,11 @@
             lot.enqueue(index, predicted[slot.prompt.prompt_id])
 
     def dispatch(self, lot: Lot, now: float) -> list[LotNotification]:
-        """Start waiting slots of a lot, as many as its limits let run."""
+        """Start as many waiting slots of a lot as its limits allow."""
         if lot.paused or lot.following or not lot.queue or not self._may_run(lot, now):
             return []
         minimum = self._minimum_version(lot, now)
-        limit = int(lot.window * self._served_share(lot, minimum, now))
+        limit = int(lot.window * self._served_fraction(lot, minimum, now))
         started: list[LotNotification] = []
         while lot.count(SlotPhase.RUNNING) < limit:
             index = lot.next_in_queue()
@@ -76,17 +75,17 @@
         return started
 
     def dispatch_all(self, lots: Iterable[Lot], now: float) -> list[LotNotification]:
-        """Start waiting slots of several lots, in their order."""
+        """Start waiting slots of several lots, in the given order."""
         started: list[LotNotification] = []
         for lot in lots:
             started += self.dispatch(lot, now)
         return started
 
     def duplicate_stragglers(self, lot: Lot, now: float) -> list[LotNotification]:
-        """Run the stragglers of a step that is nearly done a second time.
+        """Start duplicates of the stragglers of a lot that is nearly done.
 
-        Sampling is seeded by the slot, so both attempts give the same answer if they run under
-        the same weights; whichever is claimed first is the sample.
+        Sampling is seeded by slot, so both rollouts give the same answer if they run under the
+        same weights. The first to finish is scored and the other is cancelled.
         """
         if lot.paused or not self._near_end(lot):
             return []
@@ -107,7 +106,7 @@
         return started
 
     def cancel(self, slot: Slot) -> list[LotNotification]:
-        """Cancel all rollouts of a slot, and drop an answer that is being scored."""
+        """Cancel all rollouts of a slot and drop the answer that is being scored, if any."""
         cancelled: list[LotNotification] = []
         for request_id in sorted(slot.requests):
             self._store.requests.pop(request_id, None)
@@ -126,7 +125,7 @@
         bisect.insort(lot.durations, now - started_at)
 
     def refused(self, lot: Lot, now: float) -> None:
-        """Shrink a lot's window: there is no room for its rollouts."""
+        """Shrink a lot's window because a rollout was refused for lack of capacity."""
         if now - lot.window_shrunk_at < _WINDOW_DECREASE_SECONDS:
             return
         lot.window_shrunk_at = now
@@ -145,8 +144,8 @@
     def _may_run(self, lot: Lot, now: float) -> bool:
         """Return whether rollouts of a lot may start now.
 
-        A step ahead of its trainer's runs only with what the steps before it leave free, and
-        only once weights exist that will be fresh enough when it is pulled.
+        A step ahead of its trainer's runs only if no earlier step has waiting slots, and only
+        once weights exist that will be fresh enough when it is pulled.
         """
         if now < lot.held_until or self._store.parameters(lot.key.tenant) is None:
             return False
@@ -159,15 +158,14 @@
         minimum = self._minimum_version(lot, now)
         return newest is None or minimum is None or newest >= minimum
 
-    def _served_share(self, lot: Lot, minimum: WeightVersion | None, now: float) -> float:
-        """Return the share of engines that could run a lot's rollouts.
+    def _served_fraction(self, lot: Lot, minimum: WeightVersion | None, now: float) -> float:
+        """Return the fraction of engines whose weights are fresh enough for a lot.
 
-        While engines swap weights, only as many rollouts run as those can take that hold weights
-        fresh enough.
+        It scales the lot's window while engines swap weights.
         """
         if minimum is None:
             return 1.0
-        return self._store.served.share_at_least(lot.lot.model, minimum, now)
+        return self._store.served.fraction_at_least(lot.lot.model, minimum, now)
 
     def _has_earlier_work(self, lot: Lot) -> bool:
         return any(
@@ -179,14 +177,14 @@
     def _minimum_version(self, lot: Lot, now: float) -> WeightVersion | None:
         """Return the oldest version that will still be fresh enough when the lot is pulled.
 
-        A trainer publishes a version after each step, so a pull for a step ahead will name a
-        version that is newer by as many steps.
+        A trainer publishes a version after each step, so the pull for a step that lies N ahead
+        will name a version that is newer by N.
         """
         parameters = self._store.parameters(lot.key.tenant)
         if parameters is None:
             return None
         expected = self._store.trainer_version(lot.key) + self._store.steps_ahead(lot)
-        minimum = expected - version_slack(parameters)
+        minimum = expected - allowed_version_lag(parameters)
         if parameters.minimum_version is not None:
             minimum = max(minimum, parameters.minimum_version)
         if parameters.staleness_bound_seconds is not None:
@@ -205,11 +203,11 @@
         self, lot: Lot, index: int, minimum: WeightVersion | None, now: float
     ) -> StartRollout:
         slot = lot.slots[index]
-        slot.tries += 1
+        slot.rollouts_started += 1
         source = f"{self._node}.{self._incarnation}"
-        request_id = RequestId(f"{slot.key}#{slot.generation}.{slot.tries}@{source}")
+        request_id = RequestId(f"{slot.key}#{slot.generation}.{slot.rollouts_started}@{source}")
         slot.requests[request_id] = now
-        self._store.requests[request_id] = SlotPlace(lot.key, index)
+        self._store.requests[request_id] = SlotLocation(lot.key, index)
         parameters = self._store.parameters(lot.key.tenant)
         return StartRollout(
             CompletionRequest(
--- a/src/stagewalk/node/samples/served_versions.py
+++ b/src/stagewalk/node/samples/served_versions.py
@@ -1,7 +1,4 @@
-"""Which weight versions the engines of this node's subset run, by their reports.
-
-Owns recent reports, bounded by age and number; the scheduler uses the share.
-"""
+"""Weight versions that the engines of this node's subset run, from their recent reports."""
 
 from __future__ import annotations
 
@@ -10,32 +7,31 @@
 from stagewalk.common.identities import ModelName, WeightVersion
 
 MAXIMUM_REPORT_AGE_SECONDS = 1.5
-"""Age up to which reports count: each engine is polled at least once in this time."""
+"""Age up to which reports count; each engine is polled at least once in this time."""
 
 MAXIMUM_REPORTS_PER_MODEL = 512
-"""Reports of one model that are kept; the oldest go first."""
+"""Most reports of one model that are kept; the oldest are dropped first."""
 
 
 class ServedVersions:
-    """Share of recent reports that name a version or a newer one.
+    """Fraction of recent reports that name a given version or a newer one.
 
-    All engines are polled alike, so this is close to the share of engines, and it needs no
-    table of them here. Without it a step that asks for new weights is sent whole to the first
-    engine that has swapped, and queues there while the others come up with empty batches.
+    All engines are polled equally often, so this approximates the fraction of engines. It keeps a
+    step that needs new weights from being sent entirely to the first engine that has loaded them.
     """
 
     def __init__(self) -> None:
         self._reports: dict[ModelName, deque[tuple[float, WeightVersion]]] = {}
 
-    def reported(self, model: ModelName, version: WeightVersion, now: float) -> None:
-        """Record the version that an engine reports to run."""
+    def record_report(self, model: ModelName, version: WeightVersion, now: float) -> None:
+        """Record the version that an engine reports."""
         reports = self._reports.setdefault(model, deque(maxlen=MAXIMUM_REPORTS_PER_MODEL))
         reports.append((now, version))
         while reports[0][0] < now - MAXIMUM_REPORT_AGE_SECONDS:
             reports.popleft()
 
-    def share_at_least(self, model: ModelName, minimum: WeightVersion, now: float) -> float:
-        """Return the share of reports that name `minimum` or newer; 1 if there are no reports."""
+    def fraction_at_least(self, model: ModelName, minimum: WeightVersion, now: float) -> float:
+        """Return the fraction of reports that name `minimum` or newer; 1 without reports."""
         reports = self._reports.get(model, ())
         recent = [version for at, version in reports if at >= now - MAXIMUM_REPORT_AGE_SECONDS]
         if not recent:
--- a/src/stagewalk/node/samples/settlement.py
+++ b/src/stagewalk/node/samples/settlement.py
@@ -1,8 +1,7 @@
-"""The rules from a finished rollout to the slot's one sample: freshness, score, claim, retries.
+"""Settlement of slots, from a finished rollout to a sample: freshness, score, claim and retries.
 
-Owns when a slot is run again, scored again or claimed again. Relies on the claim register to make
-one sample a slot's, and on the staleness gate for what is worth scoring. Delays are in seconds and
-fields of `LotConfig`.
+The claim register makes sure that all nodes agree on one sample per slot. Answers that are too
+stale are not scored. The retry delays are fields of `LotConfig`.
 """
 
 from __future__ import annotations
@@ -23,19 +22,19 @@
 from stagewalk.node.samples.sample_codec import decode_sample, encode_sample, sample_claim_key
 from stagewalk.node.samples.scheduler import RolloutScheduler
 from stagewalk.node.samples.staleness import SampleFreshness, judge_freshness
-from stagewalk.node.samples.store import LotStore, SlotPlace
+from stagewalk.node.samples.store import LotStore, SlotLocation
 from stagewalk.node.samples.timers import SlotTimer, SlotTimerKind
 
-_UNFINISHED = frozenset({SlotPhase.WAITING, SlotPhase.RUNNING})
+_UNFINISHED_PHASES = frozenset({SlotPhase.WAITING, SlotPhase.RUNNING})
 
 LotOutput = Instruction | LotNotification
 
-_NO_ROOM = frozenset({ErrorKind.OVERLOADED, ErrorKind.OVER_LIMIT})
-"""Errors that say nothing against a slot: there was no room for it."""
+_CAPACITY_ERRORS = frozenset({ErrorKind.OVERLOADED, ErrorKind.OVER_LIMIT})
+"""Errors that mean a lack of capacity."""
 
-_SOON_AGAIN = _NO_ROOM | {ErrorKind.NO_ENGINE}
-"""Errors after which a slot is tried again soon: room, or an engine with the weights it asks
-for, may be there within a second."""
+_SHORT_DELAY_ERRORS = _CAPACITY_ERRORS | {ErrorKind.NO_ENGINE}
+"""Errors with a short retry delay: capacity, or an engine with the required weights, may become
+available within a second."""
 
 
 class SampleSettlement:
@@ -58,21 +57,21 @@
     def rollout_finished(
         self, request_id: RequestId, result: CompletionResult, now: float
     ) -> list[LotOutput]:
-        """Handle a rollout's whole answer."""
-        place = self._store.requests.get(request_id)
-        if place is None:
+        """Handle the complete answer of a rollout: score it, or run the slot again."""
+        location = self._store.requests.get(request_id)
+        if location is None:
             return []
-        lot, index = self._store.lots[place.lot], place.index
+        lot, index = self._store.lots[location.lot], location.index
         slot = lot.slots[index]
         started_at = slot.requests.pop(request_id, None)
         if started_at is None or slot.phase is not SlotPhase.RUNNING:
             return []
         self._scheduler.finished(lot, slot, started_at, result.token_count, now)
         output: list[LotOutput] = list(self._scheduler.cancel(slot))
-        fault = self._answer_fault(lot, result, now)
-        if fault is not None:
+        problem = self._answer_problem(lot, result, now)
+        if problem is not None:
             del self._store.requests[request_id]
-            return output + self.run_again(lot, index, fault)
+            return output + self.run_again(lot, index, problem)
         slot.candidate_id = request_id
         slot.candidate = result
         lot.move(index, SlotPhase.SCORING)
@@ -81,34 +80,34 @@
     def rollout_failed(
         self, request_id: RequestId, error: StagewalkError, now: float
     ) -> list[LotOutput]:
-        """Handle the final error of a rollout: its slot is run again after a delay."""
-        place = self._store.requests.pop(request_id, None)
-        if place is None:
+        """Handle the final error of a rollout; its slot is run again after a delay."""
+        location = self._store.requests.pop(request_id, None)
+        if location is None:
             return []
-        lot = self._store.lots[place.lot]
-        slot = lot.slots[place.index]
+        lot = self._store.lots[location.lot]
+        slot = lot.slots[location.index]
         slot.requests.pop(request_id, None)
         if slot.phase is not SlotPhase.RUNNING or slot.requests:
             return []
         failures = slot.failures + 1
-        lot.move(place.index, SlotPhase.WAITING)
+        lot.move(location.index, SlotPhase.WAITING)
         slot.failures = failures
         limit = self._config.retry_limit_seconds
-        if error.kind in _NO_ROOM:
+        if error.kind in _CAPACITY_ERRORS:
             self._scheduler.refused(lot, now)
-        if error.kind in _SOON_AGAIN:
+        if error.kind in _SHORT_DELAY_ERRORS:
             limit = self._config.no_room_retry_seconds
         delay = self._retry_delay(failures)
         delay = min(limit, max(delay, error.retry_after_seconds or 0.0))
-        self._set_timer(now + delay, SlotTimerKind.RUN, lot, place.index)
+        self._set_timer(now + delay, SlotTimerKind.RUN, lot, location.index)
         return self._log_if_stuck(lot, slot, error, now)
 
     def scored(self, sample_id: str, score: float, now: float) -> list[LotOutput]:
-        """Handle a sample's score, and propose the sample as its slot's."""
-        place = self._store.requests.get(RequestId(sample_id))
-        if place is None:
+        """Handle a sample's score, and propose the sample as the claim's value."""
+        location = self._store.requests.get(RequestId(sample_id))
+        if location is None:
             return []
-        lot, index = self._store.lots[place.lot], place.index
+        lot, index = self._store.lots[location.lot], location.index
         slot = lot.slots[index]
         if slot.phase is not SlotPhase.SCORING or slot.candidate_id != sample_id:
             return []
@@ -129,52 +128,52 @@
         return [self._propose(lot, index, slot.sample)]
 
     def scoring_failed(self, sample_id: str, error: StagewalkError, now: float) -> list[LotOutput]:
-        """Handle a failed score: it is tried again after a delay; scoring is idempotent."""
-        place = self._store.requests.get(RequestId(sample_id))
-        if place is None:
+        """Handle a scoring failure; scoring is idempotent and retried after a delay."""
+        location = self._store.requests.get(RequestId(sample_id))
+        if location is None:
             return []
-        lot = self._store.lots[place.lot]
-        slot = lot.slots[place.index]
+        lot = self._store.lots[location.lot]
+        slot = lot.slots[location.index]
         if slot.phase is not SlotPhase.SCORING or slot.candidate_id != sample_id:
             return []
         slot.failures += 1
         delay = self._retry_delay(slot.failures)
-        self._set_timer(now + delay, SlotTimerKind.SCORE, lot, place.index)
+        self._set_timer(now + delay, SlotTimerKind.SCORE, lot, location.index)
         return self._log_if_stuck(lot, slot, error, now)
 
     def claim_decided(self, key: str, value: bytes, now: float) -> list[LotOutput]:
-        """Handle the sample that was decided for a slot, this node's or another's."""
-        place = self._store.claims.pop(key, None)
-        if place is None:
+        """Handle the sample decided for a slot, proposed by this node or another."""
+        location = self._store.claims.pop(key, None)
+        if location is None:
             return []
-        lot = self._store.lots[place.lot]
-        slot = lot.slots[place.index]
+        lot = self._store.lots[location.lot]
+        slot = lot.slots[location.index]
         chosen = decode_sample(slot.key, value, now)
         if chosen is None:
             return [WriteLogLine("claim_value_damaged", {"key": key})]
         slot.sample = chosen
         slot.decided = True
-        if slot.phase in _UNFINISHED:
-            lot.news_at = now
+        if slot.phase in _UNFINISHED_PHASES:
+            lot.claim_found_at = now
         if slot.phase not in {SlotPhase.READY, SlotPhase.ACKNOWLEDGED}:
-            lot.move(place.index, SlotPhase.READY)
+            lot.move(location.index, SlotPhase.READY)
         return list(self._scheduler.cancel(slot))
 
     def claim_undecided(self, key: str, error: StagewalkError, now: float) -> list[LotOutput]:
-        """Propose again after a delay: no majority of the claim's replicas answered."""
-        place = self._store.claims.get(key)
-        if place is None:
+        """Propose a claim again after a delay, unless the error is permanent."""
+        location = self._store.claims.get(key)
+        if location is None:
             return []
-        lot = self._store.lots[place.lot]
-        slot = lot.slots[place.index]
-        hopeless = error.kind is ErrorKind.INVALID_REQUEST
-        if hopeless or slot.phase not in {SlotPhase.CLAIMING, SlotPhase.READY}:
+        lot = self._store.lots[location.lot]
+        slot = lot.slots[location.index]
+        is_permanent = error.kind is ErrorKind.INVALID_REQUEST
+        if is_permanent or slot.phase not in {SlotPhase.CLAIMING, SlotPhase.READY}:
             del self._store.claims[key]
-            self._stop_waiting_for_claim(lot, place.index)
+            self._stop_waiting_for_claim(lot, location.index)
             return []
         slot.failures += 1
         delay = self._retry_delay(slot.failures)
-        self._set_timer(now + delay, SlotTimerKind.CLAIM, lot, place.index)
+        self._set_timer(now + delay, SlotTimerKind.CLAIM, lot, location.index)
         return []
 
     def timer_due(self, kind: SlotTimerKind, lot: Lot, index: int) -> list[LotOutput]:
@@ -197,9 +196,9 @@
                 return []
 
     def run_again(self, lot: Lot, index: int, reason: str) -> list[LotOutput]:
-        """Open a slot again whose answer or sample is too stale to be delivered.
+        """Run a slot again whose answer or sample can't be delivered.
 
-        Staleness only grows, so if the sample was the chosen one, its generation is dead.
+        If the slot already had a sample, a new generation begins, with a claim of its own.
         """
         slot = lot.slots[index]
         if slot.sample is not None:
@@ -217,8 +216,8 @@
         }
         return [WriteLogLine("slot_run_again", fields)]
 
-    def _answer_fault(self, lot: Lot, result: CompletionResult, now: float) -> str | None:
-        """Return why an answer can't become a sample; None if it can."""
+    def _answer_problem(self, lot: Lot, result: CompletionResult, now: float) -> str | None:
+        """Return why an answer can't become a sample, or None if it can."""
         parameters = self._store.parameters(lot.key.tenant)
         named = sum(span.token_count for span in result.spans)
         if parameters is None or named != result.token_count or named == 0:
@@ -239,9 +238,9 @@
     def _stop_waiting_for_claim(self, lot: Lot, index: int) -> None:
         """Make a sample ready without a decided claim.
 
-        The cursor alone keeps the trainer from taking two samples for a slot; the claim only
-        keeps a sample through this node's death. While no majority can be reached, the trainer
-        should not stand idle for that.
+        The cursor alone ensures that the trainer takes one sample per slot; the claim only
+        preserves the sample if this node dies. The trainer should not be kept waiting while no
+        majority can be reached.
         """
         if lot.slots[index].phase is SlotPhase.CLAIMING:
             lot.move(index, SlotPhase.READY, keep_timers=True)
@@ -249,11 +248,11 @@
     def _propose(self, lot: Lot, index: int, sample: Sample) -> ProposeClaim:
         slot = lot.slots[index]
         key = sample_claim_key(slot.key, slot.generation, lot.digest)
-        self._store.claims[key] = SlotPlace(lot.key, index)
+        self._store.claims[key] = SlotLocation(lot.key, index)
         return ProposeClaim(key, encode_sample(sample))
 
     def _set_timer(self, due: float, kind: SlotTimerKind, lot: Lot, index: int) -> None:
-        self._timers.add(due, SlotTimer(kind, lot.key, index, lot.slots[index].change))
+        self._timers.add(due, SlotTimer(kind, lot.key, index, lot.slots[index].phase_changes))
 
     def _retry_delay(self, failures: int) -> float:
         base, limit = self._config.retry_base_seconds, self._config.retry_limit_seconds
--- a/src/stagewalk/node/samples/staleness.py
+++ b/src/stagewalk/node/samples/staleness.py
@@ -1,8 +1,7 @@
-"""The staleness gate: is a sample fresh enough for the version that a pull names?
+"""Staleness check: whether a sample is fresh enough for the trainer's version.
 
-Owns what this node knows of each model's newest version. Inputs: the tenant's bounds in versions
-and in seconds, the oldest version among a sample's spans, the trainer's version and the time of
-arrival.
+The tenant's bounds, in versions and in seconds, are compared with the oldest version among the
+sample's spans, for the expected time of arrival at the trainer.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 from stagewalk.node.configuration.parameters import TenantParameters
 
 MAXIMUM_REMEMBERED_VERSIONS = 256
-"""Versions of one model whose times are kept."""
+"""Most versions of one model whose times are kept."""
 
 
 @dataclass(slots=True)
@@ -24,14 +23,13 @@
     last_newest_at: dict[WeightVersion, float] = field(default_factory=dict)
 
 
-class VersionClock:
+class VersionAges:
     """Upper bounds of the time since each version was superseded, by this node's clock.
 
-    Store and nodes share no clock, so a publish time can't be compared with `now`. What a node
-    does know is when it last read in the store that a version was the newest: it can only have
-    been superseded after that. Counting age from there never makes a sample younger than it is.
-    Engines' reports and trainers' pulls are no such evidence: both may name a version long after
-    another trainer published the next.
+    Store and nodes share no clock, so publish times can't be compared with `now`. Age is counted
+    from when this node last read in the store that the version was the newest, since it can only
+    have been superseded after that. Engines' reports and trainers' pulls don't count, since they
+    may name a version long after a newer one was published.
     """
 
     def __init__(self) -> None:
@@ -42,14 +40,14 @@
         versions = self._models.get(model)
         return None if versions is None else versions.newest
 
-    def seen(self, model: ModelName, version: WeightVersion) -> None:
+    def record_version(self, model: ModelName, version: WeightVersion) -> None:
         """Record that a version exists."""
         versions = self._models.setdefault(model, _ModelVersions(version))
         versions.newest = max(versions.newest, version)
 
-    def read_as_newest(self, model: ModelName, version: WeightVersion, at: float) -> None:
-        """Record that at time `at` the store held no version newer than this."""
-        self.seen(model, version)
+    def record_newest(self, model: ModelName, version: WeightVersion, at: float) -> None:
+        """Record that the store had no newer version than this at time `at`."""
+        self.record_version(model, version)
         times = self._models[model].last_newest_at
         if version < self._models[model].newest:
             return
@@ -60,7 +58,7 @@
     def age_bound(self, model: ModelName, version: WeightVersion, at: float) -> float:
         """Return the most seconds that can have passed by `at` since a version was superseded.
 
-        Infinite if no read of the store bounds it.
+        Infinite if no read of the store sets a bound.
         """
         versions = self._models.get(model)
         if versions is None:
@@ -71,7 +69,7 @@
     def oldest_within(self, model: ModelName, bound: float, at: float) -> WeightVersion | None:
         """Return the oldest version whose age is certain to be within a bound at time `at`.
 
-        If there is none, the newest: nothing fresher can be run.
+        If there is none, return the newest.
         """
         versions = self._models.get(model)
         if versions is None:
@@ -85,22 +83,22 @@
 
     FRESH = "fresh"
     STALE = "stale"
-    """Over the bound, for ever: staleness only grows."""
+    """Over a bound; since staleness only grows, it can never be delivered."""
     UNCERTAIN = "uncertain"
-    """Of the newest version known, but the store has not been read for long: running it again
-    would not help, and delivering it might break the bound."""
+    """Of the newest known version, but the store has not been read recently: running it again
+    would not help, and delivering it might exceed the bound."""
 
 
 def judge_freshness(
     parameters: TenantParameters,
-    versions: VersionClock,
+    versions: VersionAges,
     model: ModelName,
     oldest: WeightVersion,
     *,
     trainer_version: WeightVersion,
     at: float,
 ) -> SampleFreshness:
-    """Judge a sample by the oldest version among its spans, for an arrival at time `at`."""
+    """Return the freshness of a sample with a given oldest version, on arrival at time `at`."""
     if trainer_version - oldest > parameters.staleness_bound_versions:
         return SampleFreshness.STALE
     bound = parameters.staleness_bound_seconds
@@ -112,13 +110,13 @@
     )
 
 
-def version_slack(parameters: TenantParameters) -> int:
+def allowed_version_lag(parameters: TenantParameters) -> int:
     """Return how many versions behind its trainer a rollout may start.
 
-    A tenant that weighs idle time takes its whole bound. One that weighs staleness more starts
-    fresher rollouts than it must, and waits for engines that hold the newer weights. One version
-    of slack is what lets a step run while its trainer trains on the one before; only a tenant
-    that gives idle time no weight at all does without.
+    With an `idle_weight` of at least 0.5 this is the tenant's whole bound. Below that it shrinks
+    in proportion, so that rollouts start fresher but wait for engines with newer weights. One
+    version of lag lets a step run while its trainer trains on the previous one; it is only denied
+    with an `idle_weight` of zero.
     """
     bound = parameters.staleness_bound_versions
     if parameters.idle_weight >= 0.5:
--- a/src/stagewalk/node/samples/store.py
+++ b/src/stagewalk/node/samples/store.py
@@ -1,7 +1,4 @@
-"""All lots of a node, and which requests and claims belong to their slots.
-
-Plain state shared by the ledger's parts: owns the indices, decides nothing.
-"""
+"""State shared by the parts of the sample ledger: lots, and indices by request and claim."""
 
 from __future__ import annotations
 
@@ -11,12 +8,12 @@
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 from stagewalk.node.samples.lots import Lot, LotKey
 from stagewalk.node.samples.served_versions import ServedVersions
-from stagewalk.node.samples.staleness import VersionClock
+from stagewalk.node.samples.staleness import VersionAges
 
 
 @dataclass(frozen=True, slots=True)
-class SlotPlace:
-    """Where a slot is found."""
+class SlotLocation:
+    """Lot of a slot, and its index in the lot."""
 
     lot: LotKey
     index: int
@@ -24,7 +21,7 @@
 
 @dataclass(slots=True)
 class TrainerView:
-    """What a trainer's calls to this node have named.
+    """Version and step of a trainer, as named by its calls to this node.
 
     Attributes
     ----------
@@ -46,28 +43,28 @@
     lots
         By key, in order of submission.
     requests
-        Slot of each rollout that runs or is scored.
+        Slot of each rollout that is running or being scored.
     claims
-        Slot of each claim proposed or read, by its key.
+        Slot of each claim proposed or read, by the claim's key.
     versions
-        What is known of each model's newest version.
+        Newest version of each model, and bounds of the versions' ages.
     served
-        What the engines in reach run.
+        Versions that the engines of this node's subset run.
     tenants
-        Configuration in force.
+        Current tenants by name.
     """
 
     def __init__(self) -> None:
         self.lots: dict[LotKey, Lot] = {}
-        self.requests: dict[RequestId, SlotPlace] = {}
-        self.claims: dict[str, SlotPlace] = {}
-        self.versions = VersionClock()
+        self.requests: dict[RequestId, SlotLocation] = {}
+        self.claims: dict[str, SlotLocation] = {}
+        self.versions = VersionAges()
         self.served = ServedVersions()
         self.tenants: dict[TenantName, Tenant] = {}
         self._trainers: dict[tuple[TenantName, str], TrainerView] = {}
 
     def parameters(self, tenant: TenantName) -> TenantParameters | None:
-        """Return the parameters in force of a tenant, if it exists."""
+        """Return the current parameters of a tenant, if it exists."""
         known = self.tenants.get(tenant)
         return None if known is None else known.parameters
 
@@ -77,16 +74,16 @@
         return WeightVersion(0) if trainer is None else trainer.version
 
     def record_trainer(self, lot: Lot, version: WeightVersion, *, pulling: bool) -> None:
-        """Record the version a trainer's call names; an older one, come late, changes nothing."""
+        """Record the version and, for a pull, the step of a trainer's call; ignore older ones."""
         key = lot.key
         trainer = self._trainers.setdefault((key.tenant, key.trainer), TrainerView(version))
         trainer.version = max(version, trainer.version)
         if pulling:
             trainer.pulled_step = max(key.step, trainer.pulled_step or key.step)
-        self.versions.seen(lot.lot.model, version)
+        self.versions.record_version(lot.lot.model, version)
 
     def steps_ahead(self, lot: Lot) -> int:
-        """Return how many steps a lot lies ahead of the one its trainer is at."""
+        """Return how many steps a lot lies ahead of its trainer's current step."""
         trainer = self._trainers.get((lot.key.tenant, lot.key.trainer))
         current = None if trainer is None else trainer.pulled_step
         if current is None:
@@ -103,9 +100,13 @@
         return sorted(found, key=lambda lot: lot.key.step)
 
     def forget(self, key: LotKey) -> None:
-        """Drop a lot and all that leads to it."""
+        """Remove a lot and all index entries of its slots."""
         del self.lots[key]
-        self.requests = {id_: place for id_, place in self.requests.items() if place.lot != key}
-        self.claims = {name: place for name, place in self.claims.items() if place.lot != key}
+        self.requests = {
+            id_: location for id_, location in self.requests.items() if location.lot != key
+        }
+        self.claims = {
+            name: location for name, location in self.claims.items() if location.lot != key
+        }
         if not self.lots_of_trainer(key):
             self._trainers.pop((key.tenant, key.trainer), None)
--- a/src/stagewalk/node/samples/timers.py
+++ b/src/stagewalk/node/samples/timers.py
@@ -1,4 +1,4 @@
-"""Timers of slots: retries of rollouts, scores and claims. Plain data."""
+"""Timers of slots: retries of rollouts, scores and claims."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SlotTimerKind(IntEnum):
-    """What is due for a slot."""
+    """Action of a slot's timer."""
 
     RUN = 0
     """Run the slot again after a failure."""
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotTimer:
-    """Something due for a slot; out of date if the slot has moved on since `change`."""
+    """Timer of a slot; ignored if the slot has changed its phase since."""
 
     kind: SlotTimerKind
     lot: LotKey
     index: int
-    change: int
+    phase_changes: int
--- a/src/stagewalk/node/samples/validation.py
+++ b/src/stagewalk/node/samples/validation.py
@@ -1,4 +1,4 @@
-"""Checks of what trainers submit and pull; each error names the field at fault."""
+"""Validation of submitted lots and pulls; most errors name the invalid field."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def invalid(node: NodeName, field: str, detail: str) -> StagewalkError:
-    """Return the error for an input field at fault."""
+    """Return the error for an invalid input field."""
     return StagewalkError(
         ErrorKind.INVALID_REQUEST, ErrorStep.VALIDATION, node, detail, field=field
     )
@@ -38,7 +38,7 @@
 def check_lot(
     lot: RolloutLot, tenant: Tenant | None, config: LotConfig, node: NodeName
 ) -> StagewalkError | None:
-    """Return what is wrong with a submitted lot, or None."""
+    """Return the error of an invalid lot, or None if it is valid."""
     if tenant is None:
         return unknown_tenant(node, lot.tenant)
     if lot.model not in tenant.parameters.models:
@@ -68,7 +68,7 @@
 
 
 def check_pull(pull: SamplePull, tenant: Tenant | None, node: NodeName) -> StagewalkError | None:
-    """Return what is wrong with a pull, or None; its cursor is checked against its lot later."""
+    """Return the error of an invalid pull, or None; the cursor is checked separately."""
     if tenant is None:
         return unknown_tenant(node, pull.tenant)
     if pull.max_samples < 1:
--- a/tests/node/samples/test_cursor.py
+++ b/tests/node/samples/test_cursor.py
@@ -1,4 +1,4 @@
-"""Cursors come back as they were given out; foreign and damaged ones are refused."""
+"""Tests that cursors round-trip, and that damaged ones and those of other lots are rejected."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     def test_empty_cursor_means_nothing_delivered(self) -> None:
         self.assertEqual(0, decode_cursor("", DIGEST, 8).ok)
 
-    def test_cursor_of_another_lot_is_refused(self) -> None:
+    def test_cursor_of_another_lot_is_rejected(self) -> None:
         cursor = encode_cursor(DIGEST, 8, 0b1010)
         self.assertTrue(decode_cursor(cursor, DIGEST + 1, 8).is_error())
         self.assertTrue(decode_cursor(cursor, DIGEST, 9).is_error())
@@ -44,7 +44,7 @@
     def test_any_text_is_refused(self, text: str) -> None:
         self.assertTrue(decode_cursor(text, DIGEST, 100).is_error())
 
-    def test_endless_cursor_is_refused(self) -> None:
+    def test_too_long_cursor_is_rejected(self) -> None:
         self.assertTrue(decode_cursor("A" * (MAXIMUM_CURSOR_CHARACTERS + 4), DIGEST, 8).is_error())
 
     def test_full_lot_of_the_largest_size_fits(self) -> None:
--- a/tests/node/samples/test_exactly_once.py
+++ b/tests/node/samples/test_exactly_once.py
@@ -1,8 +1,8 @@
-"""Whatever is lost, late, restarted or superseded: every slot once, and none too stale.
+"""Stateful test that each slot is delivered exactly once and no sample exceeds its staleness bound.
 
-The machine plays trainer, engines, scorer, claim register, weight store and network; two nodes
-run the ledger. The trainer keeps its contract: one pull at a time, an answer that comes later
-than the margin after its pull is dropped, and the cursor is adopted with the samples.
+The state machine simulates trainer, engines, scorer, claim register, weight store and network for
+two nodes. The trainer has one open pull at a time, drops an answer that is delayed by more than the
+margin, and adopts the cursor together with the samples.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 @dataclass
 class Node:
-    """A node's core, what it waits for, and answers under way to the trainer."""
+    """A node's core and its incarnation."""
 
     core: LotCore
     incarnation: int = 1
--- a/tests/node/samples/world.py
+++ b/tests/node/samples/world.py
@@ -1,4 +1,4 @@
-"""Builders and a small world around `LotCore`: engines, scorer and claim register that answer."""
+"""Builders and a test harness for `LotCore`, with a fake engine, scorer and claim register."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 TENANT = TenantName("thornfield")
 MODEL = ModelName("rollout-lm")
 TRAINER = "trainer"
-AT_ONCE = LotConfig(probe_seconds=0.0)
-"""Starts new lots without waiting for what other nodes may have made of them."""
+WITHOUT_PROBES = LotConfig(probe_seconds=0.0)
+"""Starts new lots without probing for another node that may run them."""
 
 
 def tenants(**parameters: object) -> dict[TenantName, Tenant]:
@@ -55,7 +55,7 @@
     identity = NodeIdentity(
         NodeName(name), Incarnation(1), Address("127.0.0.1", 1), Placement("r", "z")
     )
-    core = LotCore(identity, config or AT_ONCE, random.Random(7))
+    core = LotCore(identity, config or WITHOUT_PROBES, random.Random(7))
     core.set_tenants(tenants(**parameters))
     return core
 
@@ -64,18 +64,18 @@
     return CompletionResult("text", tokens, (VersionSpan(WeightVersion(version), tokens),), "stop")
 
 
-class World:
-    """Runs one core and answers what it asks for, as far as a test lets it.
+class LotCoreHarness:
+    """Runs one core and answers its rollouts, scores and claims.
 
-    `engine` answers a rollout or returns None to keep it running; claims are decided by a dict
-    that several worlds may share, or left open.
+    `engine` returns the answer of a rollout, or None to keep it running. Claims are decided by
+    `register`, which several harnesses may share, unless `claims_available` is false.
     """
 
     def __init__(self, core: LotCore, register: dict[str, bytes] | None = None) -> None:
         self.core = core
         self.register = {} if register is None else register
         self.engine: Callable[[CompletionRequest], CompletionResult | None] = lambda _: answer()
-        self.claims_open = True
+        self.claims_available = True
         self.running: dict[str, CompletionRequest] = {}
         self.started: list[CompletionRequest] = []
         self.cancelled: list[str] = []
@@ -87,25 +87,25 @@
 
     def submit(self, lot: RolloutLot, now: float = 0.0) -> CallId:
         call = self._call()
-        self.take(self.core.submit(call, lot, now), now)
+        self.handle_output(self.core.submit(call, lot, now), now)
         return call
 
     def pull(self, pull: SamplePull, now: float = 0.0) -> CallId:
         call = self._call()
-        self.take(self.core.pull(call, pull, now), now)
+        self.handle_output(self.core.pull(call, pull, now), now)
         return call
 
     def tick(self, now: float) -> None:
-        self.take(self.core.tick(now), now)
+        self.handle_output(self.core.tick(now), now)
 
     def finish(self, request_id: str, result: CompletionResult, now: float) -> None:
         request = self.running.pop(request_id)
-        self.take(self.core.request_finished(request.request_id, result, now), now)
+        self.handle_output(self.core.request_finished(request.request_id, result, now), now)
 
     def event_names(self) -> list[str]:
         return [event.name for event in self.events]
 
-    def take(self, output: list[LotOutput], now: float) -> None:
+    def handle_output(self, output: list[LotOutput], now: float) -> None:
         for item in output:
             match item:
                 case StartRollout(request):
@@ -114,7 +114,7 @@
                     self.running.pop(request_id, None)
                     self.cancelled.append(request_id)
                 case ScoreSample(sample_id=sample_id):
-                    self.take(self.core.handle(SampleScored(sample_id, 1.0), now), now)
+                    self.handle_output(self.core.handle(SampleScored(sample_id, 1.0), now), now)
                 case ProposeClaim():
                     self._claim(item, now)
                 case ReadClaim(key):
@@ -134,15 +134,15 @@
             self.finish(request.request_id, result, now)
 
     def _claim(self, wanted: ProposeClaim, now: float) -> None:
-        if not self.claims_open:
+        if not self.claims_available:
             self.undecided.append(wanted)
             return
         chosen = self.register.setdefault(wanted.key, wanted.value)
-        self.take(self.core.claim_decided(wanted.key, chosen, now), now)
+        self.handle_output(self.core.claim_decided(wanted.key, chosen, now), now)
 
     def _read_claim(self, key: str, now: float) -> None:
         if key in self.register:
-            self.take(self.core.claim_decided(key, self.register[key], now), now)
+            self.handle_output(self.core.claim_decided(key, self.register[key], now), now)
 
     def _call(self) -> CallId:
         self.calls += 1
