--- a/src/stagewalk/node/weights/config.py
+++ b/src/stagewalk/node/weights/config.py
@@ -1,4 +1,4 @@
-"""Parameters of weight rollouts, with units and where the figures come from."""
+"""Parameters of weight rollouts."""
 
 from __future__ import annotations
 
@@ -7,49 +7,51 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightRolloutConfig:
-    """How the duty holder of a pool brings new weights to its engines.
+    """How the lease holder of a pool rolls out new weights to its engines.
 
     Attributes
     ----------
     evaluation_interval_seconds
         Least time between two evaluations of a pool.
     resting_interval_seconds
-        The same while nothing has changed and no engine is under orders.
+        The same while all engines run their target version and nothing changes.
     version_poll_seconds
         Time between two reads of the store's list of a model's versions.
     busy_poll_seconds, idle_poll_seconds
-        Largest age of a report of an engine under orders, and of any other engine.
+        Poll interval of engines that are loading or have an open order, and of all others.
     maximum_polls_per_evaluation
-        Most polls sent in one evaluation of a pool, so that a new holder's come spread out.
+        Most polls sent in one evaluation of a pool, which spreads the polls of a new holder.
     evidence_seconds
-        Age from which a report no longer shows that the engine is alive: two idle polls, and 10 s.
+        Age at which a report no longer counts as a sign of life: two idle polls plus 10 s.
     missing_grace_seconds
-        How long a listed engine without evidence counts as lost capacity; then it is left out.
+        How long a listed engine without a valid report counts as lost capacity before it is
+        ignored, and how long a predecessor may still be sending orders.
     settle_seconds
-        After taking a pool over, how long to wait for the effects of the predecessor's orders.
+        How long a new holder waits for the effects of its predecessor's orders before it
+        activates versions.
     initial_staging, maximum_staging
-        Engines of a pool that fetch weights at once, at first and at most.
+        Initial and maximum number of engines of a pool that fetch weights at the same time.
     stage_repeat_seconds
-        Time after which an order to fetch weights is sent again: a fetch that failed shows in
-        no report, and an engine that is still fetching ignores the repetition.
+        Time after which an order to fetch weights is repeated. A failed fetch is not reported,
+        and an engine that is still fetching ignores the repetition.
     stage_timeout_seconds, activation_timeout_seconds
-        After an order, how long to wait for a report that shows its effect.
+        How long to wait for a report that shows an order's effect.
     base_loading_fraction, idle_weight_loading_fraction
-        Share of a pool that may load at once for an idle weight of 0, and what one of 1 adds to
-        it; the rest is the pool's capacity floor.
+        Fraction of a pool that may load at the same time with an idle weight of 0, and what an
+        idle weight of 1 adds to it; the rest is the pool's capacity floor.
     staged_quorum
-        Share of a pool that must hold a version before its activation begins.
+        Fraction of a pool that must hold a version before its activation begins.
     stage_stall_seconds, maximum_stage_wait_seconds
-        Longest wait for that quorum since one more engine held the version, and since the first
-        did.
+        Longest wait for that quorum since the last further engine held the version, and since
+        the first one did.
     immediate_activation_engines
         Pools up to this size activate each engine as soon as it holds the version.
     retry_base_seconds, retry_limit_seconds
         First and largest delay before an engine is ordered again after a failure.
     fence_pause_seconds
-        How long no order is sent after an engine was found to obey a newer holder.
+        How long no orders are sent after an engine reported a newer epoch.
     quarantine_after_failures, quarantine_seconds
-        Failures in a row after which an engine gets no orders, and for how long.
+        Consecutive failures after which an engine is quarantined, and for how long.
     """
 
     evaluation_interval_seconds: float = 0.25
--- a/src/stagewalk/node/weights/core.py
+++ b/src/stagewalk/node/weights/core.py
@@ -1,7 +1,6 @@
-"""Rollouts of weights over the pools whose duty this node holds.
+"""Weight rollouts for the pools whose lease this node holds.
 
-Owns which engines belong to which pool and what the store has published. Relies on the leases for
-the duty of a pool, and on each pool's rollout for the orders.
+Tracks the engines of each pool and the published versions; `PoolRollout` sends the orders.
 """
 
 from __future__ import annotations
@@ -30,10 +29,10 @@
 
 
 class WeightRolloutCore:
-    """Decides which weights engines fetch and swap to, for each pool by lease.
+    """Decides which weights engines fetch and swap to, in the pools whose lease this node holds.
 
-    A pool is a model; its engines are those of the machine list whose service is the model's
-    name or whose reports name the model. Without a lease on a pool nothing is ordered in it.
+    A pool is a model. Its engines are the listed ones whose reports name the model or, without a
+    report, whose service is the model's name. No orders are sent to a pool without its lease.
 
     Parameters
     ----------
@@ -53,7 +52,7 @@
         self._evaluate_at = 0.0
 
     def set_lease(self, pool: ModelName, epoch: Epoch | None) -> None:
-        """Start acting for a pool under an epoch, or stop if there is none."""
+        """Start managing a pool under a lease's epoch, or stop if there is none."""
         known = self._pools.get(pool)
         if epoch is None:
             self._pools.pop(pool, None)
@@ -64,28 +63,28 @@
             self._pools[pool] = rollout
 
     def set_tenants(self, tenants: dict[TenantName, Tenant]) -> None:
-        """Apply a configuration: pins and objectives hold from the next decision on."""
+        """Replace the tenants; their pins and weights apply from the next decision on."""
         self._tenants = tuple(tenants[name] for name in sorted(tenants))
         for rollout in self._pools.values():
             rollout.set_tenants(self._tenants)
 
     def handle_machines(self, machines: tuple[Machine, ...], now: float) -> None:
-        """Apply the machine list: where engines are, not whether they live."""
+        """Apply the machine list, which gives engines' addresses but no sign of life."""
         self._machines = {
             EngineName(machine.name): machine
             for machine in machines
             if machine.kind is MachineKind.ENGINE
         }
         for rollout in self._pools.values():
-            self._list_engines(rollout, now)
+            self._update_engines(rollout, now)
 
     def handle_report(self, report: EngineReport, now: float) -> list[Instruction]:
         """Apply an engine's report."""
-        moved = self._models.get(report.engine) != report.model
+        model_changed = self._models.get(report.engine) != report.model
         self._models[report.engine] = report.model
-        if moved:
+        if model_changed:
             for pool in self._pools.values():
-                self._list_engine(pool, report.engine, now)
+                self._update_engine(pool, report.engine, now)
         rollout = self._pools.get(report.model)
         return [] if rollout is None else rollout.apply_report(report, now)
 
@@ -100,14 +99,14 @@
     def handle_order_answer(
         self, engine: EngineName, order_id: str, outcome: EngineOrderOutcome, now: float
     ) -> list[Instruction]:
-        """Handle an engine's answer to an order, or that none came."""
+        """Handle the outcome of an order, including a missing answer."""
         output: list[Instruction] = []
         for rollout in self._pools.values():
             output += rollout.handle_answer(engine, order_id, outcome, now)
         return output
 
     def tick(self, now: float) -> list[Instruction]:
-        """Evaluate the pools whose duty this node holds."""
+        """Evaluate the pools whose lease this node holds."""
         if not self._pools or now < self._evaluate_at:
             return []
         self._evaluate_at = now + self._config.evaluation_interval_seconds
@@ -115,7 +114,7 @@
         for pool in sorted(self._pools):
             rollout = self._pools[pool]
             if not rollout.engines:
-                self._list_engines(rollout, now)
+                self._update_engines(rollout, now)
             output += self._read_versions(pool, now)
             output += rollout.evaluate(now)
         return output
@@ -127,12 +126,12 @@
         self._read_at[pool] = now
         return [ReadVersions(pool)]
 
-    def _list_engines(self, rollout: PoolRollout, now: float) -> None:
-        """Bring a pool's engines in line with the machine list."""
+    def _update_engines(self, rollout: PoolRollout, now: float) -> None:
+        """Update a pool's engines from the machine list."""
         for name in sorted({*rollout.engines, *self._machines}):
-            self._list_engine(rollout, name, now)
+            self._update_engine(rollout, name, now)
 
-    def _list_engine(self, rollout: PoolRollout, name: EngineName, now: float) -> None:
+    def _update_engine(self, rollout: PoolRollout, name: EngineName, now: float) -> None:
         machine = self._machines.get(name)
         if machine is None or self._pool_of(name, machine) != rollout.pool:
             rollout.engines.pop(name, None)
@@ -145,5 +144,5 @@
         view.leaving = machine.state is MachineState.LEAVING
 
     def _pool_of(self, name: EngineName, machine: Machine) -> ModelName:
-        """Return the model an engine says it serves, else the service the list names."""
+        """Return the model that an engine reports, or else its service in the machine list."""
         return self._models.get(name, ModelName(machine.service))
--- a/src/stagewalk/node/weights/pool.py
+++ b/src/stagewalk/node/weights/pool.py
@@ -1,9 +1,8 @@
-"""One pool's rollout: which order each engine gets next, from reports alone.
+"""Weight rollout in one pool: decides from the engines' reports which order each gets next.
 
-Owns the pool's engines, open orders and epoch while this node holds the duty. Relies on `targets`
-for what each engine is to hold, on `staging` for when a version may be activated and on
-`swap_rules` for how many engines load at once. Nothing here outlasts the node: a new holder learns
-all it needs from the engines' reports.
+`targets` determines the version of each engine, `staging` when a version may be activated and
+`swap_rules` how many engines load at the same time. The state is kept in memory only, since a new
+lease holder can rebuild it from the engines' reports.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
 
 @dataclass(slots=True)
 class _Plan:
-    """One evaluation's view of a pool: engines that count, and each one's target."""
+    """Available engines of a pool and their targets, for one evaluation."""
 
     engines: list[EngineView]
     targets: dict[EngineName, VersionTarget]
@@ -48,7 +47,7 @@
 
 
 class PoolRollout:
-    """Brings a pool's engines to their target versions, while this node holds its duty."""
+    """Brings a pool's engines to their target versions while this node holds its lease."""
 
     def __init__(
         self, pool: ModelName, epoch: Epoch, source: str, config: WeightRolloutConfig
@@ -70,38 +69,38 @@
         self._changed = True
 
     def set_published(self, published: tuple[WeightVersion, ...]) -> None:
-        """Set the versions the store holds."""
+        """Set the versions that the store has published."""
         if published != self._published:
             self._published = published
             self._retarget()
 
     def set_tenants(self, tenants: tuple[Tenant, ...]) -> None:
-        """Apply a configuration."""
+        """Replace the tenants."""
         self._tenants = tenants
         self._retarget()
 
     def apply_report(self, report: EngineReport, now: float) -> list[Instruction]:
-        """Apply a report and settle the engine's open order by it."""
+        """Apply a report and resolve the engine's open order if its outcome is known."""
         view = self.engines.get(report.engine)
         if view is None:
             return []
         before = view.report
         if not view.apply_report(report, now):
             return []
-        self._changed = self._changed or before is None or _differ(before, report)
+        self._changed = self._changed or before is None or _state_changed(before, report)
         if report.epoch > self.epoch:
             return self._fence(report.engine, now)
         if view.open_order is None:
             return []
-        return self._settle(view, view.open_order, report, now)
+        return self._resolve_order(view, view.open_order, report, now)
 
     def handle_answer(
         self, engine: EngineName, order_id: str, outcome: EngineOrderOutcome, now: float
     ) -> list[Instruction]:
-        """Handle an engine's answer to an order; the order's effect is in the engine's reports.
+        """Handle an engine's answer to an order.
 
-        No answer says nothing: the order may have been obeyed. A report shows it, or the order
-        times out.
+        An order without an answer may still have been executed: it stays open until a report
+        shows its effect or it times out.
         """
         view = self.engines.get(engine)
         if view is None or view.open_order is None:
@@ -109,13 +108,16 @@
         if view.open_order.order.order_id != order_id:
             return []
         if outcome is EngineOrderOutcome.STALE_EPOCH:
-            return [*self._fail(view, "obeys a newer epoch", now), *self._fence(engine, now)]
+            return [
+                *self._fail_order(view, "engine has a newer epoch", now),
+                *self._fence(engine, now),
+            ]
         if outcome is EngineOrderOutcome.REFUSED:
-            return self._fail(view, "refused", now)
+            return self._fail_order(view, "refused", now)
         return []
 
     def evaluate(self, now: float) -> list[Instruction]:
-        """Poll engines, give up on orders without effect, and send the next ones."""
+        """Poll engines, time out orders without effect, and send the next ones."""
         if self._acquired_at is None:
             self._acquired_at = now
         if now < self._evaluate_at and not self._changed:
@@ -123,7 +125,7 @@
         self._changed = False
         output = self._poll(now)
         for name in sorted(self.engines):
-            output += self._follow_order(self.engines[name], now)
+            output += self._check_open_order(self.engines[name], now)
         if self._fenced_until is not None and now < self._fenced_until:
             return output
         plan = self._plan(now)
@@ -131,7 +133,7 @@
         self._stage(plan, now)
         if now - self._acquired_at >= self._config.settle_seconds:
             self._activate(plan, now)
-        resting = all(_is_at_rest(view, plan) for view in plan.engines)
+        resting = all(_is_settled(view, plan) for view in plan.engines)
         interval = self._config.resting_interval_seconds
         self._evaluate_at = now + (interval if resting else 0.0)
         return output + plan.output
@@ -139,23 +141,23 @@
     def _retarget(self) -> None:
         self._targets = pool_targets(self.pool, self._tenants, self._published)
         if self._targets:
-            self._staging.forget_older_than(self._targets[0].version)
+            self._staging.drop_older_than(self._targets[0].version)
         self._changed = True
 
     def _plan(self, now: float) -> _Plan:
         engines = [
             self.engines[name]
             for name in sorted(self.engines)
-            if self._counts(self.engines[name], now)
+            if self._is_available(self.engines[name], now)
         ]
-        holdings = {view.name: view.holds() for view in engines}
+        holdings = {view.name: view.held_versions() for view in engines}
         return _Plan(engines, assign_targets(self._targets, holdings))
 
-    def _counts(self, view: EngineView, now: float) -> bool:
-        return view.has_evidence(now, self._config) and not view.is_draining()
+    def _is_available(self, view: EngineView, now: float) -> bool:
+        return view.has_recent_report(now, self._config) and not view.is_draining()
 
     def _poll(self, now: float) -> list[Instruction]:
-        """Return polls of engines whose report is too old."""
+        """Return polls of engines whose reports are too old."""
         polls: list[Instruction] = []
         for name in sorted(self.engines):
             view = self.engines[name]
@@ -169,19 +171,21 @@
         return polls
 
     def _raise_epochs(self, plan: _Plan, now: float) -> None:
-        """Raise the engines' epoch to this holder's before anything is swapped.
+        """Raise the engines' epochs to this holder's before anything is swapped.
 
-        A predecessor that was paused may wake up and go on activating. Both holders together could
-        take a pool below its floor (measured in a random test: 4 of 6 engines loaded at once), so
-        the engines must refuse the older one first. An order to fetch the weights an engine runs
-        already does nothing but raise its epoch.
+        A paused predecessor may resume and keep activating versions, and two holders together
+        could take a pool below its capacity floor. Engines with the new epoch refuse the
+        predecessor's orders. An order to fetch the version that an engine already runs only
+        raises its epoch.
         """
         for view in plan.engines:
-            if swap_rules.is_behind(view, self.epoch) and self._may_order(view, now):
-                plan.output.append(self._order(view, OrderKind.STAGE, view.active_version(), now))
+            if swap_rules.has_older_epoch(view, self.epoch) and self._may_order(view, now):
+                plan.output.append(
+                    self._new_order(view, OrderKind.STAGE, view.active_version(), now)
+                )
 
     def _stage(self, plan: _Plan, now: float) -> None:
-        """Order engines to fetch their targets, few at once: the store limits its rate."""
+        """Order engines to fetch their targets, a few at a time to limit the load of the store."""
         fetching = sum(1 for view in plan.engines if view.is_fetching())
         for view in plan.engines:
             if fetching >= self._staging_limit:
@@ -189,13 +193,13 @@
             target = plan.targets.get(view.name)
             if target is None or not self._may_order(view, now):
                 continue
-            if target.version in view.holds():
+            if target.version in view.held_versions():
                 continue
             fetching += 1
-            plan.output.append(self._order(view, OrderKind.STAGE, target.version, now))
+            plan.output.append(self._new_order(view, OrderKind.STAGE, target.version, now))
 
     def _activate(self, plan: _Plan, now: float) -> None:
-        """Order engines to swap to their targets, as many at once as the capacity floor allows."""
+        """Order as many engines to swap to their targets as the capacity floor allows."""
         allowed = self._loading_allowance(plan, now)
         versions: dict[WeightVersion, WeightVersion | None] = {}
         for each in self._targets:
@@ -211,28 +215,28 @@
             if version is None or not swap_rules.is_due_for_swap(view, version, target):
                 continue
             allowed -= 1
-            plan.output.append(self._order(view, OrderKind.ACTIVATE, version, now))
+            plan.output.append(self._new_order(view, OrderKind.ACTIVATE, version, now))
 
     def _loading_allowance(self, plan: _Plan, now: float) -> int:
-        """Return how many more engines may load now without going below the capacity floor."""
+        """Return how many more engines may load without going below the capacity floor."""
         engines = plan.engines
         missing = sum(
             1
             for view in self.engines.values()
-            if swap_rules.is_newly_missing(view, self._config, now)
+            if swap_rules.is_recently_missing(view, self._config, now)
         )
         idle_weight = pool_idle_weight(self.pool, self._tenants)
-        at_once = swap_rules.wave_size(len(engines) + missing, idle_weight, self._config)
-        held_seconds = 0.0 if self._acquired_at is None else now - self._acquired_at
-        unfenced = swap_rules.may_be_ordered_elsewhere(
-            engines, self.epoch, held_seconds, self._config
+        limit = swap_rules.maximum_loading(len(engines) + missing, idle_weight, self._config)
+        lease_seconds = 0.0 if self._acquired_at is None else now - self._acquired_at
+        unfenced = swap_rules.orderable_by_predecessor(
+            engines, self.epoch, lease_seconds, self._config
         )
-        return at_once - swap_rules.loads_now(engines) - missing - unfenced
+        return limit - swap_rules.loading_count(engines) - missing - unfenced
 
     def _may_order(self, view: EngineView, now: float) -> bool:
         return swap_rules.may_order(view, self.epoch, now)
 
-    def _order(
+    def _new_order(
         self, view: EngineView, kind: OrderKind, version: WeightVersion, now: float
     ) -> SendEngineOrder:
         self._orders_sent += 1
@@ -244,13 +248,13 @@
         view.open_order = OpenOrder(order, first_sent_at, now, fetches)
         return SendEngineOrder(view.name, view.address, order)
 
-    def _settle(
+    def _resolve_order(
         self, view: EngineView, opened: OpenOrder, report: EngineReport, now: float
     ) -> list[Instruction]:
-        """Close an engine's open order if a report shows what it came to."""
+        """Close an engine's open order if a report shows its outcome."""
         version = opened.order.version
         if opened.order.kind is OrderKind.STAGE:
-            if version in view.holds() and report.epoch >= opened.order.epoch:
+            if version in view.held_versions() and report.epoch >= opened.order.epoch:
                 self._close_stage(view)
             return []
         if report.state is not EngineState.SERVING:
@@ -259,7 +263,7 @@
             view.record_success()
             return []
         if opened.seen_loading:
-            return self._fail(view, f"came up on version {report.active_version}", now)
+            return self._fail_order(view, f"loaded unexpected version {report.active_version}", now)
         return []
 
     def _close_stage(self, view: EngineView) -> None:
@@ -267,8 +271,8 @@
             self._staging_limit = min(self._staging_limit + 1, self._config.maximum_staging)
         view.record_success()
 
-    def _follow_order(self, view: EngineView, now: float) -> list[Instruction]:
-        """Repeat an order that may be lost, give up one without effect, end a quarantine."""
+    def _check_open_order(self, view: EngineView, now: float) -> list[Instruction]:
+        """End an expired quarantine; repeat or time out an order without effect."""
         if view.quarantined_until is not None and now >= view.quarantined_until:
             view.quarantined_until = None
         opened = view.open_order
@@ -277,18 +281,18 @@
         if opened.order.kind is OrderKind.ACTIVATE:
             if now - opened.sent_at < self._config.activation_timeout_seconds:
                 return []
-            return self._fail(view, "no report shows its effect", now)
+            return self._fail_order(view, "activation timed out", now)
         if now - opened.first_sent_at >= self._config.stage_timeout_seconds:
-            return self._fail(view, "no report shows the version staged", now)
+            return self._fail_order(view, "staging timed out", now)
         if now - opened.sent_at < self._config.stage_repeat_seconds:
             return []
         is_target = any(target.version == opened.order.version for target in self._targets)
         if opened.fetches and not is_target:
             view.open_order = None
             return []
-        return [self._order(view, OrderKind.STAGE, opened.order.version, now)]
+        return [self._new_order(view, OrderKind.STAGE, opened.order.version, now)]
 
-    def _fail(self, view: EngineView, detail: str, now: float) -> list[Instruction]:
+    def _fail_order(self, view: EngineView, detail: str, now: float) -> list[Instruction]:
         opened = view.open_order
         if opened is None:
             return []
@@ -311,10 +315,10 @@
         return output
 
     def _fence(self, engine: EngineName, now: float) -> list[Instruction]:
-        """Pause: an engine obeys a newer epoch, so this node's lease is probably gone.
+        """Pause all orders because an engine has a newer epoch: the lease is probably lost.
 
-        If the lease is still this node's after the pause, the engine got its epoch elsewhere,
-        and the others are served on; it itself is not ordered before the next lease.
+        If this node still holds the lease after the pause, the rollout continues. The engine with
+        the newer epoch gets no orders under this lease.
         """
         if self._fenced_until is not None:
             return []
@@ -323,8 +327,8 @@
         return [WriteLogLine("rollout_fenced", fields)]
 
 
-def _differ(before: EngineReport, after: EngineReport) -> bool:
-    """Return whether a report differs from the last in state or weights."""
+def _state_changed(before: EngineReport, after: EngineReport) -> bool:
+    """Return whether two reports differ in incarnation, state, weights or epoch."""
     return _weights_state(before) != _weights_state(after)
 
 
@@ -338,7 +342,7 @@
     )
 
 
-def _is_at_rest(view: EngineView, plan: _Plan) -> bool:
+def _is_settled(view: EngineView, plan: _Plan) -> bool:
     return view.open_order is None and _is_on_target(view, plan)
 
 
--- a/src/stagewalk/node/weights/swap_rules.py
+++ b/src/stagewalk/node/weights/swap_rules.py
@@ -1,9 +1,9 @@
-"""The rules of weight swaps: which engine may be ordered, which swaps, how many load at once.
+"""Rules of weight swaps: which engines may get orders or swap, and how many load at a time.
 
-Pure functions of the engines' views; times in seconds of the holder's clock. An engine that loads
-serves nothing, so a pool swaps in waves: at most a fraction of it loads at once, which is the
-pool's capacity floor. Engines that are missing, or that a predecessor could still order to load,
-count as loading. The constants, with their reasons, are fields of `WeightRolloutConfig`.
+Pure functions; times are in seconds of the lease holder's clock. An engine that loads weights can't
+serve, so a pool swaps in waves of limited size, and the rest is its capacity floor. Engines that
+are missing, or that a predecessor could still order to load, count as loading.
+The constants are fields of `WeightRolloutConfig`.
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
 from stagewalk.node.weights.targets import VersionTarget
 
 
-def wave_size(engines: int, idle_weight: float, config: WeightRolloutConfig) -> int:
-    """Return how many engines of a pool may be out of service for a swap at once.
+def maximum_loading(engines: int, idle_weight: float, config: WeightRolloutConfig) -> int:
+    """Return how many engines of a pool may be out of service for a swap at the same time.
 
-    A pool whose tenants weigh idle time more swaps faster, so that its samples stay fresh.
+    The number grows with the idle weight of the pool's tenants.
     """
     fraction = config.base_loading_fraction + config.idle_weight_loading_fraction * idle_weight
     return max(1, round(engines * fraction))
 
 
-def loads_now(engines: Sequence[EngineView]) -> int:
+def loading_count(engines: Sequence[EngineView]) -> int:
     """Return how many engines are out of service for a swap."""
     return sum(1 for view in engines if view.is_loading())
 
 
-def may_be_ordered_elsewhere(
-    engines: Sequence[EngineView], epoch: Epoch, held_seconds: float, config: WeightRolloutConfig
+def orderable_by_predecessor(
+    engines: Sequence[EngineView], epoch: Epoch, lease_seconds: float, config: WeightRolloutConfig
 ) -> int:
     """Return how many engines a predecessor could still order to load.
 
-    These have not seen this holder's epoch; after the grace time the predecessor is taken for
-    gone.
+    These engines have not received this holder's epoch yet. After the grace period the predecessor
+    is assumed to be gone.
     """
-    if held_seconds > config.missing_grace_seconds:
+    if lease_seconds > config.missing_grace_seconds:
         return 0
-    return sum(1 for view in engines if is_behind(view, epoch) and not view.is_loading())
+    return sum(1 for view in engines if has_older_epoch(view, epoch) and not view.is_loading())
 
 
-def is_newly_missing(view: EngineView, config: WeightRolloutConfig, now: float) -> bool:
-    """Return whether an engine without evidence counts as lost capacity for now.
+def is_recently_missing(view: EngineView, config: WeightRolloutConfig, now: float) -> bool:
+    """Return whether an engine without a valid report still counts as lost capacity.
 
-    It may be loading still, or come back; after the grace time it is left out of the pool.
+    It may be loading or come back; after the grace period it is ignored.
     """
-    if view.is_draining() or view.has_evidence(now, config):
+    if view.is_draining() or view.has_recent_report(now, config):
         return False
     since = view.listed_at
     if view.reported_at is not None:
@@ -57,13 +57,13 @@
     return now - since <= config.missing_grace_seconds
 
 
-def is_behind(view: EngineView, epoch: Epoch) -> bool:
-    """Return whether an engine has not seen this holder's epoch yet."""
+def has_older_epoch(view: EngineView, epoch: Epoch) -> bool:
+    """Return whether an engine has not received this holder's epoch yet."""
     return view.report is not None and view.report.epoch < epoch
 
 
 def may_order(view: EngineView, epoch: Epoch, now: float) -> bool:
-    """Return whether an engine serves, obeys this holder, and has no order, fault or pause."""
+    """Return whether an engine serves and may get an order from this holder now."""
     if view.report is None or view.open_order is not None or view.quarantined_until is not None:
         return False
     serving = view.report.state is EngineState.SERVING
@@ -71,9 +71,9 @@
 
 
 def is_due_for_swap(view: EngineView, version: WeightVersion, target: VersionTarget) -> bool:
-    """Return whether an engine is to be swapped to a version it has staged.
+    """Return whether an engine should swap to a version that it has staged.
 
-    One that runs something newer within its target is left alone: the newer one is on its way.
+    An engine that runs a newer version allowed by its target is not swapped back.
     """
     if view.report is None or version not in view.report.staged_versions:
         return False
@@ -84,6 +84,6 @@
 
 
 def poll_interval(view: EngineView, config: WeightRolloutConfig) -> float:
-    """Return the largest age of an engine's report: short while an order or a swap is open."""
+    """Return the poll interval of an engine: short without a report, with an order or in a swap."""
     busy = view.open_order is not None or view.report is None or view.is_loading()
     return config.busy_poll_seconds if busy else config.idle_poll_seconds
--- a/src/stagewalk/node/weights/targets.py
+++ b/src/stagewalk/node/weights/targets.py
@@ -1,7 +1,6 @@
-"""The rule for which version each engine of a pool is to hold.
+"""Target versions of a pool's engines, from the tenants' version pins and capacity shares.
 
-Pure. Inputs: the tenants' pins and capacity shares, the published versions, and what each engine
-holds already. Tenants with different pins divide the pool by share.
+Tenants whose pins lead to different versions divide the pool's engines by share.
 """
 
 from __future__ import annotations
@@ -15,16 +14,16 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionTarget:
-    """A version that part of a pool is to hold, for tenants with the same pins.
+    """Target version of part of a pool, for tenants whose pins lead to the same version.
 
     Attributes
     ----------
     version
         The newest published version that the pins allow.
     minimum, maximum
-        The pins, both included; None leaves that side open.
+        The pins, inclusive; None means unbounded.
     share
-        Sum of the capacity shares of its tenants.
+        Sum of the tenants' capacity shares.
     """
 
     version: WeightVersion
@@ -41,9 +40,9 @@
 def pool_targets(
     model: ModelName, tenants: Iterable[Tenant], published: Iterable[WeightVersion]
 ) -> tuple[VersionTarget, ...]:
-    """Return the versions a pool is to hold, oldest first.
+    """Return the target versions of a pool, oldest first.
 
-    Tenants whose pins lead to the same version share a target with the tighter pins of both.
+    Tenants whose pins lead to the same version share a target with the intersection of their pins.
     """
     versions = sorted(published)
     targets: dict[WeightVersion, VersionTarget] = {}
@@ -65,7 +64,7 @@
 
 
 def pool_idle_weight(model: ModelName, tenants: Iterable[Tenant]) -> float:
-    """Return the objective of a pool: its tenants' idle weights, averaged by their shares."""
+    """Return the average idle weight of a pool's tenants, weighted by their shares."""
     using = [tenant.parameters for tenant in tenants if model in tenant.parameters.models]
     total = sum(parameters.capacity_share for parameters in using)
     if total == 0.0:
@@ -77,13 +76,13 @@
     targets: tuple[VersionTarget, ...],
     holdings: dict[EngineName, frozenset[WeightVersion]],
 ) -> dict[EngineName, VersionTarget]:
-    """Divide a pool's engines among its targets by share, moving as few as possible.
+    """Divide a pool's engines among its targets by share.
 
     Parameters
     ----------
     holdings
-        Versions that each engine runs or has staged. An engine that holds a target already is
-        preferred for it, so that the division is stable from one evaluation to the next.
+        Versions that each engine runs or has staged. Engines that already hold a target are
+        assigned to it first, so that assignments are stable across evaluations.
     """
     if not targets:
         return {}
@@ -121,7 +120,7 @@
 
 
 def _quotas(targets: tuple[VersionTarget, ...], engines: int) -> dict[WeightVersion, int]:
-    """Return engines for each target by largest remainder; at least one each if there are."""
+    """Return the number of engines per target: largest remainder, at least one if possible."""
     total = sum(target.share for target in targets)
     exact = {target.version: engines * target.share / total for target in targets}
     quotas = {version: int(count) for version, count in exact.items()}
--- a/tests/node/weights/test_faults.py
+++ b/tests/node/weights/test_faults.py
@@ -1,4 +1,4 @@
-"""Failed swaps, dead holders, lost answers, old epochs, changed pins: the pool ends up right."""
+"""Tests that a pool reaches its target despite failed swaps, dead holders and lost answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 FIRST = EngineName("engine-000")
 
 
-def pool_on_one(size: int = 6) -> Pool:
+def pool_on_version_1(size: int = 6) -> Pool:
     pool = Pool(size)
     pool.add_holder(make_core(), 1)
     pool.run(8.0)
@@ -23,10 +23,10 @@
 
 
 class FailedSwapTest(testtools.TestCase):
-    def test_engine_that_comes_up_on_another_version_is_ordered_again(self) -> None:
-        pool = pool_on_one()
+    def test_engine_that_loads_another_version_is_ordered_again(self) -> None:
+        pool = pool_on_version_1()
         failures = [1]
-        pool.misload = lambda name, version: (
+        pool.loaded_version = lambda name, version: (
             failures.pop() if name == FIRST and failures else version
         )
         pool.published.append(2)
@@ -36,9 +36,9 @@
         self.assertEqual(7, len(set(ids)))
         self.assertEqual(7, len(ids))
 
-    def test_engine_that_fails_again_and_again_is_quarantined_and_said_so(self) -> None:
-        pool = pool_on_one()
-        pool.misload = lambda name, version: 1 if name == FIRST else version
+    def test_engine_that_fails_repeatedly_is_quarantined_and_logged(self) -> None:
+        pool = pool_on_version_1()
+        pool.loaded_version = lambda name, version: 1 if name == FIRST else version
         pool.published.append(2)
         pool.run(60.0)
         others = [engine.active for name, engine in pool.engines.items() if name != FIRST]
@@ -48,12 +48,12 @@
         self.assertEqual(
             (FIRST, 1, 2), (fields["engine"], fields["active_version"], fields["version"])
         )
-        tries = len([1 for _, item in pool.orders if item.engine == FIRST])
+        order_count = len([1 for _, item in pool.orders if item.engine == FIRST])
         pool.run(60.0)
-        self.assertEqual(tries, len([1 for _, item in pool.orders if item.engine == FIRST]))
+        self.assertEqual(order_count, len([1 for _, item in pool.orders if item.engine == FIRST]))
 
-    def test_restarted_engine_is_brought_back(self) -> None:
-        pool = pool_on_one()
+    def test_restarted_engine_is_updated_again(self) -> None:
+        pool = pool_on_version_1()
         pool.published.append(2)
         pool.run(60.0, lambda: pool.all_on(2))
         engine = pool.engines[FIRST]
@@ -61,31 +61,31 @@
         pool.run(120.0, lambda: pool.all_on(2))
         self.assertTrue(pool.all_on(2))
 
-    def test_dead_engine_does_not_hold_up_the_others(self) -> None:
-        pool = pool_on_one(40)
+    def test_dead_engine_does_not_delay_the_others(self) -> None:
+        pool = pool_on_version_1(40)
         pool.engines[FIRST].alive = False
         pool.published.append(2)
         pool.run(240.0, lambda: sum(e.active == 2 for e in pool.engines.values()) == 39)
         self.assertEqual(39, sum(engine.active == 2 for engine in pool.engines.values()))
 
     def test_leaving_engine_gets_no_order(self) -> None:
-        pool = pool_on_one()
-        pool.engines[FIRST].going = True
+        pool = pool_on_version_1()
+        pool.engines[FIRST].leaving = True
         pool.run(70.0)
         before = len(pool.orders)
         pool.published.append(2)
         pool.run(60.0)
         self.assertNotIn(FIRST, {item.engine for _, item in pool.orders[before:]})
 
-    def test_lost_answers_cost_no_more_than_time(self) -> None:
-        pool = pool_on_one()
+    def test_rollout_completes_despite_lost_answers(self) -> None:
+        pool = pool_on_version_1()
         pool.lose_answers = True
         pool.published.append(2)
         pool.run(60.0, lambda: pool.all_on(2))
         self.assertTrue(pool.all_on(2))
 
-    def test_fetch_that_fails_unseen_is_ordered_again(self) -> None:
-        pool = pool_on_one()
+    def test_unreported_fetch_failure_is_retried(self) -> None:
+        pool = pool_on_version_1()
         pool.published.append(2)
         pool.run(60.0, lambda: pool.engines[FIRST].fetch is not None)
         pool.engines[FIRST].fetch = None
@@ -112,7 +112,7 @@
         self.assertTrue(pool.all_on(2))
         self.assertLessEqual(pool.most_loading, 2)
 
-    def test_old_holder_that_wakes_up_stops_at_the_first_newer_epoch(self) -> None:
+    def test_resumed_old_holder_stops_at_the_first_newer_epoch(self) -> None:
         pool = Pool(6)
         old = pool.add_holder(make_core("old"), 1)
         pool.run(5.0)
@@ -126,8 +126,8 @@
         self.assertTrue(pool.all_on(2))
         self.assertIn("rollout_fenced", [event.name for event in pool.log])
 
-    def test_lease_laid_down_ends_all_orders(self) -> None:
-        pool = pool_on_one()
+    def test_released_lease_ends_all_orders(self) -> None:
+        pool = pool_on_version_1()
         pool.cores[0].set_lease(POOL, None)
         pool.published.append(2)
         pool.orders.clear()
@@ -139,7 +139,7 @@
 
 
 class TargetTest(testtools.TestCase):
-    def test_newer_version_midway_is_skipped_to(self) -> None:
+    def test_newer_version_published_during_a_rollout_replaces_it(self) -> None:
         pool = Pool(40)
         pool.add_holder(make_core(), 1)
         pool.run(8.0)
@@ -152,14 +152,14 @@
         self.assertEqual({3}, activated)
 
     def test_lowered_pin_rolls_back(self) -> None:
-        pool = pool_on_one()
+        pool = pool_on_version_1()
         pool.published.append(2)
         pool.run(60.0, lambda: pool.all_on(2))
         pool.cores[0].set_tenants(by_name(tenant(maximum_version=1)))
         pool.run(60.0, lambda: pool.all_on(1))
         self.assertTrue(pool.all_on(1))
 
-    def test_pins_of_two_tenants_divide_the_pool_by_share_and_stay(self) -> None:
+    def test_pins_of_two_tenants_divide_the_pool_by_share(self) -> None:
         pinned = tenant("pinned", maximum_version=1, capacity_share=0.25)
         free = tenant("free", capacity_share=0.75)
         targets = pool_targets(POOL, [pinned, free], [WeightVersion(1), WeightVersion(2)])
@@ -172,7 +172,7 @@
         self.assertEqual((2, 6), (counts.count(WeightVersion(1)), counts.count(WeightVersion(2))))
         self.assertEqual(2, assigned[EngineName("e0")].version)
 
-    def test_resting_pool_is_seldom_polled(self) -> None:
+    def test_settled_pool_is_rarely_polled(self) -> None:
         pool = Pool(60)
         pool.add_holder(make_core(), 1)
         pool.run(10.0)
--- a/tests/node/weights/test_rollout.py
+++ b/tests/node/weights/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts bring a pool to the wanted version within its capacity floor, whatever fails."""
+"""Tests that rollouts bring a pool to its target version without going below the capacity floor."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RolloutTest(testtools.TestCase):
-    def test_small_pool_follows_a_publish_two_of_five_at_a_time(self) -> None:
+    def test_small_pool_swaps_two_of_five_engines_at_a_time(self) -> None:
         pool = Pool(5)
         pool.add_holder(make_core(), 1)
         pool.run(10.0)
@@ -20,7 +20,7 @@
         self.assertTrue(pool.all_on(2))
         self.assertEqual(2, pool.most_loading)
 
-    def test_large_pool_is_swapped_in_time_above_its_floor(self) -> None:
+    def test_large_pool_swaps_in_time_above_its_capacity_floor(self) -> None:
         pool = Pool(600)
         pool.add_holder(make_core(), 1)
         pool.run(10.0)
--- a/tests/node/weights/world.py
+++ b/tests/node/weights/world.py
@@ -1,4 +1,4 @@
-"""A pool of engines that obey orders late, lag in their reports, and fail as told."""
+"""A simulated pool of engines with delayed orders, lagging reports and configurable failures."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 @dataclass
 class Engine:
-    """One modelled engine; `reports` holds what it would say, by time, for the lag."""
+    """A simulated engine; `reports` holds its reports over time, which simulates their lag."""
 
     name: EngineName
     active: int = 1
@@ -72,7 +72,7 @@
     staged: set[int] = field(default_factory=set)
     activation: tuple[float, int] | None = None
     fetch: tuple[float, int] | None = None
-    going: bool = False
+    leaving: bool = False
     alive: bool = True
     reports: list[EngineReport] = field(default_factory=list)
 
@@ -82,7 +82,7 @@
             engine=self.name,
             incarnation=Incarnation(self.incarnation),
             model=POOL,
-            state=EngineState.LEAVING if self.going else state,
+            state=EngineState.LEAVING if self.leaving else state,
             active_version=WeightVersion(self.active),
             staged_versions=tuple(WeightVersion(version) for version in sorted(self.staged)),
             epoch=Epoch(self.epoch),
@@ -98,7 +98,7 @@
 
 
 class Pool:
-    """Engines under one or several holders, stepped in virtual time."""
+    """Engines managed by one or more lease holders, simulated in virtual time."""
 
     def __init__(self, size: int, fetch_seconds: float = 3.0, load_seconds: float = 2.5) -> None:
         names = [EngineName(f"engine-{number:03d}") for number in range(size)]
@@ -113,7 +113,7 @@
         self.polls = 0
         self.most_fetching = 0
         self.most_loading = 0
-        self.misload: Callable[[EngineName, int], int] = lambda _, version: version
+        self.loaded_version: Callable[[EngineName, int], int] = lambda _, version: version
         self.lose_answers = False
 
     def machines(self) -> tuple[Machine, ...]:
@@ -136,7 +136,7 @@
         return core
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> float:
-        """Step until a condition holds, for so long at most; return the time it took."""
+        """Step until a condition holds or the time is over; return the elapsed time."""
         began = self.now
         while self.now - began < seconds and not (until is not None and until()):
             self.now = round(self.now + TICK, 6)
@@ -157,7 +157,7 @@
                 engine.staged.add(engine.fetch[1])
                 engine.fetch = None
             if engine.activation is not None and engine.activation[0] <= self.now:
-                engine.active = self.misload(engine.name, engine.activation[1])
+                engine.active = self.loaded_version(engine.name, engine.activation[1])
                 engine.activation = None
             self._record_report(engine)
         engines = self.engines.values()
@@ -165,7 +165,7 @@
         self.most_loading = max(self.most_loading, sum(1 for e in engines if e.activation))
 
     def _record_report(self, engine: Engine) -> None:
-        """Have an engine's report change once a lag, as its clients see it."""
+        """Update an engine's visible report once per reporting lag."""
         reports = engine.reports
         if not reports or self.now - reports[-1].generated_at >= REPORT_LAG_SECONDS - TICK / 2:
             reports.append(engine.report(self.now))
@@ -183,7 +183,7 @@
                     core.handle_versions(model, published)
                 case SendEngineOrder():
                     self.orders.append((self.now, item))
-                    outcome = self._obey(self.engines[item.engine], item.order)
+                    outcome = self._execute_order(self.engines[item.engine], item.order)
                     answered = core.handle_order_answer(
                         item.engine,
                         item.order.order_id,
@@ -200,7 +200,7 @@
             return
         self._execute(core, core.handle_report(engine.reports[-1], self.now))
 
-    def _obey(self, engine: Engine, order: EngineOrder) -> EngineOrderOutcome:
+    def _execute_order(self, engine: Engine, order: EngineOrder) -> EngineOrderOutcome:
         if not engine.alive:
             return EngineOrderOutcome.UNKNOWN
         if order.epoch < engine.epoch:
