--- a/src/stagewalk/node/leases/__init__.py
+++ b/src/stagewalk/node/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Duties of the control plane: leases with epochs that serve as fencing tokens."""
+"""Leases on control-plane duties; their epochs serve as fencing tokens."""
--- a/src/stagewalk/node/leases/config.py
+++ b/src/stagewalk/node/leases/config.py
@@ -1,6 +1,6 @@
-"""Delays of leases, in seconds.
+"""Timing of leases, in seconds.
 
-A dead holder is succeeded within `ttl_seconds` and a second where the first candidate lives
+A dead holder is replaced within `ttl_seconds` plus one second if the first candidate is alive
 (docs/design/0041-leases.md).
 """
 
@@ -11,19 +11,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseConfig:
-    """Delays of leases. They give speed only: safety comes from epochs.
+    """Timing of leases. It only affects how fast leases move: safety comes from epochs.
 
     Attributes
     ----------
     ttl_seconds
-        How long a holder must be missing from the live members before others try; and the
-        longest gap between two ticks after which a holder no longer trusts what it knows.
+        How long a holder must be missing from the live members before others try to acquire
+        its lease. A holder whose ticks are further apart than this stops acting until it has
+        read the log again.
     candidate_delay_seconds
-        The second in rank tries this much later than the first, the third twice as much.
+        Extra delay per rank: the first candidate tries at once, the second after this delay.
     retry_seconds
-        A try that shows no result in the log is made again after one to two times this.
+        An attempt without a result in the log is repeated after one to two times this.
     check_interval_seconds
-        Time between two checks of all duties when nothing has changed.
+        Interval between checks of all duties when nothing has changed.
     """
 
     ttl_seconds: float = 3.0
--- a/src/stagewalk/node/leases/core.py
+++ b/src/stagewalk/node/leases/core.py
@@ -1,8 +1,8 @@
-"""Which duties this process holds, and when it tries for one.
+"""Decides which duties this process holds and when it tries to acquire one.
 
-Owns the leases this process acts for. Relies on the log's order for who holds a lease and on
-membership for whether its holder lives, so that holding one costs no log traffic. A wrong judgement
-costs a change of holder, nothing else, since the epoch fences a holder that was overtaken.
+The order of the log determines who holds a lease, and membership whether the holder is alive, so
+holding a lease needs no log traffic. Wrongly assuming a holder dead only causes a change of holder:
+the epoch fences off the previous one.
 """
 
 from __future__ import annotations
@@ -38,22 +38,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveMember:
-    """A node that membership believes alive; one that is leaving keeps its duties and acquires
-    none."""
+    """A node that membership considers alive.
+
+    A leaving node keeps its duties but acquires no new ones.
+    """
 
     incarnation: Incarnation
     leaving: bool = False
 
 
 class LeaseCore:
-    """A node's part in all duties.
+    """Acquires, holds and releases the leases of one node.
 
     Parameters
     ----------
     identity
         This process. Its incarnation must be larger than that of any earlier start.
     generator
-        Source of the jitter between tries.
+        Source of the jitter between attempts.
     """
 
     def __init__(
@@ -62,76 +64,76 @@
         self._identity = identity
         self._config = config
         self._generator = generator
-        self._fold = LeaseStateMachine()
+        self._state_machine = LeaseStateMachine()
         self._duties: tuple[str, ...] = ()
         self._members: dict[NodeName, LiveMember] = {}
-        self._acting: dict[str, Epoch] = {}
+        self._active_epochs: dict[str, Epoch] = {}
         self._vacant_since: dict[str, float] = {}
-        self._next_try: dict[str, float] = {}
+        self._next_attempt_at: dict[str, float] = {}
         self._last_tick: float | None = None
-        self._check_at = float("-inf")
-        self._in_doubt = True
+        self._next_check_at = float("-inf")
+        self._catching_up = True
         self._stopping = False
 
     # State
 
     def holder(self, duty: str) -> NodeName | None:
-        """Return who holds a duty by the log as folded so far."""
-        lease = self._fold.lease(duty)
+        """Return the holder of a duty according to the records applied so far."""
+        lease = self._state_machine.lease(duty)
         return lease.holder if lease is not None and not lease.released else None
 
     def epoch(self, duty: str) -> Epoch:
-        """Return a duty's epoch by the log as folded so far, 0 before the first."""
-        return self._fold.epoch(duty)
+        """Return a duty's epoch according to the records applied so far, 0 before the first."""
+        return self._state_machine.epoch(duty)
 
     def held(self) -> dict[str, Epoch]:
         """Return the duties this process may act for now, with their fencing tokens."""
-        return dict(sorted(self._acting.items()))
+        return dict(sorted(self._active_epochs.items()))
 
     # Events
 
     def set_duties(self, names: Iterable[str]) -> None:
-        """Replace the set of duties there are; one that is gone is released at the next tick."""
+        """Replace the set of duties; a held duty not in it is released at the next tick."""
         duties = tuple(sorted(set(names)))
         if duties != self._duties:
             self._duties = duties
-            self._check_at = float("-inf")
+            self._next_check_at = float("-inf")
 
     def set_members(self, members: Mapping[NodeName, LiveMember]) -> None:
         """Replace the live members, this node included."""
         if members != self._members:
             self._members = dict(members)
-            self._check_at = float("-inf")
+            self._next_check_at = float("-inf")
 
     def fold(self, record: LogRecord) -> list[LeaseOutput]:
         """Apply the next record of the lease stream, in order and without gaps."""
-        outcome = self._fold.apply(record)
+        outcome = self._state_machine.apply(record)
         if outcome.lease is None:
             return []
         duty = outcome.lease.duty
         self._vacant_since.pop(duty, None)
-        self._next_try.pop(duty, None)
-        self._check_at = float("-inf")
-        return self._settle(duty)
+        self._next_attempt_at.pop(duty, None)
+        self._next_check_at = float("-inf")
+        return self._reconcile(duty)
 
     def record_caught_up(self, now: float) -> list[LeaseOutput]:
-        """Record that the lease stream was folded to a head read since the last doubt arose."""
-        if not self._in_doubt:
+        """Record that the lease stream was applied up to its head since the start or last pause."""
+        if not self._catching_up:
             return []
-        self._in_doubt = False
+        self._catching_up = False
         self._last_tick = now
-        self._check_at = float("-inf")
+        self._next_check_at = float("-inf")
         outputs: list[LeaseOutput] = []
-        for lease in self._fold.leases:
-            outputs.extend(self._settle(lease.duty))
+        for lease in self._state_machine.leases:
+            outputs.extend(self._reconcile(lease.duty))
         return outputs
 
     def tick(self, now: float) -> list[LeaseOutput]:
-        """Detect a pause of this process, release and acquire duties."""
+        """Detect pauses of this process; release and acquire duties."""
         outputs = self._detect_pause(now)
-        if self._in_doubt or now < self._check_at:
+        if self._catching_up or now < self._next_check_at:
             return outputs
-        self._check_at = now + self._config.check_interval_seconds
+        self._next_check_at = now + self._config.check_interval_seconds
         outputs.extend(self._release_removed())
         if not self._stopping:
             for duty in self._duties:
@@ -142,25 +144,25 @@
         """Release all duties at once, and acquire no more: the process is about to stop."""
         self._stopping = True
         outputs: list[LeaseOutput] = []
-        for duty in sorted(self._acting):
+        for duty in sorted(self._active_epochs):
             outputs.extend(self._release(duty))
         return outputs
 
     # Steps
 
     def _detect_pause(self, now: float) -> list[LeaseOutput]:
-        """Stop acting after a long gap between ticks: others may have taken over meanwhile.
+        """Stop acting after a long gap between ticks, since others may have taken over.
 
-        The epochs make any order given in that state harmless; stopping only spares the orders.
+        Stale orders would be rejected by their epoch anyway; stopping avoids sending them.
         """
         last = self._last_tick
         self._last_tick = now
         if last is None or now - last <= self._config.ttl_seconds:
             return []
-        self._in_doubt = True
+        self._catching_up = True
         self._vacant_since.clear()
-        lost = sorted(self._acting)
-        self._acting.clear()
+        lost = sorted(self._active_epochs)
+        self._active_epochs.clear()
         return [LeaseLost(duty) for duty in lost]
 
     def _is_own(self, lease: Lease | None) -> bool:
@@ -171,28 +173,28 @@
             and lease.incarnation == self._identity.incarnation
         )
 
-    def _settle(self, duty: str) -> list[LeaseOutput]:
-        """Start or stop acting for a duty as the log says."""
-        lease = self._fold.lease(duty)
+    def _reconcile(self, duty: str) -> list[LeaseOutput]:
+        """Start or stop acting for a duty according to its lease in the log."""
+        lease = self._state_machine.lease(duty)
         if lease is None or not self._is_own(lease):
-            return [LeaseLost(duty)] if self._acting.pop(duty, None) is not None else []
-        if self._in_doubt or self._acting.get(duty) == lease.epoch:
+            return [LeaseLost(duty)] if self._active_epochs.pop(duty, None) is not None else []
+        if self._catching_up or self._active_epochs.get(duty) == lease.epoch:
             return []
         if self._stopping:
-            # A try made before the stop has landed after it.
+            # An acquisition appended before the stop took effect after it.
             return [self._release_record(lease)]
-        self._acting[duty] = lease.epoch
+        self._active_epochs[duty] = lease.epoch
         return [LeaseAcquired(duty, lease.epoch)]
 
     def _release_removed(self) -> list[LeaseOutput]:
         outputs: list[LeaseOutput] = []
-        for duty in sorted(set(self._acting) - set(self._duties)):
+        for duty in sorted(set(self._active_epochs) - set(self._duties)):
             outputs.extend(self._release(duty))
         return outputs
 
     def _release(self, duty: str) -> list[LeaseOutput]:
-        del self._acting[duty]
-        lease = self._fold.lease(duty)
+        del self._active_epochs[duty]
+        lease = self._state_machine.lease(duty)
         outputs: list[LeaseOutput] = [LeaseLost(duty)]
         if lease is not None and self._is_own(lease):
             outputs.append(self._release_record(lease))
@@ -211,11 +213,12 @@
     def _acquire(self, duty: str, now: float) -> list[LeaseOutput]:
         """Append a record that acquires a duty, if it is vacant and this process's turn has come.
 
-        Candidates try in the order of their hashed rank, so that few race."""
-        lease = self._fold.lease(duty)
+        Candidates try in the order of a hash of duty and name, so that few of them race.
+        """
+        lease = self._state_machine.lease(duty)
         if self._is_own(lease):
-            # Configured again before the record that releases it has landed, if it ever does.
-            return self._settle(duty)
+            # The duty was removed and configured again before its release record was applied.
+            return self._reconcile(duty)
         delay = self._vacancy_delay(lease)
         if delay is None:
             self._vacant_since.pop(duty, None)
@@ -224,25 +227,25 @@
         if rank is None:
             return []
         since = self._vacant_since.setdefault(duty, now)
-        turn = since + delay + rank * self._config.candidate_delay_seconds
-        if now < max(turn, self._next_try.get(duty, turn)):
+        turn_at = since + delay + rank * self._config.candidate_delay_seconds
+        if now < max(turn_at, self._next_attempt_at.get(duty, turn_at)):
             return []
         jitter = 1.0 + self._generator.random()
-        self._next_try[duty] = now + self._config.retry_seconds * jitter
+        self._next_attempt_at[duty] = now + self._config.retry_seconds * jitter
         record = Acquire(
             duty=duty,
             holder=self._identity.name,
             incarnation=self._identity.incarnation,
-            epoch=self._fold.epoch(duty) + 1,
+            epoch=self._state_machine.epoch(duty) + 1,
         )
         return [AppendToStream(LEASE_STREAM, encode_record(record))]
 
     def _vacancy_delay(self, lease: Lease | None) -> float | None:
-        """Return how long a duty must be vacant before the first tries, None if it is held."""
+        """Return how long a duty must be vacant before the first candidate tries, None if held."""
         if lease is None or lease.released:
             return 0.0
         if lease.holder == self._identity.name:
-            # An earlier start of this process is certainly gone.
+            # An earlier process under this name no longer runs.
             return 0.0 if lease.incarnation < self._identity.incarnation else None
         member = self._members.get(lease.holder)
         if member is not None and member.incarnation == lease.incarnation:
@@ -250,7 +253,7 @@
         return self._config.ttl_seconds
 
     def _rank(self, duty: str) -> int | None:
-        """Return this process's place among the candidates for a duty, from 0."""
+        """Return this process's rank among the candidates for a duty, from 0."""
         candidates = [name for name, member in self._members.items() if not member.leaving]
         own = self._identity.name
         if own not in candidates:
--- a/src/stagewalk/node/leases/notifications.py
+++ b/src/stagewalk/node/leases/notifications.py
@@ -1,4 +1,4 @@
-"""What the lease core returns for the other cores of the node."""
+"""Notifications that the lease core returns for the other cores of the node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """The log says that this process holds the duty; its orders carry `epoch`."""
+    """This process holds the duty according to the log; its orders carry `epoch`."""
 
     duty: str
     epoch: Epoch
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """This process must stop acting for the duty: released, taken over, or in doubt."""
+    """This process must stop acting: the duty was released or taken over, or it was paused."""
 
     duty: str
 
--- a/src/stagewalk/node/leases/state_machine.py
+++ b/src/stagewalk/node/leases/state_machine.py
@@ -1,9 +1,9 @@
-"""Who holds which duty: a deterministic fold over the log stream `leases`.
+"""Deterministic state machine over the log stream `leases`: which process holds which duty.
 
-The epoch of a duty grows by one with each acquisition, and a record that names any other epoch is
-rejected, identically at every node: of candidates that race for an epoch the one whose record
-landed first has it. The fold knows no time and no liveness. A holder puts its epoch on every order
-and record, so that one that was overtaken does no harm.
+Each acquisition raises a duty's epoch by one. Every node rejects a record with any other epoch, so
+of several candidates for an epoch the one whose record is first in the log gets it. The state
+machine uses neither time nor liveness. A holder puts its epoch on every order and record, so
+receivers can reject those of a previous holder.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from stagewalk.node.core.platform import LogRecord
 
 LEASE_STREAM = "leases"
-"""Stream of the log with acquisitions and releases."""
+"""Log stream of acquisitions and releases."""
 
 
 class Acquire(msgspec.Struct, frozen=True, tag="acquire"):
-    """Record: a process acquires a duty under the epoch after the one it knows."""
+    """Record: a process acquires a duty under the epoch after the current one it knows."""
 
     duty: str
     holder: str
@@ -44,15 +44,15 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Return a record as the payload of the lease stream."""
+    """Encode a record as a payload of the lease stream."""
     return _ENCODER.encode(record)
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """What the log says of a duty.
+    """State of a duty's lease according to the log.
 
-    `released` means that its last holder gave it up; the epoch stays, never to be used again.
+    `released` means that its last holder released it; its epoch is never used again.
     """
 
     duty: str
@@ -64,20 +64,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseOutcome:
-    """What the fold made of a record: the lease it changed, or why it was rejected."""
+    """Result of applying a record: the lease it changed, or why it was rejected."""
 
     lease: Lease | None
     rejection: str | None = None
 
 
 class LeaseStateMachine:
-    """State machine over the records of the lease stream: same prefix, same leases."""
+    """Leases after a prefix of the lease stream; equal prefixes give equal leases."""
 
     def __init__(self) -> None:
         self._leases: dict[str, Lease] = {}
 
     def lease(self, duty: str) -> Lease | None:
-        """Return the last lease of a duty, released or not."""
+        """Return the latest lease of a duty, released or not."""
         return self._leases.get(duty)
 
     def epoch(self, duty: str) -> Epoch:
@@ -87,11 +87,11 @@
 
     @property
     def leases(self) -> tuple[Lease, ...]:
-        """Return all leases in order of duties."""
+        """Return all leases, sorted by duty."""
         return tuple(self._leases[duty] for duty in sorted(self._leases))
 
     def apply(self, record: LogRecord) -> LeaseOutcome:
-        """Fold one record in; a record that is malformed or lost a race changes nothing."""
+        """Apply a record; one that is malformed or has a wrong epoch or holder has no effect."""
         try:
             parsed = _DECODER.decode(record.payload)
         except msgspec.DecodeError as error:
@@ -105,7 +105,7 @@
         if record.epoch != current + 1:
             return LeaseOutcome(
                 None,
-                f"{record.duty}: {record.holder} asked for epoch {record.epoch}, in force is "
+                f"{record.duty}: {record.holder} requested epoch {record.epoch}, current epoch is "
                 f"{current}",
             )
         lease = Lease(
--- a/tests/node/leases/test_lease_gap.py
+++ b/tests/node/leases/test_lease_gap.py
@@ -1,4 +1,4 @@
-"""After a gap the quiet time holds too: who held the lease before may have renewed until then."""
+"""After a gap in the log a new holder waits, since an unseen holder may have renewed until then."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 class GapTests(testtools.TestCase):
     def assert_quiet_after_a_gap(self, lease: LogLease) -> None:
-        """Another's win and renewals were dropped unread, the last of them just before."""
+        """Assume that the gap hid another process's acquisition and its latest renewal."""
         lease.record_gap(GAP_AT)
         now = GAP_AT
         while not isinstance(lease.decide(now, current=True), Acquire):
@@ -33,10 +33,10 @@
             self.assertFalse(lease.may_act(now), f"{now - GAP_AT:.1f} s after the gap")
             now += 0.1
 
-    def test_a_new_process_that_wins_after_a_gap_keeps_quiet(self) -> None:
+    def test_new_process_that_acquires_after_gap_does_not_act_early(self) -> None:
         self.assert_quiet_after_a_gap(LogLease(OWN, QUIET_SECONDS, 0.0))
 
-    def test_a_machine_that_held_the_lease_before_the_gap_keeps_quiet(self) -> None:
+    def test_holder_from_before_gap_does_not_act_early(self) -> None:
         lease = LogLease(OWN, QUIET_SECONDS, 0.0)
         lease.apply(10, LeaseRecord("a#1", NO_FENCE), 1.0)
         self.assert_quiet_after_a_gap(lease)
--- a/tests/node/leases/test_leases.py
+++ b/tests/node/leases/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: one log, many candidates, pauses and restarts."""
+"""Leases of several candidates on one log, with pauses and restarts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Pool:
-    """Nodes that share a log; each follows it at every tick unless it is paused."""
+    """Nodes that share a log; each reads it at every tick unless paused or the log is down."""
 
     def __init__(self, names: str, seed: int = 0) -> None:
         self.now = 0.0
@@ -107,7 +107,7 @@
 
 
 class LeaseTest(testtools.TestCase):
-    def test_every_duty_finds_one_holder_and_holding_costs_no_records(self) -> None:
+    def test_each_duty_gets_one_holder_and_holding_appends_no_records(self) -> None:
         pool = Pool("abcd")
         pool.run(2.0)
         for duty in DUTIES:
@@ -118,7 +118,7 @@
         pool.run(60.0)
         self.assertEqual(len(DUTIES), len(pool.log))
 
-    def test_a_dead_holder_is_followed_under_a_larger_epoch(self) -> None:
+    def test_dead_holder_is_replaced_under_next_epoch(self) -> None:
         pool = Pool("abcd")
         pool.run(2.0)
         (holder,) = pool.holders("placement")
@@ -127,7 +127,7 @@
         (successor,) = pool.holders("placement")
         self.assertEqual(2, pool.cores[successor].held()["placement"])
 
-    def test_a_restarted_holder_takes_its_duty_again_at_once(self) -> None:
+    def test_restarted_holder_reacquires_its_duty_at_once(self) -> None:
         pool = Pool("abcd")
         pool.run(2.0)
         (holder,) = pool.holders("placement")
@@ -136,7 +136,7 @@
         self.assertEqual([holder], pool.holders("placement"))
         self.assertEqual(2, pool.cores[holder].held()["placement"])
 
-    def test_a_planned_stop_hands_over_at_once(self) -> None:
+    def test_releasing_all_duties_hands_over_at_once(self) -> None:
         pool = Pool("abcd")
         pool.run(2.0)
         (holder,) = pool.holders("placement")
@@ -146,7 +146,7 @@
         pool.run(0.5)
         self.assertEqual(1, len(pool.holders("placement")))
 
-    def test_a_holder_that_wakes_acts_only_after_reading_the_log(self) -> None:
+    def test_resumed_holder_acts_only_after_reading_the_log(self) -> None:
         pool = Pool("abcd")
         pool.run(2.0)
         (holder,) = pool.holders("placement")
@@ -160,7 +160,7 @@
         pool.run(0.5)
         self.assertNotIn(holder, pool.holders("placement"))
 
-    def test_a_holder_that_wakes_with_nobody_in_its_place_goes_on(self) -> None:
+    def test_resumed_holder_without_successor_keeps_its_lease(self) -> None:
         pool = Pool("a")
         pool.run(2.0)
         pool.paused.add("a")
@@ -170,7 +170,7 @@
         self.assertEqual(["a"], pool.holders("placement"))
         self.assertEqual(1, pool.cores["a"].epoch("placement"))
 
-    def test_a_duty_that_is_gone_is_released(self) -> None:
+    def test_removed_duty_is_released(self) -> None:
         pool = Pool("ab")
         pool.run(2.0)
         for core in pool.cores.values():
@@ -213,15 +213,15 @@
             self.assertEqual(1, len(pool.holders(duty)))
 
 
-class FoldTest(testtools.TestCase):
-    def apply(self, fold: LeaseStateMachine, record: Acquire | Release) -> bool:
+class LeaseStateMachineTest(testtools.TestCase):
+    def apply(self, state_machine: LeaseStateMachine, record: Acquire | Release) -> bool:
         payload = encode_record(record)
-        return fold.apply(LogRecord(0, RecordId("r"), payload)).lease is not None
+        return state_machine.apply(LogRecord(0, RecordId("r"), payload)).lease is not None
 
-    def test_only_the_next_epoch_is_taken_and_only_the_holder_releases(self) -> None:
-        fold = LeaseStateMachine()
+    def test_only_next_epoch_is_accepted_and_only_holder_releases(self) -> None:
+        state_machine = LeaseStateMachine()
         first = Acquire(duty="d", holder="a", incarnation=1, epoch=1)
-        self.assertTrue(self.apply(fold, first))
+        self.assertTrue(self.apply(state_machine, first))
         for record in (
             first,
             Acquire(duty="d", holder="b", incarnation=1, epoch=1),
@@ -229,8 +229,12 @@
             Release(duty="d", holder="b", incarnation=1, epoch=1),
             Release(duty="d", holder="a", incarnation=2, epoch=1),
         ):
-            self.assertFalse(self.apply(fold, record))
-        self.assertTrue(self.apply(fold, Release(duty="d", holder="a", incarnation=1, epoch=1)))
-        self.assertFalse(self.apply(fold, first))
-        self.assertTrue(self.apply(fold, Acquire(duty="d", holder="b", incarnation=1, epoch=2)))
-        self.assertFalse(fold.apply(LogRecord(9, RecordId("r"), b"?")).lease is not None)
+            self.assertFalse(self.apply(state_machine, record))
+        self.assertTrue(
+            self.apply(state_machine, Release(duty="d", holder="a", incarnation=1, epoch=1))
+        )
+        self.assertFalse(self.apply(state_machine, first))
+        self.assertTrue(
+            self.apply(state_machine, Acquire(duty="d", holder="b", incarnation=1, epoch=2))
+        )
+        self.assertFalse(state_machine.apply(LogRecord(9, RecordId("r"), b"?")).lease is not None)
