--- a/src/stagewalk/node/membership/__init__.py
+++ b/src/stagewalk/node/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Failure detection and dissemination between nodes."""
+"""Group membership: failure detection and gossip between nodes."""
--- a/src/stagewalk/node/membership/codec.py
+++ b/src/stagewalk/node/membership/codec.py
@@ -1,6 +1,6 @@
-"""Translation between facts about members and their wire format.
+"""Conversion between facts about members and their wire format.
 
-Owns nothing; the numbers of the states are the wire's.
+The numeric values of `MemberState` are those of the wire format.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def record_to_fact(record: MemberRecord) -> MemberFact:
-    """Return the fact a record stands for."""
+    """Return the fact that a record encodes."""
     has_place = bool(record.host)
     return MemberFact(
         name=NodeName(record.name),
--- a/src/stagewalk/node/membership/config.py
+++ b/src/stagewalk/node/membership/config.py
@@ -1,6 +1,6 @@
 """Timing and sizes of failure detection, in seconds and members.
 
-What they cost and how fast a death is seen at 420 nodes is measured in docs/CAPACITY.md.
+docs/CAPACITY.md has the traffic and detection time measured at 420 nodes.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
     probe_interval
         Time between two direct probes of a healthy node.
     zone_timeout, region_timeout, remote_timeout
-        Wait for the answer to a direct probe of a member in the own zone, in another zone of the
-        own region, and in another region, before others are asked to probe it.
+        Timeout of a direct probe of a member in the same zone, in another zone of the same
+        region, and in another region. Indirect probes follow.
     indirect_probes
-        How many others are asked.
+        Number of other members that are asked to probe the target.
     suspicion_factor
         Shortest suspicion, in probe intervals times log10 of the number of members.
     suspicion_spread
-        Longest suspicion (nobody else accuses the member), in shortest ones.
+        Ratio of the longest suspicion (no other accuser) to the shortest.
     suspicion_confirmations
-        Independent accusers that bring a suspicion down to its shortest.
+        Number of further accusers at which a suspicion is at its shortest.
     remote_suspicion_factor
-        How much longer a suspicion of a member in another region lasts: links between regions
-        lose more, and for longer, than links inside one.
+        Factor on the suspicion of a member in another region, since links between regions lose
+        more messages, and for longer, than links inside one.
     retransmission_factor
-        Times an update is passed on, in log10 of the number of members, rounded up.
+        How often an update is passed on, times log10 of the number of members, rounded up.
     gossip_interval, gossip_fanout
-        While updates wait: time between rounds, and members notified in each.
+        Time between rounds of gossip while updates are queued, and recipients in each round.
     exchange_interval
-        Time between two comparisons of the whole member list with a random member.
+        Time between comparisons of the whole member list with a random member.
     contact_interval
-        Time between two probes of a machine that the list names, or that died, but no member.
+        Time between contacts of a machine that is listed or dead, but not a member.
     dead_retention
-        How long the dead and those that left are kept, and the dead contacted again; longer
-        than a partition that is to heal by itself.
+        How long members that died or left are kept, and dead ones contacted. A partition that
+        lasts longer does not heal by itself.
     pause_threshold
         A gap between ticks above this means that this process was paused.
     maximum_health_penalty
-        Bound on the penalty by which a node that doubts itself stretches its timeouts.
+        Upper bound of the penalty by which a slow or isolated node lengthens its own timeouts.
     """
 
     probe_interval: float = 1.0
--- a/src/stagewalk/node/membership/contacts.py
+++ b/src/stagewalk/node/membership/contacts.py
@@ -1,7 +1,4 @@
-"""Nodes that may run but are no members: named by the machine list, or dead.
-
-Owns the listed addresses; relies on the member table for who is a member.
-"""
+"""Addresses of nodes that may be running but are not members: listed machines and dead members."""
 
 from __future__ import annotations
 
@@ -17,8 +14,8 @@
 class ContactList:
     """Addresses that are contacted from time to time.
 
-    The machine list lags behind reality: it only adds addresses here. It never makes a member,
-    and a machine missing from it, or leaving by it, takes none away.
+    The machine list may be out of date, so it only supplies addresses: it never adds a member, and
+    a machine that is missing from it or listed as leaving does not remove one.
     """
 
     def __init__(self, own_name: NodeName, table: MemberTable, generator: random.Random) -> None:
@@ -37,7 +34,7 @@
         self._listed.pop(self._own_name, None)
 
     def choose(self, count: int) -> list[Address]:
-        """Return some addresses, at random, at which no member is known."""
+        """Return up to `count` random addresses of listed machines and dead members."""
         addresses = {str(address): address for address in self._candidates()}
         keys = sorted(addresses)
         chosen = self._generator.sample(keys, min(count, len(keys)))
--- a/src/stagewalk/node/membership/core.py
+++ b/src/stagewalk/node/membership/core.py
@@ -1,9 +1,8 @@
-"""The membership core: which nodes are there, as far as this one can know.
+"""Membership core: tracks which nodes are alive, as seen by this node.
 
-The parts: `member_table` holds the newest fact about each node, `failure_detector` probes,
-`suspicion` gives suspects time to deny, `dissemination` passes facts on, `contacts` keeps
-addresses worth trying. This module owns
-this node's own fact and decides what each message and each tick changes.
+`member_table` holds the newest fact about each node, `failure_detector` probes members, `suspicion`
+times how long a suspect may refute, `dissemination` queues updates for gossip, and `contacts` holds
+addresses of possible members. This module owns this node's own fact and handles messages and ticks.
 """
 
 from __future__ import annotations
@@ -40,20 +39,20 @@
 MembershipOutput = SendPeerMessage | MembershipNotification
 
 JOIN_FANOUT = 2
-"""Machines contacted in each round while no member is known."""
+"""Machines contacted in each round while no other member is known."""
 LEAVE_FANOUT = 8
-"""Members notified at once that this node leaves."""
+"""Members notified at once when this node leaves."""
 FULL_STATE_INTERVAL_SECONDS = 1.0
-"""Least time between two whole lists offered: at 420 members one takes about 30 KB."""
+"""Minimum time between full lists sent on a digest mismatch; one of 420 members is about 30 KB."""
 DIGEST_MISMATCH_TOLERANCE_SECONDS = 3.0
-"""Difference of lists that gossip under way does not explain: it spreads within a second or two."""
+"""A digest mismatch that lasts longer is not explained by gossip that is still spreading."""
 
 ENDED_MEMBER_CLEANUP_INTERVAL_SECONDS = 60.0
-"""Time between two removals of members that ended long ago."""
+"""Time between removals of members whose `dead_retention` is over."""
 
 
 class MembershipCore:
-    """Membership of one node: messages and time in, messages and notifications out.
+    """Membership of one node; does no I/O, but returns messages to send and notifications.
 
     Parameters
     ----------
@@ -66,8 +65,8 @@
 
     Notes
     -----
-    All times are seconds of one clock that never decreases. After each call the outputs are to
-    be carried out in order.
+    All times are seconds of a monotonic clock. The caller must execute the outputs of each call
+    in order.
     """
 
     def __init__(
@@ -84,14 +83,14 @@
         self._contacts = ContactList(identity.name, self._table, generator)
         self._outputs: list[MembershipOutput] = []
         self._leaving = False
-        self._superseded_by = identity.incarnation
+        self._greatest_incarnation = identity.incarnation
         self._last_tick_at: float | None = None
         self._next_gossip_at = 0.0
         self._next_exchange_at = 0.0
         self._next_contact_at = 0.0
-        self._next_forget_at = 0.0
+        self._next_cleanup_at = 0.0
         self._next_full_state_at = 0.0
-        self._differs_since: float | None = None
+        self._digest_mismatch_since: float | None = None
         self._own_fact = MemberFact(
             identity.name,
             identity.incarnation,
@@ -104,7 +103,7 @@
         self._queue.add(self._own_fact)
 
     def members(self) -> tuple[Member, ...]:
-        """Return the alive and suspect members by name; this node too until it leaves."""
+        """Return the alive and suspect members by name, including this node until it leaves."""
         return self._table.members()
 
     def set_status(self, status: MemberStatus) -> None:
@@ -121,7 +120,7 @@
     def handle_message(
         self, source: Address, sender: NodeName, message: MembershipMessage, now: float
     ) -> list[MembershipOutput]:
-        """Handle another node's message; `source` is where it came from."""
+        """Handle another node's message; `source` is the address it came from."""
         self._detect_pause(now)
         if sender == self.identity.name:
             self._handle_own_fact(replace(record_to_fact(message.origin), name=sender), now)
@@ -130,7 +129,7 @@
         if address is None:
             return self._drain()
         self._handle_updates(sender, message, now)
-        self._check_difference(message, now)
+        self._check_digest_mismatch(message, now)
         self._outputs.extend(self._answer(address, sender, message, now))
         return self._drain()
 
@@ -139,26 +138,26 @@
         self._detect_pause(now)
         if not self._leaving:
             self._probe(now)
-        for call in self._timers.overdue(now):
-            if call.is_final:
-                self._declare_dead(call.name, now)
+        for expired in self._timers.expired(now):
+            if expired.is_final:
+                self._declare_dead(expired.name, now)
             else:
-                self._probe_suspect(call.name)
+                self._probe_suspect(expired.name)
         if self._queue and now >= self._next_gossip_at:
             self._gossip(now)
         if now >= self._next_exchange_at:
             self._compare_with_random_member(now)
         if now >= self._next_contact_at:
             self._try_contacts(now)
-        if now >= self._next_forget_at:
-            self._next_forget_at = now + ENDED_MEMBER_CLEANUP_INTERVAL_SECONDS
+        if now >= self._next_cleanup_at:
+            self._next_cleanup_at = now + ENDED_MEMBER_CLEANUP_INTERVAL_SECONDS
             self._table.forget_ended_before(now - self._config.dead_retention)
         return self._drain()
 
     def leave(self, now: float) -> list[MembershipOutput]:
-        """Announce that this node leaves; it goes on answering until it is ended.
+        """Announce that this node leaves; it keeps answering messages until its process ends.
 
-        Leaving can't be undone: only a greater incarnation joins again.
+        Leaving can't be undone: only a process with a greater incarnation joins again.
         """
         if self._leaving:
             return []
@@ -175,13 +174,13 @@
     def _handle_origin(
         self, source: Address, sender: NodeName, message: MembershipMessage, now: float
     ) -> Address | None:
-        """Apply the sender's own fact; return where to answer, or `None` if it was superseded."""
+        """Apply the sender's own fact; return its address, or `None` if it was superseded."""
         origin = replace(record_to_fact(message.origin), name=sender)
         address = origin.address or source
         known = self._table.get(sender)
         if known is not None and origin.incarnation < known.incarnation:
-            # An earlier process under this name still runs, or its datagram came late: send it
-            # the newer fact.
+            # An earlier process under this name is still running or its datagram was delayed:
+            # send it the newer fact.
             gossip = MembershipKind.MEMBERSHIP_KIND_GOSSIP
             self._outputs.append(self._writer.datagram(address, gossip, sender))
             return None
@@ -192,7 +191,7 @@
         is_full_state = message.kind == MembershipKind.MEMBERSHIP_KIND_FULL_STATE
         for record in message.updates:
             fact = record_to_fact(record)
-            if is_full_state and self._doubts_death(fact):
+            if is_full_state and self._is_disputed_death(fact):
                 fact = replace(fact, state=MemberState.SUSPECT)
             self._apply(fact, fact.accuser or sender, now)
 
@@ -214,12 +213,12 @@
             return [self._writer.full_state(address, answer_wanted=False)]
         return []
 
-    def _doubts_death(self, fact: MemberFact) -> bool:
-        """Return whether a whole list calls dead whom this node holds alive.
+    def _is_disputed_death(self, fact: MemberFact) -> bool:
+        """Return whether a full list reports a member dead that is present here.
 
-        The other side of a healed partition believes all of this side dead: each of them gets
-        the time to deny it. A death of a process not known here is applied, so that a node that
-        joins does not revive it.
+        After a partition heals, the other side reports all members of this side as dead. The
+        caller treats them as suspects, so that they can refute it. The death of a process that is
+        unknown here is applied, so that a joining node does not revive it.
         """
         if fact.state is not MemberState.DEAD:
             return False
@@ -233,7 +232,7 @@
     def _answer_digest(
         self, address: Address, message: MembershipMessage, now: float
     ) -> list[SendPeerMessage]:
-        """Send the whole list to a member whose list differs, but not to many at once."""
+        """Send the full list to a member whose digest differs, at a limited rate."""
         if message.digest == self._table.digest or now < self._next_full_state_at:
             return []
         self._next_full_state_at = now + FULL_STATE_INTERVAL_SECONDS
@@ -269,18 +268,18 @@
         self._outputs.append(MemberChanged(fact.name, old_state, fact.state, fact.incarnation))
 
     def _handle_own_fact(self, fact: MemberFact, now: float) -> None:
-        """Refute a wrong fact about this node by a newer one."""
+        """Refute a wrong fact about this node, or report that the node was superseded."""
         own = self._own_fact
-        if fact.incarnation > self._superseded_by or (
+        if fact.incarnation > self._greatest_incarnation or (
             fact.state is MemberState.LEFT and not self._leaving and fact.rank > own.rank
         ):
-            self._superseded_by = fact.incarnation
+            self._greatest_incarnation = fact.incarnation
             self._outputs.append(IdentitySuperseded(fact.incarnation))
             return
         if self._leaving or fact.incarnation != own.incarnation or fact.rank <= own.rank:
             return
         if fact.state is not MemberState.ALIVE:
-            self._detector.health.worsen()
+            self._detector.health.increase_penalty()
         self._own_fact = replace(own, refutation=fact.refutation + 1)
         self._table.apply(self._own_fact, now)
         self._queue.add(self._own_fact)
@@ -308,7 +307,7 @@
             self._queue.add(fact)
 
     def _probe_suspect(self, name: NodeName) -> None:
-        """Probe a suspect again: every message to it carries the suspicion it has to refute."""
+        """Probe a suspect again: messages to it carry the suspicion that it has to refute."""
         fact = self._table.get(name)
         if fact is not None and fact.address is not None:
             self._outputs.append(self._detector.probe_again(fact, fact.address))
@@ -322,13 +321,13 @@
         self._apply(dead, self.identity.name, now)
 
     def _detect_pause(self, now: float) -> None:
-        """After a gap between ticks, restart the timeouts that ran out during it.
+        """After a gap between ticks, drop running probes and postpone suspicions.
 
-        Without this a process that was paused would wake up, find all its probes and suspicions
-        overdue, and declare healthy members dead.
+        Otherwise a process that was paused would find them all expired and declare healthy
+        members dead.
         """
         if self._last_tick_at is None:
-            self._detector.begin(now)
+            self._detector.schedule_first_probe(now)
             jitter = self._generator.random()
             self._next_exchange_at = now + jitter * self._config.exchange_interval
             self._last_tick_at = now
@@ -336,24 +335,24 @@
         gap = now - self._last_tick_at
         self._last_tick_at = now
         if gap > self._config.pause_threshold:
-            self._detector.drop_running(now)
-            self._detector.health.worsen()
+            self._detector.drop_pending(now)
+            self._detector.health.increase_penalty()
             self._timers.postpone(gap)
 
-    # Spreading
+    # Dissemination
 
-    def _check_difference(self, message: MembershipMessage, now: float) -> None:
-        """Compare lists soon if all that others send has differed from this one for a while.
+    def _check_digest_mismatch(self, message: MembershipMessage, now: float) -> None:
+        """Schedule a comparison of lists if no received digest has matched for a while.
 
-        News on its way makes lists differ for a second or two. A difference that lasts was left
-        by news whose last copy got lost, or that was sent when few members were known.
+        Digests differ for a second or two while updates spread. A lasting mismatch means that the
+        last copy of an update was lost, or that it was sent while few members were known.
         """
         if message.digest == self._table.digest:
-            self._differs_since = None
-        elif self._differs_since is None:
-            self._differs_since = now
-        elif now - self._differs_since >= DIGEST_MISMATCH_TOLERANCE_SECONDS:
-            self._differs_since = None
+            self._digest_mismatch_since = None
+        elif self._digest_mismatch_since is None:
+            self._digest_mismatch_since = now
+        elif now - self._digest_mismatch_since >= DIGEST_MISMATCH_TOLERANCE_SECONDS:
+            self._digest_mismatch_since = None
             self._next_exchange_at = now
 
     def _gossip(self, now: float) -> None:
@@ -372,7 +371,7 @@
             self._outputs.append(self._writer.datagram(member.address, digest, member.name))
 
     def _try_contacts(self, now: float) -> None:
-        """Join through the machine list, or probe whether one believed dead answers after all."""
+        """Join through the machine list, or contact a listed or dead node that may be running."""
         if len(self._table.present()) <= 1 and not self._leaving:
             self._next_contact_at = now + self._config.probe_interval
             for address in self._contacts.choose(JOIN_FANOUT):
--- a/src/stagewalk/node/membership/dissemination.py
+++ b/src/stagewalk/node/membership/dissemination.py
@@ -1,6 +1,6 @@
-"""Updates waiting to be sent with other messages, each a bounded number of times.
+"""Queue of updates that are piggybacked on other messages, each a bounded number of times.
 
-Owns the queue; the number of times grows with the logarithm of the members.
+The bound grows with the logarithm of the number of members.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from stagewalk.node.wire.membership_pb2 import MemberRecord
 
 REPEATED_FIELD_OVERHEAD_BYTES = 3
-"""Tag and length that protobuf adds to one record of a list."""
+"""Size of the tag and length of one element of a repeated protobuf field."""
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
 
 
 class UpdateQueue:
-    """Piggyback queue: the least often sent updates first, the newest of them first."""
+    """Queue of updates to piggyback, ordered by fewest transmissions, then newest first."""
 
     def __init__(self, retransmission_factor: float) -> None:
         self._factor = retransmission_factor
@@ -45,7 +45,7 @@
         self._updates[fact.name] = _QueuedUpdate(record, size, 0, self._order)
 
     def take(self, budget_bytes: int, member_count: int) -> list[MemberRecord]:
-        """Return updates that fit into a message and count them as sent once more."""
+        """Return updates that fit into `budget_bytes`, and count each as sent once more."""
         if not self._updates:
             return []
         limit = transmission_limit(self._factor, member_count)
@@ -62,7 +62,7 @@
 
 
 def transmission_limit(factor: float, member_count: int) -> int:
-    """Return how often one node passes an update on: enough to reach all, and no more."""
+    """Return how often one node sends an update for it to reach all members."""
     return math.ceil(factor * math.log10(member_count + 1))
 
 
--- a/src/stagewalk/node/membership/failure_detector.py
+++ b/src/stagewalk/node/membership/failure_detector.py
@@ -1,8 +1,8 @@
 """Probes members, directly and through others, and reports which did not answer.
 
-This is SWIM's detector (Das, Gupta, Motivala 2002) with Lifeguard's local health: a node that has
-reason to doubt itself waits longer before it doubts others. Owns the running probes; the constants
-are fields of `MembershipConfig`.
+This is the failure detector of SWIM (Das, Gupta, Motivala 2002) with the local health of Lifeguard:
+a node with signs that it is slow or isolated itself lengthens its timeouts. The parameters are
+fields of `MembershipConfig`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class LocalHealth:
-    """Penalty of a node that doubts itself; 0 when healthy."""
+    """Health penalty of this node: 0 when healthy, larger when it seems slow or isolated."""
 
     def __init__(self, maximum: int) -> None:
         self._maximum = maximum
@@ -30,28 +30,28 @@
 
     @property
     def factor(self) -> int:
-        """Return by what timeouts and intervals are stretched."""
+        """Return the factor on timeouts and intervals."""
         return self.penalty + 1
 
-    def worsen(self) -> None:
-        """Count a sign that this node itself is slow or cut off."""
+    def increase_penalty(self) -> None:
+        """Count a sign that this node itself is slow or isolated."""
         self.penalty = min(self._maximum, self.penalty + 1)
 
-    def improve(self) -> None:
+    def decrease_penalty(self) -> None:
         """Count a probe that was answered in time."""
         self.penalty = max(0, self.penalty - 1)
 
 
 @dataclass(slots=True)
 class ProbeStep:
-    """What a step of the detector came to: messages to send and members that failed a probe."""
+    """Result of one tick: messages to send and members that failed a probe."""
 
     messages: list[SendPeerMessage] = field(default_factory=list)
     failed: list[MemberFact] = field(default_factory=list)
 
 
 class FailureDetector:
-    """The probes of one node, its own and those it runs for others."""
+    """Runs the probes of one node: its own and those relayed for others."""
 
     def __init__(
         self,
@@ -73,11 +73,11 @@
         self._last_exchange_id = generator.getrandbits(32)
         self._next_probe_at = 0.0
 
-    def begin(self, now: float) -> None:
-        """Spread the nodes' probes over the interval."""
+    def schedule_first_probe(self, now: float) -> None:
+        """Schedule the first probe at random within the interval, so that nodes are not in step."""
         self._next_probe_at = now + self._generator.random() * self._config.probe_interval
 
-    def drop_running(self, now: float) -> None:
+    def drop_pending(self, now: float) -> None:
         """Drop the probes that were under way while this process was paused."""
         self._pending.clear()
         self._relayed.clear()
@@ -96,13 +96,13 @@
         return step
 
     def probe_again(self, target: MemberFact, address: Address) -> SendPeerMessage:
-        """Return a probe whose failure changes nothing; its answer brings the member's denial."""
+        """Return a probe that is not tracked; its answer may carry the member's refutation."""
         return self._probe(target, address, self._new_exchange_id())
 
     def answer_probe(
         self, sender: NodeName, address: Address, message: MembershipMessage
     ) -> list[SendPeerMessage]:
-        """Acknowledge a probe that is meant for this node and not for an earlier one here."""
+        """Acknowledge a probe of this node, but not of another node that had its address."""
         if message.target.name != self._identity.name:
             return []
         acknowledgement = MembershipKind.MEMBERSHIP_KIND_ACKNOWLEDGEMENT
@@ -111,7 +111,7 @@
     def relay_probe(
         self, sender: NodeName, address: Address, message: MembershipMessage, now: float
     ) -> list[SendPeerMessage]:
-        """Probe a member for another one."""
+        """Probe a member on behalf of the sender."""
         target = self._table.get(NodeName(message.target.name))
         if target is None or target.address is None:
             return []
@@ -125,9 +125,9 @@
     def handle_acknowledgement(
         self, sender: NodeName, message: MembershipMessage
     ) -> list[SendPeerMessage]:
-        """Settle the probe that an acknowledgement answers, or relay it to the requester."""
+        """Complete an acknowledged probe, or pass the acknowledgement to its requester."""
         if self._pending.pop(message.exchange_id, None) is not None:
-            self.health.improve()
+            self.health.decrease_penalty()
             return []
         relayed = self._relayed.pop(message.exchange_id, None)
         if relayed is None or relayed.target.name != sender:
@@ -142,7 +142,7 @@
         ]
 
     def handle_no_answer(self, message: MembershipMessage) -> None:
-        """Count a helper that is alive itself: the fault is not this node's own."""
+        """Count a helper that answered: this node itself is not isolated."""
         pending = self._pending.get(message.exchange_id)
         if pending is not None:
             pending.helper_answers += 1
@@ -168,9 +168,9 @@
                 self._ask_helpers(exchange_id, pending, step)
 
     def _fail(self, pending: PendingProbe, step: ProbeStep) -> None:
-        """Report a failed probe; if no helper answered either, doubt this node as well."""
+        """Report a failed probe; if no helper answered either, raise the health penalty."""
         if pending.helpers > 0 and pending.helper_answers == 0:
-            self.health.worsen()
+            self.health.increase_penalty()
         step.failed.append(pending.target)
 
     def _ask_helpers(self, exchange_id: int, pending: PendingProbe, step: ProbeStep) -> None:
--- a/src/stagewalk/node/membership/member_table.py
+++ b/src/stagewalk/node/membership/member_table.py
@@ -1,8 +1,8 @@
-"""All nodes this node knows of, and the rule by which news about one of them counts.
+"""Table of the newest fact about each known node.
 
-News about a member is ordered by (incarnation, refutation, state): a greater incarnation is a
-newer process, a greater refutation is that process's own later word, and at the same word the
-worse state wins. So any order and any repetition of the same news ends in the same table.
+Facts about a member are ordered by (incarnation, refutation, state): a greater incarnation is a
+newer process, a greater refutation is a later statement of that process, and for the same statement
+the worse state wins. The same facts in any order, with any repetition, give the same table.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberFact:
-    """One node's word or another's judgement about a member.
+    """What a member states about itself, or what another node concluded about it.
 
-    `address` and `placement` are `None` where the teller took them for known; `accuser` names
-    whose probes failed, for a suspicion.
+    `address` and `placement` are `None` if the sender left them out because receivers know them.
+    `accuser` is the node that suspected the member or declared it dead.
     """
 
     name: NodeName
@@ -39,13 +39,13 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Return what decides between two facts about the same member."""
+        """Return the key that orders facts about the same member; the greater one wins."""
         return (self.incarnation, self.refutation, self.state)
 
 
 @dataclass(frozen=True, slots=True)
 class TableChange:
-    """A fact that was newer than what the table held."""
+    """A fact that replaced an older one, or `None`, in the table."""
 
     fact: MemberFact
     old: MemberFact | None
@@ -71,14 +71,14 @@
 
     @property
     def digest(self) -> int:
-        """Return an order-free hash of the names and incarnations alive or suspect."""
+        """Return an order-independent hash of the names and incarnations of present members."""
         return self._digest
 
     def apply(self, fact: MemberFact, now: float) -> TableChange | None:
-        """Apply a fact; return what changed, or `None` if it is no news."""
+        """Apply a fact; return the change, or `None` if the fact is not newer or not usable."""
         old = self._facts.get(fact.name)
         if old is not None and old.incarnation == fact.incarnation:
-            self._take_status(old, fact)
+            self._merge_status(old, fact)
             old = self._facts[fact.name]
         if old is not None and not _is_newer(fact, old):
             return None
@@ -102,19 +102,19 @@
         return self._present
 
     def ended(self) -> list[MemberFact]:
-        """Return the dead and those that left, in the order of their names."""
+        """Return the members that died or left, sorted by name."""
         return [self._facts[name] for name in sorted(self._ended_at)]
 
     def forget_ended_before(self, moment: float) -> None:
-        """Remove the dead and those that left before a time."""
+        """Remove the members that died or left before a time."""
         for name in [name for name, ended_at in self._ended_at.items() if ended_at < moment]:
             del self._ended_at[name]
             del self._facts[name]
 
-    def _take_status(self, old: MemberFact, fact: MemberFact) -> None:
+    def _merge_status(self, old: MemberFact, fact: MemberFact) -> None:
         offset = fact.status.configuration_offset
         if offset > old.status.configuration_offset:
-            self._keep(replace(old, status=MemberStatus(offset)))
+            self._set_fact(replace(old, status=MemberStatus(offset)))
 
     def _store(self, fact: MemberFact, old: MemberFact | None, now: float) -> None:
         if old is not None and _is_present(old):
@@ -124,9 +124,9 @@
             self._ended_at.pop(fact.name, None)
         else:
             self._ended_at[fact.name] = now
-        self._keep(fact)
+        self._set_fact(fact)
 
-    def _keep(self, fact: MemberFact) -> None:
+    def _set_fact(self, fact: MemberFact) -> None:
         self._facts[fact.name] = fact
         if _is_present(fact):
             self._members[fact.name] = _member(fact)
--- a/src/stagewalk/node/membership/members.py
+++ b/src/stagewalk/node/membership/members.py
@@ -1,4 +1,4 @@
-"""What a node knows of itself and of the other nodes: identity, state and status. Plain data."""
+"""Data types for members: identity, state and status."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
     ALIVE = 0
     SUSPECT = 1
-    """Its probes failed; it has some seconds to deny it. Still a member."""
+    """A probe of it failed; it has some seconds to refute that. Still a member."""
     DEAD = 2
-    """It did not deny. It comes back if it answers after all (a healed partition)."""
+    """It did not refute the suspicion. It comes back if it answers later (a healed partition)."""
     LEFT = 3
-    """It said that it leaves. Only a greater incarnation comes back under its name."""
+    """It announced that it leaves. Only a greater incarnation comes back under its name."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """The status that every node announces of itself.
+    """Status that every node announces about itself.
 
     Attributes
     ----------
     configuration_offset
-        Offset after the last configuration record in force there; it never falls.
+        Offset after the last configuration record in force there; it never decreases.
     """
 
     configuration_offset: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A member as this node sees it now."""
+    """A member as this node currently sees it."""
 
     name: NodeName
     incarnation: Incarnation
--- a/src/stagewalk/node/membership/messages.py
+++ b/src/stagewalk/node/membership/messages.py
@@ -1,7 +1,4 @@
-"""Builds the messages of membership, filling datagrams up with waiting updates.
-
-Relies on the update queue for what to add and on the member table for digests and whole lists.
-"""
+"""Builds membership messages, and piggybacks queued updates on datagrams."""
 
 from __future__ import annotations
 
@@ -16,11 +13,11 @@
 from stagewalk.node.wire.membership_pb2 import MemberRecord, MembershipKind, MembershipMessage
 
 LENGTH_FIELD_RESERVE_BYTES = 8
-"""Room for the length fields that grow when updates are added to a message."""
+"""Reserve for length fields that grow when updates are added to a message."""
 
 
 class MessageWriter:
-    """Addresses messages in the name of this node."""
+    """Builds messages with this node's identity and digest."""
 
     def __init__(self, identity: AddressedIdentity, table: MemberTable, queue: UpdateQueue) -> None:
         self._identity = identity
@@ -35,20 +32,20 @@
         exchange_id: int = 0,
         target: MemberFact | None = None,
     ) -> SendPeerMessage:
-        """Return a message that carries as many waiting updates as fit into a datagram."""
+        """Return a message with as many queued updates as fit into a datagram."""
         message = MembershipMessage(exchange_id=exchange_id, kind=kind, digest=self._table.digest)
         if target is not None:
             message.target.CopyFrom(fact_to_record(target, with_place=True))
         envelope = self._envelope(message)
         budget = MAXIMUM_DATAGRAM_BYTES - envelope.ByteSize() - LENGTH_FIELD_RESERVE_BYTES
-        updates = self._news_for(recipient)
+        updates = self._records_to_refute(recipient)
         budget -= sum(record.ByteSize() + REPEATED_FIELD_OVERHEAD_BYTES for record in updates)
         updates += self._queue.take(budget, len(self._table.present()))
         envelope.membership.updates.extend(updates)
         return SendPeerMessage(address, envelope, Transport.DATAGRAM)
 
     def full_state(self, address: Address, answer_wanted: bool) -> SendPeerMessage:
-        """Return a message with all that this node knows, for a stream."""
+        """Return a message with all facts known to this node, to be sent over a stream."""
         message = MembershipMessage(
             kind=MembershipKind.MEMBERSHIP_KIND_FULL_STATE,
             digest=self._table.digest,
@@ -68,9 +65,8 @@
             membership=message,
         )
 
-    def _news_for(self, recipient: NodeName | None) -> list[MemberRecord]:
-        """Return the fact about a recipient that this node does not hold alive, so that it can
-        refute it."""
+    def _records_to_refute(self, recipient: NodeName | None) -> list[MemberRecord]:
+        """Return the fact about a recipient not considered alive, so that it can refute it."""
         fact = self._table.get(recipient) if recipient is not None else None
         if fact is None or fact.state is MemberState.ALIVE:
             return []
--- a/src/stagewalk/node/membership/notifications.py
+++ b/src/stagewalk/node/membership/notifications.py
@@ -1,4 +1,4 @@
-"""What membership returns for the node's other cores."""
+"""Notifications that membership returns for the node's other cores."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member's state or incarnation changed. `old_state` is `None` for one not known before."""
+    """A member's state or incarnation changed; `old_state` is `None` for a new member."""
 
     name: NodeName
     old_state: MemberState | None
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentitySuperseded:
-    """Another process runs, or ran, under this node's name with a greater incarnation.
+    """A process with a greater incarnation runs, or ran, under this node's name.
 
     The other nodes ignore this node's facts about itself. It should stop, or start again with an
     incarnation above `incarnation`.
--- a/src/stagewalk/node/membership/probing.py
+++ b/src/stagewalk/node/membership/probing.py
@@ -1,7 +1,4 @@
-"""Which member is probed next, the running probes, and those on behalf of others.
-
-Owns the order of a round: every member once, in random order.
-"""
+"""Order in which members are probed, and the state of running and relayed probes."""
 
 from __future__ import annotations
 
@@ -15,18 +12,18 @@
 
 @dataclass(slots=True)
 class PendingProbe:
-    """A probe of this node's own that runs.
+    """A running probe of this node's own.
 
     Attributes
     ----------
     target
-        What was held of the member when the probe was sent.
+        Fact about the member when the probe was sent.
     direct_deadline, final_deadline
-        When others are asked to probe it too, and when the probe has failed.
+        Time at which helpers are asked to probe it, and time at which the probe has failed.
     helpers
-        How many others were asked; 0 while they have not been.
+        Number of members asked to probe it; 0 before they are asked.
     helper_answers
-        How many of them answered that they had no answer either.
+        Number of helpers that reported no answer either.
     """
 
     target: MemberFact
@@ -38,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedProbe:
-    """A probe that runs on behalf of another member.
+    """A running probe on behalf of another member.
 
-    `exchange_id` is the one the requester chose, `deadline` when it gets the notice that no answer
-    came.
+    `exchange_id` is the id that the requester chose. At `deadline` the requester is notified that
+    no answer came.
     """
 
     requester: NodeName
@@ -52,10 +49,10 @@
 
 
 class ProbeSchedule:
-    """Round robin over a shuffled list: every member's turn comes once in each round.
+    """Round robin over a shuffled list: every member is probed once in each round.
 
-    That bounds the time until a dead member is probed, which random choice does not; the shuffle
-    keeps the nodes from probing the same member at the same time.
+    This bounds the time until a dead member is probed, which random choice does not. Shuffling
+    keeps nodes from probing the same member at the same time.
     """
 
     def __init__(self, generator: random.Random) -> None:
@@ -67,7 +64,7 @@
         self._round.insert(self._generator.randint(0, len(self._round)), name)
 
     def next(self, present: dict[NodeName, Member], own_name: NodeName) -> Member | None:
-        """Return the next member to probe; those gone meanwhile are skipped."""
+        """Return the next member to probe; nodes that are no longer present are skipped."""
         for _ in range(2):
             while self._round:
                 name = self._round.pop()
--- a/src/stagewalk/node/membership/suspicion.py
+++ b/src/stagewalk/node/membership/suspicion.py
@@ -1,9 +1,8 @@
-"""The rule for suspicions: how long a member has to refute one, and who accuses it.
+"""Timers of suspicions: how long a suspect has to refute before it is declared dead.
 
-The wait follows Lifeguard (Dadgar, Phillips, Currey 2018): it starts long and shrinks with each
+The timeout follows Lifeguard (Dadgar, Phillips, Currey 2018): it starts long and shrinks with each
 independent accuser, so that one node with a bad link can't have a healthy member declared dead.
-Owns the running timers, in seconds of this node's clock; the constants are fields of
-`MembershipConfig`.
+Times are seconds of this node's clock; the parameters are fields of `MembershipConfig`.
 """
 
 from __future__ import annotations
@@ -17,13 +16,13 @@
 FINAL_PROBES = 3
 FINAL_PROBE_INTERVAL_SECONDS = 0.2
 """Probes of a suspect before it is declared dead, and the time between them, in case its refutation
-was lost: without them nodes that lose a fifth of their datagrams declare live members dead
+was lost. Without them, live members are declared dead when a fifth of all datagrams is lost
 (docs/design/0050-membership.md)."""
 
 
 @dataclass(frozen=True, slots=True)
-class LastCall:
-    """A suspect to be asked a last time, or, if `is_final`, one that did not answer that."""
+class ExpiredSuspicion:
+    """A suspect to probe again, or to declare dead if `is_final`: it refuted no final probe."""
 
     name: NodeName
     is_final: bool
@@ -33,7 +32,7 @@
 class SuspicionTerms:
     """How long a suspicion lasts, in seconds.
 
-    `confirmations` is how many further accusers bring it from `longest` down to `shortest`.
+    `confirmations` is the number of further accusers that reduces it from `longest` to `shortest`.
     """
 
     shortest: float
@@ -42,7 +41,7 @@
 
 
 def suspicion_terms(members: int, is_remote: bool, config: MembershipConfig) -> SuspicionTerms:
-    """Return how long a suspicion lasts: with the logarithm of the members, as gossip does."""
+    """Return how long a suspicion lasts; like gossip, it grows with log10 of the members."""
     scale = max(1.0, math.log10(max(1, members))) * config.probe_interval
     shortest = config.suspicion_factor * scale
     if is_remote:
@@ -56,8 +55,8 @@
     started_at: float
     terms: SuspicionTerms
     accusers: set[NodeName] = field(default_factory=set)
-    last_calls: int = 0
-    next_call_at: float = 0.0
+    final_probes: int = 0
+    next_final_probe_at: float = 0.0
 
 
 class SuspicionTimers:
@@ -67,11 +66,11 @@
         self._running: dict[NodeName, _Suspicion] = {}
 
     def start(self, name: NodeName, accuser: NodeName, terms: SuspicionTerms, now: float) -> None:
-        """Start a member's timer; a timer that runs starts anew."""
+        """Start a member's timer, or restart it if it is running."""
         self._running[name] = _Suspicion(now, terms, {accuser})
 
     def confirm(self, name: NodeName, accuser: NodeName) -> bool:
-        """Count another accuser; return whether it is a new one worth passing on."""
+        """Count another accuser; return whether it is new and should be passed on."""
         suspicion = self._running.get(name)
         if suspicion is None or accuser in suspicion.accusers:
             return False
@@ -85,25 +84,28 @@
         self._running.pop(name, None)
 
     def postpone(self, seconds: float) -> None:
-        """Move all timers on, because this process was paused for that long."""
+        """Postpone all timers by the time for which this process was paused."""
         for suspicion in self._running.values():
             suspicion.started_at += seconds
 
-    def overdue(self, now: float) -> list[LastCall]:
-        """Return the suspects whose time to deny is over, in the order of their names.
+    def expired(self, now: float) -> list[ExpiredSuspicion]:
+        """Return the suspects whose time to refute is over, sorted by name.
 
-        Their denial may have been lost on its way here, so each is asked itself some times, and
-        only then is it final.
+        Their refutation may have been lost, so each is returned for `FINAL_PROBES` further probes
+        before the entry is final.
         """
-        calls: list[LastCall] = []
+        expired: list[ExpiredSuspicion] = []
         for name in sorted(self._running):
             suspicion = self._running[name]
-            if now < suspicion.started_at + _duration(suspicion) or now < suspicion.next_call_at:
+            if (
+                now < suspicion.started_at + _duration(suspicion)
+                or now < suspicion.next_final_probe_at
+            ):
                 continue
-            calls.append(LastCall(name, is_final=suspicion.last_calls == FINAL_PROBES))
-            suspicion.last_calls += 1
-            suspicion.next_call_at = now + FINAL_PROBE_INTERVAL_SECONDS
-        return calls
+            expired.append(ExpiredSuspicion(name, is_final=suspicion.final_probes == FINAL_PROBES))
+            suspicion.final_probes += 1
+            suspicion.next_final_probe_at = now + FINAL_PROBE_INTERVAL_SECONDS
+        return expired
 
 
 def _duration(suspicion: _Suspicion) -> float:
--- a/tests/node/membership/test_core.py
+++ b/tests/node/membership/test_core.py
@@ -13,7 +13,7 @@
 
 
 def cluster(size: int, seed: int = 1) -> MembershipNetwork:
-    """Start nodes spread over three zones and let them join through the machine list."""
+    """Start nodes in three zones and let them join through the machine list."""
     network = MembershipNetwork(seed)
     for index in range(size):
         network.start(f"node-{index:03}", zone=f"zone-{index % 3}")
@@ -23,12 +23,12 @@
 
 
 class JoiningTest(testtools.TestCase):
-    def test_all_find_each_other_through_the_machine_list(self) -> None:
+    def test_nodes_join_through_the_machine_list(self) -> None:
         network = cluster(30)
         (view,) = network.views()
         self.assertEqual([f"node-{index:03}" for index in range(30)], [name for name, _ in view])
 
-    def test_the_machine_list_alone_makes_no_member(self) -> None:
+    def test_listed_machine_that_is_dead_does_not_become_a_member(self) -> None:
         network = cluster(4)
         network.kill("node-003")
         network.run(10)
@@ -38,7 +38,7 @@
 
 
 class FailureTest(testtools.TestCase):
-    def test_a_killed_node_is_dead_everywhere_within_seconds(self) -> None:
+    def test_killed_node_is_declared_dead_by_all_within_eight_seconds(self) -> None:
         network = cluster(12)
         killed_at = network.now
         network.kill("node-005")
@@ -48,7 +48,7 @@
         self.assertEqual({"node-005"}, {name for _, _, name in deaths})
         self.assertLess(max(at for at, _, _ in deaths) - killed_at, 8.0)
 
-    def test_a_restart_under_the_same_name_replaces_the_old_process_at_once(self) -> None:
+    def test_restart_under_same_name_replaces_the_old_process(self) -> None:
         network = cluster(12)
         restarted = network.start("node-005")
         network.list_machines()
@@ -58,16 +58,16 @@
         self.assertEqual(12, len(view))
         self.assertEqual([], network.changes_to(MemberState.DEAD))
 
-    def test_leaving_is_known_everywhere_within_three_seconds(self) -> None:
+    def test_all_nodes_learn_of_a_leave_within_three_seconds(self) -> None:
         network = cluster(30)
         left_at = network.now
         network.leave("node-007")
         network.run(10)
-        told = network.changes_to(MemberState.LEFT)
-        self.assertEqual(29, len({observer for _, observer, _ in told}))
-        self.assertLess(max(at for at, _, _ in told) - left_at, 3.0)
+        notified = network.changes_to(MemberState.LEFT)
+        self.assertEqual(29, len({observer for _, observer, _ in notified}))
+        self.assertLess(max(at for at, _, _ in notified) - left_at, 3.0)
 
-    def test_losing_a_fifth_of_the_datagrams_kills_nobody(self) -> None:
+    def test_no_member_is_declared_dead_at_twenty_percent_loss(self) -> None:
         network = cluster(12)
         network.loss = 0.2
         network.run(120)
@@ -76,24 +76,24 @@
         self.assertEqual([], network.changes_to(MemberState.DEAD))
         self.assertEqual({12}, {len(view) for view in network.views()})
 
-    def test_datagrams_stay_within_their_size_while_many_join(self) -> None:
+    def test_datagrams_stay_within_size_limit_while_many_join(self) -> None:
         network = cluster(40)
         self.assertGreater(network.largest_datagram, MAXIMUM_DATAGRAM_BYTES // 2)
         self.assertLessEqual(network.largest_datagram, MAXIMUM_DATAGRAM_BYTES)
 
 
 class PauseTest(testtools.TestCase):
-    def test_a_node_that_wakes_up_declares_nobody_dead(self) -> None:
+    def test_resumed_node_declares_no_member_dead(self) -> None:
         network = cluster(12)
         network.paused.add("node-004")
         network.run(30)
         network.paused.discard("node-004")
         network.notifications.clear()
         network.run(20)
-        told = [name for _, observer, name in network.changes_to(MemberState.DEAD)]
-        self.assertEqual([], told)
+        notified = [name for _, observer, name in network.changes_to(MemberState.DEAD)]
+        self.assertEqual([], notified)
 
-    def test_it_comes_back_with_the_same_incarnation(self) -> None:
+    def test_resumed_node_rejoins_with_the_same_incarnation(self) -> None:
         network = cluster(12)
         (before,) = network.views()
         network.paused.add("node-004")
@@ -105,7 +105,7 @@
 
 
 class PartitionTest(testtools.TestCase):
-    def test_regions_find_each_other_again_without_the_machine_list(self) -> None:
+    def test_healed_partition_merges_without_the_machine_list(self) -> None:
         network = MembershipNetwork(seed=3)
         for index in range(16):
             network.start(f"node-{index:03}", f"zone-{index % 4}", f"region-{index % 2}")
@@ -119,7 +119,7 @@
         network.run(40)
         self.assertEqual({before}, network.views())
 
-    def test_a_node_reached_by_others_only_is_not_declared_dead(self) -> None:
+    def test_node_reachable_only_indirectly_is_not_declared_dead(self) -> None:
         network = cluster(8)
         pair = {"node-001", "node-002"}
         network.cut = lambda sender, receiver: {sender, receiver} == pair
@@ -129,7 +129,7 @@
 
 
 class IdentityTest(testtools.TestCase):
-    def test_the_older_of_two_processes_of_a_name_is_told(self) -> None:
+    def test_older_process_of_a_name_is_notified_that_it_is_superseded(self) -> None:
         network = cluster(5)
         old = network.cores["node-002"]
         restarted = network.start("node-002")
@@ -137,23 +137,23 @@
         network.run(3)
         record = MemberRecord(incarnation=restarted.identity.incarnation)
         message = MembershipMessage(origin=record)
-        told = old.handle_message(old.identity.address, old.identity.name, message, network.now)
-        self.assertEqual([IdentitySuperseded(restarted.identity.incarnation)], told)
+        notified = old.handle_message(old.identity.address, old.identity.name, message, network.now)
+        self.assertEqual([IdentitySuperseded(restarted.identity.incarnation)], notified)
 
-    def test_gossip_about_a_process_long_dead_revives_nothing(self) -> None:
+    def test_late_gossip_does_not_revive_a_dead_process(self) -> None:
         network = cluster(5)
         dead = network.cores["node-002"].identity
         network.kill("node-002")
         network.run(15)
-        rumour = MemberFact(dead.name, dead.incarnation, 0, MemberState.ALIVE, dead.address)
-        rumour = replace(rumour, placement=dead.placement)
-        message = MembershipMessage(updates=[fact_to_record(rumour, with_place=True)])
-        witness = network.cores["node-000"]
+        stale_fact = MemberFact(dead.name, dead.incarnation, 0, MemberState.ALIVE, dead.address)
+        stale_fact = replace(stale_fact, placement=dead.placement)
+        message = MembershipMessage(updates=[fact_to_record(stale_fact, with_place=True)])
+        observer_core = network.cores["node-000"]
         message.origin.incarnation = network.cores["node-001"].identity.incarnation
-        witness.handle_message(dead.address, NodeName("node-001"), message, network.now)
-        self.assertEqual(4, len(witness.members()))
+        observer_core.handle_message(dead.address, NodeName("node-001"), message, network.now)
+        self.assertEqual(4, len(observer_core.members()))
 
-    def test_leaving_is_final_for_a_process_but_not_for_its_name(self) -> None:
+    def test_name_of_a_node_that_left_can_join_again(self) -> None:
         network = cluster(5)
         network.leave("node-002")
         network.run(60)
--- a/tests/node/membership/test_member_table.py
+++ b/tests/node/membership/test_member_table.py
@@ -54,7 +54,7 @@
         ended = [fact.name for fact in table.ended()]
         self.assertEqual(sorted(expected + ended), [fact.name for fact in table.facts()])
 
-    def test_the_status_of_one_process_never_falls(self) -> None:
+    def test_status_offset_of_a_process_never_decreases(self) -> None:
         place = {"address": Address("10.0.0.1", 7000), "placement": Placement("r", "z")}
         table = MemberTable()
         for offset in (4, 9, 7):
@@ -69,7 +69,7 @@
             table.apply(fact, 0.0)
         self.assertEqual(9, table.members()[0].status.configuration_offset)
 
-    def test_the_dead_are_forgotten_after_their_retention(self) -> None:
+    def test_dead_members_are_removed_after_their_retention(self) -> None:
         table = MemberTable()
         table.apply(MemberFact(NodeName("a"), Incarnation(1), 0, MemberState.DEAD), 10.0)
         table.forget_ended_before(10.0)
