--- a/src/stagewalk/node/configuration/__init__.py
+++ b/src/stagewalk/node/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Published configuration: templates, tenants and the deterministic fold over the log."""
+"""Published configuration: templates, tenants and the state machine over the log."""
--- a/src/stagewalk/node/configuration/follower.py
+++ b/src/stagewalk/node/configuration/follower.py
@@ -1,9 +1,9 @@
-"""Keeps a node's configuration in force: folds the log's records and relays them to peers.
+"""Keeps a node's configuration up to date: applies records of the log and relays them to peers.
 
-A node that reaches the log folds what its log client reads. Every node announces its offset to a
-few random members; a node that finds itself behind an announcer, because it cannot reach the log
-or has just started, asks that peer for the records or a snapshot. So one node that reaches the log
-is enough for all. Owns the fold and the relay's cache; relies on the log client and on membership.
+A node that can reach the log applies what its log client reads. Every node announces its offset to
+a few random members. A node that is behind an announced offset, because it cannot reach the log or
+has just started, requests the missing records or a snapshot from that peer. So one node that can
+reach the log is enough for all.
 """
 
 from __future__ import annotations
@@ -26,33 +26,36 @@
 ConfigurationOutput = SendPeerMessage | WriteLogLine | ConfigurationChanged
 
 ANNOUNCED_DIGEST_HEX_DIGITS = 16
-"""Leading digits of the digest that announcements carry."""
+"""Number of leading digits of the digest in announcements."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigurationFollowerConfig:
-    """Timing and sizes of the relay; durations in seconds. What they cost at
-    420 nodes is in docs/design/0030-configuration.md.
+    """Timing and sizes of the relay; durations in seconds.
+
+    docs/design/0030-configuration.md has the traffic they cause at 420 nodes.
 
     Attributes
     ----------
     announce_interval, announce_fanout
-        Each interval a node announces its offset to that many random members.
-    news_fanout
-        Members notified at once when the offset has grown, at most once per `news_interval`.
+        In each interval a node announces its offset to `announce_fanout` random members.
+    news_fanout, news_interval
+        Members notified at once when the offset has grown, and the minimum time between such
+        announcements.
     request_delay
-        How long a node that lacks announced records waits for its own log client first.
+        How long a node that lacks announced records waits for its own log client before it
+        requests them from a peer.
     request_timeout
-        After which an unanswered request is sent to another peer.
+        Time after which an unanswered request is repeated, possibly to another peer.
     start_wait
         How long a starting node without access to the log collects announcements before it
         treats the newest announced state as current.
     snapshot_records
-        A snapshot is due after that many records since the last one.
+        Number of records after which the next snapshot is due.
     relay_records, relay_bytes
-        Latest records kept for peers; a peer further behind gets a snapshot.
+        Bounds of the latest records kept for peers; a peer further behind gets a snapshot.
     reply_bytes
-        Payload bytes of one answer to a peer.
+        Maximum payload bytes of the records in one answer to a peer.
     """
 
     announce_interval: float = 1.0
@@ -77,10 +80,10 @@
 
 
 class ConfigurationFollower:
-    """The configuration in force at one node; it only moves forward.
+    """The configuration in force at one node; its offset never decreases.
 
-    Until the node has once reached the log's head, or the state of a peer that had, it notifies
-    nothing: a restarted node must not put years-old configuration in force while it catches up.
+    It notifies nothing until the node has reached the log's head, or the state of a peer that had
+    reached it, so that a restarted node does not apply outdated configuration while it catches up.
     """
 
     def __init__(
@@ -101,14 +104,14 @@
         self._current = False
         self._notified_offset: int | None = None
         self._log_head: int | None = None
-        self._next_announcement = 0.0
-        self._next_news = 0.0
-        self._news_pending = False
-        self._ahead: dict[NodeName, _PeerAhead] = {}
+        self._next_announcement_at = 0.0
+        self._next_early_announcement_at = 0.0
+        self._announcement_pending = False
+        self._peers_ahead: dict[NodeName, _PeerAhead] = {}
         self._behind_since: float | None = None
-        self._requested_until = 0.0
+        self._request_expires_at = 0.0
         self._started_at: float | None = None
-        self._met_current_peer = False
+        self._seen_current_peer = False
         self._mismatch_offset: int | None = None
         self._snapshot_offset = 0
         self._snapshot_for_peers: tuple[int, bytes] | None = None
@@ -116,30 +119,29 @@
 
     @property
     def fold(self) -> ConfigurationStateMachine:
-        """Return the fold, to be read only."""
+        """Return the state machine; callers must not change it."""
         return self._fold
 
     @property
     def offset(self) -> int:
-        """Return the offset after the last record folded."""
+        """Return the offset after the last record applied."""
         return self._fold.offset
 
     @property
     def current(self) -> bool:
-        """Return whether the node has caught up once since its start."""
+        """Return whether the node has caught up at least once since its start."""
         return self._current
 
     def member_offsets(self) -> dict[NodeName, int]:
-        """Return the offset in force at each member, as far as gossip has reported it, own
-        included."""
-        self._use_members()
-        self._progress.learn(self._identity.name, self._fold.offset)
+        """Return the latest reported offset of each member, including this node."""
+        self._apply_members()
+        self._progress.record_offset(self._identity.name, self._fold.offset)
         return self._progress.offsets()
 
     def set_members(self, members: tuple[tuple[NodeName, Address], ...]) -> None:
         """Set the members that are alive, with their peer addresses.
 
-        Many changes may come in a row, so they are applied when the members are next needed.
+        They are applied when next needed, since many changes may come in a row.
         """
         self._members = members
         self._members_changed = True
@@ -147,14 +149,14 @@
     def handle_records(
         self, records: tuple[LogRecord, ...], now: float, head: int | None = None
     ) -> list[ConfigurationOutput]:
-        """Fold records of the log, in order.
+        """Apply records of the log, in order.
 
         Parameters
         ----------
         head
-            Offset after the stream's last record, when the records were read from the log itself.
+            Offset after the stream's last record, if the records were read from the log itself.
         """
-        output = self._fold_records(records, now)
+        output = self._apply_records(records, now)
         if head is not None:
             self._log_head = max(head, self._log_head or 0)
             if self._fold.offset >= self._log_head:
@@ -164,7 +166,7 @@
     def handle_snapshots(
         self, records: tuple[LogRecord, ...], now: float
     ) -> list[ConfigurationOutput]:
-        """Apply the newest of the snapshots read from the stream of snapshots."""
+        """Apply the newest valid one of the snapshots read from the snapshot stream."""
         for record in reversed(records):
             offset = snapshot_offset(record.payload)
             if offset is None:
@@ -175,10 +177,10 @@
         return self._notify()
 
     def take_snapshot(self) -> bytes | None:
-        """Return a snapshot to append to the stream of snapshots, if one is due.
+        """Return a snapshot to append to the snapshot stream, if one is due.
 
-        For the one node that holds the duty; two holders at once do no harm, since snapshots of
-        the same offset are the same.
+        Called at the node that holds the lease of this duty. Two holders at once are harmless,
+        since snapshots of the same offset are identical.
         """
         due = self._fold.offset - self._snapshot_offset >= self._config.snapshot_records
         if not due or not self._current:
@@ -191,37 +193,37 @@
     ) -> list[ConfigurationOutput]:
         """Handle another node's message that came from an address."""
         output: list[ConfigurationOutput] = []
-        self._use_members()
-        self._progress.learn(sender, message.offset, restarted=not message.current)
+        self._apply_members()
+        self._progress.record_offset(sender, message.offset, restarted=not message.current)
         self._progress.read(message)
         if message.snapshot:
             self._restore(message.snapshot, now)
         if message.records:
-            output += self._fold_records(relayed_records(message), now)
+            output += self._apply_records(relayed_records(message), now)
         address = self._address_of(sender, source)
         if message.records_wanted:
-            output += self._answer(address, message.offset)
+            output += self._answer_request(address, message.offset)
         else:
-            output += self._compare(address, sender, message, now)
+            output += self._compare_state(address, sender, message, now)
         return output + self._notify()
 
     def tick(self, now: float) -> list[ConfigurationOutput]:
-        """Announce, request missing records, and end the wait at the start."""
+        """Send announcements, request missing records, and end the wait after a start."""
         output: list[ConfigurationOutput] = []
-        if self._news_pending and now >= self._next_news:
+        if self._announcement_pending and now >= self._next_early_announcement_at:
             output += self._announce(self._config.news_fanout, now)
-        if now >= self._next_announcement:
+        if now >= self._next_announcement_at:
             output += self._announce(self._config.announce_fanout, now)
             jitter = self._generator.uniform(0.9, 1.1)
-            self._next_announcement = now + self._config.announce_interval * jitter
-        if self._ahead:
+            self._next_announcement_at = now + self._config.announce_interval * jitter
+        if self._peers_ahead:
             output += self._request(now)
         if not self._current:
-            self._trust_peers(now)
+            self._accept_peer_state(now)
             output += self._notify()
         return output
 
-    def _fold_records(
+    def _apply_records(
         self, records: tuple[LogRecord, ...], now: float
     ) -> list[ConfigurationOutput]:
         output: list[ConfigurationOutput] = []
@@ -236,27 +238,29 @@
             if isinstance(outcome, ChangeRejected):
                 output.append(_rejection_event(record, outcome))
         if self._fold.offset > before:
-            self._moved_forward(now)
+            self._handle_progress(now)
         return output
 
     def _restore(self, payload: bytes, now: float) -> bool:
         if not self._fold.restore(payload):
             return False
         self._relay.clear()
-        self._moved_forward(now)
+        self._handle_progress(now)
         return True
 
-    def _moved_forward(self, now: float) -> None:
-        """Announce the new offset soon, and drop the peers that are no longer ahead."""
+    def _handle_progress(self, now: float) -> None:
+        """Schedule an announcement of the new offset, and drop peers that are no longer ahead."""
         self._snapshot_for_peers = None
-        self._news_pending = True
-        self._requested_until = now
-        ahead = {n: peer for n, peer in self._ahead.items() if peer.offset > self._fold.offset}
-        self._ahead = ahead
+        self._announcement_pending = True
+        self._request_expires_at = now
+        ahead = {
+            n: peer for n, peer in self._peers_ahead.items() if peer.offset > self._fold.offset
+        }
+        self._peers_ahead = ahead
         if not ahead:
             self._behind_since = None
 
-    def _use_members(self) -> None:
+    def _apply_members(self) -> None:
         if not self._members_changed:
             return
         self._members_changed = False
@@ -264,37 +268,39 @@
         self._peers = tuple(sorted(member for member in self._members if member[0] != own_name))
         self._addresses = dict(self._peers)
         self._progress.set_members(tuple(self._addresses))
-        self._ahead = {n: peer for n, peer in self._ahead.items() if n in self._addresses}
+        self._peers_ahead = {
+            n: peer for n, peer in self._peers_ahead.items() if n in self._addresses
+        }
 
-    def _compare(
+    def _compare_state(
         self, address: Address, sender: NodeName, message: ConfigurationMessage, now: float
     ) -> list[ConfigurationOutput]:
-        """Compare a peer's announced state with this node's own."""
+        """Compare a peer's announced offset and digest with this node's own."""
         if message.offset <= self._fold.offset:
-            self._ahead.pop(sender, None)
+            self._peers_ahead.pop(sender, None)
         if message.offset < self._fold.offset:
             return [self._send(address, self._announcement(), Transport.DATAGRAM)]
         if message.offset > self._fold.offset:
-            self._ahead[sender] = _PeerAhead(address, message.offset)
+            self._peers_ahead[sender] = _PeerAhead(address, message.offset)
             self._behind_since = now if self._behind_since is None else self._behind_since
             return []
-        self._met_current_peer = self._met_current_peer or message.current
+        self._seen_current_peer = self._seen_current_peer or message.current
         if message.digest == self._short_digest() or self._mismatch_offset == message.offset:
             return []
         self._mismatch_offset = message.offset
         fields: LogLineFields = {"level": "error", "peer": sender, "offset": message.offset}
         return [WriteLogLine("configuration_digest_mismatch", fields)]
 
-    def _trust_peers(self, now: float) -> None:
-        """Treat the newest announced state as current if the log has stayed unreachable."""
+    def _accept_peer_state(self, now: float) -> None:
+        """Treat the newest announced state as current if `start_wait` passed without the log."""
         if self._started_at is None:
             self._started_at = now
         waited = now - self._started_at >= self._config.start_wait
-        if waited and self._met_current_peer and not self._ahead:
+        if waited and self._seen_current_peer and not self._peers_ahead:
             self._current = True
 
     def _address_of(self, sender: NodeName, source: Address) -> Address:
-        """Return a member's listening address; a stream's source port is not one."""
+        """Return a member's listening address, since the source port of a stream is ephemeral."""
         return self._addresses.get(sender, source)
 
     def _notify(self) -> list[ConfigurationOutput]:
@@ -304,23 +310,23 @@
         return [ConfigurationChanged(tuple(self._fold.tenants.values()), self._fold.offset)]
 
     def _request(self, now: float) -> list[ConfigurationOutput]:
-        """Request what is missing from one of the peers ahead, unless a request is under way."""
+        """Request missing records from a random peer that is ahead, unless a request is pending."""
         if self._behind_since is None or now < self._behind_since + self._config.request_delay:
             return []
-        if now < self._requested_until:
+        if now < self._request_expires_at:
             return []
-        self._use_members()
-        if not self._ahead:
+        self._apply_members()
+        if not self._peers_ahead:
             self._behind_since = None
             return []
-        peer = self._ahead[self._generator.choice(sorted(self._ahead))]
-        self._requested_until = now + self._config.request_timeout
+        peer = self._peers_ahead[self._generator.choice(sorted(self._peers_ahead))]
+        self._request_expires_at = now + self._config.request_timeout
         message = self._state_message()
         message.records_wanted = True
         return [self._send(peer.address, message, Transport.STREAM)]
 
-    def _answer(self, address: Address, offset: int) -> list[ConfigurationOutput]:
-        """Send a peer the records it lacks, or a snapshot if they are no longer kept."""
+    def _answer_request(self, address: Address, offset: int) -> list[ConfigurationOutput]:
+        """Send a peer the records that it lacks, or a snapshot if they are no longer kept."""
         if offset >= self._fold.offset:
             return []
         message = self._state_message()
@@ -329,7 +335,7 @@
         return [self._send(address, message, Transport.STREAM)]
 
     def _peer_snapshot(self) -> bytes:
-        """Return a snapshot, the same one for all peers that ask at this offset."""
+        """Return a snapshot, cached for all peers that ask at this offset."""
         known = self._snapshot_for_peers
         if known is not None and known[0] == self._fold.offset:
             return known[1]
@@ -338,9 +344,9 @@
         return payload
 
     def _announce(self, fanout: int, now: float) -> list[ConfigurationOutput]:
-        self._news_pending = False
-        self._next_news = now + self._config.news_interval
-        self._use_members()
+        self._announcement_pending = False
+        self._next_early_announcement_at = now + self._config.news_interval
+        self._apply_members()
         chosen = self._generator.sample(self._peers, min(fanout, len(self._peers)))
         return [
             self._send(address, self._announcement(), Transport.DATAGRAM) for _, address in chosen
@@ -348,7 +354,7 @@
 
     def _announcement(self) -> ConfigurationMessage:
         message = self._state_message()
-        self._progress.learn(self._identity.name, self._fold.offset)
+        self._progress.record_offset(self._identity.name, self._fold.offset)
         self._progress.write(message)
         return message
 
--- a/src/stagewalk/node/configuration/notifications.py
+++ b/src/stagewalk/node/configuration/notifications.py
@@ -1,4 +1,4 @@
-"""What the follower returns for the node's other cores."""
+"""Notification that the follower returns for the node's other cores."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChanged:
-    """The configuration in force is now this: all tenants, sorted by name.
+    """The configuration changed; `tenants` are all tenants in force, sorted by name.
 
-    `offset` is the offset after the last record folded. It never decreases within a process.
+    `offset` is the offset after the last record applied. It never decreases within a process.
     """
 
     tenants: tuple[Tenant, ...]
--- a/src/stagewalk/node/configuration/outcomes.py
+++ b/src/stagewalk/node/configuration/outcomes.py
@@ -1,4 +1,4 @@
-"""What the fold makes of a record, and the history of it that operators read. Plain data."""
+"""Outcomes of applying configuration records, and the history of them for operators."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a record has no effect: the same on every node."""
+    """Why a record was rejected; the same on every node."""
 
     MALFORMED = "malformed"
     """Not a record of this stream, or a value is outside its range."""
@@ -19,7 +19,7 @@
     UNKNOWN_TENANT = "unknown_tenant"
     TENANT_EXISTS = "tenant_exists"
     STALE_REVISION = "stale_revision"
-    """Another change came first: `base_revision` is not the tenant's revision."""
+    """`base_revision` is not the tenant's revision, since another change came first."""
     UNKNOWN_REVISION = "unknown_revision"
     """The revision to roll back to does not exist or is no longer kept."""
     POOL_OVERCOMMITTED = "pool_overcommitted"
@@ -34,7 +34,7 @@
 
 
 class ChangeRejected(msgspec.Struct, frozen=True, tag="rejected"):
-    """The record has no effect; `field` is the path of the offending value, if one is at fault."""
+    """The record has no effect; `field` is the path of the invalid value, if there is one."""
 
     reason: RejectionReason
     detail: str
@@ -42,7 +42,7 @@
 
 
 class ChangeRepeated(msgspec.Struct, frozen=True, tag="repeated"):
-    """The record was folded before, at `first_offset`, and counts once."""
+    """The record was already applied at `first_offset`, so it has no effect."""
 
     first_offset: int
 
@@ -51,7 +51,7 @@
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """A folded record and its outcome; a malformed record has no operator, partner or tenant."""
+    """An applied record and its outcome; a malformed one has no operator, partner or tenant."""
 
     offset: int
     record_id: RecordId
--- a/src/stagewalk/node/configuration/parameters.py
+++ b/src/stagewalk/node/configuration/parameters.py
@@ -1,6 +1,6 @@
-"""Typed parameters of templates and tenants, checked by `msgspec` on decoding.
+"""Typed parameters of templates and tenants, validated by `msgspec` on decoding.
 
-The stored form of a tenant: other nodes and releases read it.
+This is also the stored form of a tenant, which other nodes and releases read.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 """Largest integer that every JSON reader represents exactly."""
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}\Z"
-"""Names of tenants, partners, operators, templates, models and classes."""
+"""Pattern of the names of tenants, partners, operators, templates, models and classes."""
 
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
@@ -28,7 +28,7 @@
 
 
 class TenantParameters(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What operators set for a tenant.
+    """Parameters that operators set for a tenant.
 
     Attributes
     ----------
@@ -37,15 +37,16 @@
     minimum_version, maximum_version
         Pins of the weight versions that may serve the tenant; `None` leaves that side open.
     staleness_bound_versions
-        Most versions a delivered sample may lag behind the version its trainer's pull names.
+        Maximum number of versions by which a delivered sample may lag behind the version that
+        its trainer's pull names.
     staleness_bound_seconds
-        Oldest age of a delivered sample since its version was superseded; `None` for no bound.
+        Maximum time since the version of a delivered sample was superseded; `None` for no bound.
     non_repeatable_classes
-        Request classes that are executed at most once, whatever the request itself says.
+        Request classes that are executed at most once, regardless of the request.
     capacity_share
         Guaranteed share of the pool's capacity; unused share is lent to others.
     idle_weight
-        Objective: 1 weighs only trainer idle time, 0 only staleness.
+        Weight of trainer idle time against staleness: 1 is only idle time, 0 only staleness.
     allow_mixed_versions
         Whether one answer may be produced by several versions (each span is named).
     retention_seconds
@@ -65,7 +66,7 @@
 
 
 class ParameterFault(msgspec.Struct, frozen=True):
-    """A value that contradicts another one, found after each was checked for itself."""
+    """A value that is valid by itself but contradicts another one."""
 
     field: str
     detail: str
@@ -83,7 +84,7 @@
 
 
 class Tenant(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A tenant in force: owned by one partner, at one revision (1 at its creation)."""
+    """A tenant in force, with its owning partner and its revision (1 at its creation)."""
 
     name: TenantName
     partner: str
--- a/src/stagewalk/node/configuration/records.py
+++ b/src/stagewalk/node/configuration/records.py
@@ -1,6 +1,6 @@
-"""Records that operators publish on the stream `configuration`, as JSON.
+"""JSON records that operators publish on the stream `configuration`.
 
-The stored form of a change; owns its decoding, whose errors name the field at fault.
+This is the stored form of a change. Decoding errors name the invalid field.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 )
 
 CONFIGURATION_STREAM = "configuration"
-"""Stream of the log on which operators publish."""
+"""Log stream on which operators publish."""
 
 CONFIGURATION_SNAPSHOT_STREAM = "configuration-snapshots"
-"""The system's own stream of snapshots of the folded state."""
+"""Log stream of snapshots of the state, written by the nodes."""
 
 MAXIMUM_PAYLOAD_BYTES = 32 * 1024
-"""Longest record; a longer one is rejected by every node."""
+"""Maximum size of a record; every node rejects a larger one."""
 
 MAXIMUM_DETAIL_CHARACTERS = 200
-"""Characters kept of a decoder's message, which may quote the input at length."""
+"""Maximum length of a decoder's message, which may quote a long part of the input."""
 
 Revision = Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_JSON_INTEGER)]
 
@@ -43,10 +43,10 @@
     Attributes
     ----------
     operator, partner
-        Who publishes, and for which partner.
+        Operator that publishes the record, and the partner on whose behalf.
     base_revision
-        The tenant's revision that the operator saw: the record is rejected if another change
-        came first. 0 for a name that was never used; a deleted tenant keeps its last revision.
+        The tenant's revision that the change is based on; the record is rejected if another
+        change came first. 0 for an unused name; a deleted tenant keeps its last revision.
     """
 
     operator: Name
@@ -56,7 +56,7 @@
 
 
 class CreateTenant(ConfigurationChange, frozen=True, tag="create_tenant"):
-    """Create a tenant; `parameters` is the template with the operator's own values put in."""
+    """Create a tenant; `parameters` is the template with the operator's values merged in."""
 
     template: Name
     parameters: TenantParameters
@@ -69,13 +69,13 @@
 
 
 class RollBack(ConfigurationChange, frozen=True, tag="roll_back"):
-    """Put the parameters of an earlier revision in force again, as a new revision."""
+    """Restore the parameters of an earlier revision, as a new revision."""
 
     to_revision: Revision
 
 
 class DeleteTenant(ConfigurationChange, frozen=True, tag="delete_tenant"):
-    """Delete a tenant; its name stays with its partner and its revisions go on growing."""
+    """Delete a tenant; its partner keeps the name, and revisions continue from the last one."""
 
 
 AnyChange = CreateTenant | ChangeParameters | RollBack | DeleteTenant
@@ -87,12 +87,12 @@
 
 
 def encode_change(change: AnyChange) -> bytes:
-    """Return a record's payload."""
+    """Encode a record as a payload."""
     return _ENCODER.encode(change)
 
 
 def decode_change(payload: bytes) -> Result[AnyChange, StagewalkError]:
-    """Parse a record's payload; whatever the bytes, it returns and never raises."""
+    """Parse a record's payload; never raises, whatever the bytes."""
     if len(payload) > MAXIMUM_PAYLOAD_BYTES:
         return Error(invalid(f"the payload is longer than {MAXIMUM_PAYLOAD_BYTES} bytes", None))
     try:
@@ -107,7 +107,7 @@
 
 
 def validation_error(error: Exception) -> StagewalkError:
-    """Return a decoder's exception as an error that names the offending field."""
+    """Convert a decoder's exception to an error that names the invalid field."""
     text = str(error).encode("ascii", "backslashreplace").decode()
     path = _PATH.search(text)
     named = _NAMED_FIELD.search(text)
@@ -118,7 +118,7 @@
 
 
 def invalid(detail: str, field: str | None) -> StagewalkError:
-    """Return the error of a record that breaks the schema."""
+    """Return the error for a record that violates the schema."""
     return StagewalkError(
         ErrorKind.INVALID_REQUEST, ErrorStep.CONFIGURATION, "operator", detail, field=field
     )
--- a/src/stagewalk/node/configuration/relay.py
+++ b/src/stagewalk/node/configuration/relay.py
@@ -1,6 +1,6 @@
-"""The latest records as read from the log, kept for peers that lack them.
+"""Cache of the latest records of the log, for peers that lack them.
 
-Owns a gap-free run, bounded in number and bytes by `ConfigurationFollowerConfig`.
+Its bounds are fields of `ConfigurationFollowerConfig`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RelayCache:
-    """A gap-free run of the latest records, bounded in number and bytes."""
+    """Latest records at consecutive offsets, bounded in number and bytes."""
 
     def __init__(self, maximum_records: int, maximum_bytes: int) -> None:
         self._maximum_records = maximum_records
@@ -22,19 +22,19 @@
         self._bytes = 0
 
     def add(self, record: LogRecord) -> None:
-        """Add the next record, dropping the oldest ones beyond the bounds."""
+        """Add the next record, and drop the oldest ones that exceed the bounds."""
         self._records.append(record)
         self._bytes += len(record.payload)
         while len(self._records) > self._maximum_records or self._bytes > self._maximum_bytes:
             self._bytes -= len(self._records.popleft().payload)
 
     def clear(self) -> None:
-        """Drop all records: the next one need not follow them."""
+        """Drop all records; the next one may have any offset."""
         self._records.clear()
         self._bytes = 0
 
     def write(self, message: ConfigurationMessage, offset: int, maximum_bytes: int) -> bool:
-        """Write the records from an offset on into a message; return False if some are not kept."""
+        """Write records from an offset on into a message; return False if that one is not kept."""
         if not self._records or self._records[0].offset > offset:
             return False
         size = 0
@@ -52,7 +52,7 @@
 
 
 def relayed_records(message: ConfigurationMessage) -> tuple[LogRecord, ...]:
-    """Return the records a peer's message carries."""
+    """Return the records in a peer's message."""
     return tuple(
         LogRecord(record.offset, RecordId(record.record_id), record.payload)
         for record in message.records
--- a/src/stagewalk/node/configuration/state.py
+++ b/src/stagewalk/node/configuration/state.py
@@ -1,6 +1,6 @@
-"""Lasting state of the configuration fold, its checks against the pool, and its snapshots.
+"""State of the configuration state machine, the check of pool shares, and snapshots.
 
-Owns the snapshot's stored form, which other releases read.
+The stored form of a snapshot is read by other releases.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from stagewalk.node.configuration.parameters import Tenant, TenantParameters
 
 SHARE_UNITS = 1_000_000
-"""Capacity shares are added up in millionths, so that the sum is exact on every machine."""
+"""Capacity shares are summed in millionths, so that the sum is exact on every machine."""
 
 SNAPSHOT_FORMAT_VERSION = 1
-"""Raised when the form of a snapshot changes; other forms are ignored."""
+"""Increased when the form of a snapshot changes; snapshots of other versions are ignored."""
 
 
 class RevisionEntry(msgspec.Struct, frozen=True):
-    """Parameters that a tenant had at a revision, kept to roll back to."""
+    """Parameters of a tenant at a revision, kept for rollback."""
 
     revision: int
     parameters: TenantParameters
 
 
 class TenantRecord(msgspec.Struct, frozen=True):
-    """A tenant with its recent revisions; a deleted one keeps its name's owner and revision."""
+    """A tenant with its recent revisions; a deleted one keeps its owner and last revision."""
 
     tenant: Tenant
     deleted: bool
@@ -42,8 +42,8 @@
     Attributes
     ----------
     chain
-        Hash over the ids and outcomes of all records so far: two nodes with the same chain have
-        folded the same prefix.
+        Hash over the ids and outcomes of all records so far; two nodes with the same chain have
+        applied the same prefix.
     """
 
     offset: int
@@ -53,7 +53,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """A state as it travels between nodes and through the log."""
+    """A state as it is sent between nodes and stored in the log."""
 
     format: int
     digest: str
@@ -65,7 +65,7 @@
 
 
 def state_digest(offset: int, chain: int, tenants: dict[TenantName, TenantRecord]) -> str:
-    """Return the digest of a state: the xxHash of its canonical encoding, in hexadecimal."""
+    """Return the hexadecimal xxHash of the canonical encoding of a state."""
     return xxhash.xxh3_128_hexdigest(_ENCODER.encode((offset, chain, tenants)))
 
 
@@ -75,7 +75,7 @@
 
 
 def encode_snapshot(state: FoldState) -> bytes:
-    """Return a state as the payload of a snapshot record."""
+    """Encode a state as the payload of a snapshot record."""
     digest = state_digest(state.offset, state.chain, state.tenants)
     return _ENCODER.encode(Snapshot(format=SNAPSHOT_FORMAT_VERSION, digest=digest, state=state))
 
@@ -103,7 +103,7 @@
 def overcommitted_model(
     tenants: Iterable[Tenant], parameters: TenantParameters
 ) -> ModelName | None:
-    """Return the first model whose pool has too little share left for new parameters.
+    """Return the first model whose pool has too little capacity left for new parameters.
 
     Parameters
     ----------
--- a/src/stagewalk/node/configuration/state_machine.py
+++ b/src/stagewalk/node/configuration/state_machine.py
@@ -1,7 +1,7 @@
-"""Deterministic fold of the published configuration: same records, same state, on every node.
+"""Deterministic state machine of the configuration: equal records give equal states on all nodes.
 
-A record that lost a race or breaks a rule is rejected here, by the fold itself, so that every
-node rejects it alike and nothing has to be agreed upon beyond the order of the log.
+Stale and invalid records are rejected here, so that every node rejects the same ones and the nodes
+need to agree on nothing but the order of the log.
 """
 
 from __future__ import annotations
@@ -43,18 +43,18 @@
 from stagewalk.node.core.platform import LogRecord
 
 MAXIMUM_HISTORY_ENTRIES = 512
-"""Records of which the outcome is kept; a record repeated later than that is judged anew.
+"""Number of records whose outcome is kept; a record repeated later is evaluated again.
 
-It is rejected all the same, because its base revision has been passed."""
+It is still rejected, because its base revision is no longer current."""
 
 MAXIMUM_KEPT_REVISIONS = 12
-"""Revisions of a tenant that can be rolled back to."""
+"""Number of revisions of a tenant that can be rolled back to."""
 
 MAXIMUM_TENANT_NAMES_PER_PARTNER = 64
-"""Names a partner may take up, deleted ones included.
+"""Maximum number of tenant names of a partner, including deleted ones.
 
-With the bounds of `TenantParameters` it keeps a snapshot of two partners' full use below 3 MB,
-which fits a frame between nodes."""
+With the bounds of `TenantParameters` it keeps a snapshot of two partners at this limit below 3 MB,
+which fits into a frame between nodes."""
 
 RECORD_ID_PATTERN = re.compile(r"[!-~]{1,128}")
 
@@ -73,12 +73,12 @@
 
     @property
     def offset(self) -> int:
-        """Return the offset after the last record folded."""
+        """Return the offset after the last record applied."""
         return self._offset
 
     @property
     def tenants(self) -> dict[TenantName, Tenant]:
-        """Return the tenants in force by name, sorted; to be read only."""
+        """Return the tenants in force by name, sorted; callers must not change it."""
         return self._tenants
 
     @property
@@ -92,30 +92,30 @@
         return () if record is None else record.revisions
 
     def last_revision(self, tenant: TenantName) -> int:
-        """Return the revision a change of this name must be based on; 0 for an unused name."""
+        """Return the revision that a change of this tenant must be based on; 0 if unused."""
         record = self._records.get(tenant)
         return 0 if record is None else record.tenant.revision
 
     def digest(self) -> str:
-        """Return the digest of the whole state: equal on all nodes at the same offset."""
+        """Return the digest of the state, which is equal on all nodes at the same offset."""
         if self._digest is None:
             self._digest = state_digest(self._offset, self._chain, self._records)
         return self._digest
 
     def outcome_of(self, record_id: RecordId) -> ChangeAccepted | ChangeRejected | None:
-        """Return what became of a record, if it was folded and is still in the history."""
+        """Return the outcome of a record, or None if it is not in the history."""
         entry = self._entries.get(record_id)
         return None if entry is None else entry.outcome
 
     def apply(self, record: LogRecord) -> ChangeOutcome:
-        """Fold the next record, whatever its payload.
+        """Apply the next record, whatever its payload.
 
-        A record below `offset` was folded before and is reported as repeated.
+        A record below `offset` was already applied and is reported as repeated.
 
         Raises
         ------
         ValueError
-            If the record lies beyond `offset`: folding it would leave a gap.
+            If the record is beyond `offset`, so that applying it would leave a gap.
         """
         if record.offset < self._offset:
             return ChangeRepeated(record.offset)
@@ -132,19 +132,19 @@
         decoded = decode_change(record.payload)
         match decoded:
             case Result(tag="ok", ok=change):
-                outcome = self._judge(change)
-                self._remember(record, change, outcome)
+                outcome = self._evaluate(change)
+                self._record_outcome(record, change, outcome)
             case Result(error=error):
                 outcome = ChangeRejected(RejectionReason.MALFORMED, error.detail, error.field)
-                self._remember(record, None, outcome)
+                self._record_outcome(record, None, outcome)
         return outcome
 
     def _reject_record_id(self, record: LogRecord) -> ChangeRejected:
-        """Reject a record whose id could not be kept; its history entry is named by its offset."""
+        """Reject a record with an invalid id; its history entry gets an id made of its offset."""
         detail = "a record id is 1 to 128 printable ASCII characters"
         outcome = ChangeRejected(RejectionReason.MALFORMED, detail, "record_id")
         record_id = RecordId(f"(invalid at offset {record.offset})")
-        self._remember(replace(record, record_id=record_id), None, outcome)
+        self._record_outcome(replace(record, record_id=record_id), None, outcome)
         return outcome
 
     def snapshot(self) -> bytes:
@@ -158,7 +158,7 @@
         return encode_snapshot(state)
 
     def restore(self, payload: bytes) -> bool:
-        """Replace this state by a snapshot if that is newer; return whether it was."""
+        """Replace this state by a snapshot if that is valid and newer; return whether it was."""
         state = decode_snapshot(payload)
         if state is None or state.offset <= self._offset:
             return False
@@ -171,10 +171,10 @@
         self._refresh_tenants()
         return True
 
-    def _judge(self, change: AnyChange) -> ChangeAccepted | ChangeRejected:
-        """Check a change against the state and put it in force if nothing speaks against it."""
+    def _evaluate(self, change: AnyChange) -> ChangeAccepted | ChangeRejected:
+        """Check a change against the state, and apply it if it is valid."""
         record = self._records.get(change.tenant)
-        rejection = self._reject_stranger(change, record)
+        rejection = self._reject_wrong_owner(change, record)
         if rejection is None:
             rejection = self._reject_stale(change, record)
         if rejection is not None:
@@ -188,9 +188,9 @@
             rejection = self._reject_overcommitment(change.tenant, parameters)
             if rejection is not None:
                 return rejection
-        return self._put_in_force(change, record, parameters)
+        return self._apply_change(change, record, parameters)
 
-    def _reject_stranger(
+    def _reject_wrong_owner(
         self, change: AnyChange, record: TenantRecord | None
     ) -> ChangeRejected | None:
         if record is not None and record.tenant.partner != change.partner:
@@ -225,7 +225,7 @@
     def _resulting_parameters(
         self, change: AnyChange, record: TenantRecord | None
     ) -> Result[TenantParameters, ChangeRejected]:
-        """Return the parameters the tenant would have after a change."""
+        """Return the parameters that the tenant would have after a change."""
         if isinstance(change, CreateTenant | ChangeParameters):
             return Ok(change.parameters)
         assert record is not None
@@ -249,7 +249,7 @@
             RejectionReason.POOL_OVERCOMMITTED, detail, "parameters.capacity_share"
         )
 
-    def _put_in_force(
+    def _apply_change(
         self, change: AnyChange, record: TenantRecord | None, parameters: TenantParameters
     ) -> ChangeAccepted:
         revision = change.base_revision + 1
@@ -280,7 +280,7 @@
             if not record.deleted
         }
 
-    def _remember(
+    def _record_outcome(
         self,
         record: LogRecord,
         change: AnyChange | None,
@@ -305,7 +305,7 @@
     def _extend_chain(
         self, record_id: RecordId, outcome: ChangeAccepted | ChangeRejected | None
     ) -> None:
-        """Extend the chain by what decides; wording may differ between releases."""
+        """Extend the chain by id and outcome but not `detail`, which may differ by release."""
         match outcome:
             case ChangeAccepted(revision=revision):
                 verdict = str(revision)
--- a/src/stagewalk/node/configuration/templates.py
+++ b/src/stagewalk/node/configuration/templates.py
@@ -1,7 +1,7 @@
-"""Operators' files: templates, and changes that put a tenant's own values into a template.
+"""Files of operators: templates, and changes that merge a tenant's values into a template.
 
-Used by the command line; nodes see only the whole parameters on the log. Each error names its
-field.
+Used by the command line only; the records on the log contain the merged parameters. Each error
+names the invalid field.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from stagewalk.node.configuration.records import invalid, validation_error
 
 ParameterValues = dict[str, object]
-"""Some of the fields of `TenantParameters`, as a file gives them; checked when put together."""
+"""Some of the fields of `TenantParameters`, as read from a file; validated after merging."""
 
 
 class Template(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Values that tenants of one kind start from."""
+    """Default parameters for tenants of one kind."""
 
     name: Name
     description: str = ""
@@ -31,7 +31,7 @@
 
 
 class ChangeFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A tenant as its operators want it: a template, and the values that differ from it."""
+    """Desired parameters of a tenant: a template, and the values that differ from it."""
 
     tenant: TenantNameField
     template: Name
@@ -57,7 +57,7 @@
 def resolve_parameters(
     template: Template, change: ChangeFile
 ) -> Result[TenantParameters, StagewalkError]:
-    """Return a template's parameters with a change's values, all checked."""
+    """Merge a change's values into a template's parameters, and validate the result."""
     if template.name != change.template:
         detail = f"the file holds template {template.name}, not {change.template}"
         return Error(invalid(detail, "template"))
--- a/tests/node/configuration/cluster.py
+++ b/tests/node/configuration/cluster.py
@@ -1,4 +1,4 @@
-"""Followers of a whole cluster on virtual time, with a log, cuts, losses and restarts."""
+"""Simulated cluster of followers on virtual time, with a log, isolated nodes, loss and restarts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Cluster:
-    """Followers that exchange messages at once, losing some datagrams."""
+    """Followers that exchange messages without delay; datagrams are lost at rate `loss`."""
 
     def __init__(
         self, size: int, config: ConfigurationFollowerConfig | None = None, loss: float = 0.0
--- a/tests/node/configuration/test_convergence.py
+++ b/tests/node/configuration/test_convergence.py
@@ -1,4 +1,4 @@
-"""Raced publishes reach every node, also those cut off from the log, and none ever goes back."""
+"""Concurrent changes reach all nodes, also those without the log, and offsets never decrease."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def raced_change(cluster: Cluster, generator: random.Random) -> AnyChange:
-    """Return a change as an operator makes it who looked at some node's configuration."""
+    """Return a change based on the revisions that a random node knows, which may be stale."""
     follower = generator.choice(list(cluster.followers.values()))
     tenant = generator.choice(sorted(OWNERS))
     partner = generator.choice([OWNERS[tenant], OWNERS[tenant], "thornfield"])
@@ -41,7 +41,7 @@
             self.assertEqual(sorted(set(reached)), reached)
         self.assertNotIn("configuration_digest_mismatch", {e.name for e in cluster.events})
 
-    def test_raced_publishes_are_in_force_everywhere_within_ten_seconds(self) -> None:
+    def test_concurrent_changes_are_in_force_on_all_nodes_within_ten_seconds(self) -> None:
         cluster = Cluster(60, loss=0.3)
         names = sorted(cluster.followers)
         cluster.without_log = set(names[3:])
--- a/tests/node/configuration/test_follower.py
+++ b/tests/node/configuration/test_follower.py
@@ -1,4 +1,4 @@
-"""Followers catch up from the log or from each other, and never put an older state in force."""
+"""Followers catch up from the log or from peers, and never apply an older state."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FollowerTest(testtools.TestCase):
-    def test_one_node_that_reads_the_log_is_enough_for_all(self) -> None:
+    def test_all_nodes_follow_one_node_that_reads_the_log(self) -> None:
         cluster = Cluster(60, loss=0.2)
         cluster.read(FIRST, LOG[:20], 20)
         cluster.run(6.0)
@@ -38,14 +38,14 @@
             self.assertEqual(sorted(offsets), offsets)
             self.assertEqual(30, offsets[-1])
 
-    def test_a_node_behind_the_kept_records_gets_a_snapshot(self) -> None:
+    def test_node_behind_the_relay_cache_gets_a_snapshot(self) -> None:
         cluster = Cluster(3, ConfigurationFollowerConfig(relay_records=4))
         cluster.read(FIRST, LOG, 30)
         cluster.run(8.0)
         self.assertEqual([30, 30], [cluster.changes[n][-1].offset for n in (FIRST, SECOND)])
         self.assertEqual(1, len(cluster.changes[SECOND]))
 
-    def test_nothing_is_in_force_before_the_head_is_reached(self) -> None:
+    def test_nothing_is_notified_before_the_head_is_reached(self) -> None:
         cluster = Cluster(1)
         cluster.read(FIRST, LOG[:10], 30)
         self.assertEqual([], cluster.changes[FIRST])
@@ -53,7 +53,7 @@
         cluster.read(FIRST, LOG[10:], 30)
         self.assertEqual([30], [each.offset for each in cluster.changes[FIRST]])
 
-    def test_a_node_restarted_without_the_log_puts_only_the_newest_state_in_force(self) -> None:
+    def test_node_restarted_without_log_notifies_only_the_newest_state(self) -> None:
         cluster = Cluster(5)
         for name in cluster.followers:
             cluster.read(name, LOG, 30)
@@ -61,12 +61,12 @@
         cluster.run(8.0)
         self.assertEqual([30], [each.offset for each in cluster.changes[SECOND]])
 
-    def test_no_node_takes_peers_for_current_that_never_were(self) -> None:
+    def test_peers_that_never_were_current_are_not_trusted(self) -> None:
         cluster = Cluster(5)
         cluster.run(20.0)
         self.assertEqual([], [each for seen in cluster.changes.values() for each in seen])
 
-    def test_a_snapshot_from_the_log_spares_the_records_before_it(self) -> None:
+    def test_snapshot_from_the_log_replaces_the_records_before_it(self) -> None:
         cluster = Cluster(2)
         cluster.read(FIRST, LOG, 30)
         payload = cluster.followers[FIRST].fold.snapshot()
@@ -76,12 +76,12 @@
         cluster.read(SECOND, (), 30)
         self.assertEqual([30], [each.offset for each in cluster.changes[SECOND]])
 
-    def test_records_beyond_a_gap_are_not_folded(self) -> None:
+    def test_records_after_a_gap_are_not_applied(self) -> None:
         cluster = Cluster(1)
         cluster.read(FIRST, LOG[:3] + LOG[4:], 30)
         self.assertEqual(3, cluster.followers[FIRST].offset)
 
-    def test_a_differing_state_is_reported(self) -> None:
+    def test_digest_mismatch_is_logged(self) -> None:
         cluster = Cluster(2)
         cluster.read(FIRST, LOG[:2], 2)
         cluster.read(SECOND, log_of(create(), change(0)), 2)
@@ -94,11 +94,11 @@
         fields = cluster.events[0].fields
         self.assertEqual(("stale_revision", "base_revision"), (fields["reason"], fields["field"]))
 
-    def test_progress_told_about_other_members_is_not_misread(self) -> None:
+    def test_progress_bits_for_other_members_are_ignored(self) -> None:
         one, other = ProgressTable(FIRST), ProgressTable(FIRST)
         one.set_members((SECOND, NodeName("node-002")))
         other.set_members((NodeName("node-002"), NodeName("node-003")))
-        one.learn(SECOND, 7)
+        one.record_offset(SECOND, 7)
         message = ConfigurationMessage(offset=7)
         one.write(message)
         other.read(message)
@@ -107,7 +107,7 @@
         other.read(message)
         self.assertEqual({SECOND: 7}, other.offsets())
 
-    def test_every_node_learns_the_offsets_of_all_within_the_budget(self) -> None:
+    def test_offsets_of_all_members_spread_within_traffic_budget(self) -> None:
         size, seconds = 420, 10
         cluster = Cluster(size)
         for name in cluster.followers:
--- a/tests/node/configuration/test_state_machine.py
+++ b/tests/node/configuration/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The fold decides alike everywhere, moves only forward and survives any payload."""
+"""The state machine is deterministic, its revisions only grow, and no payload makes it raise."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
         outcomes = [publish(self.fold, each) for each in published]
         return outcomes[-1]
 
-    def test_life_of_a_tenant_counts_revisions_up_even_over_its_deletion(self) -> None:
+    def test_revisions_continue_after_deletion_of_a_tenant(self) -> None:
         steps = (
             create(),
             change(1, parameters(bound=7)),
@@ -88,22 +88,22 @@
         self.assertEqual([ChangeAccepted(n) for n in range(1, 6)], outcomes)
         self.assertEqual(5, self.fold.tenants[CATALOGUE].revision)
 
-    def test_rollback_puts_the_old_parameters_in_force_as_a_new_revision(self) -> None:
+    def test_rollback_restores_old_parameters_as_a_new_revision(self) -> None:
         self.apply(create(), change(1, parameters(bound=7)), roll_back(2, 1))
         tenant = self.fold.tenants[CATALOGUE]
         self.assertEqual((3, 1), (tenant.revision, tenant.parameters.staleness_bound_versions))
 
-    def test_rollback_needs_a_revision_that_is_kept(self) -> None:
+    def test_rollback_to_a_dropped_revision_is_rejected(self) -> None:
         self.apply(create(), *(change(base) for base in range(1, MAXIMUM_KEPT_REVISIONS + 1)))
         outcome = self.apply(roll_back(MAXIMUM_KEPT_REVISIONS + 1, 1))
         self.assertEqual((RejectionReason.UNKNOWN_REVISION, "to_revision"), rejection(outcome))
 
-    def test_of_two_raced_changes_the_first_in_the_log_wins(self) -> None:
+    def test_first_of_two_concurrent_changes_in_the_log_wins(self) -> None:
         outcome = self.apply(create(), change(1, parameters(bound=7)), change(1))
         self.assertEqual((RejectionReason.STALE_REVISION, "base_revision"), rejection(outcome))
         self.assertEqual(7, self.fold.tenants[CATALOGUE].parameters.staleness_bound_versions)
 
-    def test_no_partner_touches_the_tenant_of_the_other(self) -> None:
+    def test_partner_cannot_change_tenant_of_another_partner(self) -> None:
         self.apply(create())
         for foreign in (change(1, partner="thornfield"), delete(1, partner="thornfield")):
             self.assertEqual(
@@ -113,7 +113,7 @@
         outcome = self.apply(create(partner="thornfield", base=2))
         self.assertEqual(RejectionReason.NOT_OWNER, rejection(outcome)[0])
 
-    def test_shares_of_a_pool_are_never_overcommitted_by_whoever_comes_later(self) -> None:
+    def test_change_that_overcommits_a_pool_is_rejected(self) -> None:
         self.apply(create(values=parameters(0.7)))
         outcome = self.apply(create("advice", "thornfield", 0, parameters(0.4)))
         expected = (RejectionReason.POOL_OVERCOMMITTED, "parameters.capacity_share")
@@ -123,19 +123,19 @@
         tenths = [create(f"tenth{n}", values=parameters(0.1)) for n in range(3)]
         self.assertEqual(ChangeAccepted(1), self.apply(*tenths))
 
-    def test_a_rollback_is_checked_against_the_pool_of_today(self) -> None:
+    def test_rollback_is_checked_against_current_pool_shares(self) -> None:
         self.apply(create(values=parameters(0.9)), change(1, parameters(0.2)))
         self.apply(create("advice", "thornfield", 0, parameters(0.5)))
         outcome = self.apply(roll_back(2, 1))
         self.assertEqual(RejectionReason.POOL_OVERCOMMITTED, rejection(outcome)[0])
 
-    def test_a_record_appended_again_is_folded_once(self) -> None:
+    def test_record_appended_twice_is_applied_once(self) -> None:
         first = publish(self.fold, create(), "same")
         second = publish(self.fold, create(), "same")
         self.assertEqual((ChangeAccepted(1), ChangeRepeated(0)), (first, second))
         self.assertEqual(1, len(self.fold.history))
 
-    def test_schema_faults_name_their_field(self) -> None:
+    def test_schema_errors_name_the_field(self) -> None:
         template = encode_change(create()).decode()
         faults = {
             "parameters.capacity_share": template.replace("0.5", "1.5", 1),
@@ -148,7 +148,7 @@
             outcome = self.fold.apply(log_record(self.fold.offset, payload.encode()))
             self.assertEqual((RejectionReason.MALFORMED, field), rejection(outcome), payload)
 
-    def test_contradicting_parameters_name_their_field(self) -> None:
+    def test_contradicting_parameters_name_the_field(self) -> None:
         pinned = TenantParameters(
             models=(ModelName("qari-2"),),
             minimum_version=WeightVersion(5),
@@ -158,13 +158,13 @@
         expected = (RejectionReason.MALFORMED, "parameters.maximum_version")
         self.assertEqual(expected, rejection(outcome))
 
-    def test_history_is_bounded_and_holds_rejections(self) -> None:
+    def test_history_is_bounded_and_includes_rejections(self) -> None:
         self.apply(*(delete(0) for _ in range(MAXIMUM_HISTORY_ENTRIES + 5)))
         self.assertEqual(MAXIMUM_HISTORY_ENTRIES, len(self.fold.history))
         reason = rejection(self.fold.history[-1].outcome)[0]
         self.assertEqual(RejectionReason.UNKNOWN_TENANT, reason)
 
-    def test_a_gap_is_refused(self) -> None:
+    def test_record_after_a_gap_raises(self) -> None:
         self.assertRaises(ValueError, self.fold.apply, log_record(1, b""))
 
 
@@ -218,7 +218,7 @@
         self.assertEqual(1, fold.offset)
         self.assertTrue(ConfigurationStateMachine().restore(fold.snapshot()))
 
-    def test_an_older_or_damaged_snapshot_is_not_taken(self) -> None:
+    def test_older_or_damaged_snapshot_is_not_restored(self) -> None:
         fold = ConfigurationStateMachine()
         publish(fold, create())
         old = fold.snapshot()
