--- a/src/stagewalk/node/log_client/__init__.py
+++ b/src/stagewalk/node/log_client/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the append-only log: ordered reads, and appends whose lost answers are settled."""
+"""Client of the append-only log: ordered reads, and appends that are safe to retry."""
--- a/src/stagewalk/node/log_client/backoff.py
+++ b/src/stagewalk/node/log_client/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff of one stream's reads or appends."""
+"""Exponential backoff for the reads or the appends of one stream."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Backoff:
-    """Counts failures in a row and draws the wait after each, in seconds."""
+    """Counts consecutive failures and computes the delay after each, in seconds."""
 
     def __init__(self, generator: random.Random, initial: float, maximum: float) -> None:
         self._generator = generator
@@ -17,10 +17,10 @@
         self._failures = 0
 
     def reset(self) -> None:
-        """Start again from the initial wait after a success."""
+        """Reset to the initial delay after a success."""
         self._failures = 0
 
-    def draw(self) -> float:
-        """Count a failure and return the wait after it."""
+    def next_delay(self) -> float:
+        """Count a failure and return the delay before the next attempt."""
         self._failures += 1
         return retry_delay(self._initial, self._maximum, self._failures, self._generator.random())
--- a/src/stagewalk/node/log_client/config.py
+++ b/src/stagewalk/node/log_client/config.py
@@ -1,4 +1,4 @@
-"""Timing and bounds of the log client, in seconds."""
+"""Timing and bounds of the log client."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
     Attributes
     ----------
     client_id
-        Prefix of record ids, for people who read the log; may be empty.
+        Prefix of record ids, to identify the writer when reading the log; may be empty.
     queue_limit
-        Most appends waiting per stream.
+        Maximum number of queued appends per stream.
     abandon_after
-        An append that is not settled by then is given up.
+        Time after which an append that is not settled is abandoned.
     settle_delay
-        How long after a lost answer the read must begin that may prove the record absent.
+        Time after a lost answer before a read counts as proof that the record is absent.
     initial_backoff, maximum_backoff
-        Bounds of the exponential backoff after failures; each wait is drawn from its upper half.
+        Bounds of the exponential backoff after failures; each delay is drawn from its upper half.
     empty_read_pause
-        Pause after a read without news, in case the log answers at once instead of waiting.
+        Pause after a read without new records, in case the log answers at once.
     read_timeout, append_timeout
-        Guard against a shell that never answers; longer than the shell's own limits.
+        Time after which a missing answer counts as lost; longer than the timeouts of the I/O
+        adapter that sends the requests.
     """
 
     client_id: str = ""
--- a/src/stagewalk/node/log_client/core.py
+++ b/src/stagewalk/node/log_client/core.py
@@ -1,10 +1,10 @@
-"""Pure core of the log client: ordered reads of streams, and appends that are never blind.
+"""Core of the log client, without I/O: ordered reads of streams, and appends with safe retries.
 
-Each stream has a state of its own, so trouble with one never holds up another. An append whose
-answer was lost is settled by reading the stream: the record either turns up, or a read begun well
-after the failure reaches the stream's head without it, and only then it is sent again, under the
-same record id. A copy that was still under way may then land too, so whoever folds a stream
-counts a record id once.
+Each stream has its own state, so failures of one do not delay another. An append whose answer was
+lost is settled by reading the stream: either the record is found, or a read begun at least
+`settle_delay` after the failure reaches the stream's head without it. Only then it is sent again,
+with the same record id. A delayed first copy may still be appended, so readers must ignore a
+repeated record id.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
 LogClientEvent = LogRead | LogReadFailed | AppendConfirmed | AppendFailed
 
 RECORD_ID_BITS = 128
-"""Enough that no two appends ever draw the same id."""
+"""Enough to make a collision of random record ids practically impossible."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedAppend:
-    """An append that was queued, and what to do at once."""
+    """A queued append, and the outputs to execute at once."""
 
     record_id: RecordId
     output: list[LogClientOutput]
 
 
 class LogClientCore:
-    """Reads and appends of all streams of one process.
+    """Manages the reads and appends of all streams of one process.
 
     Parameters
     ----------
     generator
-        Source of record ids and of the jitter of backoffs; two processes must not share a seed.
+        Source of record ids and backoff jitter; two processes must not share a seed.
     """
 
     def __init__(self, generator: random.Random, config: LogClientConfig) -> None:
@@ -55,15 +55,15 @@
         self._streams: dict[str, StreamState] = {}
 
     def follow(self, stream: str, offset: int) -> None:
-        """Notify the records of a stream from an offset on; the first read leaves with a tick."""
+        """Notify the records of a stream from an offset on; the next tick sends the first read."""
         self._state(stream).follow(offset)
 
     def follow_latest(self, stream: str, count: int) -> None:
-        """Notify the last `count` records of a stream, then all that follow."""
+        """Notify the last `count` records of a stream and all that follow."""
         self._state(stream).follow_latest(count)
 
     def advance(self, stream: str, offset: int) -> None:
-        """Skip records that were learnt otherwise; a smaller offset than reached is ignored."""
+        """Skip records below an offset that were received by other means; never moves back."""
         self._state(stream).advance(offset)
 
     def append(
@@ -93,10 +93,10 @@
         bits = self._generator.getrandbits(RECORD_ID_BITS)
         record_id = RecordId(f"{self._config.client_id}{bits:032x}")
         state.queue(record_id, payload, now)
-        return Ok(QueuedAppend(record_id, state.proceed(now)))
+        return Ok(QueuedAppend(record_id, state.start_due(now)))
 
     def handle(self, event: LogClientEvent, now: float) -> list[LogClientOutput]:
-        """Handle the log's answer to a read or an append."""
+        """Handle the answer to a read or an append."""
         state = self._streams.get(event.stream)
         if state is None:
             return []
@@ -109,15 +109,15 @@
                 output = state.append_confirmed(event.record_id, event.offset)
             case AppendFailed():
                 output = state.append_failed(event, now)
-        return output + state.proceed(now)
+        return output + state.start_due(now)
 
     def tick(self, now: float) -> list[LogClientOutput]:
-        """Start reads and appends that are due; give up what waited too long."""
+        """Start reads and appends that are due, and expire those that waited too long."""
         output: list[LogClientOutput] = []
         for state in self._streams.values():
-            if now >= state.next_wake:
+            if now >= state.next_tick_at:
                 output += state.expire(now)
-                output += state.proceed(now)
+                output += state.start_due(now)
         return output
 
     def _state(self, stream: str) -> StreamState:
--- a/src/stagewalk/node/log_client/notifications.py
+++ b/src/stagewalk/node/log_client/notifications.py
@@ -1,4 +1,4 @@
-"""What other cores ask of the log client, and what it returns to them."""
+"""Instruction that other cores give the log client, and the notifications it returns."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     """The next records of a followed stream, in order, without gaps or repeats.
 
     `head` is the offset after the stream's last record when they were read. The first successful
-    read is notified even if it brought no record, so that followers learn that they are current.
+    read is notified even if it returned no record, so that followers know that they are current.
     """
 
     stream: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendAbandoned:
-    """An append was given up; if `outcome_unknown`, the record may be in the log or come later."""
+    """An append was abandoned; if `outcome_unknown`, its record may be in the log or get there."""
 
     stream: str
     record_id: RecordId
--- a/tests/node/log_client/model.py
+++ b/tests/node/log_client/model.py
@@ -1,4 +1,4 @@
-"""A model of the log and of the shell between it and the client, with faults, on virtual time."""
+"""Model of the log and the I/O adapter in front of it, with faults, on virtual time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass
 class Faults:
-    """Chances of each fault, from 0 to 1, and the longest delay of a message in seconds."""
+    """Probability of each fault, and the longest delay of a message in seconds."""
 
     read_fails: float = 0.0
     append_refused: float = 0.0
@@ -34,7 +34,7 @@
 
 
 class LogWorld:
-    """One client, its shell and the log."""
+    """One client, its I/O adapter and the log."""
 
     def __init__(self, seed: int, faults: Faults, config: LogClientConfig) -> None:
         self.random = random.Random(seed)
@@ -49,7 +49,7 @@
         self.abandoned: list[AppendAbandoned] = []
         self.appends_sent: list[RecordId] = []
         self.read_offsets: list[int] = []
-        self.reads_open: dict[str, int] = {}
+        self.open_reads: dict[str, int] = {}
         self.most_reads_open = 0
         self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
@@ -79,7 +79,7 @@
         self._sequence += 1
         heapq.heappush(self._scheduled, (self.now + seconds, self._sequence, action))
 
-    def _happens(self, chance: float) -> bool:
+    def _occurs(self, chance: float) -> bool:
         return self.random.random() < chance
 
     def _delay(self) -> float:
@@ -102,9 +102,9 @@
 
     def _begin_read(self, item: ReadLog) -> None:
         self.read_offsets.append(item.offset)
-        self.reads_open[item.stream] = self.reads_open.get(item.stream, 0) + 1
-        self.most_reads_open = max(self.most_reads_open, self.reads_open[item.stream])
-        if self._happens(self.faults.read_fails):
+        self.open_reads[item.stream] = self.open_reads.get(item.stream, 0) + 1
+        self.most_reads_open = max(self.most_reads_open, self.open_reads[item.stream])
+        if self._occurs(self.faults.read_fails):
             self._answer_read(LogReadFailed(item.stream, "503"))
             return
         self._after(self._delay(), lambda: self._poll(item, self.now + POLL_SECONDS))
@@ -121,7 +121,7 @@
 
     def _answer_read(self, event: LogRead | LogReadFailed) -> None:
         def answer() -> None:
-            self.reads_open[event.stream] -= 1
+            self.open_reads[event.stream] -= 1
             self.feed(event)
 
         self._after(self._delay(), answer)
@@ -129,21 +129,21 @@
     def _begin_append(self, item: AppendRecord) -> None:
         self.appends_sent.append(item.record_id)
         failure = AppendFailed(item.stream, item.record_id, True, "connection lost")
-        if item.stream in self.down or self._happens(self.faults.append_refused):
+        if item.stream in self.down or self._occurs(self.faults.append_refused):
             failure = AppendFailed(item.stream, item.record_id, False, "connection refused")
             self._after(self._delay(), lambda: self.feed(failure))
-        elif self._happens(self.faults.append_lost):
+        elif self._occurs(self.faults.append_lost):
             self._after(self._delay(), lambda: self.feed(failure))
-        elif self._happens(self.faults.lands_late):
+        elif self._occurs(self.faults.lands_late):
             self._after(self._delay(), lambda: self.feed(failure))
-            self._after(LANDS_LATE_SECONDS, lambda: self._land(item, answered=False))
-        elif self._happens(self.faults.answer_lost):
-            self._after(self._delay(), lambda: self._land(item, answered=False))
+            self._after(LANDS_LATE_SECONDS, lambda: self._store(item, answered=False))
+        elif self._occurs(self.faults.answer_lost):
+            self._after(self._delay(), lambda: self._store(item, answered=False))
             self._after(self._delay(), lambda: self.feed(failure))
         else:
-            self._after(self._delay(), lambda: self._land(item, answered=True))
+            self._after(self._delay(), lambda: self._store(item, answered=True))
 
-    def _land(self, item: AppendRecord, *, answered: bool) -> None:
+    def _store(self, item: AppendRecord, *, answered: bool) -> None:
         offset = self.put(item.stream, item.record_id, item.payload)
         if answered:
             confirmed = AppendConfirmed(item.stream, item.record_id, offset)
--- a/tests/node/log_client/test_core.py
+++ b/tests/node/log_client/test_core.py
@@ -1,4 +1,4 @@
-"""Reads are whole and in order, appends land once, under any faults of the log."""
+"""Reads are complete and in order, and each record is appended once, under faults of the log."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
         self.assertEqual(24, log.heads["s"][-1])
         self.assertEqual(1, log.most_reads_open)
 
-    def test_the_first_read_of_an_empty_stream_is_notified_once(self) -> None:
+    def test_first_read_of_an_empty_stream_is_notified_once(self) -> None:
         log = world()
         log.client.follow("s", 0)
         log.run(20.0)
         self.assertEqual([0], log.heads["s"])
 
-    def test_latest_records_alone_can_be_followed(self) -> None:
+    def test_follow_latest_starts_at_the_last_records(self) -> None:
         log = world()
         for n in range(20):
             log.put("s", f"a{n}")
@@ -55,7 +55,7 @@
         log.run(5.0)
         self.assertEqual(log.streams["s"][18:], log.read["s"])
 
-    def test_the_head_is_asked_for_without_waiting_for_news(self) -> None:
+    def test_first_read_of_follow_latest_does_not_wait(self) -> None:
         log = world()
         log.client.follow_latest("s", 2)
         (first,) = log.client.tick(0.0)
@@ -64,7 +64,7 @@
         (second,) = log.client.tick(1.0)
         self.assertEqual(ReadLog("s", 0, wait=True), second)
 
-    def test_advancing_skips_what_was_learnt_otherwise(self) -> None:
+    def test_advance_skips_records_and_never_moves_back(self) -> None:
         log = world()
         for n in range(20):
             log.put("s", f"a{n}")
@@ -74,7 +74,7 @@
         log.run(5.0)
         self.assertEqual(log.streams["s"][15:], log.read["s"])
 
-    def test_answers_with_gaps_or_repeats_bring_only_what_comes_next(self) -> None:
+    def test_only_consecutive_records_of_an_answer_are_notified(self) -> None:
         log = world()
         log.client.follow("s", 0)
         records = [LogRecord(n, RecordId(f"a{n}"), b"") for n in range(9)]
@@ -119,14 +119,14 @@
         log.run(60.0)
         self.assertEqual(ids, [record.record_id for record in log.streams["s"]])
 
-    def test_a_lost_answer_is_not_answered_by_sending_again(self) -> None:
+    def test_append_with_lost_answer_is_not_repeated_if_found(self) -> None:
         log = world(Faults(answer_lost=1.0))
         record_id = log.append("s")
         log.run(60.0)
         self.assertEqual([record_id], log.appends_sent)
         self.assertEqual({record_id: [0]}, log.settled)
 
-    def test_a_record_beyond_a_long_backlog_is_looked_for_up_to_the_head(self) -> None:
+    def test_append_is_settled_behind_a_long_backlog(self) -> None:
         log = world(Faults(answer_lost=1.0))
         for n in range(400):
             log.put("s", f"old{n}")
@@ -137,7 +137,7 @@
         self.assertEqual([record_id], log.appends_sent)
         self.assertEqual({record_id: [400]}, log.settled)
 
-    def test_a_stream_that_is_not_followed_is_not_read_from_its_beginning(self) -> None:
+    def test_unfollowed_stream_is_not_read_from_its_beginning(self) -> None:
         log = world(Faults(answer_lost=1.0))
         for n in range(400):
             log.put("s", f"old{n}")
@@ -146,7 +146,7 @@
         self.assertEqual({record_id: [400]}, log.settled)
         self.assertEqual([0, 400], log.read_offsets[:2])
 
-    def test_one_stream_in_trouble_does_not_hold_up_another(self) -> None:
+    def test_failing_stream_does_not_delay_another(self) -> None:
         log = world()
         log.down.add("bad")
         log.client.follow("bad", 0)
@@ -158,7 +158,7 @@
         log.run(15.0)
         self.assertEqual({good: [0], bad: [0]}, log.settled)
 
-    def test_an_outage_is_met_with_few_attempts(self) -> None:
+    def test_attempts_during_an_outage_are_limited_by_backoff(self) -> None:
         log = world()
         log.client.follow("s", 0)
         log.run(1.0)
@@ -170,14 +170,14 @@
         log.run(10.0)
         self.assertEqual({record_id: [0]}, log.settled)
 
-    def test_abandoning_says_whether_the_record_may_be_there(self) -> None:
+    def test_abandoned_append_reports_whether_outcome_is_unknown(self) -> None:
         for faults, unknown in ((Faults(append_refused=1), False), (Faults(append_lost=1), True)):
             log = world(faults, LogClientConfig(abandon_after=20.0))
             log.append("s")
             log.run(60.0)
             self.assertEqual([unknown], [each.outcome_unknown for each in log.abandoned])
 
-    def test_a_full_queue_refuses_with_a_typed_error(self) -> None:
+    def test_full_queue_returns_overloaded_error(self) -> None:
         log = world(config=LogClientConfig(queue_limit=2))
         log.append("s")
         log.append("s")
@@ -185,7 +185,7 @@
         self.assertEqual((ErrorKind.OVERLOADED, ErrorStep.LOG_APPEND), (error.kind, error.step))
         self.assertTrue(log.client.append("other", b"", 0.0).is_ok())
 
-    def test_answers_that_never_come_count_as_lost(self) -> None:
+    def test_missing_answers_count_as_lost(self) -> None:
         log = world(Faults(longest_delay=1e5), LogClientConfig(abandon_after=100.0))
         log.client.follow("s", 0)
         log.append("s")
@@ -193,7 +193,7 @@
         log.run(200.0)
         self.assertEqual([True], [each.outcome_unknown for each in log.abandoned])
 
-    def test_a_foreign_confirmation_is_ignored(self) -> None:
+    def test_confirmation_of_another_record_is_ignored(self) -> None:
         log = world()
         record_id = log.append("s")
         log.feed(AppendConfirmed("s", RecordId("foreign"), 0))
