--- a/src/stagewalk/node/peers/__init__.py
+++ b/src/stagewalk/node/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Transport between the nodes' processes."""
+"""Message transport between nodes."""
--- a/src/stagewalk/node/peers/peer_streams.py
+++ b/src/stagewalk/node/peers/peer_streams.py
@@ -1,7 +1,7 @@
-"""Outgoing TCP connections to other nodes: one a peer, opened on its first message.
+"""Outgoing TCP connections to other nodes: one per peer, opened on its first message.
 
-Owns queues and connections. A frame that can't be delivered is dropped and counted, never retried:
-the cores repeat what they still need.
+A frame that can't be delivered is dropped and counted, never retried: the cores repeat messages
+that they still need.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from stagewalk.node.metrics import PeerMetrics
 
 MAXIMUM_QUEUED_FRAMES = 256
-"""Most frames that wait for one peer; a further one is dropped."""
+"""Maximum number of frames queued for one peer; further ones are dropped."""
 
 MAXIMUM_PEERS = 1024
 """More than twice the 420 nodes that the product is designed for."""
@@ -28,7 +28,7 @@
 
 INITIAL_BACKOFF_SECONDS = 0.1
 MAXIMUM_BACKOFF_SECONDS = 5.0
-"""Pauses after failed connections double from the first to the last."""
+"""The pause after a failed connection doubles from the initial to the maximum value."""
 
 _STREAM_ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
@@ -36,8 +36,8 @@
 class OutgoingStream:
     """Queue and connection to one peer.
 
-    A frame is written at most once: what a broken connection swallowed is lost, as is what
-    waited while connecting failed, since the cores repeat what they still need.
+    A frame is written at most once. Frames written to a broken connection are lost, and frames
+    queued when connecting fails are dropped, since the cores repeat messages that they still need.
     """
 
     def __init__(self, address: Address, metrics: PeerMetrics) -> None:
@@ -49,31 +49,31 @@
         self._backoff_seconds = INITIAL_BACKOFF_SECONDS
 
     def offer(self, frame: bytes) -> None:
-        """Queue a frame, or drop it if too many wait."""
+        """Queue a frame, or drop it if the queue is full."""
         try:
             self._send.send_nowait(frame)
         except anyio.WouldBlock:
             self._metrics.count_dropped("overflow")
 
     async def run(self) -> None:
-        """Deliver frames until none came for `IDLE_SECONDS`."""
+        """Deliver frames until none was queued for `IDLE_SECONDS`."""
         with self._send, self._receive:
-            while await self._deliver_until_broken():
+            while await self._serve_connection():
                 pass
 
-    async def _deliver_until_broken(self) -> bool:
-        """Use one connection as long as it lasts; return whether to go on with another."""
+    async def _serve_connection(self) -> bool:
+        """Use one connection until it ends; return whether to open another."""
         with anyio.move_on_after(IDLE_SECONDS) as waiting:
             frame = await self._receive.receive()
         if waiting.cancelled_caught:
             return False
         connection = await self._connect()
         if connection is None:
-            self._drop_waiting()
+            self._drop_queued()
             await self._back_off()
             return True
         self._backoff_seconds = INITIAL_BACKOFF_SECONDS
-        return await _Connection(connection, self._receive, self._metrics).use(frame)
+        return await _Connection(connection, self._receive, self._metrics).write_frames(frame)
 
     async def _connect(self) -> anyio.abc.SocketStream | None:
         try:
@@ -82,7 +82,7 @@
         except (OSError, TimeoutError):
             return None
 
-    def _drop_waiting(self) -> None:
+    def _drop_queued(self) -> None:
         self._metrics.count_dropped("unreachable")
         while self._receive.statistics().current_buffer_used:
             self._receive.receive_nowait()
@@ -94,9 +94,10 @@
 
 
 class _Connection:
-    """One open connection: writes frames, and watches for the peer closing it.
+    """One open connection: writes frames, and detects when the peer closes it.
 
-    Without the watch the first frame after a peer's restart would vanish into a dead socket.
+    Otherwise the first frame after a restart of the peer would be written to a closed connection
+    and lost.
     """
 
     def __init__(
@@ -110,15 +111,15 @@
         self._metrics = metrics
         self._idle = False
 
-    async def use(self, first_frame: bytes) -> bool:
-        """Write frames until the connection breaks (True) or is idle for long (False)."""
+    async def write_frames(self, first_frame: bytes) -> bool:
+        """Write frames; return True if the connection broke, False if it became idle."""
         async with self._stream, anyio.create_task_group() as tasks:
-            tasks.start_soon(self._watch, tasks.cancel_scope)
+            tasks.start_soon(self._wait_until_closed, tasks.cancel_scope)
             await self._write_all(first_frame)
             tasks.cancel_scope.cancel()
         return not self._idle
 
-    async def _watch(self, scope: anyio.CancelScope) -> None:
+    async def _wait_until_closed(self, scope: anyio.CancelScope) -> None:
         with contextlib.suppress(*_STREAM_ENDED):
             await self._stream.receive(1)
         scope.cancel()
@@ -142,7 +143,7 @@
 
 
 class OutgoingStreams:
-    """All outgoing connections, by address; an idle one is closed and removed."""
+    """All outgoing connections by address; idle ones are closed and removed."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, metrics: PeerMetrics) -> None:
         self._tasks = tasks
--- a/src/stagewalk/node/peers/peer_transport.py
+++ b/src/stagewalk/node/peers/peer_transport.py
@@ -1,7 +1,7 @@
 """Messages between nodes: protobuf envelopes in UDP datagrams and in framed TCP streams.
 
-Owns the sockets and the listening address last seen of each sender. Relies on the event queue,
-which may drop what arrives: the cores repeat what they still need.
+Received messages are dropped when the event queue is nearly full: the cores repeat messages that
+they still need.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 from stagewalk.node.peers.peer_streams import OutgoingStreams
 
 MAXIMUM_QUEUED_DATAGRAMS = 512
-"""Most datagrams that wait for the socket; a further one is dropped."""
+"""Maximum number of datagrams queued for the socket; further ones are dropped."""
 
 MAXIMUM_INCOMING_CONNECTIONS = 1024
 """More than twice the 420 nodes that the product is designed for."""
 
 INCOMING_IDLE_SECONDS = 120.0
-"""Time without a whole frame after which an incoming stream is closed: twice `IDLE_SECONDS` of the
-senders, so that a sender closes first."""
+"""Time without a complete frame after which an incoming stream is closed: twice the `IDLE_SECONDS`
+of senders, so that a sender closes first."""
 
 MAXIMUM_KNOWN_SENDERS = 8192
-"""Bounds memory against made-up sender names."""
+"""Limits the memory that forged sender names can use."""
 
 
 class PeerTransport:
-    """Sends and receives the envelopes of this node.
+    """Sends and receives envelopes for this node.
 
-    The source given to the core is the peer's listening address. Datagrams are sent from the
-    listening socket, so theirs is the socket's own. A stream comes from an ephemeral port:
-    its source is the listening address last seen for the envelope's sender name, in a datagram
-    or in the machine list; only for an unknown sender is it the stream's own address.
+    The source address passed to the core is the peer's listening address. Datagrams are sent from
+    the listening socket, so their source address is used. A stream comes from an ephemeral port, so
+    the last known listening address of the envelope's sender is used, from a datagram or the
+    machine list; for an unknown sender it is the remote address of the stream.
     """
 
     def __init__(self, listen: Address, events: EventQueue, metrics: PeerMetrics) -> None:
@@ -56,8 +56,8 @@
         send, receive = anyio.create_memory_object_stream[tuple[bytes, Address]](
             MAXIMUM_QUEUED_DATAGRAMS
         )
-        self._datagrams_out = send
-        self._datagrams_in_queue = receive
+        self._datagram_queue = send
+        self._queued_datagrams = receive
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         """Open the sockets, report them open, and serve until cancelled."""
@@ -76,12 +76,12 @@
             await anyio.sleep_forever()
 
     def learn_address(self, node: str, address: Address) -> None:
-        """Record where a node listens."""
+        """Record the listening address of a node."""
         if len(self._listening_addresses) < MAXIMUM_KNOWN_SENDERS:
             self._listening_addresses[node] = address
 
     def send(self, message: SendPeerMessage) -> None:
-        """Send an envelope without waiting; a datagram too long for UDP goes over TCP."""
+        """Send an envelope without waiting; one too large for a datagram is sent over TCP."""
         payload = message.envelope.SerializeToString()
         if message.transport is Transport.STREAM or len(payload) > MAXIMUM_DATAGRAM_BYTES:
             if self._outgoing is not None:
@@ -89,12 +89,12 @@
                 self._metrics.count_message("sent", Transport.STREAM.value, len(payload))
             return
         try:
-            self._datagrams_out.send_nowait((payload, message.address))
+            self._datagram_queue.send_nowait((payload, message.address))
         except anyio.WouldBlock:
             self._metrics.count_dropped("overflow")
 
     async def _send_datagrams(self, socket: anyio.abc.UDPSocket) -> None:
-        async for payload, address in self._datagrams_in_queue:
+        async for payload, address in self._queued_datagrams:
             try:
                 await socket.sendto(payload, address.host, address.port)
             except (OSError, anyio.BrokenResourceError):
