--- a/src/stagewalk/node/ports/__init__.py
+++ b/src/stagewalk/node/ports/__init__.py
@@ -1,1 +1,1 @@
-"""What the node needs of the outside, as protocols."""
+"""Ports: protocols of the external services that the node uses."""
--- a/src/stagewalk/node/ports/engines.py
+++ b/src/stagewalk/node/ports/engines.py
@@ -1,6 +1,6 @@
 """Port of the model engines.
 
-Implemented by `adapters.http_engines`; failures are events or values, never exceptions.
+Implemented by `adapters.http_engines`. Failures are returned or delivered, never raised.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 FinalAttemptEvent = AttemptFinished | AttemptRefused | AttemptFailed
 AttemptEvent = AttemptChunk | FinalAttemptEvent
 AttemptSink = Callable[[AttemptEvent], Awaitable[None]]
-"""Receives an attempt's events in order; waiting in it slows the engine's stream."""
+"""Receives an attempt's events in order; a slow sink slows down the engine's stream."""
 
 
 class EngineClient(Protocol):
-    """What a node asks of engines; every call names the engine's address."""
+    """Client of the model engines; every call names the address of the engine."""
 
     async def run_attempt(self, start: StartAttempt, deliver: AttemptSink) -> None:
         """Send an attempt and deliver its chunks, then exactly one final event."""
@@ -41,4 +41,4 @@
         """Read the engine's report."""
 
     async def order(self, order: SendEngineOrder) -> OrderAnswered:
-        """Send a fenced order; no answer in time is `EngineOrderOutcome.UNKNOWN`."""
+        """Send an order with a fencing token; `EngineOrderOutcome.UNKNOWN` if no answer came."""
--- a/src/stagewalk/node/ports/platform_services.py
+++ b/src/stagewalk/node/ports/platform_services.py
@@ -1,6 +1,6 @@
 """Ports of the platform's services: log, machine list, weight store and scorer.
 
-Implemented by `adapters.http_platform`; each error names step and peer.
+Implemented by `adapters.http_platform`. Each error names the step and the peer.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
     async def read(
         self, stream: str, offset: int, *, wait: bool = True
     ) -> Result[LogPage, StagewalkError]:
-        """Read records from an offset on; `wait`: some seconds for a first one."""
+        """Read records from an offset on; with `wait`, wait some seconds for a first one."""
 
     async def append(
         self, stream: str, record_id: RecordId, payload: bytes
     ) -> Result[int, StagewalkError]:
         """Append a record and return its offset.
 
-        An error with `ran=unknown` means that the record may have landed all the same.
+        An error with `ran=unknown` means that the record may have been appended anyway.
         """
 
 
@@ -45,7 +45,7 @@
     """The list of live and leaving machines."""
 
     async def read(self) -> Result[tuple[Machine, ...] | None, StagewalkError]:
-        """Read the whole list; None if it is the same as at the last read."""
+        """Read the whole list; None if it has not changed since the last read."""
 
 
 class WeightStore(Protocol):
