--- a/src/stagewalk/common/http/calls.py
+++ b/src/stagewalk/common/http/calls.py
@@ -72,9 +72,8 @@
 ) -> httpx.AsyncHTTPTransport:
     """Return a pool of connections for short calls.
 
-    Skipping the redirects, cookies and authentication of a client saves a quarter of a call's CPU
-    time, and calls are most of an idle node's work. Services use plain HTTP: the empty TLS context
-    only avoids loading certificates.
+    Unlike a client, it has no redirects, cookies or authentication, which saves CPU time in each
+    call. Services use plain HTTP; the empty TLS context only avoids loading certificates.
     """
     limits = httpx.Limits(
         max_connections=maximum_connections,
@@ -145,7 +144,7 @@
 ) -> Result[ResponseBody, StagewalkError]:
     """Send a JSON body (if any) and decode the JSON response.
 
-    The error's `ran` is `no` only if the request was never sent or the peer refused it (4xx).
+    The error's `ran` is `no` only if the request was never sent, or was refused (4xx except 408).
     """
     try:
         response = await send_json(transport, method, url, read_seconds=read_seconds, body=body)
--- a/src/stagewalk/common/http/exchange.py
+++ b/src/stagewalk/common/http/exchange.py
@@ -32,7 +32,7 @@
 """How long a caller may continue to send its body after the response was sent."""
 
 WRITE_BUFFER_BYTES = 16_384
-"""Write buffer in the process for a caller that reads slowly, besides the kernel's buffer."""
+"""Limit of this process's write buffer for a connection, in addition to the kernel's buffer."""
 
 RETRY_COUNT_HEADERS = ("x-retry-count", "x-stainless-retry-count")
 """Headers in which callers, and OpenAI's clients, state how often they retried a request."""
@@ -135,8 +135,8 @@
     ) -> None:
         """Send a whole response, even while the caller is still sending its body.
 
-        Closing the connection then would reset it before the response is read, so the rest of
-        the body is received and discarded for `LINGERING_CLOSE_SECONDS` at most.
+        Closing the connection while the body arrives would reset it before the response is read,
+        so the rest of the body is received and discarded, for at most `LINGERING_CLOSE_SECONDS`.
         """
         length = ("content-length", str(len(body)))
         await self.start(status, content_type, (length, *headers))
@@ -156,7 +156,7 @@
         )
 
     def adjust_for_resend(self, error: StagewalkError) -> StagewalkError:
-        """Return the error, for a retried request with the execution status "unknown".
+        """Return the error; its execution status is "unknown" if the request is a retry.
 
         This node did not run it, but an earlier attempt may have.
         """
--- a/src/stagewalk/common/logs/lines.py
+++ b/src/stagewalk/common/logs/lines.py
@@ -27,7 +27,7 @@
 """Shortest time between two lines of the same message of a library."""
 
 MAXIMUM_LIBRARY_MESSAGES = 256
-"""Library messages whose last time is remembered."""
+"""Maximum number of library messages whose last time is kept."""
 
 _OMITTED_KEYS = frozenset({"task_uuid", "task_level", "timestamp", "message_type", "level"})
 _PLAIN_VALUE = re.compile(r"[A-Za-z0-9._:/\-+@,%\[\]{}()*;~^<>!?&|#$]+")
--- a/src/stagewalk/common/settings/fields.py
+++ b/src/stagewalk/common/settings/fields.py
@@ -1,4 +1,4 @@
-"""Field types that the settings of both programs share, and the limits for callers."""
+"""Field types shared by the settings of the node and the gateway, and limits for callers."""
 
 from __future__ import annotations
 
--- a/src/stagewalk/gateway/autoscaling/core.py
+++ b/src/stagewalk/gateway/autoscaling/core.py
@@ -1,8 +1,8 @@
 """Decides which workers to order, and when to repeat an order. Pure.
 
 The workers present when a service was first seen are its baseline, and are restored if lost.
-Beyond it, enough are ordered that each item of the open batches has a slot at once, since an item
-that waits for one delays its step and its trainer. These are spot workers if the settings allow
+More are ordered so that each item of the open batches has a slot at once, since an item that waits
+for a slot delays its step and its trainer. These are spot workers if the settings allow
 it, spread over the zones, since the platform reclaims all spot workers of a zone at a time.
 
 `autoscaling.demand` tracks the peak of open items and `worker_counts` distributes the workers; the
@@ -202,7 +202,6 @@
         """Return whether the demand was watched long enough to release workers.
 
         A new lease holder has not seen earlier peaks.
-
         """
         return now - self._watched_since[group.service] >= PEAK_RETENTION_SECONDS
 
--- a/src/stagewalk/gateway/autoscaling/demand.py
+++ b/src/stagewalk/gateway/autoscaling/demand.py
@@ -8,8 +8,8 @@
 from collections import deque
 
 PEAK_RETENTION_SECONDS = 120.0
-"""How long a peak counts. Replacing a worker that was released too early costs its boot time, which
-delays a step; an idle worker for two minutes costs less."""
+"""How long a peak counts. If a worker is released too early, a step is delayed by the boot time of
+its replacement."""
 
 
 class Demand:
--- a/src/stagewalk/gateway/autoscaling/worker_counts.py
+++ b/src/stagewalk/gateway/autoscaling/worker_counts.py
@@ -1,4 +1,4 @@
-"""Distributes workers beyond the baseline over zones and kinds. Pure.
+"""Distributes workers beyond the baseline over zones, as regular or spot workers. Pure.
 
 Inputs are the baseline of each zone, earlier orders and their outcomes, and how many workers are
 missing for the demand.
--- a/src/stagewalk/gateway/batch_service/batch_index.py
+++ b/src/stagewalk/gateway/batch_service/batch_index.py
@@ -35,7 +35,7 @@
     partition
         Number of its partition.
     offset
-        Of its first record; unless `ended` is set, no end of the batch lies before it.
+        Offset of its first record; unless `ended` is set, no end of the batch lies before it.
     ended
         Whether an end of the batch was requested; its place has no meaning then.
     tenant
@@ -62,7 +62,7 @@
     """Writes and lists the places of batches.
 
     A view that begins at an indexed place must show the batch's end, or the batch would be run
-    again after it. The order of writes guarantees that no end lies before such a place: a batch is
+    after its end. The order of writes guarantees that no end lies before such a place: a batch is
     marked as ended before its end is appended, and the node that submits it looks for the mark
     after its own submission was appended. If there is no mark by then, the end comes after that
     submission. A delayed write may replace a mark, but its place lies before the end.
@@ -84,12 +84,12 @@
         *,
         first_offset: int | None = None,
     ) -> bool:
-        """Mark a batch as ended before its end is appended; return whether that is certain.
+        """Mark a batch as ended before its end is appended; return whether the log confirmed it.
 
         Parameters
         ----------
         first_offset
-            Of the batch's first record, None if this node's view doesn't show it.
+            Offset of the batch's first record, None if this node's view doesn't show it.
         """
         certain = first_offset is not None
         place = BatchPlace(partition, first_offset or 0, NO_RUNNER, True, tenant, certain)
--- a/src/stagewalk/gateway/batch_service/batch_store.py
+++ b/src/stagewalk/gateway/batch_service/batch_store.py
@@ -1,6 +1,6 @@
 """This node's view of all batches, and appends to their partitions.
 
-Owns the ledger, one follower and one appender per partition, and when records were dropped unread.
+Owns the ledger, one follower and one appender per partition, and the times of gaps in records.
 Relies on `partitioned_log` for reading and appending, and on `batches.ledger` to apply records.
 """
 
@@ -42,8 +42,8 @@
 
 BATCHES_TOPIC = "batches"
 PARTITIONS = 6
-"""Partitions in use, fewer if the log is set up with fewer. A batch's partition follows from its
-name: the same on every node."""
+"""Maximum number of partitions in use. A batch's partition is a hash of its name, so that all nodes
+use the same one."""
 
 CATCH_UP_TIMEOUT_SECONDS = 0.8
 """How long a call may wait for the log to bring a view up to date."""
@@ -56,7 +56,7 @@
 
 
 class BatchStore:
-    """Follows all partitions of batches; one appender for each."""
+    """Follows all partitions of batches, and appends to them."""
 
     def __init__(
         self,
@@ -165,8 +165,8 @@
     def post(self, batch: str, record: BatchRecord) -> None:
         """Append a record without waiting for the log.
 
-        A large result is split; the text of an unfinished item is skipped if it is too large, since
-        it only saves time.
+        A large result is split. Another record that is too large is skipped: that can only be the
+        text of an unfinished item, which merely saves generating it again.
         """
         if isinstance(record, ItemFinished):
             payloads = split_result(record, uuid.uuid4().hex, self._record_bytes)
@@ -234,7 +234,7 @@
         self.ledger.apply(decoded, steady_seconds(), record.offset)
 
     def _drop_partition(self, partition: int) -> None:
-        """Drop the batches of a partition: the unread records may hold ends or results of them."""
+        """Drop the batches of a partition: the unread records may hold their ends or results."""
         self._records_lost_at[partition] = steady_seconds()
         self.ledger.lose([name for name in self.ledger.names if self.partition(name) == partition])
 
--- a/src/stagewalk/gateway/batch_service/ledger_call_handler.py
+++ b/src/stagewalk/gateway/batch_service/ledger_call_handler.py
@@ -56,8 +56,8 @@
     open_views
         Finds open batches while the log has not been read to its end, if given.
     starting
-        Whether reads of the log are reserved for nodes that look for open batches: the log isn't
-        read on demand then.
+        Whether reads of the log are reserved for nodes that look for open batches; while they are,
+        the log isn't read on demand.
     """
 
     def __init__(
--- a/src/stagewalk/gateway/directory/caller_subset.py
+++ b/src/stagewalk/gateway/directory/caller_subset.py
@@ -1,9 +1,9 @@
 """Which nodes callers are sent to. Pure.
 
-Any node serves any caller. Sending the callers of a zone to as few of its nodes as their load needs
-keeps connections to workers warm and requests in their zone; the other nodes stay idle. Each node
-decides from the nodes it knows whether it is listed, and announces that. Owns both rules: which
-nodes are listed, and which listed nodes the directory returns to a caller.
+Any node serves any caller. The callers of a zone are sent to as few of its nodes as their load
+needs, so that connections to workers stay warm and requests stay in the zone. Each node decides
+from the nodes it knows whether it is listed, and announces that. Owns both rules: which nodes are
+listed, and which listed nodes the directory returns to a caller.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/gateway/directory/ledger_replicas.py
+++ b/src/stagewalk/gateway/directory/ledger_replicas.py
@@ -37,7 +37,8 @@
 
     Fast nodes come first, since replicas run the batches. They are taken from the zones in turn, so
     that callers find a replica in their zone and the loss of a zone leaves some. Nodes of equal
-    capacity are ordered by a hash of the name, so that a node that joins or leaves moves few.
+    capacity are ordered by a hash of the name, so that few replicas move when a node joins or
+    leaves.
     """
     fastest = max((node.capacity for node in nodes), default=0.0)
 
--- a/src/stagewalk/gateway/directory/node_table.py
+++ b/src/stagewalk/gateway/directory/node_table.py
@@ -30,8 +30,8 @@
 RenewalSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=MAXIMUM_RENEWAL_INTERVAL_SECONDS)]
 
 STALE_ROUNDS = 8
-"""When all announcements are listed, a node counts as dead if its own is this many rounds (one
-record of each node) older than the newest."""
+"""A listed node counts as dead if the offset of its announcement is behind the newest one's by more
+than this number times the number of listed nodes."""
 
 
 class NodeAnnouncement(msgspec.Struct, frozen=True, array_like=True):
@@ -146,7 +146,7 @@
             self._alive_until[node.node] = now + node.alive_seconds
 
     def alive(self, view_at: float) -> list[NodeAnnouncement]:
-        """Return the nodes that counted as alive as of when the view was last complete."""
+        """Return the nodes that counted as alive at the time of the last complete view."""
         return [
             announcement
             for node, announcement in self._nodes.items()
--- a/src/stagewalk/gateway/duties/duty_lease.py
+++ b/src/stagewalk/gateway/duties/duty_lease.py
@@ -30,7 +30,7 @@
 LEASES_TOPIC = "leases"
 DUTIES_PARTITION = 0
 POLL_INTERVAL_SECONDS = 0.1
-"""Interval between decisions on the lease: a fifth of the renewal interval."""
+"""Interval between decisions on the lease."""
 
 MAXIMUM_CURRENT_VIEW_AGE_SECONDS = 1.0
 """The lease is acquired only with a view of its records at most this old."""
--- a/src/stagewalk/gateway/entry/batch_calls.py
+++ b/src/stagewalk/gateway/entry/batch_calls.py
@@ -45,8 +45,7 @@
 """How long a submission waits for its append to the log."""
 
 MAXIMUM_STALL_SECONDS = 1.5
-"""Submissions are refused at once if the log has accepted no append for this long: half of
-`SUBMIT_TIMEOUT_SECONDS`."""
+"""Submissions are refused at once if appends to the partition have failed for longer than this."""
 
 LOG_STALLED_DETAIL = "the log takes no appends"
 
--- a/src/stagewalk/gateway/explain/timeline.py
+++ b/src/stagewalk/gateway/explain/timeline.py
@@ -50,7 +50,7 @@
     BATCH = "batch"
     ITEM = "item"
     CONTENT = "content"
-    """Content shared by requests with different ids under which workers crashed."""
+    """Content of requests, possibly with different ids, during which workers crashed."""
     WINDOW = "window"
     """A time window of usage reports."""
 
--- a/src/stagewalk/gateway/leases/log_lease.py
+++ b/src/stagewalk/gateway/leases/log_lease.py
@@ -87,8 +87,8 @@
 class PlanRecord(msgspec.Struct, frozen=True, array_like=True, tag="plan"):
     """A decision of a holder, written to the log before it is executed.
 
-    Ignored unless `fence` is the current one at the record's offset, so all processes apply the
-    same one of two holders' plans.
+    Ignored unless `fence` is the current one at the record's offset. So all processes apply the
+    same plan if two holders write one.
 
     Attributes
     ----------
@@ -231,8 +231,8 @@
     def handle_fenced(self, fence: int) -> None:
         """Stop acting under a fence, since a receiver has seen a higher one.
 
-        Another holder's acquiring record must follow this process's last read. The process reads
-        on and, once the lease is free, acquires it again under a higher fence.
+        Another process must have acquired the lease in a record not read here yet. This process
+        reads on and, once the lease is free, may acquire it again under a higher fence.
         """
         if fence == self._fence and self._holder == self._own:
             self._released = True
@@ -250,7 +250,7 @@
         quiet_from = (
             self._renewal_read_at if self._released else self._renewal_read_at + LEASE_SECONDS
         )
-        # An unknown holder, in the dropped records, may have renewed until they were dropped.
+        # A holder that only the dropped records named may have renewed until they were dropped.
         quiet_from = max(quiet_from, self._gap_at + LEASE_SECONDS)
         no_gap = self._gap_at == -math.inf
         first = self._holder == ""
--- a/src/stagewalk/gateway/log_relay/relayed_log.py
+++ b/src/stagewalk/gateway/log_relay/relayed_log.py
@@ -1,6 +1,6 @@
 """Access to the log for a node that may be cut off from it: directly or through another node.
 
-Owns hedged calls by both paths, and which of two outcomes is returned. Relies on `path_choice` for
+Sends hedged calls by both paths, and chooses the outcome to return. Relies on `path_choice` for
 the path and on the client of peers for relayed calls.
 """
 
@@ -179,7 +179,7 @@
         relay: Callable[[], Awaitable[Result[Value, LogFailure]]],
         relay_after: float,
     ) -> Result[Value, LogFailure]:
-        """Call directly, and through another node once that failed or took longer than a delay.
+        """Call directly; also relay the call once that failed or took longer than a delay.
 
         The first success is returned; without any, see `_outcome`.
         """
--- a/src/stagewalk/gateway/nodes/crash_watch.py
+++ b/src/stagewalk/gateway/nodes/crash_watch.py
@@ -1,7 +1,8 @@
 """Detects requests that crash workers, and exchanges crash reports with the other nodes.
 
-Owns this node's evidence, the rate limit of its appends, and whether a suspected request may be
-sent. Relies on `quarantine` for the decisions and on the nodes' partition, which all nodes follow.
+Keeps this node's evidence, limits the rate of its appends, and decides whether a suspected request
+may be sent. Relies on `quarantine` for the decisions and on the nodes' partition, which all nodes
+follow.
 """
 
 from __future__ import annotations
@@ -42,10 +43,11 @@
 MAXIMUM_SUSPECT_VIEW_AGE_SECONDS = 0.0
 SUSPECT_READ_SECONDS = 0.3
 """A suspected request is sent only after another read of the other nodes' reports, since callers
-retry within 0.2 s and a node's view is up to 1.2 s old. This is the read's time-out."""
+retry within 0.2 s and a node's view is up to 1.2 s old. `SUSPECT_READ_SECONDS` is the
+read's time-out."""
 
 MAXIMUM_UNVERIFIED_CRASHES = 1
-"""Number of consecutive crashes up to which a request is sent although that read failed, and only
+"""If that read fails, a request with at most this many consecutive crashes is still sent, but only
 within the call during which the worker crashed. Most such requests did not cause the crash, and
 their second attempt succeeds."""
 
@@ -65,10 +67,10 @@
 
 ENDED_SECONDS = 1.0
 """How long a worker found to have ended isn't probed again, so that requests lost together share a
-probe. It is short because a node that was cut off is refused by workers that are still alive."""
+probe. Short, since connections to workers that are alive may be refused while a node is cut off."""
 
 EXPIRE_SECONDS = 10.0
-"""Interval between searches for expired crash records; searching 2,048 records takes 4 ms."""
+"""Interval between searches for expired crash records."""
 
 
 @dataclass(slots=True)
@@ -243,7 +245,7 @@
     # Periodic work.
 
     def step(self, now: float) -> None:
-        """Record lost connections whose worker's entry is gone as crashes; expire old records."""
+        """Record a crash for each lost connection to an unlisted worker; expire old records."""
         if self._losses:
             for loss in self._losses.due(self._workers, now):
                 self._record_crash(loss)
--- a/src/stagewalk/gateway/nodes/node_service.py
+++ b/src/stagewalk/gateway/nodes/node_service.py
@@ -193,8 +193,8 @@
     def set_claims(self, claims: tuple[ServiceClaims, ...] | None) -> None:
         """Set the claims on engines of the items run here.
 
-        They are announced with the next renewal, or at once if they exceed the announced claims by
-        much, but at most once before that renewal.
+        They are announced with the next renewal. If they exceed the announced claims by much, they
+        are announced at once, but at most once between two renewals.
         """
         self._own.claims = claims
         announced = self._table.known(self._identity.node)
@@ -206,8 +206,8 @@
     def claims_of_others(self) -> PeerClaims:
         """Return the claims announced by the other nodes that run batches.
 
-        Processes that stop or are gone are left out: other nodes run their batches and announce
-        the claims of these.
+        Processes that stop or are gone are left out: other nodes take over their batches and
+        announce these claims.
         """
         running = [
             node
--- a/src/stagewalk/gateway/partitioned_log/appender.py
+++ b/src/stagewalk/gateway/partitioned_log/appender.py
@@ -27,8 +27,8 @@
 RETRY_SECONDS = 0.1
 SLOW_RETRY_SECONDS = 0.3
 QUICK_RETRIES = 5
-"""Delays before a failed append is retried: for the first `QUICK_RETRIES` failures in a row, and
-after them."""
+"""Delays before a failed append is retried; the slow one applies once `QUICK_RETRIES` attempts in a
+row have failed."""
 
 RECORD_OVERHEAD_BYTES = 4
 """Bytes that a call needs for a record in addition to its payload: the length field."""
@@ -128,8 +128,8 @@
     async def _append_group(self, group: list[_Pending]) -> None:
         """Send a call until its outcome is known.
 
-        As long as every call was refused, nothing of it can be in the log, so appends whose caller
-        has timed out are left out of the next call with the same sequence number.
+        While all attempts were refused, none of the records can be in the log, so appends whose
+        caller timed out are left out of the next attempt, which has the same sequence number.
         """
         self._sequence += 1
         failures = 0
--- a/src/stagewalk/gateway/partitioned_log/keyed_follower.py
+++ b/src/stagewalk/gateway/partitioned_log/keyed_follower.py
@@ -1,6 +1,6 @@
 """Follows a compacted partition: the newest record of each key, then the changes.
 
-Owns when the whole partition is listed again, and reads at a caller's request. Relies on the port
+Decides when to list the whole partition again; reads at a caller's request too. Relies on the port
 of the log, and on callbacks that apply listings and changes.
 """
 
@@ -99,9 +99,9 @@
     async def renew(self, oldest_seconds: float, timeout_seconds: float) -> bool:
         """Return whether the view is at most `oldest_seconds` old; read again if it is older.
 
-        Stricter than `refresh`: the view is as old as the read's request, since its answer may have
-        stayed unread while the process was suspended. It also reads while the log fails. Concurrent
-        callers share a read.
+        Stricter than `refresh`: a view's age counts from when its read was sent, since the answer
+        may have stayed unread while the process was suspended. It also reads while the log fails.
+        Concurrent callers share a read.
         """
         sent_after = steady_seconds() - oldest_seconds
         with anyio.move_on_after(timeout_seconds):
--- a/src/stagewalk/gateway/ports/workers.py
+++ b/src/stagewalk/gateway/ports/workers.py
@@ -22,8 +22,8 @@
 connection to be established."""
 
 MAXIMUM_SEND_DELAY_SECONDS = POOL_TIMEOUT_SECONDS + CONNECT_TIMEOUT_SECONDS
-"""Longest time from the start of an attempt until its request is sent or the attempt has failed. To
-keep requests from reaching a worker after some time, decide this long before it."""
+"""Longest time from the start of an attempt until its request is sent or the attempt has failed. An
+attempt whose request must not reach a worker after some time has to start this long before it."""
 
 
 class AttemptFault(StrEnum):
@@ -50,7 +50,7 @@
     """How contact with a worker was lost after a request had been sent."""
 
     CLOSED = "closed"
-    """The connection closed before a whole answer, as it does at once when the process ends."""
+    """The connection closed before the whole answer arrived, as when the worker's process ends."""
     TIMED_OUT = "silent"
     """No whole answer in time: the worker's machine is down, or the worker is slow."""
 
@@ -178,7 +178,7 @@
     Attributes
     ----------
     contact_loss
-        How contact was lost; None if the worker answered, does not read, or was never reached.
+        How contact was lost; None if the worker answered, read too slowly, or was never reached.
     local_limit
         Whether a limit of this node ended it, which says nothing about the worker.
     """
@@ -216,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnd:
-    """The end of a complete stream; a status other than 200 has a plain answer, no events."""
+    """The end of a complete stream; with a status other than 200 it has a body and no events."""
 
     status: int
     headers: HeaderList = ()
--- a/src/stagewalk/gateway/runners/batch_runner.py
+++ b/src/stagewalk/gateway/runners/batch_runner.py
@@ -142,7 +142,7 @@
             self._open(batch)
 
     def ahead_changed(self, batch: Batch, change: LedgerChange) -> None:
-        """Apply a change in the partial view of a batch that was begun ahead of this node's own."""
+        """Apply a change in a partial view to a batch that runs ahead of this node's own view."""
         name = batch.header.batch
         epoch = self._views.ahead_epoch(name)
         if epoch is None:
@@ -161,7 +161,7 @@
         self._close(batch, ENDED)
 
     def _release_lost_batch(self, batch: str) -> None:
-        """Release a batch whose end may have been missed, for a node whose view is complete."""
+        """Release a batch whose end may have been missed, so that another node can run it."""
         if self.runs(batch):
             self._close(batch, "history lost")
             self._store.post(batch, BatchReleased(batch, self._process))
@@ -184,7 +184,7 @@
         batch, partial
             The batch as a partial view shows it, and that view.
         epoch
-            The epoch of this process's claim, or the batch's own if it was assigned to it.
+            The epoch of this process's claim, or of the batch if it was assigned to this process.
         """
         name = batch.header.batch
         if (
@@ -202,8 +202,8 @@
     def _is_closed_or_taken_over(self, name: str, epoch: int) -> bool:
         """Whether this node's own view shows that a batch is closed or another process runs it.
 
-        The own view may be ahead of the partial one, and changes that it applied before the batch
-        was run here had no effect.
+        The own view may be ahead of the partial one; a change that was applied to it before the
+        batch was run here didn't stop the batch.
         """
         known = self._store.ledger.get(name)
         if known is None:
--- a/src/stagewalk/gateway/runners/runner_service.py
+++ b/src/stagewalk/gateway/runners/runner_service.py
@@ -1,5 +1,4 @@
-"""Assembles what runs batches on one gateway: the runner, its choice, assignments, takeover and
-probes.
+"""Assembles the services that run batches on one gateway.
 
 Owns these services and their start. Relies on the batch store, the places of open batches and the
 list of nodes, and on `WorkerAccess` for everything between this node and the workers.
--- a/src/stagewalk/gateway/runners/takeover_service.py
+++ b/src/stagewalk/gateway/runners/takeover_service.py
@@ -1,6 +1,6 @@
 """Takes over batches whose runner is gone, and resumes those this node ran before a restart.
 
-Owns the intervals of both, and which runners to probe. Relies on `batches.takeover` for which
+Owns the check intervals, and the choice of runners to probe. Relies on `batches.takeover` for which
 batches to claim and when, on the batch store for the open ones, and on the runner to run them.
 """
 
@@ -24,7 +24,7 @@
 from stagewalk.gateway.runners.batch_runner import BatchRunner
 
 ORPHAN_CHECK_INTERVAL_SECONDS = 0.1
-"""How often orphaned batches are looked for: less than the claim delay per rank (0.3 s)."""
+"""Interval between checks for orphaned batches; less than the claim delay per rank (0.3 s)."""
 
 IDLE_CHECK_INTERVAL_SECONDS = 1.0
 """The same for a node that doesn't follow the batches, and only drops old ones."""
--- a/src/stagewalk/gateway/usage/reporting.py
+++ b/src/stagewalk/gateway/usage/reporting.py
@@ -23,11 +23,11 @@
 still running and not counted yet, and 0.3 s until counts are appended."""
 
 RESERVE_SECONDS = 2.0
-"""Time before the due time at which a report is made from the known counts, even if the view is not
-current: it leaves time for some retries."""
+"""This long before the due time, a window is summed from the known counts even if the view is not
+current, so that time is left for retries."""
 
 RETRY_SECONDS = 0.4
-"""Pause between two attempts to send a report: three fit into `RESERVE_SECONDS`."""
+"""Pause between two attempts to send a report."""
 
 MAXIMUM_RECORDS_BEHIND = 24
 """Windows older than this number of windows are not reported any more."""
--- a/src/stagewalk/gateway/version_rollouts/change_counts.py
+++ b/src/stagewalk/gateway/version_rollouts/change_counts.py
@@ -16,8 +16,9 @@
 do not slow each other down."""
 
 MINIMUM_CHANGE_DIVISOR = 2
-"""One engine in this many changes with each version, or one in the number of models if there are
-more: a batch of step k takes weights k-1 and newer (docs/design/0100-platform.md)."""
+"""Unless a model has its own set of engines, one engine in this many changes with each version, or
+one in the number of models if that is larger. Batches of step k accept weights k-1 and newer
+(docs/design/0100-platform.md)."""
 
 
 def loads_at_once(engines: int) -> int:
@@ -49,9 +50,9 @@
     def changes(self, engines: int, behind: int, too_old: int) -> int:
         """Return how many engines should change now.
 
-        A share of them changes with each version, and as many still hold the previous one, which
-        steps that allow a lag accept too. With one or two models these are all engines; with more,
-        an engine that is too old for one model serves the others meanwhile.
+        A share of the engines changes with each version. The same number still holds the previous
+        version, which steps that allow a lag accept too. With one or two models the two groups are
+        all engines; with more, an engine too old for one model serves the others meanwhile.
 
         Parameters
         ----------
--- a/src/stagewalk/gateway/version_rollouts/core.py
+++ b/src/stagewalk/gateway/version_rollouts/core.py
@@ -164,7 +164,7 @@
                     worker.loading_until.pop(pending.model, None)
 
     def _candidates(self, now: float) -> list[_Candidate]:
-        """Return the orders that may be sent now, apart from the limit on concurrent loads."""
+        """Return the orders that may be sent now, regardless of the limit on concurrent loads."""
         models = self._models()
         sets = self._sets(models)
         candidates: list[_Candidate] = []
--- a/src/stagewalk/gateway/version_rollouts/engine_sets.py
+++ b/src/stagewalk/gateway/version_rollouts/engine_sets.py
@@ -1,8 +1,8 @@
 """Which engines load the new versions of which model. Pure.
 
 Each engine holds all models, but a load updates one of them, so updating all models on all engines
-takes models times engines loads. Instead, each model has its own set of engines, sized by its share
-of the open items; other engines serve it while their version is recent enough
+takes a load per model and engine. Instead, each model has its own set of engines, sized by its
+share of the open items; other engines serve it while their version is recent enough
 (docs/design/0130-shifted-work.md).
 """
 
