--- a/src/stagewalk/node/edge/app.py
+++ b/src/stagewalk/node/edge/app.py
@@ -1,6 +1,6 @@
-"""The ASGI application: finds the endpoint of an exchange and runs it.
+"""ASGI application: routes each exchange to its endpoint.
 
-Owns the paths. An endpoint that crashes is logged and answered as an unknown outcome.
+Owns the paths. An exception in an endpoint is logged and answered as an unknown outcome.
 """
 
 from __future__ import annotations
@@ -73,23 +73,23 @@
             return
         methods = self._endpoints.get(exchange.path)
         if methods is None:
-            await _respond_plainly(exchange, 404, f"there is no {exchange.path}")
+            await _respond_error(exchange, 404, f"there is no {exchange.path}")
             return
         endpoint = methods.get(exchange.method)
         if endpoint is None:
-            await _respond_plainly(exchange, 405, f"use {', '.join(methods)}")
+            await _respond_error(exchange, 405, f"use {', '.join(methods)}")
             return
         await endpoint(exchange)
 
     async def _route_retained_answer(self, exchange: Exchange) -> None:
         if exchange.method != "GET":
-            await _respond_plainly(exchange, 405, "use GET")
+            await _respond_error(exchange, 405, "use GET")
             return
         request_id = exchange.path.removeprefix(RETAINED_ANSWER_PREFIX)
         await self._completions.retained_answer(exchange, request_id)
 
 
-async def _respond_plainly(exchange: Exchange, status: int, detail: str) -> None:
+async def _respond_error(exchange: Exchange, status: int, detail: str) -> None:
     await exchange.respond(
         status, PROBLEM_CONTENT_TYPE, render_problem(invalid("", detail), status)
     )
--- a/src/stagewalk/node/edge/call_runner.py
+++ b/src/stagewalk/node/edge/call_runner.py
@@ -1,7 +1,7 @@
-"""Opens a call for an exchange, sends its event to the core, and ends both together.
+"""Runs calls: sends a call's event to the core and the core's answers to the caller.
 
-Owns the life of a call: however it ends, the core learns of it once. Relies on the event queue and
-on the open calls for the core's answers.
+Owns a call's lifetime: the core is told if it ends before its last answer. Relies on the event
+queue and on the open calls for the core's answers.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
         streaming: bool = False,
         ran_if_refused: ExecutionStatus = ExecutionStatus.NO,
     ) -> None:
-        """Send the call's event to the core and its answers to the caller, until that disconnects.
+        """Send the call's event to the core and its answers to the caller, until it disconnects.
 
-        `ran_if_refused` is what may be said of a request that this node refuses without its core.
+        `ran_if_refused` is the execution status to report if the call can't be opened.
         """
         opened = self._calls.open(streaming)
         if opened.is_error():
@@ -61,10 +61,10 @@
             await exchange.fail(dataclasses.replace(opened.error, ran=ran_if_refused))
             return
         call = opened.ok
-        began = steady_seconds()
+        started_at = steady_seconds()
         self._metrics.open_calls.inc()
         try:
-            outcome = await self._converse(exchange, call, ask, answer)
+            outcome = await self._relay_answers(exchange, call, ask, answer)
         finally:
             self._metrics.open_calls.dec()
             self._calls.close(call)
@@ -72,9 +72,11 @@
                 with anyio.CancelScope(shield=True):
                     await self._events.put(CallAbandoned(call.id))
         self._count(endpoint, outcome)
-        self._metrics.request_latency.labels(endpoint=endpoint).observe(steady_seconds() - began)
+        self._metrics.request_latency.labels(endpoint=endpoint).observe(
+            steady_seconds() - started_at
+        )
 
-    async def _converse(
+    async def _relay_answers(
         self,
         exchange: Exchange,
         call: OpenCall,
@@ -97,17 +99,17 @@
         self._metrics.calls.labels(endpoint=endpoint, outcome=outcome).inc()
 
 
-async def whole_answer(call: OpenCall, seconds: float) -> FinalAnswer:
+async def receive_final_answer(call: OpenCall, seconds: float) -> FinalAnswer:
     """Return the core's last answer to a call, or an error if none came in time."""
     with anyio.move_on_after(seconds + ANSWER_GRACE_SECONDS):
         while True:
             answer = await call.next_answer()
             if not isinstance(answer, TextDelta):
                 return answer
-    return FailCall(call.id, late_error())
+    return FailCall(call.id, deadline_exceeded_error())
 
 
-def late_error() -> StagewalkError:
+def deadline_exceeded_error() -> StagewalkError:
     """Return the error for a call that the core did not answer by its deadline."""
     return delivery_error("no answer by the deadline")
 
--- a/src/stagewalk/node/edge/completions.py
+++ b/src/stagewalk/node/edge/completions.py
@@ -1,6 +1,6 @@
 """The callers' endpoints: completions, whole or streamed, and retained answers.
 
-Owns the form of the completions API. Relies on the call runner for the core's answers and on
+Owns the format of the completions API. Relies on the call runner for the core's answers and on
 `schemas` for validation.
 """
 
@@ -29,9 +29,9 @@
     ANSWER_GRACE_SECONDS,
     OUTCOME_OK,
     CallRunner,
+    deadline_exceeded_error,
     delivery_error,
-    late_error,
-    whole_answer,
+    receive_final_answer,
 )
 from stagewalk.node.edge.schemas import (
     CallerHeaders,
@@ -49,14 +49,14 @@
 COMPLETIONS_ENDPOINT = "completions"
 ANSWERS_ENDPOINT = "answers"
 CHARACTERS_PER_TOKEN = 4
-"""Estimated characters of a token, as in `PrefixIndexConfig`."""
+"""Estimated characters per token, as in `PrefixIndexConfig`."""
 
 EVENT_STREAM_CONTENT_TYPE = "text/event-stream; charset=utf-8"
 RETAINED_ANSWER_TIMEOUT_SECONDS = 10.0
 """Longest wait for the core's answer about an earlier request."""
 
 _OBJECT = "text_completion"
-_NOT_WHOLE = "the streamed text is not the beginning of the whole answer"
+_STREAM_MISMATCH = "the streamed text is not the beginning of the whole answer"
 _STREAM_END = b"data: [DONE]\n\n"
 
 
@@ -64,8 +64,8 @@
 class _CheckedRequest:
     """A checked request and when it arrived, on the node's clock.
 
-    `ran_if_refused` is what may be said of it without asking the core: one that is not repeatable
-    may have been sent through another node before, unless its id was made up here.
+    `ran_if_refused` is the execution status to report if the call can't be opened: unknown for a
+    request that is not repeatable and has the caller's id, as another node may have run it.
     """
 
     request: CompletionRequest
@@ -142,10 +142,10 @@
         )
         headers = check_fields(fields, CallerHeaders)
         return headers.bind(
-            lambda names: Ok(self._request_of(body, names, ran_if_refused, exchange.resent))
+            lambda names: Ok(self._build_request(body, names, ran_if_refused, exchange.resent))
         )
 
-    def _request_of(
+    def _build_request(
         self,
         body: CompletionBody,
         headers: CallerHeaders,
@@ -173,18 +173,18 @@
 
     async def _answer(self, exchange: Exchange, call: OpenCall, checked: _CheckedRequest) -> str:
         if not checked.request.stream:
-            answer = await whole_answer(call, checked.deadline_seconds)
+            answer = await receive_final_answer(call, checked.deadline_seconds)
             return await _respond_whole(exchange, answer, checked.request)
         stream = _AnswerStream(exchange, checked, self._metrics, self._clock)
         with anyio.move_on_after(checked.deadline_seconds + ANSWER_GRACE_SECONDS):
             return await stream.relay(call)
-        return await stream.fail(late_error())
+        return await stream.fail(deadline_exceeded_error())
 
 
 class _AnswerStream:
     """The server-sent events of one streamed answer.
 
-    What was streamed is compared with the whole answer before that is called finished.
+    The text sent is compared with the whole answer before the stream is ended as complete.
     """
 
     def __init__(
@@ -206,7 +206,7 @@
         while True:
             answer = await call.next_answer()
             if isinstance(answer, TextDelta):
-                await self._send_piece(answer.text)
+                await self._send_text(answer.text)
             elif isinstance(answer, FinishCall):
                 return await self._finish(answer.result)
             elif isinstance(answer, FailCall):
@@ -221,19 +221,19 @@
             await self._exchange.fail(error)
         return error.kind.value
 
-    async def _send_piece(self, text: str) -> None:
+    async def _send_text(self, text: str) -> None:
         await self._start()
         self._sent_characters += len(text)
         self._sent_digest.update(text.encode())
-        await self._send(_piece(self._checked_request.request, text))
+        await self._send(_text_answer(self._checked_request.request, text))
 
     async def _finish(self, result: CompletionResult) -> str:
         """Send the text not yet sent, with the versions, and end the stream."""
         sent, rest = result.text[: self._sent_characters], result.text[self._sent_characters :]
         if xxhash.xxh64_intdigest(sent.encode()) != self._sent_digest.intdigest():
-            return await self.fail(delivery_error(_NOT_WHOLE))
+            return await self.fail(delivery_error(_STREAM_MISMATCH))
         await self._start()
-        last = _whole(self._checked_request.request, result)
+        last = _whole_answer(self._checked_request.request, result)
         last.choices[0].text = rest
         await self._send(last)
         await self._exchange.write(_STREAM_END, last=True)
@@ -254,27 +254,27 @@
     exchange: Exchange, answer: FinalAnswer, request: CompletionRequest
 ) -> str:
     if isinstance(answer, FinishCall):
-        body = msgspec.json.encode(_whole(request, answer.result))
+        body = msgspec.json.encode(_whole_answer(request, answer.result))
         await exchange.respond(200, JSON_CONTENT_TYPE, body)
         return OUTCOME_OK
-    error = answer.error if isinstance(answer, FailCall) else late_error()
+    error = answer.error if isinstance(answer, FailCall) else deadline_exceeded_error()
     await exchange.fail(error)
     return error.kind.value
 
 
 async def _answer_retained(exchange: Exchange, call: OpenCall, request_id: str) -> str:
-    answer = await whole_answer(call, RETAINED_ANSWER_TIMEOUT_SECONDS)
+    answer = await receive_final_answer(call, RETAINED_ANSWER_TIMEOUT_SECONDS)
     if isinstance(answer, FinishCall):
         completion = _completion(request_id, "", 0, answer.result)
         await exchange.respond(200, JSON_CONTENT_TYPE, msgspec.json.encode(completion))
         return OUTCOME_OK
-    error = answer.error if isinstance(answer, FailCall) else late_error()
+    error = answer.error if isinstance(answer, FailCall) else deadline_exceeded_error()
     await exchange.fail(error)
     return error.kind.value
 
 
 def estimate_tokens(prompt: str) -> int:
-    """Return roughly how many tokens a prompt has, at least one."""
+    """Return the estimated number of tokens of a prompt, at least one."""
     return max(1, len(prompt) // CHARACTERS_PER_TOKEN)
 
 
@@ -282,12 +282,12 @@
     return b"data: " + data + b"\n\n"
 
 
-def _piece(request: CompletionRequest, text: str) -> CompletionAnswer:
+def _text_answer(request: CompletionRequest, text: str) -> CompletionAnswer:
     choices = (Choice(text, None),)
     return CompletionAnswer(request.request_id, _OBJECT, int(time.time()), request.model, choices)
 
 
-def _whole(request: CompletionRequest, result: CompletionResult) -> CompletionAnswer:
+def _whole_answer(request: CompletionRequest, result: CompletionResult) -> CompletionAnswer:
     return _completion(request.request_id, request.model, request.prompt_token_count, result)
 
 
--- a/src/stagewalk/node/edge/operators.py
+++ b/src/stagewalk/node/edge/operators.py
@@ -1,6 +1,6 @@
 """The operators' endpoints: health, readiness, metrics, status and the list of models.
 
-Owns nothing; reads the core's status and the metrics at each call.
+Holds no state: reads the core's status and the metrics at each call.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
         self._queue_length = queue_length
 
     async def health(self, exchange: Exchange) -> None:
-        """Answer 200 as long as the process serves at all."""
+        """Answer 200 while the process serves requests."""
         await exchange.respond(200, TEXT_CONTENT_TYPE, b"ok\n")
 
     async def readiness(self, exchange: Exchange) -> None:
--- a/src/stagewalk/node/edge/rollouts.py
+++ b/src/stagewalk/node/edge/rollouts.py
@@ -1,7 +1,7 @@
 """The trainers' endpoints: submitting a step's lot and pulling its samples.
 
-Owns the form of the rollout API. Relies on the call runner for the core's answers and on `schemas`
-for validation.
+Owns the format of the rollout API. Relies on the call runner for the core's answers and on
+`schemas` for validation.
 """
 
 from __future__ import annotations
@@ -19,7 +19,12 @@
 from stagewalk.node.core.events import LotSubmitted, SamplesRequested
 from stagewalk.node.core.instructions import AcceptLot, DeliverSamples, FailCall
 from stagewalk.node.core.rollouts import RolloutLot, RolloutPrompt, Sample, SamplePage, SamplePull
-from stagewalk.node.edge.call_runner import OUTCOME_OK, CallRunner, late_error, whole_answer
+from stagewalk.node.edge.call_runner import (
+    OUTCOME_OK,
+    CallRunner,
+    deadline_exceeded_error,
+    receive_final_answer,
+)
 from stagewalk.node.edge.completions import estimate_tokens
 from stagewalk.node.edge.schemas import (
     LotAnswer,
@@ -121,7 +126,7 @@
 
 
 async def _answer(exchange: Exchange, call: OpenCall, seconds: float) -> str:
-    answer = await whole_answer(call, seconds)
+    answer = await receive_final_answer(call, seconds)
     if isinstance(answer, AcceptLot):
         await exchange.respond(202, JSON_CONTENT_TYPE, msgspec.json.encode(_lot_answer(answer.lot)))
         return OUTCOME_OK
@@ -136,7 +141,7 @@
 
 
 def _error_of(answer: FinalAnswer) -> StagewalkError:
-    return answer.error if isinstance(answer, FailCall) else late_error()
+    return answer.error if isinstance(answer, FailCall) else deadline_exceeded_error()
 
 
 def _lot_answer(lot: RolloutLot) -> LotAnswer:
--- a/src/stagewalk/node/edge/schemas.py
+++ b/src/stagewalk/node/edge/schemas.py
@@ -1,6 +1,6 @@
 """Bodies of the node's HTTP API, checked by `msgspec` on decoding.
 
-Owns the form of the API and its limits; every error names the field at fault.
+Owns the format of the API and its limits; every error names the field at fault.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 MAXIMUM_SAMPLES_PER_PROMPT = 1024
 MAXIMUM_SAMPLES_PER_PULL = 1024
 MAXIMUM_WAIT_SECONDS = 60.0
-"""Bounds of what a body may ask for."""
+"""Bounds of the values in a body."""
 
 KeyName = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._:@+-]+$", max_length=200)]
-"""Names that become parts of keys: no separator, no blank."""
+"""Names that become parts of keys: without separators and spaces."""
 
 RequestIdText = Annotated[str, msgspec.Meta(pattern=r"^[!-~]+$", max_length=200)]
 NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
@@ -40,7 +40,7 @@
 
 
 class StreamOptions(msgspec.Struct):
-    """OpenAI's options of a stream; usage is always included."""
+    """OpenAI's stream options; ignored, as usage is always included."""
 
     include_usage: bool = True
 
@@ -49,7 +49,7 @@
     """Body of `POST /v1/completions`.
 
     `resent` says that the caller sent this request before; `user` and `stream_options` are
-    accepted and change nothing.
+    accepted and ignored.
     """
 
     model: KeyName
