--- a/src/stagewalk/node/adapters/engine_frames.py
+++ b/src/stagewalk/node/adapters/engine_frames.py
@@ -1,6 +1,6 @@
 """Bodies and frames of the engines' completions API.
 
-Owns the wire form of attempts and their streamed answers; the adapters alone see it.
+Owns the wire format of attempts and their streamed answers; only the adapters use it.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Frame(msgspec.Struct):
-    """Where a chunk belongs in its stream and answer, and which weights made it."""
+    """Position of a chunk in its stream and answer, and the weight version that produced it."""
 
     sequence: int
     offset: int
@@ -108,7 +108,7 @@
 
 
 def decode_problem(content: bytes) -> Problem:
-    """Decode an error's body; one that is not understood says that it may have run."""
+    """Decode an error's body; if it can't be decoded, the attempt may have run."""
     try:
         return _PROBLEM_DECODER.decode(content)
     except msgspec.DecodeError:
--- a/src/stagewalk/node/adapters/engine_stream.py
+++ b/src/stagewalk/node/adapters/engine_stream.py
@@ -1,7 +1,7 @@
 """Streamed attempts at model engines over server-sent events.
 
-Owns the rule for a lost stream: an attempt counts as sent unless connecting failed, and its stream
-is resumed at the same engine, which runs nothing twice. Relies on the core for any other attempt.
+Owns the recovery of a lost stream: it is resumed at the same engine, which does not run the
+attempt again. Relies on the core for further attempts.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 from stagewalk.node.ports.engines import AttemptSink, FinalAttemptEvent
 
 ATTEMPT_GRACE_SECONDS = 5.0
-"""How long a stream may outlive its request's deadline before it is given up."""
+"""How long a stream may outlive its request's deadline before it is aborted."""
 
 MAXIMUM_RECONNECTIONS = 3
-"""How often in a row, without a further chunk, a lost stream is resumed."""
+"""Consecutive reconnections without a new chunk, after which the attempt has failed."""
 
 RECONNECTION_DELAY_SECONDS = 0.2
 """Pause before a lost stream is resumed."""
@@ -44,15 +44,15 @@
 _DATA_FIELD = "data:"
 _STREAM_END = "[DONE]"
 _DUPLICATE_STATUS = 409
-_PROBLEM_BYTES = 4096
-"""Bytes of a refusal that are read; the rest can only be text."""
+_MAXIMUM_PROBLEM_BYTES = 4096
+"""Bytes of an error response after which reading stops."""
 
 
 class AttemptStream:
-    """One attempt at an engine, over as many connections as it takes.
+    """One attempt at an engine, over one or more connections.
 
     An attempt counts as sent unless connecting failed. If its stream is lost, the engine is asked
-    for the rest of the same attempt, which runs nothing twice; the attempt has failed when the
+    for the rest of the same attempt without running it again; the attempt has failed when the
     engine can't be reached or no longer has it.
     """
 
@@ -81,7 +81,7 @@
 
     async def _follow(self) -> FinalAttemptEvent:
         final = await self._send()
-        while isinstance(final, _Lost):
+        while isinstance(final, _ConnectionLost):
             if self._reconnections_left == 0:
                 return self._failed(final.detail)
             self._reconnections_left -= 1
@@ -89,7 +89,7 @@
             final = await self._reconnect(final)
         return final
 
-    async def _send(self) -> FinalAttemptEvent | _Lost:
+    async def _send(self) -> FinalAttemptEvent | _ConnectionLost:
         request = self._client.stream(
             "POST",
             url_for(self._start.address, "/v1/completions"),
@@ -105,9 +105,9 @@
         except NOT_SENT_ERRORS as error:
             return AttemptFailed(self._start.attempt, False, describe_exception(error))
         except httpx.HTTPError as error:
-            return _Lost(describe_exception(error))
+            return _ConnectionLost(describe_exception(error))
 
-    async def _reconnect(self, lost: _Lost) -> FinalAttemptEvent | _Lost:
+    async def _reconnect(self, lost: _ConnectionLost) -> FinalAttemptEvent | _ConnectionLost:
         path = f"/v1/streams/{quote_path_segment(self._start.attempt)}?offset={self._next_offset}"
         request = self._client.stream(
             "GET", url_for(self._start.address, path), timeout=call_timeout(None)
@@ -120,11 +120,11 @@
         except NOT_SENT_ERRORS as error:
             return self._failed(f"{lost.detail}; asked again: {describe_exception(error)}")
         except httpx.HTTPError as error:
-            return _Lost(describe_exception(error))
+            return _ConnectionLost(describe_exception(error))
 
     async def _relay(
         self, response: httpx.Response, *, renumber: bool = False
-    ) -> FinalAttemptEvent | _Lost:
+    ) -> FinalAttemptEvent | _ConnectionLost:
         async for line in response.aiter_lines():
             if not line.startswith(_DATA_FIELD):
                 continue
@@ -134,11 +134,11 @@
             try:
                 event = decode_event(data)
             except msgspec.DecodeError as error:
-                return _Lost(f"bad frame: {error}")
+                return _ConnectionLost(f"bad frame: {error}")
             final = await self._handle(event, renumber)
             if final is not None:
                 return final
-        return _Lost("the stream ended without its final frame")
+        return _ConnectionLost("the stream ended without its final frame")
 
     async def _handle(self, event: StreamEvent, renumber: bool) -> FinalAttemptEvent | None:
         if event.id != self._start.attempt:
@@ -152,7 +152,7 @@
         return None
 
     async def _deliver_chunk(self, chunk: TokenChunk, renumber: bool) -> None:
-        """Deliver a chunk; a repeated stream's numbers go on from those of the lost one."""
+        """Deliver a chunk; those of a resumed stream are renumbered to continue the lost one."""
         if renumber:
             chunk = dataclasses.replace(chunk, sequence=self._next_sequence)
         self._next_sequence = max(self._next_sequence, chunk.sequence + 1)
@@ -165,7 +165,7 @@
         content = b""
         async for part in response.aiter_bytes():
             content += part
-            if len(content) >= _PROBLEM_BYTES:
+            if len(content) >= _MAXIMUM_PROBLEM_BYTES:
                 break
         problem = decode_problem(content)
         detail = f"status {response.status_code}: {problem.detail}"
@@ -178,7 +178,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Lost:
+class _ConnectionLost:
     """A connection ended before the attempt's final frame."""
 
     detail: str
--- a/src/stagewalk/node/adapters/http_engines.py
+++ b/src/stagewalk/node/adapters/http_engines.py
@@ -1,6 +1,6 @@
 """HTTP client of the model engines: attempts, cancellations, reports and orders.
 
-Owns the timeouts; every failure is a value, none is raised.
+Owns the timeouts. Failures are returned, not raised.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/node/adapters/http_platform.py
+++ b/src/stagewalk/node/adapters/http_platform.py
@@ -1,6 +1,6 @@
 """HTTP clients of the platform's log, machine list, weight store and scorer.
 
-Owns the wire forms and the timeouts; every failure is a `StagewalkError` that names step and peer.
+Owns the wire formats and the timeouts; each failure is a `StagewalkError` with step and peer.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 from stagewalk.node.ports.platform_services import LogPage
 
 LOG_LONG_POLL_SECONDS = 5.0
-"""How long the log may hold a read back for a first record."""
+"""How long the log may wait for a first record before it answers a read."""
 
 LOG_READ_TIMEOUT_SECONDS = LOG_LONG_POLL_SECONDS + 5.0
-"""A held read must not look like a failed one."""
+"""Longer than the long poll, so that a read without records does not time out."""
 
 LOG_APPEND_TIMEOUT_SECONDS = 5.0
 LOG_PAGE_RECORDS = 500
@@ -163,8 +163,8 @@
     async def read(self) -> Result[tuple[Machine, ...] | None, StagewalkError]:
         """Read the whole list; None if it is the same as at the last read.
 
-        A conditional request: at hundreds of nodes the list itself would be most of what a
-        node receives.
+        Conditional, since with hundreds of nodes the list would be most of a node's incoming
+        traffic.
         """
         answer = await call_json_if_changed(
             self._transport,
