--- a/src/stagewalk/node/answer_exchange.py
+++ b/src/stagewalk/node/answer_exchange.py
@@ -1,9 +1,9 @@
 """Fetches answers of at-most-once requests from the nodes that own their claims.
 
-The caller of a request may submit it again through another node, after the first one lost or
-refused it. The claim names the process that may run the request; if it still lives it is queried.
-If it ran the request it sends the answer; if it never ran it and never will, it hands the claim
-over. Owns the queries that wait for a request in progress here; relies on membership for addresses.
+A caller may submit a request again through another node, after the first one lost or refused it.
+The claim names the process that may run the request; that process is queried if it is alive. It
+sends the answer if it ran the request, and hands the claim over if it has not run it and will not.
+Owns the queries that wait for a request in progress here; relies on membership for addresses.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from stagewalk.node.wire.envelope_pb2 import Envelope
 
 MAXIMUM_WAITING_QUERIES = 1024
-"""Queries kept for requests in progress; one more is answered as not known."""
+"""Queries that may wait for requests in progress; further ones are answered at once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
 
 class AnswerExchange:
-    """Queries owners of claims, and answers other nodes' queries."""
+    """Queries the owners of claims, and answers other nodes' queries."""
 
     def __init__(
         self, identity: NodeIdentity, requests: RequestCore, membership: MembershipCore
@@ -58,11 +58,11 @@
         self._waiting_count = 0
 
     def fetch(self, fetch: FetchAnswer, now: float) -> list[NodeOutput]:
-        """Send a query to the owner of a claim, if that very process still lives."""
+        """Send a query to the owner of a claim, if that process is still a member."""
         for member in self._membership.members():
             if member.name != fetch.owner or member.incarnation != fetch.owner_incarnation:
                 continue
-            message = _message(fetch.key)
+            message = _new_message(fetch.key)
             message.query.CopyFrom(
                 AnswerQuery(
                     owner_incarnation=fetch.owner_incarnation,
@@ -92,7 +92,7 @@
 
     def _handle_reply(self, key: RequestKey, reply: AnswerReply, now: float) -> list[NodeOutput]:
         if not reply.claim_handed_over:
-            result = _result(reply) if reply.known else None
+            result = _decode_result(reply) if reply.known else None
             return list(self._requests.answer_fetched(key, result, reply.detail, now))
         if reply.asker_incarnation != self._identity.incarnation:
             return []
@@ -128,9 +128,9 @@
         outcome: CompletionResult | StagewalkError | None,
         now: float,
     ) -> SendPeerMessage:
-        message = _message(key)
+        message = _new_message(key)
         if isinstance(outcome, CompletionResult):
-            message.reply.CopyFrom(_encode(outcome))
+            message.reply.CopyFrom(_encode_result(outcome))
         elif self._requests.hand_over_claim(key, query.nonce, now):
             message.reply.claim_handed_over = True
         else:
@@ -149,11 +149,11 @@
         return SendPeerMessage(address, envelope, Transport.STREAM)
 
 
-def _message(key: RequestKey) -> AnswerMessage:
+def _new_message(key: RequestKey) -> AnswerMessage:
     return AnswerMessage(tenant=key.tenant, request_id=key.request_id)
 
 
-def _encode(result: CompletionResult) -> AnswerReply:
+def _encode_result(result: CompletionResult) -> AnswerReply:
     return AnswerReply(
         known=True,
         text=result.text,
@@ -163,7 +163,7 @@
     )
 
 
-def _result(reply: AnswerReply) -> CompletionResult:
+def _decode_result(reply: AnswerReply) -> CompletionResult:
     return CompletionResult(
         text=reply.text,
         token_count=reply.token_count,
--- a/src/stagewalk/node/control_plane.py
+++ b/src/stagewalk/node/control_plane.py
@@ -1,4 +1,4 @@
-"""The node's control plane: what nodes agree on, and the duties this one holds.
+"""The node's control plane: the state that nodes share, and the duties this node holds.
 
 Owns membership, the log's streams, configuration, leases, placement of replica groups, claims and
 weight rollouts, and wires them to each other. Relies on the log, peers and engines, from which
@@ -42,11 +42,11 @@
 """The lease whose holder plans replica groups and appends snapshots of the configuration."""
 
 ROLLOUT_DUTY_PREFIX = "rollout/"
-"""Before a model's name: the lease whose holder swaps the weights of the model's pool."""
+"""Followed by a model's name: the lease whose holder swaps the weights of the model's pool."""
 
 
 class ControlPlane:
-    """The control plane's cores and what passes between them.
+    """The control plane's cores and the connections between them.
 
     Parameters
     ----------
@@ -93,7 +93,7 @@
         """Tick all cores, and plan replica groups when it is time."""
         output: list[NodeOutput] = []
         output += self.membership.tick(now)
-        self._hand_over_members()
+        self._update_live_members()
         output += self.log_client.tick(now)
         output += self.follower.tick(now)
         output += self.leases.tick(now)
@@ -135,7 +135,7 @@
         return list(self.log_client.handle(event, now))
 
     def lease_stream_read(self, event: LogRead, now: float) -> list[NodeOutput]:
-        """Record, after its records are folded, that a read reached the lease stream's head."""
+        """Tell the lease core, after folding the records, if a read reached the stream's head."""
         reached_head = not event.records or event.records[-1].offset + 1 >= event.head
         return list(self.leases.record_caught_up(now)) if reached_head else []
 
@@ -174,7 +174,7 @@
         ]
 
     def append_abandoned(self, abandoned: AppendAbandoned, now: float) -> list[NodeOutput]:
-        """Log that an append was given up; its core repeats it if it is still needed."""
+        """Log an abandoned append; its core repeats it if it is still needed."""
         fields = {"stream": abandoned.stream, "detail": abandoned.detail}
         return [WriteLogLine("append_abandoned", {"level": "warning", **fields})]
 
@@ -200,11 +200,11 @@
         return [WriteLogLine("lease_lost", {"duty": lost.duty})]
 
     def members_changed(self) -> None:
-        """Record that members changed; the cores get them once, at the next tick."""
+        """Record that members changed; the cores get the new members at the next tick."""
         self._members_changed = True
 
-    def _hand_over_members(self) -> None:
-        """Set the members that are alive in the cores that need them."""
+    def _update_live_members(self) -> None:
+        """Pass the live members to the cores that need them."""
         if not self._members_changed:
             return
         self._members_changed = False
@@ -216,7 +216,7 @@
         )
         self.follower.set_members(tuple((m.name, m.address) for m in members))
 
-    # Steps
+    # Helpers
 
     def _set_rollout_lease(self, duty: str, epoch: Epoch | None) -> None:
         if duty.startswith(ROLLOUT_DUTY_PREFIX):
--- a/src/stagewalk/node/core_runner.py
+++ b/src/stagewalk/node/core_runner.py
@@ -1,6 +1,6 @@
-"""The loop around the core: events in their order, ticks, and instructions handed on.
+"""The event loop around the core: queues ticks, handles events, executes instructions.
 
-Owns the pace of ticks. Relies on the event queue for order and on the clock for time, which the
+Owns the timing of ticks. Relies on the event queue for order and on the clock for time, which the
 core itself does not read.
 """
 
@@ -24,20 +24,20 @@
 
 
 class Core(Protocol):
-    """What the shell needs of `NodeCore`."""
+    """Interface of `NodeCore` that the shell uses."""
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
-        """Handle an event and return what to do."""
+        """Handle an event and return the instructions to carry out."""
 
     def status(self, now: float) -> NodeStatus:
-        """Return what operators and probes may see."""
+        """Return the status for operators and probes."""
 
 
 class CoreRunner:
-    """Feeds the core one event at a time and hands its instructions on in order.
+    """Passes the core one event at a time and executes its instructions in order.
 
-    An exception of the core ends the process: a state machine that failed half-way must not
-    decide anything more, and a node that is gone is a case every peer is built for.
+    An exception in the core ends the process: the core's state may be inconsistent, and peers
+    tolerate the loss of a node.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
         self._tick_queued_at: float | None = None
 
     async def run(self) -> None:
-        """Handle events for ever."""
+        """Handle events until cancelled."""
         async for event in self._events.events():
             self._handle(event)
 
     async def tick(self) -> None:
-        """Queue a tick every `TICK_INTERVAL_SECONDS`, but never two at once."""
+        """Queue a tick every `TICK_INTERVAL_SECONDS`, unless the last one is still queued."""
         while True:
             await anyio.sleep(TICK_INTERVAL_SECONDS)
             if self._tick_queued_at is None:
--- a/src/stagewalk/node/daemon.py
+++ b/src/stagewalk/node/daemon.py
@@ -1,7 +1,7 @@
 """The node's process: opens resources, wires the parts around the core, serves until a stop.
 
-Owns identity, signals and exit code. Everything is wired here, and nowhere else; relies on the core
-to say when everything in flight has ended after a planned stop.
+Owns identity, signals and exit code. Relies on the core to say when everything in flight has ended
+after a planned stop.
 """
 
 from __future__ import annotations
@@ -54,11 +54,12 @@
 MAXIMUM_CONTROL_CONNECTIONS = 128
 MAXIMUM_PLATFORM_CONNECTIONS = 64
 MAXIMUM_IDLE_CONNECTIONS = 32
-"""Bounds of the HTTP pools: one connection an attempt, apart from control and platform calls."""
+"""Limits of the HTTP pools: attempts have one connection each; control and platform calls have
+separate pools."""
 
 NO_IDLE_CONNECTIONS = 0
-"""Each attempt has a connection of its own: an engine that is gone then refuses to connect, which
-proves the attempt not sent, where an idle connection would have swallowed it."""
+"""Each attempt opens a connection: if the engine is gone, connecting fails, which proves that the
+attempt was not sent. A failure on a reused connection would not prove it."""
 
 CoreFactory = Callable[[NodeIdentity, random.Random], Core]
 
@@ -88,7 +89,7 @@
 def new_identity(settings: NodeSettings) -> NodeIdentity:
     """Return this process's identity.
 
-    Machines keep nothing, so the wall clock (milliseconds) makes the incarnation grow.
+    The incarnation is the wall clock in milliseconds, as nodes keep no state across restarts.
     """
     return NodeIdentity(
         name=NodeName(settings.name),
@@ -99,13 +100,13 @@
 
 
 def _exempt_loaded_modules_from_collection() -> None:
-    """Exempt what lives as long as the process from garbage collection."""
+    """Exempt loaded modules, which live as long as the process, from garbage collection."""
     gc.collect()
     gc.freeze()
 
 
 class Daemon:
-    """One node: its core, and around it the tasks that do I/O."""
+    """One node: its core and the tasks that do I/O for it."""
 
     def __init__(self, settings: NodeSettings, core_factory: CoreFactory) -> None:
         self._settings = settings
--- a/src/stagewalk/node/data_plane.py
+++ b/src/stagewalk/node/data_plane.py
@@ -46,9 +46,9 @@
 from stagewalk.node.samples.notifications import CancelRollout, StartRollout
 
 STOPPING_RETRY_AFTER_SECONDS = 1.0
-"""Retry-After of a stopping node: another one takes the call."""
+"""Retry-After of a stopping node; another node can take the call."""
 
-STARTING_RETRY_SECONDS = 1.0
+STARTING_RETRY_AFTER_SECONDS = 1.0
 """Retry-After of a node that has not read the configuration yet."""
 
 
@@ -98,7 +98,7 @@
         self.requests.stop()
 
     def idle(self) -> bool:
-        """Return whether nothing that a caller waits for is in flight."""
+        """Return whether no call is open and no request in flight."""
         return not self._open_calls and self.requests.in_flight_count() == 0
 
     def tick(self, now: float) -> list[NodeOutput]:
@@ -122,7 +122,9 @@
         self._submitting = event.call
         return list(self.requests.submit(event.request, now))
 
-    def answer_requested(self, event: RetainedAnswerRequested, now: float) -> list[NodeOutput]:
+    def retained_answer_requested(
+        self, event: RetainedAnswerRequested, now: float
+    ) -> list[NodeOutput]:
         """Return the retained answer of an earlier request."""
         key = RequestKey(event.tenant, event.request_id)
         outcome = self.requests.retained(key, now)
@@ -147,7 +149,7 @@
         if open_call is None:
             self.lots.abandon(event.call)
             return []
-        self._forget_call(event.call)
+        self._remove_call(event.call)
         key = open_call.key
         if self._calls_of_key.get(key) or key.request_id in self._rollouts:
             return []
@@ -160,8 +162,8 @@
             return [FailCall(event.call, refusal)]
         return list(self.lots.submit(event.call, event.lot, now))
 
-    def samples_pulled(self, event: SamplesRequested, now: float) -> list[NodeOutput]:
-        """Answer a trainer's pull, now or when samples are there."""
+    def samples_requested(self, event: SamplesRequested, now: float) -> list[NodeOutput]:
+        """Answer a trainer's pull, now or once samples are available."""
         refusal = self._refusal()
         if refusal is not None:
             return [FailCall(event.call, refusal)]
@@ -172,7 +174,7 @@
     def attempt_event(
         self, event: AttemptChunk | AttemptFinished | AttemptRefused | AttemptFailed, now: float
     ) -> list[NodeOutput]:
-        """Handle what became of an attempt."""
+        """Handle an engine's event of an attempt."""
         return list(self.requests.handle(event, now))
 
     def handle_machines(self, machines: tuple[Machine, ...], now: float) -> None:
@@ -188,7 +190,7 @@
     # Notifications of the request core
 
     def request_joined(self, joined: RequestJoined, now: float) -> list[NodeOutput]:
-        """Send a call that joined a running request what the earlier calls were sent."""
+        """Send a call that joined a running request the text that earlier calls have received."""
         call = self._submitting
         if call is None or joined.held is None or not self._open_calls[call].stream:
             return []
@@ -215,7 +217,7 @@
         return output + self._rollout_ended(failed.key, failed.error, now)
 
     def submission_rejected(self, rejected: SubmissionRejected, now: float) -> list[NodeOutput]:
-        """Fail the call that has just been made, and no other of the same request."""
+        """Fail the call that was just submitted, but no other call of the same request."""
         if self._submitting is None:
             return self._rollout_ended(rejected.key, rejected.error, now)
         failure = self._fail(self._submitting, rejected.error)
@@ -235,24 +237,24 @@
         key = self._rollouts.pop(rollout.request_id, None)
         return [] if key is None else list(self.requests.abandon(key, now))
 
-    # Steps
+    # Helpers
 
     def _fail(self, call: CallId, error: StagewalkError) -> FailCall:
-        """End a completion call with an error that is true of every send of the request.
+        """End a completion call with an error.
 
-        What this node did not run may have run when the caller sent it the first time.
+        A request that the caller sent before may have run then, so its status is unknown.
         """
         resent = self._open_calls[call].resent
-        self._forget_call(call)
+        self._remove_call(call)
         return FailCall(call, replace(error, ran=ExecutionStatus.UNKNOWN) if resent else error)
 
     def _remove_calls(self, key: RequestKey) -> list[CallId]:
         calls = list(self._calls_of_key.get(key, ()))
         for call in calls:
-            self._forget_call(call)
+            self._remove_call(call)
         return calls
 
-    def _forget_call(self, call: CallId) -> None:
+    def _remove_call(self, call: CallId) -> None:
         key = self._open_calls.pop(call).key
         calls = self._calls_of_key[key]
         calls.remove(call)
@@ -281,7 +283,7 @@
             ErrorStep.ADMISSION,
             self._identity.name,
             "this node has not yet read the configuration in force; use another one",
-            retry_after_seconds=STARTING_RETRY_SECONDS,
+            retry_after_seconds=STARTING_RETRY_AFTER_SECONDS,
         )
 
     def _stopping_error(self) -> StagewalkError:
--- a/src/stagewalk/node/engine_tasks.py
+++ b/src/stagewalk/node/engine_tasks.py
@@ -1,7 +1,7 @@
 """Carries out the core's instructions to engines: attempts, cancellations, reports, orders.
 
 Owns the running attempts' streams. Relies on the engine client for timeouts, and on the core for
-what follows a failure.
+retries.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/node/event_queue.py
+++ b/src/stagewalk/node/event_queue.py
@@ -1,8 +1,7 @@
-"""The one ordered queue of events into the core.
+"""The ordered queue of all events for the core, which handles them one by one.
 
-Everything that happens to a node becomes an event in this queue; the core handles them one by
-one. Its length is bounded: senders that can wait do (callers, engines' streams), and what may be
-lost anyway (messages of other nodes) is dropped.
+Its length is bounded: callers and engine streams wait for room; messages of other nodes, which may
+be lost anyway, are dropped.
 """
 
 from __future__ import annotations
@@ -16,8 +15,8 @@
 MAXIMUM_QUEUED_EVENTS = 4096
 """Bounds memory and the age of an event."""
 
-_RESERVED_FOR_WAITING = 1024
-"""Room that droppable events leave to the others: a quarter."""
+_RESERVED_FOR_WAITING_SENDERS = 1024
+"""Room that droppable events leave for senders that wait."""
 
 
 class EventQueue:
@@ -34,13 +33,13 @@
 
     def put_droppable(self, event: Event) -> bool:
         """Add an event if there is room to spare; return whether it was added."""
-        if len(self) >= MAXIMUM_QUEUED_EVENTS - _RESERVED_FOR_WAITING:
+        if len(self) >= MAXIMUM_QUEUED_EVENTS - _RESERVED_FOR_WAITING_SENDERS:
             return False
         self._send.send_nowait(event)
         return True
 
     async def events(self) -> AsyncIterator[Event]:
-        """Yield events in their order, for ever."""
+        """Yield events in order, until cancelled."""
         async for event in self._receive:
             yield event
 
--- a/src/stagewalk/node/instruction_runner.py
+++ b/src/stagewalk/node/instruction_runner.py
@@ -1,6 +1,6 @@
 """Dispatches each instruction of the core, by its type, to the part that carries it out.
 
-Nothing here waits: what takes time runs as a task of its part.
+Handlers don't block: they start tasks for I/O.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/node/metrics.py
+++ b/src/stagewalk/node/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of the node's process, on a registry of its own, in a group for each part that measures.
+"""Prometheus metrics of the node, in their own registry, grouped by the part that records them.
 
-Owns names, labels and buckets; units are in the names. Relies on the parts to record what happens,
-and on the core's status for the gauges that are set when the metrics are read.
+Owns names, labels and buckets; units are in the names. Gauges of the core's status are set when the
+metrics are read.
 """
 
 from __future__ import annotations
@@ -106,7 +106,7 @@
 
 
 class ServiceMetrics:
-    """Calls to engines' control and to the platform."""
+    """Control calls to engines, and calls to platform services."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._errors = Counter(
--- a/src/stagewalk/node/node_core.py
+++ b/src/stagewalk/node/node_core.py
@@ -1,7 +1,7 @@
 """The node's pure core: all subsystems' cores composed into one state machine.
 
-It does no I/O, reads no clock and draws no randomness but from the generator it is given,
-so the daemon and the simulation run the same class. Owns the dispatch of events and notifications
+It does no I/O, reads no clock and has no source of randomness but the generator it is given, so
+the daemon and the simulation run the same class. Owns the dispatch of events and notifications
 by type; relies on the control plane and the data plane for all decisions.
 """
 
@@ -75,21 +75,21 @@
 __all__ = ["NodeCore", "NodeIdentity", "NodeStatus"]
 
 REQUEST_CLAIM_PREFIX = "request/"
-"""Claims under this prefix are requests'; all others are samples'."""
+"""Prefix of the keys of requests' claims; all other claims are for samples."""
 
 INSTRUCTION_TYPES: tuple[type, ...] = get_args(Instruction)
 
 
 @dataclass(frozen=True, slots=True)
 class NodeStatus:
-    """What an operator may ask a node.
+    """Status of a node, for operators and probes.
 
     Attributes
     ----------
     configuration_offset
         Offset after the last configuration record folded.
     configuration_digest
-        Digest of the whole state in force.
+        Digest of the whole configuration in force.
     revisions
         Revision in force, by tenant.
     models
@@ -113,12 +113,12 @@
 
 
 class NodeCore:
-    """One node's decisions: typed events in, typed instructions out.
+    """State machine of one node: takes typed events and returns typed instructions.
 
     Parameters
     ----------
     identity
-        The node's own name, incarnation and place.
+        The node's own name, incarnation, address and placement.
     generator
         Source of all its random choices; seeded by the simulation.
     """
@@ -140,13 +140,13 @@
         self._notification_handlers = self._make_notification_handlers()
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
-        """Handle an event at time `now` (seconds, never decreasing) and return what to do."""
+        """Handle an event at time `now` (seconds, never decreasing) and return instructions."""
         self._now = max(now, self._now)
         self._pending.extend(self._event_handlers[type(event)](event, self._now))
-        return self._settle()
+        return self._dispatch_pending()
 
     def status(self, now: float) -> NodeStatus:
-        """Return what operators and probes may see."""
+        """Return the status for operators and probes."""
         fold = self.control.follower.fold
         tenants = [fold.tenants[name] for name in sorted(fold.tenants)]
         models = {str(model) for tenant in tenants for model in tenant.parameters.models}
@@ -170,11 +170,11 @@
             },
         )
 
-    def _settle(self) -> list[Instruction]:
-        """Dispatch notifications to the cores they are for until only instructions are left.
+    def _dispatch_pending(self) -> list[Instruction]:
+        """Dispatch notifications to their cores until only instructions are left.
 
-        What a notification leads to comes before what was returned after it, so that the
-        instructions stand in the order of their causes.
+        The output of a notification is handled before the outputs that follow it, so that
+        instructions are in causal order.
         """
         instructions: list[Instruction] = []
         while self._pending:
@@ -193,10 +193,10 @@
         return {
             Tick: self._tick,
             CompletionRequested: data.completion_requested,
-            RetainedAnswerRequested: data.answer_requested,
+            RetainedAnswerRequested: data.retained_answer_requested,
             CallAbandoned: data.call_abandoned,
             LotSubmitted: data.lot_submitted,
-            SamplesRequested: data.samples_pulled,
+            SamplesRequested: data.samples_requested,
             AttemptChunk: data.attempt_event,
             AttemptFinished: data.attempt_event,
             AttemptRefused: data.attempt_event,
@@ -291,7 +291,7 @@
     def _log_read(self, event: LogRead, now: float) -> list[NodeOutput]:
         # The records must be folded before the lease core learns that it is at the head.
         self._pending.extend(self.control.handle_log(event, now))
-        output: list[NodeOutput] = list(self._settle())
+        output: list[NodeOutput] = list(self._dispatch_pending())
         if event.stream == LEASE_STREAM:
             output += self.control.lease_stream_read(event, now)
         return output
@@ -316,7 +316,7 @@
         return [WriteLogLine("member_changed", {**fields, "incarnation": changed.incarnation})]
 
     def _identity_superseded(self, superseded: IdentitySuperseded, now: float) -> list[NodeOutput]:
-        """Stop: two processes under one name would both act for it."""
+        """Stop, since another process with this node's name replaces this one."""
         fields: LogLineFields = {"level": "error", "incarnation": superseded.incarnation}
         event = WriteLogLine("identity_superseded", fields)
         return [event, *self._stop_requested(StopRequested(), now)]
--- a/src/stagewalk/node/open_calls.py
+++ b/src/stagewalk/node/open_calls.py
@@ -1,4 +1,4 @@
-"""Calls open at this node's edge: each an id, and a bounded buffer of text for the caller.
+"""Calls open at this node's edge, each with an id and a bounded buffer of text for the caller.
 
 Owns the buffers and the number of open calls. Relies on the edge to read them and to close each
 call.
@@ -37,10 +37,9 @@
 class OpenCall:
     """One open call.
 
-    Chunks that come faster than the caller reads are joined, up to a bounded length. A caller
-    that lets them grow beyond it reads too slowly: its call is cut, so that it can't hold the
-    node's memory. The bound counts characters, not chunks, since the core may well give many
-    chunks at once.
+    Chunks that come faster than the caller reads are joined, up to a bounded length. A call whose
+    buffer would grow beyond it is ended, since a slow reader must not exhaust the node's memory.
+    The bound counts characters, not chunks, since the core may return many chunks at once.
     """
 
     def __init__(self, call: CallId, streaming: bool, maximum_characters: int) -> None:
@@ -48,54 +47,54 @@
         self.streaming = streaming
         self.overflowed = False
         self._maximum_characters = maximum_characters
-        self._texts: list[str] = []
-        self._characters = 0
-        self._last: FinalAnswer | None = None
-        self._news = anyio.Event()
+        self._buffered_texts: list[str] = []
+        self._buffered_length = 0
+        self._final_answer: FinalAnswer | None = None
+        self._updated = anyio.Event()
         self._on_overflow: Callable[[], None] | None = None
 
     @property
     def ended(self) -> bool:
         """Whether the core has given its last answer."""
-        return self._last is not None
+        return self._final_answer is not None
 
     def on_overflow(self, action: Callable[[], None]) -> None:
-        """Set what stops the call's task if it waits in a write that makes no progress."""
+        """Set the action that stops the call's task, which may be blocked in a write."""
         self._on_overflow = action
 
     def add_text(self, text: str) -> None:
-        """Buffer a piece of the answer, or cut the call if too much waits already."""
-        if self._characters + len(text) > self._maximum_characters:
-            self._cut()
+        """Buffer a piece of the answer, or end the call if the buffer is too full."""
+        if self._buffered_length + len(text) > self._maximum_characters:
+            self._overflow()
             return
-        self._texts.append(text)
-        self._characters += len(text)
-        self._news.set()
+        self._buffered_texts.append(text)
+        self._buffered_length += len(text)
+        self._updated.set()
 
     def end(self, answer: FinalAnswer) -> None:
         """Set the core's last answer."""
-        self._last = answer
-        self._news.set()
+        self._final_answer = answer
+        self._updated.set()
 
     async def next_answer(self) -> TextDelta | FinalAnswer:
         """Wait for the core's next answer."""
-        while not self._texts and self._last is None:
-            self._news = anyio.Event()
-            await self._news.wait()
-        if self._texts:
+        while not self._buffered_texts and self._final_answer is None:
+            self._updated = anyio.Event()
+            await self._updated.wait()
+        if self._buffered_texts:
             return self._drain_texts()
-        assert self._last is not None
-        return self._last
+        assert self._final_answer is not None
+        return self._final_answer
 
     def _drain_texts(self) -> TextDelta:
-        piece = TextDelta("".join(self._texts))
-        self._texts.clear()
-        self._characters = 0
+        piece = TextDelta("".join(self._buffered_texts))
+        self._buffered_texts.clear()
+        self._buffered_length = 0
         return piece
 
-    def _cut(self) -> None:
+    def _overflow(self) -> None:
         self.overflowed = True
-        self._texts.clear()
+        self._buffered_texts.clear()
         if self._on_overflow is not None:
             self._on_overflow()
 
@@ -108,15 +107,16 @@
         self._buffered_characters = buffered_characters
         self._calls: dict[CallId, OpenCall] = {}
         self.closed = False
-        """Set when the node exits: from then on no call is answered."""
+        """Set when the node exits: from then on calls are refused."""
 
     def __len__(self) -> int:
         return len(self._calls)
 
     def open(self, streaming: bool) -> Result[OpenCall, StagewalkError]:
-        """Open a call, or refuse it: nothing was run for it.
+        """Open a call, or return the error that refuses it.
 
-        A planned stop is not refused here: the core knows which calls join a request in flight.
+        During a planned stop calls are still opened: the core refuses those that don't join a
+        request in flight.
         """
         if self.closed:
             return Error(_refusal(ErrorKind.STOPPING, "this node exits; ask another one"))
--- a/src/stagewalk/node/platform_tasks.py
+++ b/src/stagewalk/node/platform_tasks.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformServices:
-    """The platform's services as this node reaches them."""
+    """Clients of the platform's services."""
 
     log: LogService
     machines: MachineList
--- a/src/stagewalk/node/settings.py
+++ b/src/stagewalk/node/settings.py
@@ -1,6 +1,6 @@
 """Settings of one node: a TOML file, overridden by flags.
 
-Owns the file's form and its checks; every error names the field at fault.
+Owns the file's format and its checks; every error names the field at fault.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     peer_listen
         Address for other nodes, over UDP and TCP.
     peer_advertise
-        Address other nodes reach it at, if a translation of addresses lies in between.
+        Address other nodes reach it at, if it differs from `peer_listen`, as behind NAT.
     """
 
     name: str
@@ -89,7 +89,7 @@
     path
         The TOML file; `None` takes everything from `overrides`.
     overrides
-        Values of flags by dotted field path, such as `platform.log`; `None` leaves a field alone.
+        Values of flags by dotted field path, such as `platform.log`; `None` keeps a field.
     """
     return (
         _read_table(path)
--- a/tests/node/echo_core.py
+++ b/tests/node/echo_core.py
@@ -1,8 +1,8 @@
-"""A scripted core: answers by what the prompt, the trainer or the model says.
+"""A scripted core, whose answers depend on the prompt or the trainer.
 
 Prompts: `echo ...` answers with the prompt in chunks of a word; `fail` fails; `fail late` fails
-after a chunk; `flood` sends chunks without end; `drip` a small one a tick; `hang` never answers;
-`engine` relays an attempt at `ENGINE_ADDRESS`.
+after a chunk; `flood` sends long chunks without end, `drip` one short chunk a tick; `hang` never
+answers; `engine` relays an attempt at `engine_address`.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 from stagewalk.node.node_core import NodeIdentity, NodeStatus
 
 VERSION = WeightVersion(3)
-FLOOD_PER_TICK = 200
+FLOOD_CHUNKS_PER_TICK = 200
 FLOOD_TEXT = "x" * 4096
 
 
@@ -76,7 +76,7 @@
 
 
 class EchoCore:
-    """Implements what the shell needs of a core; remembers every event but ticks."""
+    """Implements the `Core` protocol; records all events except ticks."""
 
     engine_address = Address("127.0.0.1", 1)
 
@@ -123,7 +123,7 @@
         instructions: list[Instruction] = []
         for call in self.floods:
             drips = call in self.drips
-            for _ in range(1 if drips else FLOOD_PER_TICK):
+            for _ in range(1 if drips else FLOOD_CHUNKS_PER_TICK):
                 number = self.floods[call]
                 self.floods[call] += 1
                 chunk = TokenChunk(number, number, 1, "." if drips else FLOOD_TEXT, VERSION)
--- a/tests/node/running_node.py
+++ b/tests/node/running_node.py
@@ -29,21 +29,21 @@
 
 
 FIRST_PORT = 20_000
-SLICES = 8
-SLICE_PORTS = 1_500
-"""Ports outside the range that outgoing connections take theirs from, cut up by process: test runs
-beside each other seldom try the same ones."""
+PORT_RANGES = 8
+PORTS_PER_RANGE = 1_500
+"""Ports below the ephemeral range, divided by process id, so that concurrent test runs seldom try
+the same ones."""
 
 _recent_ports: deque[int] = deque(maxlen=256)
-"""A port is free until its listener is bound, so those that were given out lately are not given out
-again: two listeners of one node would get the same one."""
+"""Recently returned ports, which are not returned again: they seem free until their listeners are
+bound."""
 
 
 def free_address() -> Address:
-    """Return an address that nobody listens on, and that was not returned lately."""
-    first = FIRST_PORT + os.getpid() % SLICES * SLICE_PORTS
+    """Return an address that nobody listens on and that was not returned recently."""
+    first = FIRST_PORT + os.getpid() % PORT_RANGES * PORTS_PER_RANGE
     while True:
-        port = random.randrange(first, first + SLICE_PORTS)
+        port = random.randrange(first, first + PORTS_PER_RANGE)
         if port in _recent_ports:
             continue
         with contextlib.suppress(OSError), socket.socket() as probe:
@@ -119,7 +119,7 @@
 
 
 def asynchronous(test: AsyncTest) -> Callable[..., None]:
-    """Make a coroutine a test."""
+    """Turn a coroutine function into a test."""
 
     @functools.wraps(test)
     def run(*arguments: object) -> None:
@@ -129,7 +129,7 @@
 
 
 def on_node(limits: Limits = Limits()) -> Callable[[AsyncTest], Callable[..., None]]:  # noqa: B008
-    """Make a coroutine a test that is given a running node."""
+    """Turn a coroutine function into a test that takes a running node."""
 
     def decorate(test: AsyncTest) -> Callable[..., None]:
         async def run(case: object) -> None:
--- a/tests/node/settings/test_node_settings.py
+++ b/tests/node/settings/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node: the file, flags over it, and one clear line for every mistake."""
+"""Settings of a node: the file, flags that override it, and error messages."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         self.assertEqual(Address("::1", 81), settings.listen)
         self.assertEqual("http://10.0.0.1:1", settings.platform.log)
 
-    def test_peers_are_told_another_address_only_if_one_is_set(self) -> None:
+    def test_peer_address_is_the_advertised_one_if_set(self) -> None:
         self.assertEqual(
             Address("127.0.0.1", 7946), load_node_settings(EXAMPLE, {}).ok.peer_address
         )
@@ -47,14 +47,14 @@
         self.assertEqual(Address("10.0.0.9", 1), translated.peer_address)
         self.assertEqual(Address("127.0.0.1", 7946), translated.peer_listen)
 
-    def test_flags_alone_are_enough(self) -> None:
+    def test_flags_without_a_file_are_sufficient(self) -> None:
         urls = {f"platform.{name}": "http://10.0.0.1:1" for name in
                 ("log", "weights", "machines", "scorer")}  # fmt: skip
         overrides = {"name": "n", "region": "r", "zone": "z", "listen": "10.0.0.1:80",
                      "peer_listen": "10.0.0.1:81", **urls}  # fmt: skip
         self.assertEqual("n", load_node_settings(None, overrides).ok.name)
 
-    def test_mistakes_name_the_field(self) -> None:
+    def test_errors_name_the_field(self) -> None:
         listen = 'listen = "127.0.0.1:8080"'
         log = 'log = "http://127.0.0.1:9001"'
         cases = [
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -1,4 +1,4 @@
-"""The HTTP edge: answers, errors that name the field, and limits against bad callers."""
+"""The HTTP edge: answers, errors that name the field, and limits on bodies, calls and buffers."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
             )
 
     @on_node()
-    async def test_nothing_says_not_run_of_a_request_sent_before(self, node: RunningNode) -> None:
+    async def test_error_for_a_resent_request_never_says_not_run(self, node: RunningNode) -> None:
         fail = ASK | {"prompt": "fail"}
         answers = [
             await node.post("/v1/completions", fail | {"resent": True}),
@@ -118,7 +118,9 @@
 
 class BadCallersTest(testtools.TestCase):
     @on_node(Limits(body_bytes=10_000))
-    async def test_large_body_is_refused_whether_announced_or_not(self, node: RunningNode) -> None:
+    async def test_large_body_is_refused_with_or_without_content_length(
+        self, node: RunningNode
+    ) -> None:
         async def endless() -> object:
             for _ in range(200):
                 yield b"x" * 1000
@@ -139,7 +141,7 @@
         await eventually(lambda: self._answered(node, ask))
 
     @on_node(Limits(body_seconds=1))
-    async def test_slow_body_is_given_up(self, node: RunningNode) -> None:
+    async def test_slow_body_times_out(self, node: RunningNode) -> None:
         listen = node.settings.listen
         async with await anyio.connect_tcp(listen.host, listen.port) as stream:
             await stream.send(b"POST /v1/completions HTTP/1.1\r\nHost: n\r\n")
@@ -173,7 +175,7 @@
         self.assertEqual(CallAbandoned(asked.call), abandoned)
 
     @on_node(Limits(buffered_characters=1_000_000))
-    async def test_slow_reader_is_cut_and_abandoned(self, node: RunningNode) -> None:
+    async def test_call_of_a_slow_reader_is_closed_and_abandoned(self, node: RunningNode) -> None:
         flood = ASK | {"prompt": "flood", "stream": True}
         async with node.client.stream("POST", "/v1/completions", json=flood) as answer:
             self.assertEqual(200, answer.status_code)
@@ -181,7 +183,7 @@
         self.assertIsInstance(node.core.seen[-1], CallAbandoned)
 
     @on_node(Limits(buffered_characters=3))
-    async def test_answer_that_never_fitted_is_a_clear_error(self, node: RunningNode) -> None:
+    async def test_answer_larger_than_the_buffer_is_an_error(self, node: RunningNode) -> None:
         answer = await node.post("/v1/completions", ASK | {"stream": True})
         self.assertEqual((502, "unknown"), (answer.status_code, answer.json()["ran"]))
 
@@ -209,7 +211,7 @@
         self.assertEqual((3, 2), (event.lot.samples_per_prompt, event.lot.trainer_version))
 
     @on_node()
-    async def test_doubled_prompt_is_named(self, node: RunningNode) -> None:
+    async def test_duplicate_prompt_id_is_named(self, node: RunningNode) -> None:
         lot = LOT | {"prompts": [*LOT["prompts"], *LOT["prompts"]]}  # type: ignore[misc]
         answer = await node.post("/v1/rollouts", lot)
         self.assertEqual("prompts[1].prompt_id", answer.json()["field"])
--- a/tests/node/test_engine_stream.py
+++ b/tests/node/test_engine_stream.py
@@ -1,4 +1,4 @@
-"""What an attempt comes to, against an engine that speaks, refuses, stalls or breaks."""
+"""Outcomes of attempts and control calls at scripted engines."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 class ScriptedEngine:
     """An ASGI application that answers everything with one response.
 
-    A `lost` stream is asked for again, by token offset; unless scripted, it is no longer known.
+    `lost` returns the rest of a lost stream from a token offset; without it, the status is 404.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
         self.assertEqual([(0, 0), (1, 2), (2, 4)], [(c.sequence, c.offset) for c in received])
         self.assertEqual(1, engine.paths.count("/v1/completions"))
 
-    def test_stream_that_never_goes_on_is_given_up(self) -> None:
+    def test_reconnections_of_a_lost_stream_are_limited(self) -> None:
         engine = ScriptedEngine(200, [sse(FRAMES[0])], lost=lambda offset: [])
         final = attempt_at(engine)[-1]
         self.assertIsInstance(final, AttemptFailed)
@@ -176,7 +176,7 @@
         assert isinstance(final, AttemptFailed)
         self.assertTrue(final.sent)
 
-    def test_foreign_frame_is_a_failed_attempt(self) -> None:
+    def test_frame_of_another_attempt_is_a_failed_attempt(self) -> None:
         events = attempt_at(ScriptedEngine(200, [sse(FRAMES[0], FRAMES[1] | {"id": "other"})]))
         self.assertEqual([AttemptChunk, AttemptFailed], [type(event) for event in events])
 
@@ -190,7 +190,7 @@
             assert isinstance(event, AttemptFailed)
             self.assertTrue(event.sent, status)
 
-    def test_engine_that_is_not_there_was_not_sent_anything(self) -> None:
+    def test_attempt_at_an_unreachable_engine_is_not_sent(self) -> None:
         (event,) = anyio.run(run_attempt, free_address())
         assert isinstance(event, AttemptFailed)
         self.assertFalse(event.sent)
--- a/tests/node/test_exit.py
+++ b/tests/node/test_exit.py
@@ -1,4 +1,4 @@
-"""Callers that go on asking a node while it exits get an answer or no connection, never a cut."""
+"""While a node exits, each call is answered or its connection refused; none is aborted."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ExitTest(NodeProcess):
-    def test_no_request_is_cut_off_by_a_planned_stop(self) -> None:
+    def test_no_request_is_aborted_by_a_planned_stop(self) -> None:
         self.wait_ready()
         cuts: list[str] = []
         refused = threading.Barrier(CALLERS + 1)
--- a/tests/node/test_free_address.py
+++ b/tests/node/test_free_address.py
@@ -1,4 +1,4 @@
-"""Addresses that tests give to listeners are not given out twice before they are bound."""
+"""`free_address` does not return an address twice before a listener is bound to it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FreeAddressTest(testtools.TestCase):
-    def test_a_port_that_was_given_out_and_not_bound_yet_is_not_given_out_again(self) -> None:
+    def test_a_port_is_not_returned_twice_before_it_is_bound(self) -> None:
         every_port = range(running_node.FIRST_PORT, 32_000)
         with mock.patch.object(running_node, "_recent_ports", deque(maxlen=256)):
             first = running_node.free_address().port
--- a/tests/node/test_kept_records.py
+++ b/tests/node/test_kept_records.py
@@ -1,6 +1,6 @@
-"""Records as an earlier release wrote them are read, and written the same way.
+"""Records written by an earlier release can be read, and are encoded to the same bytes.
 
-`kept_records.json` holds payloads by kind; a log may hold such records for as long as it lives.
+`kept_records.json` holds payloads by kind, as a log may still hold them.
 """
 
 from __future__ import annotations
--- a/tests/node/test_node_core.py
+++ b/tests/node/test_node_core.py
@@ -1,4 +1,4 @@
-"""The composition of the node's core."""
+"""Dispatch of events and notifications in the node's core, and its planned stop."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class NodeCoreTest(testtools.TestCase):
-    def test_every_notification_of_a_core_is_taken_by_another(self) -> None:
+    def test_every_notification_has_a_handler(self) -> None:
         core = make_core()
         handled = set(core._notification_handlers) | set(INSTRUCTION_TYPES)
         self.assertEqual(set(), set(get_args(NodeOutput)) - handled)
 
-    def test_every_event_is_taken(self) -> None:
+    def test_every_event_has_a_handler(self) -> None:
         self.assertEqual(set(get_args(Event)), set(make_core()._event_handlers))
 
     def test_the_first_tick_reads_machine_list_and_log(self) -> None:
--- a/tests/node/test_open_calls.py
+++ b/tests/node/test_open_calls.py
@@ -34,7 +34,7 @@
         self.assertEqual(TextDelta("abc"), anyio.run(call.next_answer))
         self.assertEqual(last, anyio.run(call.next_answer))
 
-    def test_overflow_cuts_the_call_once_and_drops_the_rest(self) -> None:
+    def test_overflow_ends_the_call_once_and_drops_the_rest(self) -> None:
         call = self.open()
         cuts: list[int] = []
         call.on_overflow(lambda: cuts.append(1))
@@ -43,14 +43,14 @@
         self.calls.end(FinishCall(call.id, whole("abc")))
         self.assertEqual(([1], True, False), (cuts, call.overflowed, call.ended))
 
-    def test_a_whole_call_gets_no_chunks(self) -> None:
+    def test_a_call_without_streaming_gets_no_chunks(self) -> None:
         call = self.open(streaming=False)
         self.calls.send_chunk(chunk(call.id, "x" * 100))
         last = FinishCall(call.id, whole("abc"))
         self.calls.end(last)
         self.assertEqual(last, anyio.run(call.next_answer))
 
-    def test_closed_and_ended_calls_take_nothing_more(self) -> None:
+    def test_closed_and_ended_calls_ignore_further_answers(self) -> None:
         call, ended = self.open(), self.open()
         self.calls.close(call)
         self.calls.end(FinishCall(call.id, whole("late")))
--- a/tests/node/test_openai_client.py
+++ b/tests/node/test_openai_client.py
@@ -1,4 +1,4 @@
-"""OpenAI's own client completes and streams through a node."""
+"""OpenAI's client library completes and streams through a node."""
 
 from __future__ import annotations
 
@@ -50,4 +50,4 @@
                 [chunk async for chunk in stream]
             except openai.APIError:
                 return
-            self.fail("a cut stream looked whole")
+            self.fail("a truncated stream raised no error")
--- a/tests/node/test_peer_transport.py
+++ b/tests/node/test_peer_transport.py
@@ -1,4 +1,4 @@
-"""Envelopes between nodes over UDP and TCP on loopback."""
+"""Messages between nodes over UDP and TCP on loopback."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
             self.assertEqual(a.address, (await b.receive()).source)
 
     @asynchronous
-    async def test_message_too_long_for_a_datagram_goes_by_stream(self) -> None:
+    async def test_message_too_long_for_a_datagram_is_sent_by_stream(self) -> None:
         async with peer() as a, peer() as b:
             long = envelope("a" * 90)
             long.MergeFromString(b"\xba\x06" + bytes([0x80, 0x20]) + b"x" * 4096)
@@ -86,7 +86,7 @@
             self.assertIn('sent",transport="stream"} 1.0', a.metrics.render().decode())
 
     @asynchronous
-    async def test_streams_come_back_after_the_peers_restart(self) -> None:
+    async def test_streams_reconnect_after_the_peers_restart(self) -> None:
         async with peer() as a:
             async with peer() as b:
                 message = SendPeerMessage(b.address, envelope("a"), Transport.STREAM)
--- a/tests/node/test_platform_clients.py
+++ b/tests/node/test_platform_clients.py
@@ -1,4 +1,4 @@
-"""The platform's clients: what is decoded, and which failures leave an outcome unknown."""
+"""Clients of the platform's services: decoding, and which failures leave the outcome unknown."""
 
 from __future__ import annotations
 
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -1,4 +1,4 @@
-"""A node as a process: signals, exit codes, idle memory and what it imports."""
+"""A node as a process: signals, exit codes, idle memory and imported modules."""
 
 from __future__ import annotations
 
