--- a/src/stagewalk/history/__init__.py
+++ b/src/stagewalk/history/__init__.py
@@ -1,1 +1,1 @@
-"""Observations of callers, engines and operators, and the checker that judges them."""
+"""Observations of callers, engines and operators, and the checker that verifies them."""
--- a/src/stagewalk/history/answer_text.py
+++ b/src/stagewalk/history/answer_text.py
@@ -1,14 +1,14 @@
 """Self-describing answer text of the engine model and its stand-in.
 
-The engines of simulation and tests generate text that states its own truth: which answer it
-belongs to, which tokens of it, and which weights produced them. The product carries the text
-as an opaque string, so a checker can judge wholeness, identity and versions of any answer
-from the text alone, without believing a word of the system under test.
+The engines of simulation and tests generate text that encodes which answer it belongs to, which
+tokens of that answer it covers, and which weights produced them. The product treats the text as
+an opaque string, so a checker can verify the completeness, identity and versions of an answer
+from the text alone, independently of the system under test.
 
 A chunk is written as `<content key>[<start>:<end>]v<version>;` and an answer is the
 concatenation of its chunks.
 
-Owns the text's form and the lengths of answers; relies on nothing of the system under test.
+Defines the text format and the distribution of answer lengths.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 def content_key(prompt: str, seed: int | None) -> str:
-    """Return the identity of the answer that a prompt and sampling seed lead to."""
+    """Return the key of the answer that a prompt and sampling seed determine."""
     return xxhash.xxh64_hexdigest(f"{seed}\x00{prompt}".encode())
 
 
@@ -95,7 +95,7 @@
 
 
 def wholeness_fault(text: str, prompt: str, seed: int | None, length: int) -> str | None:
-    """Return what is wrong with an answer's text, or None if it is the whole right answer."""
+    """Return what is wrong with an answer's text, or None if it is complete and correct."""
     chunks = parse_answer(text)
     if chunks is None:
         return "the text is not made of whole chunks"
--- a/src/stagewalk/history/checker.py
+++ b/src/stagewalk/history/checker.py
@@ -1,10 +1,10 @@
-"""Judges the service's nine promises from a history of outside observations.
+"""Checks the service's nine promises against a history of external observations.
 
-The system under test writes none of the history, so a promise is judged by what callers,
-engines, trainers, operators and the log saw. A promise with no check is unproved.
+The history is recorded by callers, engines, trainers, operators and the log, never by the system
+under test. A promise that was never checked counts as unproved.
 
-Owns the order of the checks; relies on `checker_requests`, `checker_samples`, `checker_stops` and
-`checker_configuration`, one for each kind of promise.
+Runs the checks of `checker_requests`, `checker_samples`, `checker_stops` and
+`checker_configuration` in order.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def check_history(history: Sequence[AnyObservation], oracle: ConfigurationOracle) -> Verdict:
-    """Judge all promises; `history` must be in order of time, `oracle` fresh."""
+    """Check all promises; `history` must be in order of time, `oracle` in its initial state."""
     verdict = Verdict()
     timeline = fold_timeline(history, oracle)
     check_requests(history, verdict)
--- a/src/stagewalk/history/checker_configuration.py
+++ b/src/stagewalk/history/checker_configuration.py
@@ -1,7 +1,6 @@
-"""Judges that accepted configuration is in force everywhere in time and never reverts.
+"""Checks that nodes apply accepted configuration within the deadline and never revert it.
 
-Owns the timeline of accepted changes and the time by which they must be in force; relies on an
-oracle for what is accepted.
+Holds the timeline of accepted changes and the deadline; an oracle decides what is accepted.
 """
 
 from __future__ import annotations
@@ -23,13 +22,13 @@
 
 CONFIGURATION_STREAM = "configuration"
 CONFIGURATION_DEADLINE_SECONDS = 10.0
-"""How long an accepted record may take until every node applies it."""
+"""Maximum time between the acceptance of a record and its use by every node."""
 
 EVERY_NODE = "*"
-"""Target of a `FaultInjected` that concerns every node."""
+"""Target of a `FaultInjected` that affects every node."""
 
 LOG_UNREACHABLE_KINDS = frozenset({"log_down", "log_slow", "partition", "pause"})
-"""Faults that keep the targeted node from the log and its peers while they last."""
+"""Faults during which the targeted node can't reach the log or its peers."""
 
 
 class ConfigurationOracle(Protocol):
@@ -48,13 +47,13 @@
         ...
 
     def digest(self) -> str:
-        """Return the digest that a node in this state shows."""
+        """Return the digest that a node in this state reports."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class StalenessBounds:
-    """The loosest bounds a tenant may have been served under; `None` seconds: no bound."""
+    """The loosest bounds that may have applied to a tenant; `None` seconds: no bound."""
 
     versions: int
     seconds: float | None
@@ -75,7 +74,7 @@
 
 @dataclass(slots=True)
 class ConfigurationTimeline:
-    """Which configuration was accepted when, folded from the log's own record."""
+    """Which configuration was accepted when, computed from the records in the log."""
 
     accepted: list[_Accepted] = field(default_factory=list)
     accepted_ids: set[str] = field(default_factory=set)
@@ -90,8 +89,8 @@
         )
         return self.accepted[count - 1].record if count else None
 
-    def excused(self, node: str | None, at: float) -> FaultInjected | None:
-        """Return a fault that kept a node (None: any) from the log in the last seconds."""
+    def log_outage(self, node: str | None, at: float) -> FaultInjected | None:
+        """Return a fault that cut a node (None: any) off from the log within the deadline."""
         for fault in self.faults:
             concerned = node is None or fault.target in {EVERY_NODE, node}
             if concerned and fault.at <= at and fault.until >= at - CONFIGURATION_DEADLINE_SECONDS:
@@ -105,10 +104,10 @@
         cannot reach the log.
         """
         since = at - CONFIGURATION_DEADLINE_SECONDS
-        fault = self.excused(None, since)
+        fault = self.log_outage(None, since)
         while fault is not None:
             since = fault.at - CONFIGURATION_DEADLINE_SECONDS
-            fault = self.excused(None, since)
+            fault = self.log_outage(None, since)
         first = max(0, bisect_right(self.accepted, since, key=lambda item: item.at) - 1)
         candidates = [
             item.parameters[tenant]
@@ -128,7 +127,7 @@
 def fold_timeline(
     history: Sequence[AnyObservation], oracle: ConfigurationOracle
 ) -> ConfigurationTimeline:
-    """Fold the configuration stream as the log recorded it."""
+    """Apply the configuration records in log order and return the resulting timeline."""
     timeline = ConfigurationTimeline()
     timeline.states[0] = _State(oracle.revisions(), oracle.digest())
     records = [
@@ -155,7 +154,7 @@
 def check_configuration(
     history: Sequence[AnyObservation], timeline: ConfigurationTimeline, verdict: Verdict
 ) -> None:
-    """Judge config_in_force."""
+    """Check `config_in_force`."""
     last_seen: dict[tuple[str, int], ConfigurationSeen] = {}
     first_seen_at: dict[tuple[str, int], float] = {}
     for item in history:
@@ -165,7 +164,7 @@
             first_seen_at.setdefault(incarnation, item.at)
             _check_in_force(item, first_seen_at[incarnation], timeline, verdict)
             _check_not_reverted(item, last_seen.get(incarnation), verdict)
-            _check_true_state(item, timeline, verdict)
+            _check_state(item, timeline, verdict)
             last_seen[incarnation] = item
         elif isinstance(item, PublishAnswered) and item.accepted:
             _check_publish(item, timeline, verdict)
@@ -181,7 +180,7 @@
         or seen.at < first_at + CONFIGURATION_DEADLINE_SECONDS
     ):
         return
-    if timeline.excused(seen.node, seen.at) is not None:
+    if timeline.log_outage(seen.node, seen.at) is not None:
         return
     late = seen.at - due.at
     detail = f"offset {due.offset} was not in force {late:.1f} s after the log took it"
@@ -197,22 +196,22 @@
     verdict.violate(Promise.CONFIG_IN_FORCE, seen.at, f"node {seen.node}", detail, [before, seen])
 
 
-def _check_true_state(
+def _check_state(
     seen: ConfigurationSeen, timeline: ConfigurationTimeline, verdict: Verdict
 ) -> None:
-    """Compare with what the log's records amount to."""
-    truth = timeline.states.get(seen.offset)
-    if truth is None:
+    """Compare with the state that results from the records in the log."""
+    expected = timeline.states.get(seen.offset)
+    if expected is None:
         wrong = "the log holds no such offset"
-    elif truth.revisions != seen.revisions:
-        names = sorted(truth.revisions.keys() | seen.revisions.keys())
+    elif expected.revisions != seen.revisions:
+        names = sorted(expected.revisions.keys() | seen.revisions.keys())
         wrong = ", ".join(
-            f"{name} at {seen.revisions.get(name)} instead of {truth.revisions.get(name)}"
+            f"{name} at {seen.revisions.get(name)} instead of {expected.revisions.get(name)}"
             for name in names
-            if truth.revisions.get(name) != seen.revisions.get(name)
+            if expected.revisions.get(name) != seen.revisions.get(name)
         )
-    elif truth.digest != seen.digest:
-        wrong = f"digest {seen.digest} instead of {truth.digest}"
+    elif expected.digest != seen.digest:
+        wrong = f"digest {seen.digest} instead of {expected.digest}"
     else:
         return
     detail = f"at offset {seen.offset}: {wrong}"
--- a/src/stagewalk/history/checker_oracle.py
+++ b/src/stagewalk/history/checker_oracle.py
@@ -1,6 +1,6 @@
-"""The product's own fold as the checker's oracle of what is accepted.
+"""The product's configuration state machine as the checker's oracle of accepted records.
 
-Owns no rule of its own; relies on `node.configuration.state_machine`.
+Adds no rules to those of `node.configuration.state_machine`.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class FoldOracle:
-    """Applies the log's records, in their order, to a fold that no node has touched."""
+    """Applies the records in log order to a state machine that no node uses."""
 
     def __init__(self) -> None:
         self._fold = ConfigurationStateMachine()
 
     def apply(self, record: RecordAppended) -> bool:
         """Apply the next record of the stream; return whether it was accepted."""
-        row = LogRecord(record.offset, RecordId(record.record_id), record.payload)
-        return isinstance(self._fold.apply(row), ChangeAccepted)
+        log_record = LogRecord(record.offset, RecordId(record.record_id), record.payload)
+        return isinstance(self._fold.apply(log_record), ChangeAccepted)
 
     def parameters(self) -> dict[str, TenantParameters]:
         """Return the parameters in force, by tenant."""
@@ -33,5 +33,5 @@
         return {name: tenant.revision for name, tenant in self._fold.tenants.items()}
 
     def digest(self) -> str:
-        """Return the digest that a node in this state shows."""
+        """Return the digest that a node in this state reports."""
         return self._fold.digest()
--- a/src/stagewalk/history/checker_requests.py
+++ b/src/stagewalk/history/checker_requests.py
@@ -1,6 +1,6 @@
 """Checks the outcomes that callers received against what engines executed.
 
-Owns the stories of requests; relies on `answer_text` for the truth that a text states of itself.
+Groups the observations of each request; `answer_text` reads versions and identity from the text.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 
 
 @dataclass(slots=True)
-class RequestStory:
-    """All that was observed of one request, which may have been sent more than once."""
+class RequestObservations:
+    """All observations of one request, which may have been sent more than once."""
 
     subject: str
     sends: list[RequestSent] = field(default_factory=list)
@@ -37,7 +37,7 @@
     endings: list[WorkEnded] = field(default_factory=list)
 
     def events(self) -> list[AnyObservation]:
-        """Return its observations in no particular order."""
+        """Return the observations in no particular order."""
         return [
             *self.sends,
             *self.answers,
@@ -49,123 +49,131 @@
 
 
 def check_requests(history: Sequence[AnyObservation], verdict: Verdict) -> None:
-    """Judge whole_answer, version_named, not_run_true and at_most_once of callers' requests."""
-    for story in collect_stories(history):
-        if not story.sends:
-            _check_unasked(story, verdict)
+    """Check `whole_answer`, `version_named`, `not_run_true` and `at_most_once` for requests."""
+    for observed in group_by_request(history):
+        if not observed.sends:
+            _check_unrequested(observed, verdict)
             continue
-        for answer in story.answers:
-            check_answer(story, answer, verdict)
-        for refusal in story.refusals:
+        for answer in observed.answers:
+            check_answer(observed, answer, verdict)
+        for refusal in observed.refusals:
             if refusal.ran == ExecutionStatus.NO:
-                _check_refusal(story, refusal, verdict)
-        if any(not send.repeatable for send in story.sends):
-            _check_at_most_once(story, verdict)
+                _check_refusal(observed, refusal, verdict)
+        if any(not send.repeatable for send in observed.sends):
+            _check_at_most_once(observed, verdict)
 
 
-def collect_stories(history: Sequence[AnyObservation]) -> list[RequestStory]:
+def group_by_request(history: Sequence[AnyObservation]) -> list[RequestObservations]:
     """Group observations by tenant and request id, in order of first appearance."""
-    stories: dict[tuple[str, str], RequestStory] = {}
+    by_request: dict[tuple[str, str], RequestObservations] = {}
     by_attempt: defaultdict[tuple[str, int, str], list[WorkEnded]] = defaultdict(list)
     for item in history:
         match item:
             case RequestSent():
-                _story(stories, item).sends.append(item)
+                _observations_of(by_request, item).sends.append(item)
             case RequestAnswered():
-                _story(stories, item).answers.append(item)
+                _observations_of(by_request, item).answers.append(item)
             case RequestRefused():
-                _story(stories, item).refusals.append(item)
+                _observations_of(by_request, item).refusals.append(item)
             case RequestCut():
-                _story(stories, item).cuts.append(item)
+                _observations_of(by_request, item).cuts.append(item)
             case WorkReceived():
-                _story(stories, item).executions.append(item)
+                _observations_of(by_request, item).executions.append(item)
             case WorkEnded():
                 by_attempt[item.engine, item.incarnation, item.attempt].append(item)
             case _:
                 pass
-    for story in stories.values():
-        for work in story.executions:
-            story.endings.extend(by_attempt[work.engine, work.incarnation, work.attempt])
-    return list(stories.values())
+    for observed in by_request.values():
+        for work in observed.executions:
+            observed.endings.extend(by_attempt[work.engine, work.incarnation, work.attempt])
+    return list(by_request.values())
 
 
-def _story(
-    stories: dict[tuple[str, str], RequestStory],
+def _observations_of(
+    by_request: dict[tuple[str, str], RequestObservations],
     item: RequestSent | RequestAnswered | RequestRefused | RequestCut | WorkReceived,
-) -> RequestStory:
+) -> RequestObservations:
     key = (item.tenant, item.request_id)
-    if key not in stories:
-        stories[key] = RequestStory(f"request {item.tenant}/{item.request_id}")
-    return stories[key]
+    if key not in by_request:
+        by_request[key] = RequestObservations(f"request {item.tenant}/{item.request_id}")
+    return by_request[key]
 
 
-def _check_unasked(story: RequestStory, verdict: Verdict) -> None:
-    for answer in story.answers:
+def _check_unrequested(observed: RequestObservations, verdict: Verdict) -> None:
+    for answer in observed.answers:
         verdict.check(Promise.WHOLE_ANSWER)
         detail = f"{answer.caller} got an answer to a request nobody sent"
-        verdict.violate(Promise.WHOLE_ANSWER, answer.at, story.subject, detail, story.events())
+        verdict.violate(
+            Promise.WHOLE_ANSWER, answer.at, observed.subject, detail, observed.events()
+        )
 
 
-def check_answer(story: RequestStory, answer: RequestAnswered, verdict: Verdict) -> None:
-    """Judge one answer against the request as the same caller sent it."""
-    own = [send for send in story.sends if send.caller == answer.caller and send.at <= answer.at]
-    send = own[-1] if own else story.sends[0]
+def check_answer(observed: RequestObservations, answer: RequestAnswered, verdict: Verdict) -> None:
+    """Check one answer against the request that its caller sent."""
+    own = [send for send in observed.sends if send.caller == answer.caller and send.at <= answer.at]
+    send = own[-1] if own else observed.sends[0]
     verdict.check(Promise.WHOLE_ANSWER)
     fault = wholeness_fault(answer.text, send.prompt, send.seed, send.expected_tokens)
     if not own:
         fault = f"{answer.caller} never sent it"
     if fault is not None:
-        verdict.violate(Promise.WHOLE_ANSWER, answer.at, story.subject, fault, story.events())
+        verdict.violate(Promise.WHOLE_ANSWER, answer.at, observed.subject, fault, observed.events())
     verdict.check(Promise.VERSION_NAMED)
-    fault = naming_fault(answer.text, answer.spans)
+    fault = version_fault(answer.text, answer.spans)
     if fault is not None:
-        verdict.violate(Promise.VERSION_NAMED, answer.at, story.subject, fault, story.events())
+        verdict.violate(
+            Promise.VERSION_NAMED, answer.at, observed.subject, fault, observed.events()
+        )
 
 
-def naming_fault(text: str, named: tuple[VersionSpan, ...]) -> str | None:
+def version_fault(text: str, named: tuple[VersionSpan, ...]) -> str | None:
     """Return how the named versions differ from those that produced the text, or None."""
     if parse_answer(text) is None:
         return "the text does not tell its versions"
     merged: tuple[VersionSpan, ...] = ()
     for span in named:
         merged = append_span(merged, span.version, span.token_count)
-    truth = spans_from_text(text)
-    if merged == truth:
+    actual = spans_from_text(text)
+    if merged == actual:
         return None
-    return f"named {_spans(merged)}, produced by {_spans(truth)}"
+    return f"named {_spans(merged)}, produced by {_spans(actual)}"
 
 
 def _spans(spans: tuple[VersionSpan, ...]) -> str:
     return "+".join(f"v{span.version}x{span.token_count}" for span in spans) or "nothing"
 
 
-def _check_refusal(story: RequestStory, refusal: RequestRefused, verdict: Verdict) -> None:
-    """Judge a refusal that said "not run".
+def _check_refusal(
+    observed: RequestObservations, refusal: RequestRefused, verdict: Verdict
+) -> None:
+    """Check a refusal that stated "not run".
 
-    Work begun before the refusal proves it false, whichever earlier send caused the work: the
-    same id is the same request. Work begun later proves it false unless a send that had not
-    been refused by then can have caused it.
+    Work started before the refusal contradicts it, whichever earlier send caused the work, since
+    sends with one id are one request. Work started later contradicts it unless a send that had
+    not been refused by then can have caused it.
     """
     verdict.check(Promise.NOT_RUN_TRUE)
-    for work in story.executions:
+    for work in observed.executions:
         if work.at <= refusal.at:
             detail = f"refused as not run by {refusal.node}, yet {work.engine} had begun it"
-        elif not _open_sends(story, work.at):
+        elif not _open_sends(observed, work.at):
             detail = f"refused as not run by {refusal.node}, and {work.engine} ran it afterwards"
         else:
             continue
-        verdict.violate(Promise.NOT_RUN_TRUE, refusal.at, story.subject, detail, story.events())
+        verdict.violate(
+            Promise.NOT_RUN_TRUE, refusal.at, observed.subject, detail, observed.events()
+        )
         return
 
 
-def _open_sends(story: RequestStory, at: float) -> list[RequestSent]:
-    """Return the sends before a time that no refusal as "not run" had settled by then."""
+def _open_sends(observed: RequestObservations, at: float) -> list[RequestSent]:
+    """Return the sends up to a time that were not refused as "not run" by then."""
     settled = [
         refusal
-        for refusal in story.refusals
+        for refusal in observed.refusals
         if refusal.at <= at and refusal.ran == ExecutionStatus.NO
     ]
-    remaining = [send for send in story.sends if send.at <= at]
+    remaining = [send for send in observed.sends if send.at <= at]
     for refusal in settled:
         matching = [
             send
@@ -177,11 +185,11 @@
     return remaining
 
 
-def _check_at_most_once(story: RequestStory, verdict: Verdict) -> None:
+def _check_at_most_once(observed: RequestObservations, verdict: Verdict) -> None:
     verdict.check(Promise.AT_MOST_ONCE)
     begun: set[str] = set()
     executions = 0
-    for work in sorted(story.executions, key=lambda item: item.at):
+    for work in sorted(observed.executions, key=lambda item: item.at):
         continues = work.resumed and work.attempt in begun
         begun.add(work.attempt)
         if continues:
@@ -189,4 +197,6 @@
         executions += 1
         if executions == 2:
             detail = f"{work.engine} executed a non-repeatable request a second time"
-            verdict.violate(Promise.AT_MOST_ONCE, work.at, story.subject, detail, story.events())
+            verdict.violate(
+                Promise.AT_MOST_ONCE, work.at, observed.subject, detail, observed.events()
+            )
--- a/src/stagewalk/history/checker_samples.py
+++ b/src/stagewalk/history/checker_samples.py
@@ -1,7 +1,7 @@
-"""Judges the samples that trainers accepted: whole, named, fresh enough and exactly once.
+"""Checks accepted samples for completeness, versions, staleness and duplicate delivery.
 
-Owns what each trainer accepted; relies on `answer_text` for versions and on the timeline of
-`checker_configuration` for the staleness bounds in force.
+The versions come from `answer_text`, the staleness bounds in force from the timeline of
+`checker_configuration`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from stagewalk.common.identities import SampleSlotKey, TenantName
 from stagewalk.history.answer_text import parse_answer, wholeness_fault
 from stagewalk.history.checker_configuration import ConfigurationTimeline
-from stagewalk.history.checker_requests import naming_fault
+from stagewalk.history.checker_requests import version_fault
 from stagewalk.history.checker_verdict import Promise, Verdict
 from stagewalk.history.observations import (
     AnyObservation,
@@ -21,8 +21,8 @@
     StepStarted,
 )
 
-HAND_OVER_SECONDS = 2.0
-"""Longest way of a pull's answer to its trainer: it ages a sample after the last check."""
+DELIVERY_GRACE_SECONDS = 2.0
+"""Allowance for the transfer of a sample to its trainer after the service's last age check."""
 
 StepKey = tuple[str, str, int]
 
@@ -30,7 +30,7 @@
 def check_samples(
     history: Sequence[AnyObservation], timeline: ConfigurationTimeline, verdict: Verdict
 ) -> None:
-    """Judge version_named, whole_answer, staleness_bound and exactly_once of samples."""
+    """Check `version_named`, `whole_answer`, `staleness_bound` and `exactly_once` for samples."""
     accepted: defaultdict[SampleSlotKey, list[SampleAccepted]] = defaultdict(list)
     for item in history:
         if isinstance(item, SampleAccepted):
@@ -58,7 +58,7 @@
     if fault is not None:
         verdict.violate(Promise.WHOLE_ANSWER, sample.at, subject, fault, [sample])
     verdict.check(Promise.VERSION_NAMED)
-    fault = naming_fault(sample.text, sample.spans)
+    fault = version_fault(sample.text, sample.spans)
     if fault is not None:
         verdict.violate(Promise.VERSION_NAMED, sample.at, subject, fault, [sample])
 
@@ -66,7 +66,7 @@
 def _check_staleness(
     sample: SampleAccepted, timeline: ConfigurationTimeline, verdict: Verdict
 ) -> None:
-    """Compare the versions that truly produced a sample with its tenant's bounds."""
+    """Compare the versions encoded in a sample's text with its tenant's bounds."""
     bounds = timeline.bounds(sample.tenant, sample.at)
     chunks = parse_answer(sample.text)
     if bounds is None or not chunks:
@@ -78,7 +78,9 @@
     if lag > bounds.versions:
         detail = f"{lag} versions behind version {sample.trainer_version}, bound {bounds.versions}"
         verdict.violate(Promise.STALENESS_BOUND, sample.at, subject, detail, [sample])
-    elif bounds.seconds is not None and sample.age_seconds > bounds.seconds + HAND_OVER_SECONDS:
+    elif (
+        bounds.seconds is not None and sample.age_seconds > bounds.seconds + DELIVERY_GRACE_SECONDS
+    ):
         detail = f"superseded {sample.age_seconds:.1f} s ago, bound {bounds.seconds} s"
         verdict.violate(Promise.STALENESS_BOUND, sample.at, subject, detail, [sample])
 
--- a/src/stagewalk/history/checker_stops.py
+++ b/src/stagewalk/history/checker_stops.py
@@ -1,6 +1,6 @@
-"""Judges leaving back ends and planned stops.
+"""Checks that leaving engines get no new work and that planned stops interrupt none.
 
-Owns the times allowed for a stop; relies on observations of callers and engines.
+Defines the tolerances for work in transit when an engine or a node begins to stop.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 )
 
 LEAVING_GRACE_SECONDS = 3.0
-"""How long after an engine said that it is leaving it may still be sent work.
+"""How long an engine may still be sent work after it announced that it is leaving.
 
-Work that it refuses counts as well: the promise is the service's, not the engine's."""
+Work that the engine refuses counts as well: the service must not send it."""
 
 STOP_RACE_SECONDS = 1.0
-"""A request sent less than this before a stop may still have been on its way to the node."""
+"""A request sent within this time before a stop may still have been in transit to the node."""
 
 CONNECTION_CUT = "connection_cut"
-"""Kind of a `FaultInjected`: the network, not the process, broke a call to `target`."""
+"""Kind of a `FaultInjected`: a call to `target` was broken by the network, not the process."""
 
 ENDED_BY_ENGINE = "cut"
 
 
 def check_stops(history: Sequence[AnyObservation], verdict: Verdict) -> None:
-    """Judge leaving_no_work and planned_stop_clean."""
+    """Check `leaving_no_work` and `planned_stop_clean`."""
     _check_leaving(history, verdict)
-    _PlannedStops(verdict).judge(history)
+    _PlannedStopChecker(verdict).judge(history)
 
 
 def _check_leaving(history: Sequence[AnyObservation], verdict: Verdict) -> None:
@@ -69,15 +69,15 @@
 
 @dataclass(slots=True)
 class _Stop:
-    """A planned stop of a process that has not been seen in a new incarnation since."""
+    """A planned stop of a process whose next incarnation has not been observed yet."""
 
     began: PlannedStopBegan
     killed: bool = False
 
 
 @dataclass(slots=True)
-class _PlannedStops:
-    """Walks a history once and holds the stops in progress."""
+class _PlannedStopChecker:
+    """Scans a history once and tracks the stops in progress."""
 
     verdict: Verdict
     stops: dict[str, _Stop] = field(default_factory=dict)
@@ -121,17 +121,17 @@
             self.stops[process].killed = True
 
     def _record_incarnation(self, process: str, incarnation: int) -> None:
-        """A newer incarnation ends the stop of the older one."""
+        """Record an incarnation; a newer one ends the stop of its predecessor."""
         if incarnation > self.incarnations.get(process, incarnation):
             self.stops.pop(process, None)
         self.incarnations[process] = max(incarnation, self.incarnations.get(process, 0))
 
-    def _clean_stop(self, process: str) -> _Stop | None:
+    def _active_stop(self, process: str) -> _Stop | None:
         stop = self.stops.get(process)
         return None if stop is None or stop.killed else stop
 
     def _judge_work(self, ended: WorkEnded) -> None:
-        stop = self._clean_stop(ended.engine)
+        stop = self._active_stop(ended.engine)
         if stop is None:
             return
         self.verdict.check(Promise.PLANNED_STOP_CLEAN)
@@ -140,7 +140,7 @@
             self._violate(ended.engine, stop, ended, detail)
 
     def _judge_cut(self, cut: RequestCut) -> None:
-        stop = self._clean_stop(cut.node)
+        stop = self._active_stop(cut.node)
         if stop is None or (cut.node, cut.at) in self.connection_cuts:
             return
         self.verdict.check(Promise.PLANNED_STOP_CLEAN)
@@ -148,8 +148,8 @@
         self._violate(cut.node, stop, cut, detail)
 
     def _judge_refusal(self, refusal: RequestRefused) -> None:
-        """Giving up an open request because of the stop is cutting it off as well."""
-        stop = self._clean_stop(refusal.node)
+        """Check a refusal; an open request refused because of the stop counts as interrupted."""
+        stop = self._active_stop(refusal.node)
         if stop is None or refusal.kind != ErrorKind.STOPPING:
             return
         sent = self.sends.get((refusal.caller, refusal.node, refusal.tenant, refusal.request_id))
--- a/src/stagewalk/history/checker_verdict.py
+++ b/src/stagewalk/history/checker_verdict.py
@@ -1,6 +1,6 @@
-"""The checker's result: how often each promise was checked, and what broke it.
+"""The checker's result: how often each promise was checked, and its violations.
 
-Owns the list of promises, the counts and the text of a violation.
+Defines the promises, the counts and the report of a violation.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Promise(StrEnum):
-    """What the service promises whatever fails."""
+    """The promises that the service keeps under any fault."""
 
     VERSION_NAMED = "version_named"
     STALENESS_BOUND = "staleness_bound"
@@ -52,7 +52,7 @@
     events: tuple[AnyObservation, ...] = ()
 
     def explain(self) -> str:
-        """Return a readable account: what broke, and what was observed in order."""
+        """Return a readable report: the violation, then its observations in order of time."""
         heading = f"{self.promise} at {self.at:.3f} s: {self.subject}: {self.detail}"
         shown = [f"    {render(event)}" for event in self.events[:MAXIMUM_EVENTS_SHOWN]]
         left_out = len(self.events) - len(shown)
@@ -93,7 +93,7 @@
 
     @property
     def unchecked(self) -> tuple[Promise, ...]:
-        """Return the promises that were never checked: nothing is known of them."""
+        """Return the promises that were never checked, and so are unproved."""
         return tuple(promise for promise, count in self.checked.items() if count == 0)
 
     def table(self) -> str:
@@ -105,7 +105,7 @@
         return "\n".join(lines)
 
     def explanations(self, limit_per_promise: int) -> list[str]:
-        """Return the first violations of each promise as readable accounts."""
+        """Return readable reports of the first violations of each promise."""
         chosen: list[Violation] = []
         for found in self.violations.values():
             chosen.extend(found[:limit_per_promise])
--- a/src/stagewalk/history/observations.py
+++ b/src/stagewalk/history/observations.py
@@ -1,12 +1,11 @@
-"""What callers, trainers, engines, operators and the log saw: the checker's only evidence.
+"""Observations by callers, trainers, engines, operators and the log: the checker's only input.
 
-Observers are the outside of the system: the simulation's models or the stand-in processes.
-The system under test writes none of these. Times are seconds of one clock shared by all
+Observers are external to the system under test: the simulation's models or the stand-in
+processes. Times are seconds of one clock shared by all
 observers of a run (virtual time, or the machine's monotonic clock). On disk a history is
 JSON lines, one observation a line, in any order.
 
-Owns the form of a history line, which stays readable by later releases; relies on
-`node.core.completions` for version spans.
+Defines the format of a history line, which later releases must still be able to read.
 """
 
 from __future__ import annotations
@@ -39,7 +38,7 @@
 
 
 class RequestAnswered(Observation, frozen=True, tag=True):
-    """A caller received what its node calls the whole answer."""
+    """A caller received an answer that its node reported as complete."""
 
     caller: str
     node: str
@@ -110,26 +109,26 @@
 
 
 class EngineServing(Observation, frozen=True, tag=True):
-    """An engine took up serving (again)."""
+    """An engine started or resumed serving."""
 
     engine: str
     incarnation: int
 
 
 class PlannedStopBegan(Observation, frozen=True, tag=True):
-    """A process (node or engine) was asked to stop in order."""
+    """A process (node or engine) was asked to shut down gracefully."""
 
     process: str
 
 
 class ProcessKilled(Observation, frozen=True, tag=True):
-    """A process was killed or crashed, which excuses what it cut off."""
+    """A process was killed or crashed; the work that this interrupts is no violation."""
 
     process: str
 
 
 class OrderObeyed(Observation, frozen=True, tag=True):
-    """An engine obeyed a fenced order."""
+    """An engine executed a fenced order."""
 
     engine: str
     incarnation: int
@@ -147,7 +146,7 @@
 
 
 class StepStarted(Observation, frozen=True, tag=True):
-    """A trainer submitted a step's lot and begins to wait for its samples."""
+    """A trainer submitted a step's batch and begins to wait for its samples."""
 
     tenant: str
     trainer: str
@@ -168,8 +167,8 @@
 class SampleAccepted(Observation, frozen=True, tag=True):
     """A trainer accepted a delivered sample.
 
-    `trainer_version` is what its pull named; `age_seconds` is the time since its oldest
-    version was superseded by a newer publish, 0 if it is still the newest.
+    `trainer_version` is the version in the trainer's pull; `age_seconds` is the time since the
+    sample's oldest version was superseded by a newer publish, 0 if it is still the newest.
     """
 
     tenant: str
@@ -188,7 +187,7 @@
 
 
 class RecordAppended(Observation, frozen=True, tag=True):
-    """The log took a record."""
+    """The log appended a record."""
 
     stream: str
     offset: int
@@ -197,7 +196,7 @@
 
 
 class PublishAnswered(Observation, frozen=True, tag=True):
-    """An operator learnt what became of a published change."""
+    """An operator received the outcome of a published change."""
 
     operator: str
     record_id: str
@@ -219,7 +218,7 @@
 
 
 class FaultInjected(Observation, frozen=True, tag=True):
-    """The experiment brought about a fault, for explanations and plots."""
+    """The experiment injected a fault; some kinds of fault excuse violations."""
 
     kind: str
     target: str
@@ -261,7 +260,7 @@
 def read_history(paths: Iterable[Path]) -> list[AnyObservation]:
     """Read histories of several observers, merged in order of time.
 
-    A torn last line of a killed observer is dropped; any other bad line raises
+    An incomplete last line, left by a killed observer, is dropped; any other bad line raises
     `msgspec.DecodeError`.
     """
     observations: list[AnyObservation] = []
--- a/src/stagewalk/history/summary.py
+++ b/src/stagewalk/history/summary.py
@@ -1,6 +1,6 @@
-"""What users measure, computed from observations: idle time, staleness, latency, deliveries.
+"""Computes user-visible metrics from observations: idle time, staleness, latency, deliveries.
 
-Owns the measures' definitions; relies on observations alone.
+Defines the metrics; observations are the only input.
 """
 
 from __future__ import annotations
@@ -32,18 +32,18 @@
 
 
 class TenantSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """One tenant's measures over a run.
+    """One tenant's metrics over a run.
 
     Attributes
     ----------
     trainer_idle_fraction
         Time its trainers waited for samples over the time of all completed steps.
     staleness_versions
-        Trainer's version minus a sample's oldest true version.
+        Trainer's version minus the oldest version in a sample's text.
     staleness_seconds
         Time since a sample's oldest version was superseded.
     latency_seconds
-        From a request's first send to its whole answer.
+        From a request's first send to its complete answer.
     """
 
     trainer_idle_fraction: float
@@ -59,7 +59,7 @@
 
 
 class _Collector:
-    """Raw numbers of one tenant."""
+    """Accumulates the observations of one tenant."""
 
     def __init__(self) -> None:
         self.idle_seconds = 0.0
@@ -99,7 +99,7 @@
         self.staleness_seconds.append(sample.age_seconds)
 
     def summary(self) -> TenantSummary:
-        """Return the measures over all that was added."""
+        """Return the metrics over all added observations."""
         total_seconds = self.idle_seconds + self.training_seconds
         return TenantSummary(
             trainer_idle_fraction=self.idle_seconds / total_seconds if total_seconds else 0.0,
@@ -124,7 +124,7 @@
 
 
 def summarize(observations: Iterable[AnyObservation]) -> dict[str, TenantSummary]:
-    """Return each tenant's measures; `observations` are in order of time."""
+    """Return each tenant's metrics; `observations` are in order of time."""
     collectors: defaultdict[str, _Collector] = defaultdict(_Collector)
     for observation in observations:
         tenant = getattr(observation, "tenant", None)
--- a/tests/history/test_answer_text.py
+++ b/tests/history/test_answer_text.py
@@ -1,4 +1,4 @@
-"""Wholeness of answers is judged from their text alone."""
+"""Tests that faults of an answer are found from its text alone."""
 
 from __future__ import annotations
 
--- a/tests/history/test_checker.py
+++ b/tests/history/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each kind of violation, and passes clean histories."""
+"""Tests that the checker finds each kind of violation and passes clean histories."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
         foreign = answered(2, answer_text(1, prompt="other"), spans(1))
         self.assert_broken(Promise.WHOLE_ANSWER, [sent(0), foreign])
 
-    def test_answer_nobody_asked_for(self) -> None:
+    def test_answer_without_a_request(self) -> None:
         unasked = answered(2, answer_text(1), spans(1), request="other")
         self.assert_broken(Promise.WHOLE_ANSWER, [sent(0), unasked])
 
@@ -101,7 +101,7 @@
         wrong = answered(2, answer_text(1, 2), spans(2, 2))
         self.assert_broken(Promise.VERSION_NAMED, [sent(0), wrong])
 
-    def test_true_refusals(self) -> None:
+    def test_correct_refusals(self) -> None:
         later_send_ran = [sent(0), refused(1), sent(2), work(3)]
         self.assert_clean(later_send_ran, Promise.NOT_RUN_TRUE)
         honest = [sent(0), work(1), refused(2, ran="unknown")]
@@ -131,7 +131,7 @@
         old = sample(20, age_seconds=33.0)
         self.assert_broken(Promise.STALENESS_BOUND, [record(0, 0), old])
 
-    def test_tightened_bound_holds_after_the_time_to_take_force(self) -> None:
+    def test_tightened_bound_applies_after_the_deadline(self) -> None:
         records: History = [record(0, 0, b"2"), record(50, 1, b"1")]
         self.assert_clean([*records, sample(55, (2,))], Promise.STALENESS_BOUND)
         self.assert_broken(Promise.STALENESS_BOUND, [*records, sample(65, (2,))])
@@ -151,7 +151,7 @@
 
 
 class StopPromisesTest(CheckerTest):
-    def test_work_given_to_a_leaving_engine(self) -> None:
+    def test_work_sent_to_a_leaving_engine(self) -> None:
         leaving = EngineLeaving(at=1, engine="e1", incarnation=1)
         serving = EngineServing(at=5, engine="e1", incarnation=1)
         self.assert_clean([leaving, work(3.9)], Promise.LEAVING_NO_WORK)
@@ -159,14 +159,14 @@
         self.assert_broken(Promise.LEAVING_NO_WORK, [leaving, work(4.1)])
         self.assert_broken(Promise.LEAVING_NO_WORK, [leaving, work_refused(4.1)])
 
-    def test_engine_stop_cuts_work(self) -> None:
+    def test_engine_stop_interrupts_work(self) -> None:
         stop = PlannedStopBegan(at=1, process="e1")
         self.assert_clean([work(0), stop, ended(2, "finished")], Promise.PLANNED_STOP_CLEAN)
         killed = ProcessKilled(at=1.5, process="e1")
         self.assert_clean([work(0), stop, killed, ended(2, "cut")])
         self.assert_broken(Promise.PLANNED_STOP_CLEAN, [work(0), stop, ended(2, "cut")])
 
-    def test_node_stop_cuts_request(self) -> None:
+    def test_node_stop_interrupts_request(self) -> None:
         begun: History = [sent(0), PlannedStopBegan(at=5, process="n1")]
         self.assert_broken(Promise.PLANNED_STOP_CLEAN, [*begun, cut(6)])
         given_up = refused(6, ran="unknown", kind="stopping")
@@ -184,15 +184,15 @@
 
 
 class ConfigurationPromiseTest(CheckerTest):
-    def test_in_force_in_time(self) -> None:
+    def test_in_force_within_the_deadline(self) -> None:
         history = [seen(0, 0), record(1, 0), seen(10, 0), seen(12, 1), published(13, "rec0")]
         self.assert_clean(history, Promise.CONFIG_IN_FORCE)
 
-    def test_late(self) -> None:
+    def test_in_force_after_the_deadline(self) -> None:
         late = [seen(0, 0), record(1, 0), seen(12, 0)]
         self.assert_broken(Promise.CONFIG_IN_FORCE, late)
-        excused = [seen(0, 0), fault(0, "log_down", 5, "*"), *late[1:]]
-        self.assert_clean(excused)
+        log_outage = [seen(0, 0), fault(0, "log_down", 5, "*"), *late[1:]]
+        self.assert_clean(log_outage)
         wrong_node = [seen(0, 0), fault(0, "log_down", 5, "n2"), *late[1:]]
         self.assert_broken(Promise.CONFIG_IN_FORCE, wrong_node)
 
@@ -203,16 +203,16 @@
         records: History = [record(0, 0), record(0, 1)]
         self.assert_broken(Promise.CONFIG_IN_FORCE, [*records, seen(0, 2), seen(1, 1)])
 
-    def test_other_digest_at_the_same_revisions(self) -> None:
+    def test_different_digest_at_the_same_revisions(self) -> None:
         split = [record(0, 0), seen(0, 1), seen(1, 1, node="n2", digest="other")]
         self.assert_broken(Promise.CONFIG_IN_FORCE, split)
 
-    def test_state_other_than_the_records_amount_to(self) -> None:
+    def test_state_that_differs_from_the_log(self) -> None:
         rejected = record(0, 0, b"rejected")
         self.assert_broken(Promise.CONFIG_IN_FORCE, [rejected, seen(1, 1)])
         self.assert_broken(Promise.CONFIG_IN_FORCE, [seen(1, 1)])
 
-    def test_operator_told_of_an_acceptance_that_was_none(self) -> None:
+    def test_acceptance_reported_for_a_rejected_or_missing_record(self) -> None:
         rejected = record(1, 0, b"rejected")
         self.assert_broken(Promise.CONFIG_IN_FORCE, [rejected, published(2, "rec0")])
         self.assert_broken(Promise.CONFIG_IN_FORCE, [published(2, "lost")])
--- a/tests/history/test_summary.py
+++ b/tests/history/test_summary.py
@@ -1,4 +1,4 @@
-"""Users' measures are computed from what observers saw."""
+"""Tests the metrics computed from observations."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         self.assertEqual(4.0, summary.latency_seconds.max)
         self.assertEqual(1, summary.outcome_unknown)
 
-    def test_staleness_is_read_from_the_text_and_idle_from_steps(self) -> None:
+    def test_staleness_comes_from_the_text_and_idle_time_from_steps(self) -> None:
         text = render_chunk(content_key("p", 1), 0, 3, WeightVersion(4))
         sample = SampleAccepted(
             at=1.0,
