--- a/src/stagewalk/cli/bench.py
+++ b/src/stagewalk/cli/bench.py
@@ -1,7 +1,7 @@
-"""`stagewalk bench`: measure units of work, membership faults and a lone node.
+"""`stagewalk bench`: measure units of work, membership faults and a single node.
 
-Owns the command's flags and the files it rewrites (docs/capacity.json, docs/CAPACITY.md); relies on
-`stagewalk.bench` for the measurements and the page.
+Defines the command's flags and rewrites docs/capacity.json and docs/CAPACITY.md with the results of
+`stagewalk.bench`.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/cli/config.py
+++ b/src/stagewalk/cli/config.py
@@ -1,9 +1,9 @@
 """`stagewalk config`: operators validate, publish and inspect their tenants' configuration.
 
-Exit codes: 0 done (or, for `diff`, no difference); 1 rejected (or a difference); 2 not done, not
-known, or not in force everywhere in time.
+Exit codes: 0 done (or, for `diff`, no difference); 1 rejected (or a difference); 2 not done,
+outcome unknown, or not in force on every node before the timeout.
 
-Owns the flags; relies on `config_publish` and `config_show` for the commands.
+Defines the flags; `config_publish` and `config_show` implement the commands.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from stagewalk.node.configuration.parameters import NAME_PATTERN
 
 DEFAULT_TIMEOUT_SECONDS = 30.0
-"""How long a command waits for the log, and for nodes."""
+"""Timeout of a log operation, and of the wait for nodes."""
 
 DEFAULT_HISTORY_LIMIT = 20
-"""Records that `history` shows."""
+"""Maximum number of records that `history` shows."""
 
 
 def add_flags(parser: argparse.ArgumentParser) -> None:
@@ -64,7 +64,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Carry out a `stagewalk config` command and return its exit code."""
+    """Run a `stagewalk config` command and return its exit code."""
     commands: dict[str, Callable[[argparse.Namespace], int]] = {
         "validate": config_publish.validate,
         "publish": config_publish.publish,
--- a/src/stagewalk/cli/config_files.py
+++ b/src/stagewalk/cli/config_files.py
@@ -1,6 +1,6 @@
 """Reads operators' change files and their templates from disk.
 
-Owns the form of a change file; relies on the product's templates and parameters to check it.
+`node.configuration` parses and validates their contents.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/cli/config_log.py
+++ b/src/stagewalk/cli/config_log.py
@@ -1,7 +1,7 @@
-"""An operator's session with the log: the product's log client over plain HTTP calls.
+"""An operator's session with the log: the node's log client over blocking HTTP calls.
 
-Owns the HTTP calls and the deadline of a session; relies on `node.log_client` for retries and on
-`node.configuration` for outcomes.
+Makes the HTTP calls and enforces the deadline of each operation; `node.log_client` handles retries
+and `node.configuration` determines outcomes.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """A change that is in the log, and what the fold made of it on every node."""
+    """A change in the log and its outcome, which is the same on every node."""
 
     record_id: RecordId
     offset: int
@@ -72,12 +72,12 @@
 
 
 class LogSession:
-    """Follows the configuration's stream and publishes on it.
+    """Follows the configuration stream and publishes to it.
 
     Parameters
     ----------
     timeout_seconds
-        How long each operation may go on trying.
+        Timeout of each operation, retries included.
     """
 
     def __init__(self, url: str, client_id: str, timeout_seconds: float) -> None:
@@ -97,7 +97,7 @@
         self._http.close()
 
     def catch_up(self) -> Result[int, StagewalkError]:
-        """Fold the stream, from the latest snapshot on, up to its head; return that offset."""
+        """Apply the stream from the latest snapshot up to its head; return that offset."""
         deadline = time.monotonic() + self._timeout
         self._client.follow_latest(CONFIGURATION_SNAPSHOT_STREAM, 1)
         while not self._snapshots_read:
@@ -110,9 +110,9 @@
         return Ok(self.fold.offset)
 
     def publish(self, change: AnyChange) -> Result[Published, StagewalkError]:
-        """Append a change, settle it if its answer is lost, and return what became of it.
+        """Append a change and return its outcome; a lost answer is resolved by reading the log.
 
-        The error says `ran=unknown` if the record may have landed or may still land.
+        The error has `ran=unknown` if the record may have been appended or may still be.
         """
         now = time.monotonic()
         deadline = now + self._timeout
@@ -151,7 +151,7 @@
         return True
 
     def _execute(self, output: list[LogClientOutput]) -> None:
-        """Carry instructions out one by one, with those that follow from their answers."""
+        """Execute instructions in order, with those that result from their answers."""
         waiting = deque(output)
         while waiting:
             item = waiting.popleft()
@@ -161,7 +161,7 @@
                 case AppendRecord():
                     waiting.extend(self._handle(self._append(item)))
                 case RecordsRead():
-                    self._fold_records(item)
+                    self._apply_records(item)
                 case AppendSettled() | AppendAbandoned():
                     self._settled = item
 
@@ -170,7 +170,7 @@
             self._last_failure = event.detail
         return self._client.handle(event, time.monotonic())
 
-    def _fold_records(self, read: RecordsRead) -> None:
+    def _apply_records(self, read: RecordsRead) -> None:
         if read.stream == CONFIGURATION_SNAPSHOT_STREAM:
             self._snapshots_read = True
             if read.records:
@@ -196,7 +196,7 @@
         return LogRead(item.stream, records, answer.head)
 
     def _append(self, item: AppendRecord) -> AppendConfirmed | AppendFailed:
-        """Append; only a connection that never came about or a 4xx proves that nothing landed."""
+        """Append a record; only a failed connection or a 4xx proves that nothing was appended."""
         body = _AppendBody([_AppendedRecord(item.record_id, item.payload)])
         stream, record_id = item.stream, item.record_id
         try:
--- a/src/stagewalk/cli/config_nodes.py
+++ b/src/stagewalk/cli/config_nodes.py
@@ -1,7 +1,6 @@
 """Asks nodes which configuration they have in force.
 
-Owns the polling of `GET /control/status`; nodes out of reach are judged by what other members
-report of them.
+Polls `GET /control/status`; for nodes that were not asked, uses the offsets that others report.
 """
 
 from __future__ import annotations
@@ -34,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeProgress:
-    """How far one node is, in its own words or, with an empty digest, in another's.
+    """Configuration offset of one node, reported by itself or by another node (empty digest).
 
-    `offset` is None for a node that did not answer; `failure` says why.
+    `offset` is None for a node that did not answer; `failure` holds the cause.
     """
 
     name: str
@@ -82,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitResult:
-    """How a wait ended: the last progress of all nodes and, if none is late, who came last."""
+    """Result of a wait: final progress of all nodes, those still late, and the last to catch up."""
 
     nodes: list[NodeProgress]
     late: list[NodeProgress]
@@ -91,7 +90,7 @@
 
 
 def wait_for_nodes(urls: Sequence[str], offset: int, timeout_seconds: float) -> WaitResult:
-    """Poll until every node has reached an offset or time is up."""
+    """Poll until every node has reached an offset or the timeout expires."""
     began = time.monotonic()
     slowest = ""
     while True:
--- a/src/stagewalk/cli/config_output.py
+++ b/src/stagewalk/cli/config_output.py
@@ -1,7 +1,4 @@
-"""What the commands of `stagewalk config` share: exit codes, session, and lines of text.
-
-Owns the text of outcomes, nodes and errors; relies on `config_log` for the session.
-"""
+"""Exit codes, session setup and output formatting shared by the `stagewalk config` commands."""
 
 from __future__ import annotations
 
@@ -19,7 +16,7 @@
 
 
 def open_session(arguments: argparse.Namespace, client_id: str) -> LogSession:
-    """Return a session with the log that the flags name."""
+    """Return a session with the log given by the flags."""
     return LogSession(arguments.log, client_id, arguments.timeout_seconds)
 
 
@@ -38,7 +35,7 @@
 
 
 def progress_text(node: NodeProgress, offset: int) -> str:
-    """Return a node's state as a line, against the log's offset."""
+    """Return a line with a node's state relative to a log offset."""
     if node.offset is None:
         return f'node={node.name} state=unreachable detail="{node.failure}"'
     state = "late" if node.is_late(offset) else "in_force"
--- a/src/stagewalk/cli/config_publish.py
+++ b/src/stagewalk/cli/config_publish.py
@@ -1,7 +1,7 @@
 """Commands of `stagewalk config` that check or publish a change.
 
-Owns how a command line becomes a record and what is printed of its outcome; relies on `config_log`
-to publish and on `config_nodes` to wait until it is in force.
+Converts a command line to a record and prints its outcome; `config_log` publishes it and
+`config_nodes` waits until it is in force.
 """
 
 from __future__ import annotations
@@ -125,7 +125,7 @@
     tenant: TenantName,
     change: Callable[[ConfigurationStateMachine, int], AnyChange],
 ) -> int:
-    """Publish the change that follows from what is in force; print its outcome."""
+    """Publish a change built from the configuration in force; print its outcome."""
     if arguments.wait and not arguments.nodes:
         print("stagewalk config: --wait needs --nodes; nothing was published", file=sys.stderr)
         return EXIT_NOT_DONE
--- a/src/stagewalk/cli/config_show.py
+++ b/src/stagewalk/cli/config_show.py
@@ -1,6 +1,6 @@
-"""Commands of `stagewalk config` that show what is in force, and where.
+"""Commands of `stagewalk config` that show the configuration in force and the state of nodes.
 
-Owns what they print; relies on `config_log` to read the log and on `config_nodes` to poll nodes.
+`config_log` reads the log and `config_nodes` polls the nodes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def status(arguments: argparse.Namespace) -> int:
-    """Show what is in force; without the log, what the nodes report."""
+    """Show the configuration in force, or only the nodes' reports if the log can't be read."""
     with closing(open_session(arguments, "")) as session:
         caught_up = session.catch_up()
         fold = session.fold
--- a/src/stagewalk/cli/explain.py
+++ b/src/stagewalk/cli/explain.py
@@ -1,7 +1,7 @@
-"""`stagewalk explain`: print from logs what became of a request, a batch or an item.
+"""`stagewalk explain`: print the timeline of a request, a batch or an item from logs.
 
-Owns the text that is printed; relies on `gateway.explain.timeline` for events and first failure,
-and on `gateway.explain.waits` for what a request waited for.
+`gateway.explain.timeline` finds the events and the first failure, `gateway.explain.waits` what a
+request waited for.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print the story and return the exit code (1: no line names the id)."""
+    """Print the timeline and return the exit code (1: no line names the id)."""
     lines = read_logs(arguments.logs)
     if lines is None:
         return EXIT_BAD_ARGUMENTS
@@ -40,7 +40,7 @@
 
 
 def render_story(timeline: Timeline) -> list[str]:
-    """Return a story as lines of text: its lines in time order, then what follows from them."""
+    """Return a timeline as text: its log lines in time order, then a summary."""
     began = timeline.own[0].at
     own = set(map(id, timeline.own))
     text = [f"{timeline.kind.value} {timeline.identity}, from {_moment(began)}"]
--- a/src/stagewalk/cli/log_files.py
+++ b/src/stagewalk/cli/log_files.py
@@ -1,7 +1,6 @@
-"""Logs of nodes as arguments of a command, read whole.
+"""Reads the node logs that are given as arguments of a command.
 
-Owns the argument `logs` and the message about one that can't be read; relies on
-`gateway.explain.log_line` for what a line says.
+`gateway.explain.log_line` parses the lines.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 
 
 def read_logs(names: list[str]) -> list[LogLine] | None:
-    """Return the lines of all logs, or None after printing which one can't be read."""
+    """Return the lines of all logs, or None after reporting one that can't be read."""
     lines: list[LogLine] = []
     for name in names:
         try:
--- a/src/stagewalk/cli/main.py
+++ b/src/stagewalk/cli/main.py
@@ -1,9 +1,7 @@
 """The command `stagewalk`: hands each subcommand to its own module, imported only when asked for.
 
 A subcommand is a module `stagewalk.cli.<name>` with `add_flags(parser)` and
-`run(arguments) -> int`. Importing late keeps the daemon free of the simulation's libraries.
-
-Owns the list of subcommands and the exit code for wrong flags; relies on the subcommands' modules.
+`run(arguments) -> int`. The late import keeps the simulation's libraries out of the daemon.
 """
 
 from __future__ import annotations
@@ -27,13 +25,13 @@
 
 
 class Subcommand(Protocol):
-    """What a module of a subcommand offers."""
+    """Interface of a subcommand's module."""
 
     def add_flags(self, parser: argparse.ArgumentParser) -> None:
         """Define the subcommand's flags."""
 
     def run(self, arguments: argparse.Namespace) -> int:
-        """Carry the subcommand out and return the exit code."""
+        """Run the subcommand and return the exit code."""
 
 
 def run(arguments: Sequence[str] | None = None) -> int:
@@ -54,7 +52,7 @@
 
 
 def _import(name: str, parser: argparse.ArgumentParser) -> Subcommand:
-    """Import a subcommand's module; a library that is not installed ends the command line."""
+    """Import a subcommand's module; exit with a usage error if a library is missing."""
     try:
         return cast(Subcommand, importlib.import_module(f"stagewalk.cli.{name}"))
     except ModuleNotFoundError as error:
--- a/src/stagewalk/cli/node.py
+++ b/src/stagewalk/cli/node.py
@@ -1,6 +1,6 @@
 """`stagewalk node`: the node daemon.
 
-Owns no behaviour; relies on `node.settings` for flags and on `node.daemon` to run.
+`node.settings` loads the settings and `node.daemon` runs the node.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/cli/sim.py
+++ b/src/stagewalk/cli/sim.py
@@ -1,7 +1,7 @@
 """`stagewalk sim`: simulate a deployment on a virtual clock.
 
-With the word `sweep` it runs many seeds side by side and shrinks the first that fails. Owns the
-command's flags and what it prints; relies on `simulation` for runs and on `history` for verdicts.
+In mode `sweep` it runs many seeds in parallel and shrinks the first failing run. `simulation` runs
+the deployment and `history` checks it.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from stagewalk.simulation.sweep import missing_checks, run_many, run_report
 
 Bar: TypeAlias = "tqdm[NoReturn]"
-"""A progress bar without an iterable of its own."""
+"""A progress bar that is updated by hand, without an iterable."""
 
 EXIT_CLEAN = 0
 EXIT_VIOLATION = 1
@@ -69,7 +69,7 @@
 
 
 def _parse(arguments: argparse.Namespace) -> SimulationArguments | None:
-    """Return a run's arguments, or None after saying what is wrong with them."""
+    """Return a run's arguments, or None after printing why they are invalid."""
     if arguments.replay is not None:
         try:
             return msgspec.json.decode(arguments.replay.read_bytes(), type=Replay).arguments
@@ -122,7 +122,7 @@
 
 
 def _shrink(report: SimulationReport, folder: Path) -> None:
-    """Shrink a failing run and write the smaller one for `--replay`."""
+    """Shrink a failing run and write the result for `--replay`."""
     with tqdm(total=SHRINKING_RUNS, unit="run", desc="shrinking") as bar:
 
         def counted(arguments: SimulationArguments) -> SimulationReport:
@@ -161,7 +161,7 @@
 
 
 def render_sweep(reports: list[SimulationReport]) -> str:
-    """Return the totals of many runs, and what broke in which."""
+    """Return the totals of many runs, and the broken promises of each failing run."""
     lines = [f"{len(reports)} runs, {sum(not report.clean for report in reports)} failing"]
     for promise in reports[0].checked:
         checked = [report.checked[promise] for report in reports]
--- a/src/stagewalk/cli/steps.py
+++ b/src/stagewalk/cli/steps.py
@@ -1,7 +1,6 @@
-"""`stagewalk steps`: print where the time of trainers' steps and recoveries went.
+"""`stagewalk steps`: print how the time of trainers' steps and recoveries was spent.
 
-Owns the text that is printed; relies on `gateway.explain.steps`, which draws the accounts from the
-logs of all nodes.
+`gateway.explain.steps` computes the summaries from the logs of all nodes.
 """
 
 from __future__ import annotations
@@ -25,13 +24,13 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print the accounts and return the exit code."""
+    """Print the summaries and return the exit code."""
     lines = read_logs(arguments.logs)
     if lines is None:
         return EXIT_BAD_ARGUMENTS
     began = min((line.at for line in lines), default=0.0)
-    for account in summarize_steps(lines):
-        print("\n".join(render_step(account, began, arguments.last)))
+    for step in summarize_steps(lines):
+        print("\n".join(render_step(step, began, arguments.last)))
     for recovery in find_recoveries(lines):
         print(
             f"all back at {recovery.at - began:.3f} s ({recovery.nodes} nodes), "
@@ -40,22 +39,22 @@
     return EXIT_DONE
 
 
-def render_step(account: StepSummary, began: float, last: int) -> list[str]:
-    """Return a step's account as lines of text.
+def render_step(step: StepSummary, began: float, last: int) -> list[str]:
+    """Return a step's summary as lines of text.
 
     Parameters
     ----------
     began
-        Moment that times are counted from, in seconds since 1970.
+        Reference time of the printed times, in seconds since 1970.
     last
-        How many of its last items to show.
+        Number of the step's last items to show.
     """
     text = [
-        f"step {account.step} batch {account.batch} at {account.submitted_at - began:.2f} s: "
-        f"{account.listed} of {account.items} finished, opened {account.opened:+.2f}, "
-        f"runners {account.runners}, ended {account.ended:+.2f}"
+        f"step {step.step} batch {step.batch} at {step.submitted_at - began:.2f} s: "
+        f"{step.listed} of {step.items} finished, opened {step.opened:+.2f}, "
+        f"runners {step.runners}, ended {step.ended:+.2f}"
     ]
-    for path in account.last(last):
+    for path in step.last(last):
         cuts = "; ".join(path.cuts) or "no cut"
         text.append(
             f"    {path.item}: begun {path.first_start:+.2f}, done {path.finished:+.2f}, "
--- a/tests/cli/log_stub.py
+++ b/tests/cli/log_stub.py
@@ -1,4 +1,4 @@
-"""A tiny log service and node status on a loopback address, with faults."""
+"""A stub of the log service and of a node's status on a loopback address, with faults."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class LogStub(ThreadingHTTPServer):
     """Serves the log's protocol and, under `/control/status`, one node's status.
 
-    So many of the next appends as `lose_answers` and `refuse` say take effect without an answer,
-    or fail without effect; while it is `down`, everything of the log fails.
+    The next `lose_answers` appends take effect but get no answer; the next `refuse` appends fail
+    without effect. While `down` is set, every log request fails.
     """
 
     daemon_threads = True
--- a/tests/cli/test_config.py
+++ b/tests/cli/test_config.py
@@ -1,4 +1,4 @@
-"""Operators publish, are told what became of it, and see who is late."""
+"""Tests `stagewalk config`: publishing, reported outcomes and late nodes."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
             self.assertEqual(2, error.code)
         self.assertEqual(0, self.records())
 
-    def test_a_lost_answer_is_settled_by_reading_back(self) -> None:
+    def test_a_lost_answer_is_resolved_by_reading_the_log(self) -> None:
         self.log.lose_answers = 1
         self.assertEqual(0, self.publish())
         self.assertIn("accepted revision=1", self.output)
@@ -106,7 +106,7 @@
         self.assertEqual(0, self.publish())
         self.assertEqual(1, self.records())
 
-    def test_a_log_that_is_down_is_said_to_be(self) -> None:
+    def test_a_log_that_is_down_is_reported(self) -> None:
         self.log.down = True
         flags = (*ARCHIVE, f"--log={self.log.url}", "--timeout_seconds=0.5")
         self.assertEqual(2, self.run_command("publish", CATALOGUE, *flags))
@@ -133,7 +133,7 @@
         expected = ["- staleness_bound_versions = 1", "+ staleness_bound_versions = 3"]
         self.assertEqual(expected, self.output.splitlines())
 
-    def test_waiting_and_status_say_who_is_late(self) -> None:
+    def test_waiting_and_status_report_late_nodes(self) -> None:
         self.log.status = {
             "name": "node-a",
             "configuration_offset": 1,
@@ -152,7 +152,7 @@
         self.assertEqual(2, self.run_on_log("status", nodes))
         self.assertIn("node=node-b state=in_force offset=2", self.output)
 
-    def test_status_tells_a_node_with_another_state(self) -> None:
+    def test_status_reports_a_node_with_another_state(self) -> None:
         self.log.status = {
             "name": "node-a",
             "configuration_offset": 0,
