--- a/src/stagewalk/bench/capacity_data.py
+++ b/src/stagewalk/bench/capacity_data.py
@@ -1,7 +1,7 @@
 """Measurements behind docs/CAPACITY.md, as they are kept in docs/capacity.json.
 
-Owns the file's form and its reading and writing. `sizes` was measured by a bench that is gone: its
-figures are kept, and `capacity_model` draws lines through them.
+Defines the file format and reads and writes it. `sizes` was measured by a benchmark that no longer
+exists; its figures are kept, and `capacity_model` fits lines to them.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class SizeMeasurement(msgspec.Struct, frozen=True, kw_only=True):
-    """One hollow cluster at rest, and how it took a change and a death.
+    """One hollow cluster at rest, and its reaction to a configuration change and a node's death.
 
-    Rates are for one node, in seconds. Bytes between nodes include 28 of IP and UDP headers a
-    message. `None`: it did not come about in the time given.
+    Rates are per node and second. Bytes between nodes include 28 bytes of IP and UDP headers per
+    message. `None`: the event did not happen within the time limit.
 
     Attributes
     ----------
@@ -53,14 +53,14 @@
 
 
 class UnitCost(msgspec.Struct, frozen=True, kw_only=True):
-    """What one unit of work costs, by a straight line through runs of several lengths.
+    """Cost of one unit of work, from a line fitted to runs of several lengths.
 
     Attributes
     ----------
     cpu_microseconds, cpu_error
         Slope of processor time, and its standard error.
     bytes_out, bytes_in
-        Octets that cross the socket, without IP and TCP headers; 0 where none does.
+        Bytes sent and received on the socket, without IP and TCP headers; 0 without a socket.
     """
 
     name: str
@@ -73,7 +73,7 @@
 
 
 class FaultMeasurement(msgspec.Struct, frozen=True, kw_only=True):
-    """How membership took a fault, on virtual time.
+    """Reaction of membership to a fault, in virtual time.
 
     Attributes
     ----------
@@ -82,7 +82,7 @@
     bytes_out, cpu_percent
         Mean of a node over that time: bytes a second with IP and UDP headers, percent of a core.
     wrongly_dead
-        Running, reachable nodes that anyone called dead meanwhile.
+        Running, reachable nodes that any node declared dead meanwhile.
     """
 
     fault: str
@@ -94,7 +94,7 @@
 
 
 class EdgeMeasurement(msgspec.Struct, frozen=True, kw_only=True):
-    """Completions through a node against the same sent straight to an engine, in seconds."""
+    """Latency of completions through a node and directly to an engine, in seconds."""
 
     requests: int
     direct_p50: float
@@ -104,7 +104,7 @@
 
     @property
     def added_p50(self) -> float:
-        """Return what the node adds at the median."""
+        """Return the latency that the node adds at the median."""
         return self.through_p50 - self.direct_p50
 
 
--- a/src/stagewalk/bench/capacity_model.py
+++ b/src/stagewalk/bench/capacity_model.py
@@ -1,7 +1,7 @@
-"""What each role comes to at the planned size: measured slopes times planned rates.
+"""Estimates the load of each role at the planned size: measured slopes times planned rates.
 
-Owns the rules from figures to roles; relies on `capacity_data` for measurements, on `planned_load`
-for rates and on the node's own settings for bounds.
+Measurements come from `capacity_data`, rates from `planned_load` and bounds from the node's
+settings.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleLoad:
-    """A role at the planned size, for one node that has it. `None`: not measured."""
+    """Load of a role at the planned size on one node that has it. `None`: not measured."""
 
     role: str
     state: str
@@ -45,15 +45,15 @@
 
 
 def complete_sizes(data: CapacityData) -> list[SizeMeasurement]:
-    """Return the sizes at which every node saw all."""
+    """Return the sizes at which every node saw all members."""
     return [size for size in data.sizes if size.complete]
 
 
 def planned_value(data: CapacityData, field: str) -> float | None:
-    """Return a figure at the planned size: measured there, else by the line.
+    """Return a figure at the planned size: measured there, else extrapolated.
 
-    No figure falls as nodes are added: a line that does comes of noise, and the mean of the
-    sizes stands in for its value.
+    No figure decreases as nodes are added: a falling line is noise, and the mean over the sizes
+    is used instead.
     """
     for size in complete_sizes(data):
         if size.nodes == planned.NODES:
@@ -63,7 +63,7 @@
 
 
 def control_roles(data: CapacityData) -> tuple[RoleLoad, ...]:
-    """Return the roles that count as control, which every node has."""
+    """Return the control roles, which every node has."""
     return (
         _rest(data),
         _engine_polls(data),
@@ -85,7 +85,7 @@
 
 
 def control_total(data: CapacityData) -> RoleLoad:
-    """Return the sum of what every node's control takes."""
+    """Return the total load of a node's control roles."""
     roles = control_roles(data)
     return RoleLoad(
         role="**all of a node's control**",
@@ -109,7 +109,7 @@
 
 
 def _control_memory(data: CapacityData) -> float | None:
-    """A node at rest, and what the members of the planned size add to it."""
+    """Return the memory of a node at rest plus that of the planned number of members."""
     line = line_of(data, "resident_kilobytes")
     if line is None or data.idle_memory_megabytes is None:
         return None
@@ -131,7 +131,7 @@
 
 
 def _rate_of_largest(data: CapacityData, field: str) -> float:
-    """Return a rate that steps down where deployments grow large: that of the largest size."""
+    """Return the rate at the largest size, for a rate that drops in large deployments."""
     sizes = complete_sizes(data)
     if not sizes:
         return 0.0
--- a/src/stagewalk/bench/capacity_page.py
+++ b/src/stagewalk/bench/capacity_page.py
@@ -1,7 +1,7 @@
 """The generated part of docs/CAPACITY.md.
 
-Owns the tables' form. Relies on `capacity_data` for measurements and `capacity_model` for what they
-come to at the planned size; a test holds the committed page to the committed data.
+Formats the measurements of `capacity_data` and the estimates of `capacity_model` as tables. A test
+compares the committed page with the committed data.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     "Measured 2026-12-02 on x86_64, Python 3.11.7, at commit b919428;"
     " the code that measured them is gone."
 )
-"""Origin of `CapacityData.sizes`, which no command measures anew."""
+"""Origin of `CapacityData.sizes`, which no command measures again."""
 
 
 def write_page(path: Path, data: CapacityData) -> None:
--- a/src/stagewalk/bench/claim_costs.py
+++ b/src/stagewalk/bench/claim_costs.py
@@ -1,6 +1,6 @@
-"""What a claim costs its proposer and each of its replicas.
+"""Measures the cost of a claim at its proposer and at each of its replicas.
 
-Owns the runs and their messages; relies on `node.claims` without clock or network.
+Runs the cores of `node.claims` in memory, without a clock or a network.
 """
 
 from __future__ import annotations
--- a/src/stagewalk/bench/core_costs.py
+++ b/src/stagewalk/bench/core_costs.py
@@ -1,7 +1,6 @@
-"""What units of work cost in the cores: requests, chunks, samples, reports, records.
+"""Measures the cost of units of work in the cores: requests, chunks, samples, reports, records.
 
-Owns the runs and their inputs; relies on the node's cores, fed events directly, and on
-`unit_timing` for the slopes.
+The node's cores receive events directly; `unit_timing` computes the slopes.
 """
 
 from __future__ import annotations
@@ -133,7 +132,7 @@
         self._count = 0
 
     def run(self, requests: int, chunks: int) -> None:
-        """Run requests of so many chunks each."""
+        """Run a number of requests of `chunks` chunks each."""
         for _ in range(requests):
             self._run_one(chunks)
 
@@ -187,18 +186,18 @@
 
 
 class _SampleBench:
-    """A sample ledger whose rollouts, scores and claims are answered at once."""
+    """A sample ledger whose rollouts, scores and claims are answered immediately."""
 
     def __init__(self) -> None:
         self._core = LotCore(node_identities(1)[0], LotConfig(), random.Random(1))
         self._core.set_tenants({TENANT: _tenant()})
 
     def run(self, slots: int) -> None:
-        """Run a step of so many slots and pull all its samples."""
+        """Run a step of `slots` slots and pull all its samples."""
         prompts = tuple(RolloutPrompt(f"p-{i}", f"prompt {i}", 256) for i in range(slots // 8))
         lot = RolloutLot(TENANT, "trainer", 1, MODEL, VERSION, prompts, 8, 600.0)
         waiting = deque(self._core.submit(CallId("submit"), lot, NOW))
-        # A new lot is held back for a moment, lest another node has run it already.
+        # A new lot is delayed in case another node has already run it.
         waiting.extend(self._core.tick(LATER))
         while waiting:
             waiting.extend(self._answer(waiting.popleft()))
@@ -241,10 +240,10 @@
         self._engines = [machine.name for machine in machines]
         self._core.handle_machines(tuple(machines), NOW)
         self._core.set_lease(MODEL, Epoch(1))
-        self.take_reports(1)
+        self.handle_reports(1)
         self._core.tick(NOW)
 
-    def take_reports(self, count: int) -> None:
+    def handle_reports(self, count: int) -> None:
         """Handle that many reports from each engine."""
         for index in range(count):
             at = NOW + index
@@ -252,7 +251,7 @@
                 self._core.handle_report(_report(engine, MODEL, at), at)
 
     def evaluate(self, count: int) -> None:
-        """Evaluate the pool as often as it takes to look at that many engines."""
+        """Evaluate the pool until `count` engines have been evaluated in total."""
         for index in range(count // len(self._engines)):
             self._core.tick(NOW + 2 + index)
 
@@ -261,7 +260,7 @@
     slope = CpuSlope()
     for count in ENGINE_COUNTS:
         bench = _RolloutBench(REPORTED_ENGINES)
-        slope.run(count, bench.take_reports)
+        slope.run(count, bench.handle_reports)
     return _unit("weights_report", f"{REPORTED_ENGINES} reports at the duty's holder", slope)
 
 
--- a/src/stagewalk/bench/fault_costs.py
+++ b/src/stagewalk/bench/fault_costs.py
@@ -1,9 +1,7 @@
-"""What failures of many machines cost membership, on virtual time.
+"""Measures the cost of machine failures in membership, in virtual time.
 
-Only membership runs here: its traffic and processor time, not those of the other cores that hear
-of the changes.
-
-Owns the faults and the rule when views have settled; relies on `membership_network` for the cores.
+Only membership runs here: the traffic and processor time of other cores that react to the changes
+are not included. `membership_network` runs the cores.
 """
 
 from __future__ import annotations
@@ -20,10 +18,10 @@
 
 JOIN_SECONDS = 20.0
 STEP_SECONDS = 1.0
-LONGEST_SECONDS = 90.0
+SETTLE_TIMEOUT_SECONDS = 90.0
 RACK_NODES = 10
 REGION_PARTITION_NODE_LIMIT = 210
-"""Most nodes with which the regions are cut: beyond, the run takes minutes."""
+"""Largest network in which regions are partitioned; larger ones take minutes."""
 
 ONE_WAY_SECONDS = 0.002
 
@@ -35,7 +33,7 @@
 
 
 class _FaultBench:
-    """A joined network of nodes in the planned places."""
+    """A joined network of nodes in the planned zones."""
 
     def __init__(self, node_count: int) -> None:
         self.network = MembershipNetwork(seed=1)
@@ -53,19 +51,19 @@
         return [name for name, place in self.placements.items() if place.zone == zone]
 
     def kill(self, names: list[str]) -> None:
-        """End processes."""
+        """Kill processes."""
         for name in names:
             self.network.kill(name)
 
     def restart(self, names: list[str]) -> None:
-        """Start processes anew under the same names and addresses."""
+        """Restart processes under the same names and addresses."""
         for name in names:
             place = self.placements[name]
             self.network.start(name, place.zone, place.region)
         self.network.list_machines()
 
     def cut_regions(self) -> None:
-        """Lose all messages between regions."""
+        """Drop all messages between regions."""
         region = {name: place.region for name, place in self.placements.items()}
         self.network.cut = lambda sender, receiver: region[sender] != region[receiver]
 
@@ -86,7 +84,7 @@
 
 
 def measure_faults(node_count: int, with_regions: bool) -> tuple[FaultMeasurement, ...]:
-    """Apply one fault after another to a network and measure how it settles."""
+    """Apply faults to a network in sequence and measure how long it takes to settle."""
     bench = _FaultBench(node_count)
     zone = next(iter(bench.placements.values())).zone
     one = bench.names_in_zone(zone)[:1]
@@ -112,7 +110,7 @@
     started_at = network.now
     cause()
     settled = False
-    while not settled and network.now - started_at < LONGEST_SECONDS:
+    while not settled and network.now - started_at < SETTLE_TIMEOUT_SECONDS:
         network.run(STEP_SECONDS)
         settled = bench.views_settled()
     after = _read(network)
--- a/src/stagewalk/bench/http_costs.py
+++ b/src/stagewalk/bench/http_costs.py
@@ -1,7 +1,6 @@
-"""What a call of a node to an engine or the platform costs over HTTP, through the real adapters.
+"""Measures the cost of a node's HTTP calls to an engine or the platform, with the real adapters.
 
-Owns the calls and the count of their bytes; relies on stand-in processes from `processes` to
-answer.
+Counts the bytes of the calls; the stand-in processes of `processes` answer them.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
 
 
 class _CountingTransport(httpx.AsyncBaseTransport):
-    """Passes calls on and counts their octets: lines, headers and bodies."""
+    """Forwards calls and counts their bytes: start lines, headers and bodies."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -102,7 +101,7 @@
 
 
 async def _measure_machine_list(url: str) -> tuple[UnitCost, UnitCost]:
-    """Read lists of several lengths: the line's height is the call, its slope a row."""
+    """Fit a line to list lengths: the intercept is the cost of a call, the slope that of a row."""
     rows: list[float] = []
     seconds: list[float] = []
     received: list[float] = []
--- a/src/stagewalk/bench/lone_node.py
+++ b/src/stagewalk/bench/lone_node.py
@@ -1,7 +1,6 @@
 """One real node with stand-ins around it: its memory at rest, and the latency it adds.
 
-Owns the readings; relies on real processes from `processes` and on `psutil` for their memory and
-time.
+`processes` starts the processes; `psutil` reads their memory and processor time.
 """
 
 from __future__ import annotations
@@ -36,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleNode:
-    """A node at rest, alone and without calls."""
+    """Resource use of a single node without requests."""
 
     resident_megabytes: float
     cpu_percent: float
@@ -51,7 +50,7 @@
 
 
 def measure_idle(log_path: Path, seconds: float) -> IdleNode:
-    """Start a node and return what it takes at rest."""
+    """Start a node and return its resource use at rest."""
     with ChildProcesses(log_path) as children:
         running = _start(children)
         process = psutil.Process(running.node_pid)
@@ -65,7 +64,7 @@
 
 
 def measure_edge(log_path: Path, requests: int) -> EdgeMeasurement:
-    """Time completions through a node and straight to an engine, in turn."""
+    """Time completions through a node and directly to an engine, alternately."""
     with ChildProcesses(log_path) as children:
         return anyio.run(partial(_measure_edge, _start(children), requests), backend="asyncio")
 
--- a/src/stagewalk/bench/membership_network.py
+++ b/src/stagewalk/bench/membership_network.py
@@ -1,6 +1,6 @@
 """Deterministic in-memory network of membership cores, with loss, delay, partitions and pauses.
 
-Owns virtual time, messages in flight and faults; relies on `node.membership` as it runs in a node.
+Simulates time, messages in flight and faults; the cores are those that run in a node.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class MembershipNetwork:
-    """Membership cores on virtual time; tests and `fault_costs` set their faults.
+    """Membership cores in virtual time; tests and `fault_costs` inject faults.
 
     Attributes
     ----------
@@ -56,7 +56,7 @@
         self._ticks: list[tuple[float, str]] = []
 
     def start(self, name: str, zone: str = "z1", region: str = "r1") -> MembershipCore:
-        """Start a node, or start it anew under the same name and address."""
+        """Start a node, or restart it under the same name and address."""
         known = self.cores.get(name)
         fresh = Address("10.0.0.1", 7000 + len(self.cores))
         address = known.identity.address if known is not None else fresh
@@ -72,7 +72,7 @@
         return self.cores[name]
 
     def kill(self, name: str) -> None:
-        """End a node's process without a word."""
+        """Stop a node's process without an announcement."""
         self.paused.add(name)
 
     def leave(self, name: str) -> None:
@@ -80,14 +80,14 @@
         self._execute(name, self.cores[name].leave(self.now))
 
     def list_machines(self, names: Iterable[str] | None = None) -> None:
-        """Show every running node a machine list."""
+        """Pass a machine list to every running node."""
         machines = [self._machine(name) for name in sorted(names or self.cores)]
         for name in sorted(self.cores):
             if name not in self.paused:
                 self.cores[name].handle_machines(machines, self.now)
 
     def run(self, seconds: float) -> None:
-        """Run all deliveries and ticks of a time."""
+        """Run all deliveries and ticks of the next `seconds`."""
         end = self.now + seconds
         while True:
             tick_at, name = self._ticks[0]
--- a/src/stagewalk/bench/planned_layout.py
+++ b/src/stagewalk/bench/planned_layout.py
@@ -1,7 +1,6 @@
-"""Nodes and engines of any number, in the proportions and places of the planned size.
+"""Generates nodes and engines in the proportions and zones of the planned deployment.
 
-For measurements that need a membership or a machine list: names, loopback addresses, zones. Owns
-nothing that runs; relies on `planned_load` for the planned numbers.
+For measurements that need a membership or a machine list: names, loopback addresses, zones.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 
 
 def node_identities(count: int) -> tuple[NodeIdentity, ...]:
-    """Return that many nodes, zone by zone in turn, each with its own loopback address."""
+    """Return `count` nodes, round robin over the zones, each with its own loopback address."""
     incarnation = Incarnation(time.time_ns() // 1_000_000)
     return tuple(
         NodeIdentity(
--- a/src/stagewalk/bench/planned_load.py
+++ b/src/stagewalk/bench/planned_load.py
@@ -1,7 +1,7 @@
-"""The size that is planned for, and the limits of a node's control work.
+"""The planned deployment size, and the limits of a node's control work.
 
-Owns the figures, which DEVELOPERS.md states as the size to design for; `capacity_model` multiplies
-them with measured costs.
+DEVELOPERS.md states these figures as the size to design for; `capacity_model` multiplies them by
+measured costs.
 """
 
 from __future__ import annotations
@@ -26,4 +26,4 @@
 REQUESTS_PER_NODE = REQUESTS_PER_SECOND / NODES
 SAMPLES_PER_SECOND = TRAINERS * SAMPLES_PER_STEP / STEP_SECONDS
 CLAIMS_PER_SECOND = REQUESTS_PER_SECOND + SAMPLES_PER_SECOND
-"""Every request non-repeatable, and one claim a sample: the most there can be."""
+"""Upper bound: every request is non-repeatable, and each sample takes one claim."""
--- a/src/stagewalk/bench/processes.py
+++ b/src/stagewalk/bench/processes.py
@@ -1,6 +1,6 @@
-"""Child processes of a bench: stand-ins and a node, on free loopback ports.
+"""Child processes of a benchmark: stand-ins and a node, on free loopback ports.
 
-Owns the processes it started and ends them with its block.
+The processes are stopped when the context manager exits.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 def free_address() -> str:
-    """Return a loopback address with a port that was free a moment ago."""
+    """Return a loopback address with a port that was free when it was checked."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return f"{HOST}:{probe.getsockname()[1]}"
 
 
 class ChildProcesses:
-    """Processes that end with this block."""
+    """A context manager that stops its processes on exit."""
 
     def __init__(self, log_path: Path) -> None:
         self._log_path = log_path
@@ -56,7 +56,7 @@
         self._log.close()
 
     def start_standin(self, *arguments: str) -> None:
-        """Start a stand-in of the platform."""
+        """Start a platform stand-in."""
         self._start("stagewalk_standins", *arguments)
 
     def start_node(self, *arguments: str) -> int:
--- a/src/stagewalk/bench/slopes.py
+++ b/src/stagewalk/bench/slopes.py
@@ -1,7 +1,4 @@
-"""Straight lines through measurements, with their standard errors.
-
-Owns the fit; relies on nothing but the points.
-"""
+"""Least-squares lines through measurements, with their standard errors."""
 
 from __future__ import annotations
 
@@ -42,7 +39,7 @@
 
 
 def fit(positions: Sequence[float], values: Sequence[float]) -> Line:
-    """Fit a line; two points at least, at different positions."""
+    """Fit a line to at least two points at different positions."""
     slope, intercept = statistics.linear_regression(positions, values)
     mean = statistics.fmean(positions)
     spread = sum((position - mean) ** 2 for position in positions)
--- a/src/stagewalk/bench/unit_timing.py
+++ b/src/stagewalk/bench/unit_timing.py
@@ -1,6 +1,6 @@
 """Processor time of one unit of work: the slope over runs of several lengths.
 
-Owns the runs of one unit; relies on `slopes` for the line through them.
+`slopes` fits the line.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class CpuSlope:
-    """Collects runs and gives their slope in microseconds a unit."""
+    """Collects runs and computes their slope in microseconds per unit."""
 
     def __init__(self) -> None:
         self._counts: list[float] = []
         self._seconds: list[float] = []
 
     def run(self, count: int, work: Callable[[int], None]) -> None:
-        """Run `work(count)` with the collector quiet and add its processor time."""
+        """Collect garbage, run `work(count)` and add its processor time."""
         gc.collect()
         began = time.process_time()
         work(count)
--- a/tests/bench/test_capacity_page.py
+++ b/tests/bench/test_capacity_page.py
@@ -62,7 +62,7 @@
         self.assertAlmostEqual(0.01, line.slope)
         self.assertAlmostEqual(0.9 + 0.01 * planned.NODES, line.at(planned.NODES))
 
-    def test_a_measured_planned_size_counts_before_the_line(self) -> None:
+    def test_a_measurement_at_the_planned_size_takes_precedence_over_the_line(self) -> None:
         sizes = (size(10, 1.0), size(20, 1.1), size(30, 1.2), size(planned.NODES, 2.5))
         data = CapacityData(measured_at="", machine="", sizes=sizes)
         self.assertEqual(2.5, model.planned_value(data, "cpu_percent"))
@@ -79,7 +79,7 @@
         whole = msgspec.structs.replace(data, units=(*data.units, unit("log_read")))
         self.assertIsNotNone(model.control_total(whole).cpu_percent)
 
-    def test_the_total_of_control_is_over_its_limit_only_if_the_page_says_so(self) -> None:
+    def test_the_page_marks_a_control_total_over_its_limit(self) -> None:
         data = CapacityData(
             measured_at="",
             machine="",
--- a/tests/bench/test_measurements.py
+++ b/tests/bench/test_measurements.py
@@ -13,6 +13,6 @@
 
 
 class CommandTest(testtools.TestCase):
-    def test_sizes_that_are_no_numbers_are_refused(self) -> None:
+    def test_invalid_sizes_are_rejected(self) -> None:
         self.assertEqual(2, run(["bench", "scale", "--fault_sizes=many"]))
         self.assertEqual(2, run(["bench", "scale", "--fault_sizes=1"]))
--- a/tests/bench/test_slopes.py
+++ b/tests/bench/test_slopes.py
@@ -23,5 +23,5 @@
         self.assertGreater(line.slope_error, 0.0)
         self.assertGreater(line.error_at(420), line.error_at(25))
 
-    def test_two_points_have_no_error_to_show(self) -> None:
+    def test_two_points_have_an_infinite_slope_error(self) -> None:
         self.assertEqual(float("inf"), fit([1, 2], [1.0, 2.0]).slope_error)
