--- a/src/stagewalk/simulation/__init__.py
+++ b/src/stagewalk/simulation/__init__.py
@@ -1,7 +1,5 @@
 """Deterministic simulation of nodes and platform on a virtual clock.
 
 Owns the models of machines, network, platform and callers around the real node; relies on
-`stagewalk.node` for the node and on `stagewalk.history` for the verdict. The models' figures
-(rates, delays, sizes) are chosen so that faults meet the mechanisms; none is measured unless it
-says so.
+`stagewalk.node` for the node and on `stagewalk.history` for the verdict.
 """
--- a/src/stagewalk/simulation/callers.py
+++ b/src/stagewalk/simulation/callers.py
@@ -36,14 +36,14 @@
 
 MAXIMUM_SENDS = 4
 GIVE_UP_SECONDS = 5.0
-"""How long beyond its deadline a caller waits for a final answer."""
+"""How long after the deadline a caller still waits for a final answer."""
 
 STREAMED_FRACTION = 0.5
 RETRY_AFTER_REFUSAL_FRACTION = 0.5
 RETRY_SECONDS = (0.1, 1.5)
 BURST_FRACTION = 0.005
 BURST_REQUESTS = 40
-"""Now and then many requests come at once, so that some must be refused."""
+"""Requests in a burst, enough for nodes to refuse some of them."""
 
 RETRIABLE = frozenset(
     {
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerWorld:
-    """What callers need of the world."""
+    """Parts of the simulated world that callers use."""
 
     scheduler: Scheduler
     witness: Witness
@@ -68,8 +68,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
-    """What a caller asks."""
+class RequestParameters:
+    """Parameters of one request, the same on each retry."""
 
     request_id: RequestId
     prompt: str
@@ -80,7 +80,7 @@
 
 
 class InteractiveCaller:
-    """The callers beside one node."""
+    """The callers of one tenant that use one node first."""
 
     def __init__(
         self,
@@ -101,17 +101,17 @@
         self.unanswered = 0
 
     def run(self) -> Steps:
-        """Send requests without end, at random intervals."""
+        """Send requests at random intervals, in an endless loop."""
         while True:
             yield self.world.scheduler.sleep(self.generator.expovariate(self._rate))
             burst = self.generator.random() < BURST_FRACTION
             for _ in range(BURST_REQUESTS if burst else 1):
-                RequestLife(self, self._question()).send(self.home)
+                ClientRequest(self, self._draw_parameters()).send(self.home)
 
-    def _question(self) -> Question:
+    def _draw_parameters(self) -> RequestParameters:
         self._count += 1
         draw = self.generator.random
-        return Question(
+        return RequestParameters(
             request_id=RequestId(f"{self.name}/{self._count}"),
             prompt=self._prompts.draw(),
             seed=self.generator.getrandbits(31),
@@ -121,31 +121,31 @@
         )
 
 
-class RequestLife:
-    """One request from its first send to its final answer, or until its caller stops waiting."""
+class ClientRequest:
+    """One request with its retries, until its final answer or until its caller stops waiting."""
 
-    def __init__(self, caller: InteractiveCaller, question: Question) -> None:
+    def __init__(self, caller: InteractiveCaller, parameters: RequestParameters) -> None:
         self.caller = caller
-        self.question = question
+        self.parameters = parameters
         self._sends = 0
-        self._current: Send | None = None
+        self._current: RequestAttempt | None = None
         self._done = False
-        self._unsettled = False
+        self._connection_lost = False
         scheduler = caller.world.scheduler
-        gives_up_at = question.deadline_at + GIVE_UP_SECONDS
-        scheduler.at(gives_up_at, lambda: self._abandon(unanswered=True))
+        wait_ends_at = parameters.deadline_at + GIVE_UP_SECONDS
+        scheduler.at(wait_ends_at, lambda: self._abandon(unanswered=True))
         if caller.generator.random() < caller.load.abandon_fraction:
             scheduler.after(5.0 * caller.generator.random(), self._abandon)
 
     def send(self, node: NodeHost) -> None:
-        """Send it to a node, or to another one if that one refuses the connection."""
+        """Send the request to a node; schedule a retry if the node refuses the connection."""
         if self._done:
             return
         world = self.caller.world
-        if world.scheduler.now >= self.question.deadline_at:
+        if world.scheduler.now >= self.parameters.deadline_at:
             self._done = True
             return
-        current = Send(self, node)
+        current = RequestAttempt(self, node)
         connection = node.open_call(self.caller.home.endpoint, current, self._event)
         if connection is None:
             self._retry()
@@ -163,7 +163,7 @@
                 caller=self.caller.name,
                 node=node.name,
                 tenant=self.caller.load.tenant,
-                request_id=self.question.request_id,
+                request_id=self.parameters.request_id,
                 text=text,
                 spans=result.spans,
             )
@@ -177,22 +177,22 @@
                 caller=self.caller.name,
                 node=node.name,
                 tenant=self.caller.load.tenant,
-                request_id=self.question.request_id,
+                request_id=self.parameters.request_id,
                 ran=error.ran,
                 kind=error.kind,
                 step=error.step,
                 peer=error.peer,
             )
         )
-        chance = self.caller.generator.random() < RETRY_AFTER_REFUSAL_FRACTION
-        if error.ran is ExecutionStatus.NO and error.kind in RETRIABLE and chance:
+        retries = self.caller.generator.random() < RETRY_AFTER_REFUSAL_FRACTION
+        if error.ran is ExecutionStatus.NO and error.kind in RETRIABLE and retries:
             self._retry(error.retry_after_seconds or 0.0)
         else:
             self._done = True
 
     def cut(self, node: NodeHost, by_network: bool) -> None:
         """Send to another node under the same id after the connection broke."""
-        self._unsettled = True
+        self._connection_lost = True
         now = self.caller.world.scheduler.now
         if by_network:
             self.caller.world.witness.observe(
@@ -204,7 +204,7 @@
                 caller=self.caller.name,
                 node=node.name,
                 tenant=self.caller.load.tenant,
-                request_id=self.question.request_id,
+                request_id=self.parameters.request_id,
             )
         )
         self._retry()
@@ -229,9 +229,9 @@
             self._current.close()
 
     def _record_sent(self, node: NodeHost) -> None:
-        world, question, load = self.caller.world, self.question, self.caller.load
+        world, parameters, load = self.caller.world, self.parameters, self.caller.load
         expected = answer_length(
-            question.prompt, question.seed, load.max_tokens, world.engine_settings.lengths
+            parameters.prompt, parameters.seed, load.max_tokens, world.engine_settings.lengths
         )
         world.witness.observe(
             RequestSent(
@@ -239,40 +239,40 @@
                 caller=self.caller.name,
                 node=node.name,
                 tenant=load.tenant,
-                request_id=question.request_id,
-                repeatable=question.repeatable,
-                prompt=question.prompt,
-                seed=question.seed,
+                request_id=parameters.request_id,
+                repeatable=parameters.repeatable,
+                prompt=parameters.prompt,
+                seed=parameters.seed,
                 expected_tokens=expected,
             )
         )
 
     def _event(self, call: CallId, node_time: float) -> Event:
-        question, load = self.question, self.caller.load
-        remaining = question.deadline_at - self.caller.world.scheduler.now
+        parameters, load = self.parameters, self.caller.load
+        remaining = parameters.deadline_at - self.caller.world.scheduler.now
         request = CompletionRequest(
-            request_id=question.request_id,
+            request_id=parameters.request_id,
             tenant=load.tenant,
             model=load.model,
-            prompt=question.prompt,
+            prompt=parameters.prompt,
             max_tokens=load.max_tokens,
-            repeatable=question.repeatable,
+            repeatable=parameters.repeatable,
             deadline=node_time + remaining,
             priority=Priority.INTERACTIVE,
-            stream=question.streamed,
-            seed=question.seed,
-            prompt_token_count=prompt_token_count(question.prompt),
-            resent=self._unsettled,
+            stream=parameters.streamed,
+            seed=parameters.seed,
+            prompt_token_count=prompt_token_count(parameters.prompt),
+            resent=self._connection_lost,
         )
         return CompletionRequested(call, request)
 
 
-class Send:
+class RequestAttempt:
     """One call of a request: the caller's end of the connection."""
 
-    def __init__(self, life: RequestLife, node: NodeHost) -> None:
+    def __init__(self, request: ClientRequest, node: NodeHost) -> None:
         self.connection: Connection | None = None
-        self._life = life
+        self._request = request
         self._node = node
         self._text: list[str] = []
         self._closed = False
@@ -288,20 +288,20 @@
         if self.connection is not None:
             self.connection.finish()
         if isinstance(answer, FinishCall):
-            streamed = self._life.question.streamed
+            streamed = self._request.parameters.streamed
             text = "".join(self._text) if streamed else answer.result.text
-            self._life.answered(self._node, text, answer.result)
+            self._request.answered(self._node, text, answer.result)
         elif isinstance(answer, FailCall):
-            self._life.refused(self._node, answer.error)
+            self._request.refused(self._node, answer.error)
 
     def lost(self, by_network: bool) -> None:
-        """Learn that the connection broke."""
+        """Handle a broken connection."""
         if not self._closed:
             self._closed = True
-            self._life.cut(self._node, by_network)
+            self._request.cut(self._node, by_network)
 
     def close(self) -> None:
-        """Go away without an answer."""
+        """Close the connection without waiting for an answer."""
         self._closed = True
         if self.connection is not None:
             self.connection.client_gone()
--- a/src/stagewalk/simulation/claims_explorer.py
+++ b/src/stagewalk/simulation/claims_explorer.py
@@ -1,10 +1,10 @@
-"""Explores the interleavings of claim messages for a value decided twice.
+"""Searches interleavings of claim messages for a key with two decided values.
 
 The world is the real `ClaimCore` of three replicas and of two proposers that want different
-values for one key. A step delivers one message in flight (in any order; one that is never
-delivered is a lost one), delivers it and keeps a copy, restarts a replica without its memory, or
-lets a node's timers run out. After every step the world is checked: all decisions agree, and two
-proposers never both win.
+values for one key. A step delivers a message in flight (in any order; a message that is never
+delivered counts as lost), delivers it and keeps a copy, restarts a replica without its state,
+fires a node's timers, changes the replica group, or lets a node read the log. After every step
+all decisions must agree, and at most one proposer may have won.
 
 `explore` visits every state up to a depth, `walk` takes random paths that go deeper.
 
@@ -45,7 +45,7 @@
 
 
 class ExplorerConfig(ClaimConfig):
-    """Delays long enough that nothing is given up or expires; pickled by its name."""
+    """Timeouts too long to expire during a search; pickled by name."""
 
     def __reduce__(self) -> str:
         return "CONFIG"
@@ -57,7 +57,7 @@
 
 
 class SteadyRandom(random.Random):
-    """A generator without state: random pauses would only multiply equal states."""
+    """A generator that always returns the same value, so that equal states are not told apart."""
 
     def random(self) -> float:
         """Return the middle of the range."""
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class InFlight:
-    """A message on its way."""
+    """A message in flight."""
 
     to: str
     envelope: bytes
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Step:
-    """One step: `kind` is `deliver`, `duplicate`, `restart`, `timer` or `group`."""
+    """One step: `kind` is `deliver`, `duplicate`, `restart`, `timer`, `read` or `group`."""
 
     kind: str
     index: int = 0
@@ -117,7 +117,7 @@
     """How many of them each node has read."""
     now: float = 0.0
     counts: Counter[str] = field(default_factory=Counter)
-    """How many faults of each kind happened."""
+    """Number of faults of each kind so far."""
     decided: frozenset[bytes] = frozenset()
     winners: frozenset[str] = frozenset()
 
@@ -136,7 +136,7 @@
         return world
 
     def copy(self) -> World:
-        """Return a world that goes its own way from here."""
+        """Return an independent copy."""
         return World(
             dict(self.nodes),
             dict(self.incarnations),
@@ -167,7 +167,7 @@
         self.groups = (*self.groups, ReplicaGroup(len(self.groups) + 1, members))
 
     def start(self, name: str) -> None:
-        """Start a node without memory; it reads the whole log."""
+        """Start a node without state; it reads the whole log."""
         identity = NodeIdentity(
             NodeName(name),
             Incarnation(self.incarnations[name]),
@@ -212,7 +212,7 @@
             yield Step("group")
 
     def take_step(self, step: Step) -> None:
-        """Go on to the state after a step."""
+        """Apply a step to this state."""
         self.counts[step.kind] += step.kind not in ("deliver", "read")
         if step.kind in ("deliver", "duplicate"):
             self._deliver(step)
@@ -244,7 +244,7 @@
         self.put(message.to, core, outputs)
 
     def put(self, name: str, core: ClaimCore, outputs: list[ClaimOutput]) -> None:
-        """Keep a node's new state, note its decisions, and put its messages on their way."""
+        """Store a node's new state, record its decisions, and queue its messages."""
         self.nodes[name] = pickle.dumps(core, protocol=pickle.HIGHEST_PROTOCOL)
         for output in outputs:
             if isinstance(output, SendPeerMessage):
@@ -264,9 +264,9 @@
 
 @dataclass(slots=True)
 class Coverage:
-    """What an exploration has seen.
+    """Statistics of a search.
 
-    `exhausted` says that no state was left out within the depth.
+    `exhausted` is True if every state within the depth was visited.
     """
 
     states: int = 0
@@ -285,7 +285,7 @@
 def explore(depth: int, limits: Limits, maximum_states: int, skip: int = 0) -> Coverage:
     """Visit every state reachable within `depth` steps, breadth first.
 
-    `skip` begins after that many deliveries in order, nearer to the decision.
+    The search starts after `skip` deliveries in order, closer to the decision.
 
     Raises
     ------
--- a/src/stagewalk/simulation/client_calls.py
+++ b/src/stagewalk/simulation/client_calls.py
@@ -1,6 +1,6 @@
 """How simulated clients call nodes.
 
-Owns the choice of a node and the rule that one answer counts; relies on `node_host` for the call
+Owns the choice of a node and the wait for a single answer; relies on `node_host` for the call
 itself.
 """
 
@@ -22,8 +22,8 @@
 EventFactory = Callable[[CallId, float], Event]
 
 
-class OneAnswer:
-    """Waits for the one answer of a call; None if it broke or took too long."""
+class SingleAnswerHandler:
+    """Waits for the single answer of a call; None if the call broke or timed out."""
 
     def __init__(self, arrival: simpy.Event) -> None:
         self._arrival = arrival
@@ -54,7 +54,7 @@
 ) -> Generator[simpy.Event, Any, CallAnswer | None]:
     """Call a node and wait for its one answer; None if there is none."""
     arrival = scheduler.signal()
-    handler = OneAnswer(arrival)
+    handler = SingleAnswerHandler(arrival)
     connection = node.open_call(client, handler, factory)
     if connection is None:
         yield scheduler.sleep(REFUSED_CONNECTION_SECONDS)
--- a/src/stagewalk/simulation/engine_host.py
+++ b/src/stagewalk/simulation/engine_host.py
@@ -1,4 +1,4 @@
-"""A model engine's process: the engine model behind streams, orders, crashes and restarts.
+"""A simulated engine process: the engine model with its streams, orders, crashes and restarts.
 
 Owns the streams, incarnations and observations of one engine process; relies on `engine_model` for
 what the engine does and on `network` for how its answers travel.
@@ -45,14 +45,14 @@
 from stagewalk.simulation.witness import Witness
 
 DISCONNECT_GRACE_SECONDS = 10.0
-"""How long an attempt goes on after its client was lost."""
+"""How long an attempt keeps running after its client disconnected."""
 
 StreamOutput = ChunkProduced | AttemptDone
 
 
 @dataclass(slots=True)
 class EngineStream:
-    """The way back of one attempt's output."""
+    """The connection that carries one attempt's output to its client."""
 
     connection: Connection
     take: Callable[[StreamOutput], None]
@@ -60,13 +60,13 @@
 
 
 @dataclass(slots=True)
-class _Life:
-    """What dies with one incarnation."""
+class _EngineProcess:
+    """State that is lost when the engine's process ends."""
 
     model: SimulatedEngine
     streams: dict[AttemptId, EngineStream] = field(default_factory=dict)
     wakeup_at: float = math.inf
-    told_leaving: bool = False
+    reported_leaving: bool = False
     stopping: bool = False
 
 
@@ -76,7 +76,7 @@
     Parameters
     ----------
     on_exit
-        Told when a planned stop has ended.
+        Called when a planned stop has ended.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         self._witness = witness
         self._generator = generator
         self._on_exit = on_exit
-        self._life: _Life | None = None
+        self._process: _EngineProcess | None = None
 
     @property
     def name(self) -> str:
@@ -109,12 +109,12 @@
     @property
     def alive(self) -> bool:
         """Return whether the process runs."""
-        return self._life is not None
+        return self._process is not None
 
     @property
     def stopping(self) -> bool:
         """Return whether a planned stop is going on."""
-        return self._life is not None and self._life.stopping
+        return self._process is not None and self._process.stopping
 
     @property
     def now(self) -> float:
@@ -133,42 +133,42 @@
             generator=self._generator,
             started_at=self.now,
         )
-        self._life = _Life(model)
+        self._process = _EngineProcess(model)
         self._witness.observe(
             EngineServing(at=self.now, engine=self.name, incarnation=self.incarnation)
         )
 
     def stop(self) -> None:
-        """Begin a planned stop: finish what runs, then exit."""
-        life = self._life
-        if life is None or life.stopping:
+        """Begin a planned stop: finish running attempts, then exit."""
+        process = self._process
+        if process is None or process.stopping:
             return
-        life.stopping = True
+        process.stopping = True
         self._witness.observe(PlannedStopBegan(at=self.now, process=self.name))
-        life.model.leave(self.now)
-        self._pump(life)
+        process.model.leave(self.now)
+        self._advance_model(process)
 
     def crash(self, machine_lost: bool = False) -> None:
-        """Die at once; the clients of a lost machine only learn it by silence."""
-        life = self._life
-        if life is None:
+        """Crash at once; clients of a lost machine only notice after a timeout."""
+        process = self._process
+        if process is None:
             return
-        self._life = None
+        self._process = None
         self._witness.observe(ProcessKilled(at=self.now, process=self.name))
-        for attempt in life.model.crash(self.now):
+        for attempt in process.model.crash(self.now):
             self._record_ended(attempt, WorkOutcome.CUT, 0)
         silence = STALL_LIMIT_SECONDS if machine_lost else 0.0
-        for stream in life.streams.values():
+        for stream in process.streams.values():
             self._scheduler.after(silence, stream.connection.server_gone)
 
     def submit(self, request: EngineRequest, stream: EngineStream) -> Submission | None:
         """Submit an attempt; None if nothing listens here."""
-        life = self._life
-        if life is None:
+        process = self._process
+        if process is None:
             return None
-        submission = life.model.submit(request, self.now)
+        submission = process.model.submit(request, self.now)
         if isinstance(submission, Accepted):
-            life.streams[request.attempt] = stream
+            process.streams[request.attempt] = stream
             self._witness.observe(
                 WorkReceived(
                     at=self.now,
@@ -180,7 +180,7 @@
                     resumed=request.resume_offset > 0,
                 )
             )
-        elif isinstance(submission, Refused) and life.told_leaving:
+        elif isinstance(submission, Refused) and process.reported_leaving:
             self._witness.observe(
                 WorkRefused(
                     at=self.now,
@@ -191,13 +191,13 @@
                     tenant=request.tenant,
                 )
             )
-        self._pump(life)
+        self._advance_model(process)
         return submission
 
     def client_lost(self, attempt: AttemptId, incarnation: Incarnation) -> None:
-        """Keep an attempt going for a while without its client, then cancel it."""
-        life = self._life
-        if life is None or self.incarnation != incarnation or attempt not in life.streams:
+        """Cancel an attempt once the grace period after its client's disconnect is over."""
+        process = self._process
+        if process is None or self.incarnation != incarnation or attempt not in process.streams:
             return
         self._scheduler.after(
             DISCONNECT_GRACE_SECONDS, lambda: self._cancel_lost(attempt, incarnation)
@@ -205,26 +205,26 @@
 
     def cancel(self, attempt: AttemptId) -> None:
         """Stop an attempt for its client."""
-        if self._life is not None:
-            self._life.model.cancel(attempt, self.now)
-            self._pump(self._life)
+        if self._process is not None:
+            self._process.model.cancel(attempt, self.now)
+            self._advance_model(self._process)
 
     def report(self) -> EngineReport | None:
         """Return the engine's own report, or None if nothing listens here."""
-        if self._life is None:
+        if self._process is None:
             return None
-        report = self._life.model.report(self.now)
-        self._pump(self._life)
+        report = self._process.model.report(self.now)
+        self._advance_model(self._process)
         return report
 
     def order(self, order: EngineOrder) -> OrderAnswer | None:
         """Handle an order."""
-        life = self._life
-        if life is None:
+        process = self._process
+        if process is None:
             return None
-        epoch_before = life.model.true_report().epoch
-        answer = life.model.order(order, self.now)
-        report = life.model.true_report()
+        epoch_before = process.model.true_report().epoch
+        answer = process.model.order(order, self.now)
+        report = process.model.true_report()
         if answer.outcome is EngineOrderOutcome.ACCEPTED:
             self._witness.observe(
                 OrderObeyed(
@@ -237,70 +237,70 @@
                     active_version=report.active_version,
                 )
             )
-        self._pump(life)
+        self._advance_model(process)
         return answer
 
     def fail_next_activation(self) -> None:
         """Make the next swap of weights end on another version."""
-        if self._life is not None:
-            self._life.model.fail_next_activation()
+        if self._process is not None:
+            self._process.model.fail_next_activation()
 
     def _cancel_lost(self, attempt: AttemptId, incarnation: Incarnation) -> None:
         if self.incarnation == incarnation:
             self.cancel(attempt)
 
-    def _pump(self, life: _Life) -> None:
+    def _advance_model(self, process: _EngineProcess) -> None:
         """Carry out the model's outputs and schedule its next wake-up."""
-        for output in life.model.advance(self.now):
-            self._dispatch(life, output)
-        self._record_state(life)
-        if life.stopping and life.model.idle and self._life is life:
-            self._life = None
+        for output in process.model.advance(self.now):
+            self._dispatch(process, output)
+        self._record_state(process)
+        if process.stopping and process.model.idle and self._process is process:
+            self._process = None
             self._on_exit(self)
             return
-        wakeup = life.model.next_wakeup()
-        if wakeup is not None and wakeup < life.wakeup_at:
-            life.wakeup_at = wakeup
-            self._scheduler.at(wakeup, lambda: self._wake(life, wakeup))
+        wakeup = process.model.next_wakeup()
+        if wakeup is not None and wakeup < process.wakeup_at:
+            process.wakeup_at = wakeup
+            self._scheduler.at(wakeup, lambda: self._wake(process, wakeup))
 
-    def _wake(self, life: _Life, planned_at: float) -> None:
-        if self._life is not life or planned_at != life.wakeup_at:
+    def _wake(self, process: _EngineProcess, planned_at: float) -> None:
+        if self._process is not process or planned_at != process.wakeup_at:
             return
-        life.wakeup_at = math.inf
-        self._pump(life)
+        process.wakeup_at = math.inf
+        self._advance_model(process)
 
-    def _dispatch(self, life: _Life, output: EngineOutput) -> None:
+    def _dispatch(self, process: _EngineProcess, output: EngineOutput) -> None:
         match output:
             case ChunkProduced():
-                self._send(life, output)
+                self._send(process, output)
             case AttemptDone():
                 self._record_ended(output.attempt, output.outcome, output.token_count)
                 if output.outcome is WorkOutcome.FINISHED:
-                    self._send(life, output)
-                life.streams.pop(output.attempt, None)
+                    self._send(process, output)
+                process.streams.pop(output.attempt, None)
             case StagingStarted(version=version):
-                self._store.fetch(lambda succeeded: self._staged(life, version, succeeded))
+                self._store.fetch(lambda succeeded: self._staged(process, version, succeeded))
             case ActivationEnded():
                 pass
             case _:
                 pass
 
-    def _send(self, life: _Life, output: StreamOutput) -> None:
-        stream = life.streams.get(output.attempt)
+    def _send(self, process: _EngineProcess, output: StreamOutput) -> None:
+        stream = process.streams.get(output.attempt)
         if stream is not None:
             stream.connection.send_to_client(lambda: stream.take(output))
 
-    def _staged(self, life: _Life, version: WeightVersion, succeeded: bool) -> None:
-        if self._life is life:
-            life.model.stage_ended(version, succeeded, self.now)
-            self._pump(life)
+    def _staged(self, process: _EngineProcess, version: WeightVersion, succeeded: bool) -> None:
+        if self._process is process:
+            process.model.stage_ended(version, succeeded, self.now)
+            self._advance_model(process)
 
-    def _record_state(self, life: _Life) -> None:
-        state = life.model.state
+    def _record_state(self, process: _EngineProcess) -> None:
+        state = process.model.state
         leaving = state in (EngineState.LEAVING, EngineState.DRAINING)
-        if leaving == life.told_leaving:
+        if leaving == process.reported_leaving:
             return
-        life.told_leaving = leaving
+        process.reported_leaving = leaving
         kind = EngineLeaving if leaving else EngineServing
         self._witness.observe(kind(at=self.now, engine=self.name, incarnation=self.incarnation))
 
--- a/src/stagewalk/simulation/engine_messages.py
+++ b/src/stagewalk/simulation/engine_messages.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of the engine model.
+"""Input and output types of the engine model.
 
 Owns these types and no behaviour; the model, the simulation's host and the stand-in share them.
 """
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptPreempted:
-    """An attempt lost its KV memory and waits for the batch again; its tokens stand."""
+    """An attempt lost its KV memory and is queued again; it keeps the tokens generated so far."""
 
     attempt: AttemptId
 
@@ -120,7 +120,7 @@
 
 
 class CacheEventKind(StrEnum):
-    """What became of a prefix block."""
+    """Kind of a change of a prefix block."""
 
     STORED = "stored"
     EVICTED = "evicted"
--- a/src/stagewalk/simulation/engine_model.py
+++ b/src/stagewalk/simulation/engine_model.py
@@ -93,7 +93,7 @@
 
     @property
     def state(self) -> EngineState:
-        """Return what the engine truly is, without the lag of its reports."""
+        """Return the engine's current state, without the lag of its reports."""
         if self._leaving:
             return EngineState.LEAVING
         if self.weights.draining:
@@ -109,7 +109,7 @@
 
     @property
     def crashed(self) -> bool:
-        """Return whether the engine is dead for good."""
+        """Return whether the engine has crashed."""
         return self._crashed
 
     def submit(self, request: EngineRequest, now: float) -> Submission:
@@ -170,12 +170,12 @@
         return attempt in self._known
 
     def leave(self, now: float) -> None:
-        """Refuse new work for good; what runs is finished."""
+        """Refuse all new attempts from now on; accepted ones are finished."""
         self._move_to(now)
         self._leaving = True
 
     def crash(self, now: float) -> tuple[AttemptId, ...]:
-        """Die at once and return the attempts cut off; no output follows."""
+        """Crash at once and return the interrupted attempts; no output follows."""
         self._move_to(now)
         cut = tuple(self._scheduler.live)
         self._crashed = True
@@ -188,7 +188,7 @@
         return self._report
 
     def true_report(self) -> EngineReport:
-        """Return the report of this moment, as only the checker may see it."""
+        """Return an up-to-date report, without the lag that nodes see."""
         live = self._scheduler.live.values()
         return EngineReport(
             engine=self.engine,
@@ -209,7 +209,7 @@
         )
 
     def cache_events(self, after: int, now: float) -> tuple[tuple[CacheEvent, ...], int]:
-        """Return the changes of the prefix cache from sequence `after` on: late, with gaps."""
+        """Return changes of the prefix cache from sequence `after` on, delayed and with gaps."""
         return self._cache.events(after, now)
 
     def _refusal(self, request: EngineRequest, now: float) -> Refused | None:
--- a/src/stagewalk/simulation/engine_prefix_cache.py
+++ b/src/stagewalk/simulation/engine_prefix_cache.py
@@ -1,4 +1,4 @@
-"""An engine's prefix cache: hashed blocks of prompts, least recently used first out.
+"""An engine's prefix cache: hashed blocks of prompts, evicted least recently used first.
 
 Owns the blocks held and the lossy record of their changes; its caller says how much room is left.
 """
@@ -75,7 +75,7 @@
             self._record(CacheEventKind.EVICTED, prefix_hash, token_count, now)
 
     def clear(self, now: float) -> None:
-        """Evict everything: cached blocks are worthless under other weights."""
+        """Evict everything: cached blocks are invalid for other weights."""
         self.shrink_to(0, now)
 
     def events(self, after: int, now: float) -> tuple[tuple[CacheEvent, ...], int]:
@@ -88,7 +88,7 @@
         return shown, (shown[-1].sequence + 1 if shown else after)
 
     def _mark_used(self, hashes: tuple[str, ...]) -> None:
-        """Make the blocks the last to go, longer prefixes before the shorter they need."""
+        """Mark the blocks as most recently used, so that longer prefixes are evicted first."""
         for prefix_hash in reversed(hashes):
             self._blocks.move_to_end(prefix_hash)
 
--- a/src/stagewalk/simulation/engine_scheduler.py
+++ b/src/stagewalk/simulation/engine_scheduler.py
@@ -1,4 +1,4 @@
-"""Which of an engine's attempts wait, are prefilled or decode, as time passes.
+"""Continuous batching: which of an engine's attempts wait, are prefilled or decode.
 
 Owns queue, prefills and batch of one engine; relies on `engine_sequence` for progress within the
 batch and on `engine_prefix_cache` for tokens that need no prefill.
@@ -22,13 +22,13 @@
 ADMISSION_RESERVE_FRACTION = 0.02
 """Part of the KV cache left free on admission, so that the batch can grow for a while."""
 ROUNDING_SECONDS = 1e-6
-"""Prefill that would take less than this counts as done, so that time always moves on."""
+"""Prefill that would take less than this counts as done, so that time always advances."""
 
 
 class BatchScheduler:
     """Continuous batching of one engine.
 
-    The caller lets time pass in steps no longer than `seconds_to_next_event` and calls
+    The caller advances time in steps no longer than `seconds_to_next_event` and calls
     `settle` after each; outputs gather in `outputs`.
     """
 
@@ -94,7 +94,7 @@
         return self._batch.kv_tokens() + sum(each.kv_tokens for each in self._prefilling)
 
     def seconds_to_next_event(self, now: float) -> float:
-        """Return when `settle` has something to do next, infinity for never."""
+        """Return the seconds until `settle` is next needed, or infinity."""
         seconds = self._next_chunk_at - now
         if self._prefilling:
             tokens = self._prefilling[0].prefill_tokens
--- a/src/stagewalk/simulation/engine_weights.py
+++ b/src/stagewalk/simulation/engine_weights.py
@@ -27,7 +27,7 @@
     """Staged and active versions of one engine, and the largest epoch it has seen.
 
     An order's epoch raises the fence as soon as it is seen, also when the order itself
-    cannot be obeyed, so that an older holder's orders cannot slip in behind it.
+    cannot be obeyed, so that orders of an older epoch are refused from then on.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         )
 
     def order(self, order: EngineOrder, now: float) -> OrderAnswer:
-        """Obey an order unless a newer epoch was seen; the same order again is answered alike."""
+        """Execute an order unless a newer epoch was seen; a repeated order gets the same answer."""
         if order.epoch < self.epoch:
             return OrderAnswer(EngineOrderOutcome.STALE_EPOCH, self.epoch)
         known = self._answers.get(order.order_id)
@@ -92,7 +92,7 @@
             return
         self._fetching.discard(version)
         if succeeded:
-            self._hold(version)
+            self._add_staged(version)
 
     def fail_next_activation(self) -> None:
         """Make the next swap end on another version than ordered."""
@@ -104,13 +104,13 @@
         assert ordered is not None
         self._target = None
         self.activation_ends_at = math.inf
-        landed = self._landing(ordered)
-        if landed != self.active_version:
+        activated = self._activated_version(ordered)
+        if activated != self.active_version:
             previous = self.active_version
-            self.active_version = landed
-            self._staged.remove(landed)
-            self._hold(previous)
-        self._outputs.append(ActivationEnded(ordered, landed))
+            self.active_version = activated
+            self._staged.remove(activated)
+            self._add_staged(previous)
+        self._outputs.append(ActivationEnded(ordered, activated))
 
     def _obey(self, order: EngineOrder, now: float) -> OrderAnswer:
         match order.kind:
@@ -148,7 +148,7 @@
         self._fetching.add(version)
         self._outputs.append(StagingStarted(self._model, version))
 
-    def _landing(self, ordered: WeightVersion) -> WeightVersion:
+    def _activated_version(self, ordered: WeightVersion) -> WeightVersion:
         failed = self._failure_planned
         self._failure_planned = False
         fraction = self._settings.activation_failure_fraction
@@ -159,7 +159,7 @@
         others = sorted({*self._staged, self.active_version} - {ordered})
         return self._generator.choice(others)
 
-    def _hold(self, version: WeightVersion) -> None:
+    def _add_staged(self, version: WeightVersion) -> None:
         if version in self._staged:
             return
         self._staged.append(version)
--- a/src/stagewalk/simulation/fault_injector.py
+++ b/src/stagewalk/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Brings planned faults about in a world, and ends them.
+"""Injects planned faults into a simulated world, and ends them.
 
 Owns when a fault begins and ends, and the observation of it; relies on `faults` for the schedule
 and on machines, network and services to carry it out.
@@ -12,21 +12,21 @@
 from stagewalk.history.checker_configuration import EVERY_NODE
 from stagewalk.history.observations import FaultInjected
 from stagewalk.simulation.faults import Fault, FaultKind
-from stagewalk.simulation.machines import MachineKeeper
+from stagewalk.simulation.machines import MachineManager
 from stagewalk.simulation.network import Impairment, Network, Partition
 from stagewalk.simulation.platform_services import ORDINARY_LIST_LAG_SECONDS
 from stagewalk.simulation.trainers import Trainer
 from stagewalk.simulation.virtual_time import Action, Steps
 
-LOG_CUT_KIND = "partition"
-"""Told of each node that a partition keeps from the log."""
+LOG_PARTITION_KIND = "partition"
+"""Kind of the observation for each node that a partition cuts off from the log."""
 
 
 class FaultInjector:
-    """Carries a schedule out."""
+    """Executes a fault schedule."""
 
     def __init__(
-        self, keeper: MachineKeeper, network: Network, trainers: dict[str, Trainer]
+        self, keeper: MachineManager, network: Network, trainers: dict[str, Trainer]
     ) -> None:
         self._keeper = keeper
         self._network = network
@@ -69,18 +69,18 @@
         }
 
     def plan(self, schedule: tuple[Fault, ...]) -> None:
-        """Arrange for all faults of a schedule."""
+        """Schedule all faults."""
         for fault in schedule:
-            self._network.scheduler.at(fault.at, self._bringer(fault))
+            self._network.scheduler.at(fault.at, self._injection(fault))
 
-    def _bringer(self, fault: Fault) -> Action:
-        return lambda: self._bring_about(fault)
+    def _injection(self, fault: Fault) -> Action:
+        return lambda: self._inject(fault)
 
-    def _bring_about(self, fault: Fault) -> None:
-        self._note(fault.kind, ",".join(fault.targets) or EVERY_NODE, fault.seconds)
+    def _inject(self, fault: Fault) -> None:
+        self._record_fault(fault.kind, ",".join(fault.targets) or EVERY_NODE, fault.seconds)
         self._handlers[fault.kind](fault)
 
-    def _note(self, kind: str, target: str, seconds: float) -> None:
+    def _record_fault(self, kind: str, target: str, seconds: float) -> None:
         now = self._network.scheduler.now
         self._keeper.witness.observe(
             FaultInjected(at=now, kind=kind, target=target, until=now + seconds)
@@ -160,15 +160,15 @@
         for partition in partitions:
             self._network.begin_partition(partition)
 
-        def mend() -> None:
+        def heal() -> None:
             for partition in partitions:
                 self._network.end_partition(partition)
 
-        self._after(fault, mend)
+        self._after(fault, heal)
 
     def _record_cut_from_log(self, fault: Fault, names: frozenset[str]) -> None:
         for name in sorted(names & self._keeper.nodes.keys()):
-            self._note(LOG_CUT_KIND, name, fault.seconds)
+            self._record_fault(LOG_PARTITION_KIND, name, fault.seconds)
 
     def _take_log_down(self, fault: Fault) -> None:
         log = self._keeper.services.log
--- a/src/stagewalk/simulation/faults.py
+++ b/src/stagewalk/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Fault schedules: what fails when, drawn from the seed and free of any state of the world.
+"""Fault schedules: what fails when, drawn from the seed and independent of the state of the world.
 
 Owns the rates and kinds of each level; relies on the layout for what there is to fail.
 """
@@ -16,7 +16,7 @@
 
 QUIET_AT_START_SECONDS = 10.0
 QUIET_AT_END_SECONDS = 40.0
-"""No fault begins in the last seconds, so that late consequences are still seen."""
+"""No fault begins in the last seconds, so that delayed effects are still observed."""
 
 
 class FaultLevel(StrEnum):
@@ -79,7 +79,7 @@
 
 
 class _Rate(msgspec.Struct, frozen=True):
-    """How often a kind comes in 600 s at the level `storm`, and how long it lasts."""
+    """Rate of a kind per 600 s at the level `storm`, and the range of its duration."""
 
     per_ten_minutes: float
     shortest_seconds: float
@@ -134,7 +134,7 @@
     duration_seconds: float,
     rate_factor: float = 1.0,
 ) -> tuple[Fault, ...]:
-    """Draw what fails in a run, in order of time; `rate_factor` packs more into the same time."""
+    """Draw the faults of a run in order of time; `rate_factor` multiplies their rates."""
     if level is FaultLevel.NONE:
         return ()
     scale = rate_factor * (1.0 if level is FaultLevel.STORM else ORDINARY_FRACTION)
--- a/src/stagewalk/simulation/idle_bound.py
+++ b/src/stagewalk/simulation/idle_bound.py
@@ -1,7 +1,7 @@
-"""Least trainer idle time that any service could reach, worked out after the run.
+"""Lower bound on trainer idle time for any service, computed after the run.
 
 A step needs at least its work over the pool's whole capacity, and at least the time of its
-longest sample alone on an engine. What a trainer asks for ahead overlaps with its training.
+longest sample alone on an engine. A step that a trainer submits ahead overlaps with its training.
 
 Owns no state; relies on the steps that the world's trainers recorded.
 """
--- a/src/stagewalk/simulation/layout.py
+++ b/src/stagewalk/simulation/layout.py
@@ -1,4 +1,4 @@
-"""What a simulated deployment consists of: places, machines, tenants and their load.
+"""Description of a simulated deployment: places, machines, tenants and their load.
 
 Owns these types and no behaviour; `layouts` fills them and `world` builds from them.
 """
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSite:
-    """A machine for a node; `service` is whose callers it stands beside."""
+    """A machine for a node; the callers of `service` use it as their local node."""
 
     endpoint: Endpoint
     address: Address
@@ -56,7 +56,7 @@
     Attributes
     ----------
     service
-        Its callers stand beside the nodes of this service.
+        Its callers use the nodes of this service first.
     requests_per_second
         Of the whole service.
     non_repeatable_fraction
--- a/src/stagewalk/simulation/layouts.py
+++ b/src/stagewalk/simulation/layouts.py
@@ -1,4 +1,4 @@
-"""The deployments that can be simulated: today's two, both in one, and the plan for two years.
+"""Deployments to simulate: two services, both combined, a planned size, and one for tests.
 
 Owns names, sizes and loads of the deployments; relies on `layout` for the types.
 """
@@ -36,7 +36,7 @@
 
 
 class MachinePark:
-    """Hands out machines over the zones of a region in turn, each with an address of its own."""
+    """Places machines round-robin over the zones of a region, each with a unique address."""
 
     def __init__(self, region: str, zones: tuple[str, ...], network_number: int) -> None:
         self._region = region
@@ -148,7 +148,7 @@
 
 
 def both() -> Layout:
-    """Return the two deployments as regions of one, the archive a guest in the growers' pool."""
+    """Return the two deployments as regions of one, the archive sharing the growers' pool."""
     first, second = amman(), thornfield()
     guest = _tenant("map-overflow", "archive", POLICY, share=0.1, idle_weight=0.2)
     guest_load = replace(first.callers[0], tenant=guest.name, model=POLICY, requests_per_second=1.0)
--- a/src/stagewalk/simulation/log_service.py
+++ b/src/stagewalk/simulation/log_service.py
@@ -50,7 +50,7 @@
     slow
         Each call takes seconds.
     answer_loss_fraction
-        Fraction of appends whose answer is lost after the record was taken.
+        Fraction of appends whose answer is lost after the record was appended.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         *,
         wait: bool = True,
     ) -> None:
-        """Read records; `wait`: some seconds for a first one."""
+        """Read records; with `wait`, a read at the head waits some seconds for a record."""
 
         def serve(respond: Callable[[LogPage], None]) -> None:
             self._serve_read(stream, offset, respond, wait)
@@ -93,7 +93,7 @@
         answered: Callable[[int], None],
         failed: Callable[[bool], None],
     ) -> None:
-        """Append a record; `failed(True)` leaves open whether it was taken."""
+        """Append a record; after `failed(True)` it is unknown whether it was appended."""
 
         def serve(respond: Callable[[int], None]) -> None:
             self._serve_append(stream, record_id, payload, respond)
@@ -101,7 +101,7 @@
         self._call(client, serve, answered, failed)
 
     def records(self, stream: str) -> tuple[LogRecord, ...]:
-        """Return a stream as it truly is."""
+        """Return all records of a stream."""
         return tuple(self._streams[stream])
 
     def _call(
--- a/src/stagewalk/simulation/machines.py
+++ b/src/stagewalk/simulation/machines.py
@@ -1,4 +1,4 @@
-"""Keeps the simulated machines: starts, stops, restarts, and their rows in the machine list.
+"""Manages the simulated machines: starts, stops, restarts, and their rows in the machine list.
 
 Owns which machines exist and their planned stops; relies on `node_host` and `engine_host` for the
 processes and on `platform_services` for the list.
@@ -26,10 +26,10 @@
 """A planned stop that takes longer than this is ended by a kill."""
 
 STOP_RETRY_SECONDS = 3.0
-"""A machine that is down when it is to be stopped is stopped when it runs again."""
+"""Interval at which a planned stop is retried while the machine is down."""
 
-LIST_LEAVES_AFTER_SECONDS = 10.0
-"""How long a dead machine's row stays in the list at first."""
+DEFAULT_RESTART_SECONDS = 10.0
+"""Delay before a machine restarts if its stop set none, or if its core failed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     scorer: ScorerService
 
 
-class MachineKeeper:
+class MachineManager:
     """All machines by name; also finds them by address."""
 
     def __init__(
@@ -113,7 +113,7 @@
             self._scheduler.after(restart_after_seconds, lambda: self._start_node(node))
 
     def stop_node(self, name: str, restart_after_seconds: float) -> None:
-        """Stop a node in order, once it runs; it starts again some time after it has left."""
+        """Stop a node gracefully, once it runs; it restarts some time after its exit."""
         node = self.nodes[name]
         if node.stopping:
             return
@@ -136,12 +136,12 @@
     def node_exited(self, node: NodeHost) -> None:
         """Record that a planned stop ended."""
         self.services.machines.remove(node.name)
-        delay = self._restart_after.pop(node.name, LIST_LEAVES_AFTER_SECONDS)
+        delay = self._restart_after.pop(node.name, DEFAULT_RESTART_SECONDS)
         self._scheduler.after(delay, lambda: self._start_node(node))
 
     def node_failed(self, node: NodeHost) -> None:
-        """Start a node again that ended by itself."""
-        self._scheduler.after(LIST_LEAVES_AFTER_SECONDS, lambda: self._start_node(node))
+        """Restart a node whose core failed."""
+        self._scheduler.after(DEFAULT_RESTART_SECONDS, lambda: self._start_node(node))
 
     def crash_engine(
         self, name: str, restart_after_seconds: float, machine_lost: bool = False
@@ -153,7 +153,7 @@
             self._scheduler.after(restart_after_seconds, lambda: self._start_engine(engine))
 
     def stop_engine(self, name: str, restart_after_seconds: float) -> None:
-        """Stop an engine in order, once it runs; the machine list learns of it late."""
+        """Stop an engine gracefully, once it runs; the machine list learns of it late."""
         engine = self.engines[name]
         if engine.stopping:
             return
@@ -169,7 +169,7 @@
     def engine_exited(self, engine: EngineHost) -> None:
         """Record that a planned stop ended."""
         self.services.machines.remove(engine.name)
-        delay = self._restart_after.pop(engine.name, LIST_LEAVES_AFTER_SECONDS)
+        delay = self._restart_after.pop(engine.name, DEFAULT_RESTART_SECONDS)
         self._scheduler.after(delay, lambda: self._start_engine(engine))
 
     def _start_node(self, node: NodeHost) -> None:
--- a/src/stagewalk/simulation/mutants.py
+++ b/src/stagewalk/simulation/mutants.py
@@ -1,7 +1,7 @@
-"""Mechanisms switched off one at a time, inside the simulation only, to prove the checker.
+"""Mutation tests of the checker: cores with one mechanism switched off, for simulation only.
 
-A mutant that the checker doesn't catch leaves its promise unproved: either the checker is
-blind, or the faults never come where the mechanism is needed.
+A mutant that the checker doesn't catch leaves its promise untested: either the checker misses
+the violation, or no fault occurs where the mechanism is needed.
 
 Owns the altered cores and which promise each breaks; relies on `NodeCore` as it is.
 """
@@ -53,7 +53,7 @@
 
 
 class AlteredCore:
-    """A real core whose events or instructions are altered on their way."""
+    """A real core whose events or instructions are modified."""
 
     def __init__(self, identity: NodeIdentity, generator: random.Random) -> None:
         self.core = NodeCore(identity, generator)
@@ -81,7 +81,7 @@
 
 
 class NewestVersionNamed(AlteredCore):
-    """Believes that an engine runs the newest weights, whatever its frames say."""
+    """Assumes that an engine runs the newest weights, whatever version its chunks name."""
 
     def __init__(self, identity: NodeIdentity, generator: random.Random) -> None:
         super().__init__(identity, generator)
@@ -110,7 +110,7 @@
 
 
 class StalenessAtDispatchOnly(AlteredCore):
-    """Judges staleness against the version that the trainer held when it asked for the step."""
+    """Checks staleness against the version that the trainer held when it asked for the step."""
 
     def __init__(self, identity: NodeIdentity, generator: random.Random) -> None:
         super().__init__(identity, generator)
@@ -158,7 +158,7 @@
 
 
 class TruncatedStreamAccepted(AlteredCore):
-    """Takes the end of a connection for the end of the answer."""
+    """Treats a closed connection as the end of the answer."""
 
     def __init__(self, identity: NodeIdentity, generator: random.Random) -> None:
         super().__init__(identity, generator)
@@ -174,7 +174,7 @@
 
 
 class UnknownCalledNotRun(AlteredCore):
-    """Tells callers that a request did not run when nobody knows."""
+    """Reports that a request did not run when that is unknown."""
 
     def alter_instructions(
         self, event: Event, instructions: list[Instruction]
@@ -189,7 +189,7 @@
 
 
 class MayHaveRunRetried(AlteredCore):
-    """Takes every broken attempt for one that never reached its engine."""
+    """Treats every broken attempt as one that never reached its engine."""
 
     def alter_event(self, event: Event) -> Event | None:
         """Forget that an attempt was sent and has answered."""
@@ -212,7 +212,7 @@
 
 
 class DrainIgnored(AlteredCore):
-    """Takes draining and leaving engines for serving ones."""
+    """Treats draining and leaving engines as serving."""
 
     def alter_event(self, event: Event) -> Event | None:
         """Hide what an engine or the machine list says of leaving."""
@@ -225,7 +225,7 @@
 
 
 class StopsAtOnce(AlteredCore):
-    """Leaves as soon as it is asked to, whatever is in flight."""
+    """Exits as soon as a stop is requested, whatever is in flight."""
 
     def alter_instructions(
         self, event: Event, instructions: list[Instruction]
@@ -256,7 +256,7 @@
     """Reads the configuration when it starts, and never again."""
 
     def alter_event(self, event: Event) -> Event | None:
-        """Keep later records from the core, from wherever they come."""
+        """Withhold later records, whether read from the log or relayed by peers."""
         frozen = self.core.control.follower.fold.offset >= CONFIGURATION_FROZEN_AT_OFFSET
         if not frozen:
             return event
--- a/src/stagewalk/simulation/network.py
+++ b/src/stagewalk/simulation/network.py
@@ -1,7 +1,7 @@
-"""The network: latencies, datagrams that get lost, streams that stall and break.
+"""The network: latencies, datagrams that may be lost, and streams that stall and break.
 
-A message carries no bytes here but an action that delivers it; the sender's and receiver's
-names decide whether a partition is in its way.
+A message is an action that delivers it, not bytes; the sender's and receiver's names decide
+whether a partition blocks it.
 
 Owns partitions, impairments and open connections; relies on `virtual_time` for delivery and on the
 layout's latencies.
@@ -18,7 +18,7 @@
 
 RETRANSMIT_SECONDS = 0.2
 STALL_LIMIT_SECONDS = 3.0
-"""How long a stream bears a blocked path before it breaks."""
+"""How long a stream may be blocked before it breaks."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,13 +29,13 @@
     targets: frozenset[str]
 
     def blocks(self, source: str, target: str) -> bool:
-        """Return whether it is in the way of a message."""
+        """Return whether it blocks a message."""
         return source in self.sources and target in self.targets
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Impairment:
-    """A bad network: fractions of messages lost, doubled or held back, and added delay."""
+    """Fractions of messages lost, duplicated or reordered, and added delay."""
 
     loss_fraction: float = 0.0
     duplicate_fraction: float = 0.0
@@ -64,7 +64,7 @@
         self._partitions.remove(partition)
 
     def begin_impairment(self, impairment: Impairment) -> None:
-        """Make the whole network worse."""
+        """Apply an impairment to the whole network."""
         self._impairments.append(impairment)
 
     def end_impairment(self, impairment: Impairment) -> None:
@@ -72,7 +72,7 @@
         self._impairments.remove(impairment)
 
     def blocked(self, source: Endpoint, target: Endpoint) -> bool:
-        """Return whether a partition is in the way."""
+        """Return whether a partition blocks this direction."""
         return any(each.blocks(source.name, target.name) for each in self._partitions)
 
     def latency(self, source: Endpoint, target: Endpoint) -> float:
@@ -92,7 +92,7 @@
         return base * jitter + added
 
     def send_datagram(self, source: Endpoint, target: Endpoint, deliver: Action) -> None:
-        """Send a message that may be lost, doubled or overtaken."""
+        """Send a message that may be lost, duplicated or reordered."""
         if self.blocked(source, target):
             return
         delay = self.latency(source, target)
@@ -165,8 +165,8 @@
     Parameters
     ----------
     client_lost, server_lost
-        Told to an end when the stream breaks or the other end goes away; the argument says
-        whether the network (and not the other process) is to blame.
+        Called when the stream breaks or the other end closes; the argument is True if the
+        network, not the other process, is the cause.
     """
 
     def __init__(
@@ -195,7 +195,7 @@
             self._to_client.send(lambda: self._deliver(deliver))
 
     def finish(self) -> None:
-        """Close quietly: both ends know that all was said."""
+        """Close without notifying either end, after the final answer."""
         self.open = False
 
     def client_gone(self) -> None:
--- a/src/stagewalk/simulation/node_host.py
+++ b/src/stagewalk/simulation/node_host.py
@@ -50,7 +50,7 @@
 
 
 class Core(Protocol):
-    """What the simulation needs of `NodeCore`."""
+    """The part of `NodeCore` that the simulation uses."""
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
         """Handle an event and return what to do."""
@@ -69,18 +69,18 @@
         """Handle a piece of the answer, or the whole."""
 
     def lost(self, by_network: bool) -> None:
-        """Learn that the call broke before its final answer."""
+        """Handle that the call broke before its final answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeClock:
-    """A node's own clock: off by a constant and running a little fast or slow."""
+    """A node's local clock, with a constant offset and a drift rate."""
 
     offset_seconds: float
     rate: float
 
     def read(self, true_time: float) -> float:
-        """Return what it shows at a true time."""
+        """Return the local time at a true time."""
         return self.offset_seconds + true_time * self.rate
 
 
@@ -93,8 +93,8 @@
 
 
 @dataclass(slots=True)
-class NodeLife:
-    """What dies with one incarnation."""
+class NodeProcess:
+    """State that is lost when the node's process ends."""
 
     core: Core
     outbound: OutboundCalls
@@ -154,7 +154,7 @@
         self._generators = generators
         self._on_exit = on_exit
         self._on_failure = on_failure
-        self._life: NodeLife | None = None
+        self._process: NodeProcess | None = None
 
     @property
     def name(self) -> str:
@@ -169,12 +169,12 @@
     @property
     def alive(self) -> bool:
         """Return whether the process runs."""
-        return self._life is not None
+        return self._process is not None
 
     @property
     def stopping(self) -> bool:
         """Return whether a planned stop is going on."""
-        return self._life is not None and self._life.stopping
+        return self._process is not None and self._process.stopping
 
     @property
     def local_time(self) -> float:
@@ -183,7 +183,7 @@
 
     def start(self) -> None:
         """Start a new incarnation with nothing but its settings."""
-        if self._life is not None:
+        if self._process is not None:
             return
         self.incarnation = Incarnation(self.incarnation + 1)
         identity = NodeIdentity(
@@ -191,49 +191,49 @@
         )
         generator = self._generators(self.name, self.incarnation)
         core = self._factory(identity, generator)
-        life = NodeLife(core, self._outbound_factory(self))
-        self._life = life
+        process = NodeProcess(core, self._outbound_factory(self))
+        self._process = process
         first = TICK_INTERVAL_SECONDS * generator.random()
-        self._scheduler.after(first, lambda: self._tick(life))
+        self._scheduler.after(first, lambda: self._tick(process))
 
     def stop(self) -> None:
-        """Request an orderly stop of the process."""
-        life = self._life
-        if life is None or life.stopping:
+        """Request a graceful stop of the process."""
+        process = self._process
+        if process is None or process.stopping:
             return
-        life.stopping = True
+        process.stopping = True
         self._witness.observe(PlannedStopBegan(at=self._scheduler.now, process=self.name))
-        self._take(life, StopRequested())
+        self._take(process, StopRequested())
 
     def kill(self, machine_lost: bool = False) -> None:
-        """End the process at once; the clients of a lost machine only learn it by silence."""
-        life = self._life
-        if life is None:
+        """Kill the process at once; clients of a lost machine only notice after a timeout."""
+        process = self._process
+        if process is None:
             return
         self._witness.observe(ProcessKilled(at=self._scheduler.now, process=self.name))
         self._end(STALL_LIMIT_SECONDS if machine_lost else 0.0)
 
     def pause(self) -> None:
-        """Stop the process from running, its connections staying open."""
-        if self._life is not None:
-            self._life.paused = True
+        """Suspend the process; its connections stay open."""
+        if self._process is not None:
+            self._process.paused = True
 
     def resume(self) -> None:
         """Resume a paused process, which handles what queued up meanwhile."""
-        life = self._life
-        if life is None or not life.paused:
+        process = self._process
+        if process is None or not process.paused:
             return
-        life.paused = False
-        backlog, life.backlog = life.backlog, []
+        process.paused = False
+        backlog, process.backlog = process.backlog, []
         for event in (Tick(), *backlog):
-            if self._life is life:
-                self._handle(life, event)
+            if self._process is process:
+                self._handle(process, event)
 
     def status(self) -> NodeStatus | None:
         """Return the core's status, or None if the process does not answer."""
-        if self._life is None or self._life.paused:
+        if self._process is None or self._process.paused:
             return None
-        return self._life.core.status(self.local_time)
+        return self._process.core.status(self.local_time)
 
     def open_call(
         self,
@@ -245,65 +245,65 @@
 
         `event` makes the core's event from the call's id and the node's time.
         """
-        life = self._life
-        if life is None or life.exiting_since is not None:
+        process = self._process
+        if process is None or process.exiting_since is not None:
             return None
         if self.network.blocked(client, self.endpoint) or self.network.blocked(
             self.endpoint, client
         ):
             return None
-        life.calls_opened += 1
-        call = CallId(f"{self.name}/{self.incarnation}/{life.calls_opened}")
+        process.calls_opened += 1
+        call = CallId(f"{self.name}/{self.incarnation}/{process.calls_opened}")
         connection = Connection(
             self.network,
             client,
             self.endpoint,
             client_lost=handler.lost,
-            server_lost=lambda _: self._abandoned(life, call),
+            server_lost=lambda _: self._abandoned(process, call),
         )
-        life.calls[call] = OpenCall(connection, handler)
-        connection.send_to_server(lambda: self._take(life, event(call, self.local_time)))
+        process.calls[call] = OpenCall(connection, handler)
+        connection.send_to_server(lambda: self._take(process, event(call, self.local_time)))
         return connection
 
-    def take_if_same(self, incarnation: Incarnation, event: Event) -> None:
-        """Feed an event that only concerns one incarnation."""
-        if self._life is not None and self.incarnation == incarnation:
-            self._take(self._life, event)
+    def deliver_to_incarnation(self, incarnation: Incarnation, event: Event) -> None:
+        """Deliver an event, unless the given incarnation no longer runs."""
+        if self._process is not None and self.incarnation == incarnation:
+            self._take(self._process, event)
 
     def receive(self, source: Address, payload: bytes) -> None:
         """Handle a message from another node."""
-        if self._life is not None:
+        if self._process is not None:
             message = PeerMessageReceived(source, Envelope.FromString(payload))
-            self._take(self._life, message)
+            self._take(self._process, message)
 
-    def _tick(self, life: NodeLife) -> None:
-        if self._life is not life:
+    def _tick(self, process: NodeProcess) -> None:
+        if self._process is not process:
             return
-        if not life.paused:
-            self._handle(life, Tick())
-        self._scheduler.after(TICK_INTERVAL_SECONDS, lambda: self._tick(life))
+        if not process.paused:
+            self._handle(process, Tick())
+        self._scheduler.after(TICK_INTERVAL_SECONDS, lambda: self._tick(process))
 
-    def _take(self, life: NodeLife, event: Event) -> None:
-        if self._life is not life:
+    def _take(self, process: NodeProcess, event: Event) -> None:
+        if self._process is not process:
             return
-        if not life.paused:
-            self._handle(life, event)
-        elif len(life.backlog) < BACKLOG_LIMIT or not isinstance(event, PeerMessageReceived):
-            life.backlog.append(event)
+        if not process.paused:
+            self._handle(process, event)
+        elif len(process.backlog) < BACKLOG_LIMIT or not isinstance(event, PeerMessageReceived):
+            process.backlog.append(event)
 
-    def _handle(self, life: NodeLife, event: Event) -> None:
+    def _handle(self, process: NodeProcess, event: Event) -> None:
         try:
-            instructions = life.core.handle(event, self.local_time)
+            instructions = process.core.handle(event, self.local_time)
             for instruction in instructions:
                 self._require_known(instruction)
         except Exception as error:
             self._fail(event, error)
             return
         for instruction in instructions:
-            self._execute(life, instruction)
+            self._execute(process, instruction)
 
     def _require_known(self, instruction: object) -> None:
-        """Count an output that the daemon's shell could not carry out as the core's failure."""
+        """Raise if a core's output is not an instruction that the daemon could execute."""
         if not isinstance(instruction, Instruction):
             raise TypeError(f"not an instruction: {instruction}")
 
@@ -312,27 +312,27 @@
         self._on_failure(CoreFailure(self._scheduler.now, self.name, type(event).__name__, trace))
         self.kill()
 
-    def _execute(self, life: NodeLife, instruction: Instruction) -> None:
+    def _execute(self, process: NodeProcess, instruction: Instruction) -> None:
         match instruction:
             case SendPeerMessage():
-                self._send_peer_message(life, instruction)
+                self._send_peer_message(process, instruction)
             case SendChunk() | FinishCall() | FailCall() | AcceptLot() | DeliverSamples():
-                self._answer(life, instruction)
+                self._answer(process, instruction)
             case ExitProcess():
-                self._exit(life)
+                self._exit(process)
             case _:
-                life.outbound.execute(instruction)
+                process.outbound.execute(instruction)
 
-    def _answer(self, life: NodeLife, answer: CallAnswer) -> None:
+    def _answer(self, process: NodeProcess, answer: CallAnswer) -> None:
         """Send a piece of an answer to its caller."""
-        call = life.calls.get(answer.call)
+        call = process.calls.get(answer.call)
         if call is None:
             return
         if not isinstance(answer, SendChunk):
-            del life.calls[answer.call]
+            del process.calls[answer.call]
         call.connection.send_to_client(lambda: call.handler.answered(answer))
 
-    def _send_peer_message(self, life: NodeLife, message: SendPeerMessage) -> None:
+    def _send_peer_message(self, process: NodeProcess, message: SendPeerMessage) -> None:
         payload = message.envelope.SerializeToString()
         self.peer_bytes_sent += len(payload)
         peer = self._directory.node_at(message.address)
@@ -345,44 +345,44 @@
         if message.transport is Transport.DATAGRAM:
             self.network.send_datagram(self.endpoint, peer.endpoint, deliver)
             return
-        stream = life.streams.get(peer.name)
+        stream = process.streams.get(peer.name)
         if stream is None:
             stream = Direction(
                 self.network,
                 self.endpoint,
                 peer.endpoint,
-                lambda: self._stream_broken(life, peer.name),
+                lambda: self._stream_broken(process, peer.name),
             )
-            life.streams[peer.name] = stream
+            process.streams[peer.name] = stream
         stream.send(deliver)
 
-    def _stream_broken(self, life: NodeLife, peer: str) -> None:
-        life.streams.pop(peer, None)
+    def _stream_broken(self, process: NodeProcess, peer: str) -> None:
+        process.streams.pop(peer, None)
 
-    def _abandoned(self, life: NodeLife, call: CallId) -> None:
-        if self._life is life and life.calls.pop(call, None) is not None:
-            self._take(life, CallAbandoned(call))
+    def _abandoned(self, process: NodeProcess, call: CallId) -> None:
+        if self._process is process and process.calls.pop(call, None) is not None:
+            self._take(process, CallAbandoned(call))
 
-    def _exit(self, life: NodeLife) -> None:
+    def _exit(self, process: NodeProcess) -> None:
         """Refuse new connections; exit once the open ones are done, or after a while."""
-        if life.exiting_since is None:
-            life.exiting_since = self._scheduler.now
-        self._leave_when_done(life)
+        if process.exiting_since is None:
+            process.exiting_since = self._scheduler.now
+        self._leave_when_done(process)
 
-    def _leave_when_done(self, life: NodeLife) -> None:
-        if self._life is not life or life.exiting_since is None:
+    def _leave_when_done(self, process: NodeProcess) -> None:
+        if self._process is not process or process.exiting_since is None:
             return
-        waited = self._scheduler.now - life.exiting_since
-        if life.calls and waited < GRACEFUL_TIMEOUT_SECONDS:
-            self._scheduler.after(GRACEFUL_CHECK_SECONDS, lambda: self._leave_when_done(life))
+        waited = self._scheduler.now - process.exiting_since
+        if process.calls and waited < GRACEFUL_TIMEOUT_SECONDS:
+            self._scheduler.after(GRACEFUL_CHECK_SECONDS, lambda: self._leave_when_done(process))
             return
         self._end(0.0)
         self._on_exit(self)
 
     def _end(self, silence_seconds: float) -> None:
-        life = self._life
-        assert life is not None
-        self._life = None
-        life.outbound.close(silence_seconds)
-        for call in life.calls.values():
+        process = self._process
+        assert process is not None
+        self._process = None
+        process.outbound.close(silence_seconds)
+        for call in process.calls.values():
             self._scheduler.after(silence_seconds, call.connection.server_gone)
--- a/src/stagewalk/simulation/operators.py
+++ b/src/stagewalk/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators of both partners, who publish changes on the log and race each other.
+"""Operators of both partners, who publish concurrent changes on the log.
 
 Owns the changes published and what their operators observe; relies on `log_service` and on the
 product's own fold to know whether a change was accepted.
@@ -38,12 +38,12 @@
 OVERCOMMITTED_FRACTION = 0.05
 RETRY_SECONDS = 2.0
 CHANGES_START_SECONDS = 10.0
-"""Changes begin once all tenants exist: a share taken earlier could keep one from being made."""
+"""Delay until all tenants exist: an earlier change of a share could block a creation."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorWorld:
-    """What operators need of the world."""
+    """Parts of the simulated world that operators use."""
 
     scheduler: Scheduler
     log: LogService
@@ -61,7 +61,7 @@
     """One operator of a partner.
 
     It follows the log with a fold of its own, bases its changes on what it has read, and
-    learns from the log what became of them, also when the append's answer was lost.
+    learns their outcome from the log, also when the append's answer was lost.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         )
 
     def _draw_change(self) -> AnyChange | None:
-        """Draw a change: most are sound, some are stale, foreign or claim too much."""
+        """Draw a change: most are valid, some are stale, foreign or overcommit capacity."""
         foreign = self._generator.random() < FOREIGN_FRACTION
         sites = list(self._world.layout.tenants) if foreign else self._own_sites()
         site = self._generator.choice(sites)
@@ -138,7 +138,7 @@
         return msgspec.structs.replace(current, idle_weight=weight)
 
     def _publish(self, change: AnyChange) -> Steps:
-        """Append a change and wait until the log shows what became of it."""
+        """Append a change and wait until the log shows its outcome."""
         self._published += 1
         record_id = RecordId(f"{self.name}/{self._published}")
         landed = yield from self._append(record_id, encode_change(change))
--- a/src/stagewalk/simulation/outbound.py
+++ b/src/stagewalk/simulation/outbound.py
@@ -85,7 +85,7 @@
 
 
 class OutboundCalls:
-    """Carries out one incarnation's instructions to the outside and feeds back what came of them.
+    """Executes one incarnation's outbound instructions and feeds the results back as events.
 
     Parameters
     ----------
@@ -126,7 +126,7 @@
         handler(instruction)
 
     def close(self, silence_seconds: float) -> None:
-        """Report to all engines, now or after a silence, that their client is gone."""
+        """Tell all engines, now or after a delay, that their client disconnected."""
         for connection in self._attempts.values():
             self._network.scheduler.after(silence_seconds, connection.client_gone)
         self._attempts.clear()
--- a/src/stagewalk/simulation/platform_services.py
+++ b/src/stagewalk/simulation/platform_services.py
@@ -26,12 +26,12 @@
 CALL_TIMEOUT_SECONDS = 5.0
 ORDINARY_LIST_LAG_SECONDS = 3.0
 SCORING_SECONDS = 0.05
-FETCHES_AT_ONCE = 4
+CONCURRENT_FETCHES = 4
 STORE_BYTES_PER_SECOND = 4_000_000_000
 
 
 class MachineListService:
-    """The list of machines as it was some seconds ago."""
+    """The list of machines, served with a lag."""
 
     def __init__(self, network: Network, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
@@ -86,7 +86,7 @@
 
 
 class WeightStoreService:
-    """Published weights, fetched under a limit of fetches at once."""
+    """Published weights, with a limit on concurrent fetches."""
 
     def __init__(
         self, network: Network, endpoint: Endpoint, witness: Witness, version_bytes: int
@@ -148,14 +148,14 @@
         """Fetch one version's weights and call `ended` with whether it succeeded."""
         if self.down:
             self._network.scheduler.after(CALL_TIMEOUT_SECONDS, lambda: ended(False))
-        elif self._fetching >= FETCHES_AT_ONCE:
+        elif self._fetching >= CONCURRENT_FETCHES:
             self._queue.append(ended)
         else:
             self._begin(ended)
 
     def _begin(self, ended: Callable[[bool], None]) -> None:
         self._fetching += 1
-        rate = STORE_BYTES_PER_SECOND / FETCHES_AT_ONCE
+        rate = STORE_BYTES_PER_SECOND / CONCURRENT_FETCHES
         seconds = self._version_bytes / rate * self.slow_factor
         self._network.scheduler.after(seconds, lambda: self._end(ended))
 
--- a/src/stagewalk/simulation/platform_settings.py
+++ b/src/stagewalk/simulation/platform_settings.py
@@ -2,7 +2,7 @@
 
 Units stand in the names; a field without a unit is a count or a fraction.
 
-Owns the default figures, which are chosen to resemble an engine and not measured on one.
+Owns the default values, which resemble an engine's.
 """
 
 from __future__ import annotations
@@ -43,9 +43,9 @@
     report_lag_seconds
         Largest age of a report.
     cache_event_lag_seconds, cache_event_loss_fraction
-        Lateness and gaps of cache events.
+        Delay of cache events, and the fraction of them lost.
     expected_answer_tokens
-        Guess behind a report's `pending_tokens`.
+        Assumed answer length in a report's `pending_tokens`.
     lengths
         True lengths of answers.
     """
--- a/src/stagewalk/simulation/remote_call.py
+++ b/src/stagewalk/simulation/remote_call.py
@@ -26,7 +26,7 @@
         Runs at the server; it is given what answers the call, now or later. If it returns
         False, the server refused the connection.
     failed
-        Told whether the request may have reached the server.
+        Called with whether the request may have reached the server.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
             self._network.scheduler.after(delay, lambda: self._fail(False))
 
     def _respond(self, answer: Answer) -> None:
-        """Send the answer back; a partition swallows it and the call times out."""
+        """Send the answer back; if a partition drops it, the call times out."""
         if self._network.blocked(self._server, self._client):
             return
         delay = self._network.stream_delay(self._server, self._client)
--- a/src/stagewalk/simulation/shrink.py
+++ b/src/stagewalk/simulation/shrink.py
@@ -1,4 +1,4 @@
-"""Shrinks a failing run to a small one that still breaks the same promise.
+"""Shrinks a failing run to a smaller one that still breaks the same promise.
 
 Owns the order in which faults and time are left out; relies on its caller to run each candidate.
 """
@@ -23,7 +23,7 @@
 
 
 def broken_promises(report: SimulationReport) -> frozenset[str]:
-    """Return what a run broke; a core's exception counts as one promise more."""
+    """Return the promises a run broke, with `core_failure` if a core raised an exception."""
     broken = {promise for promise, count in report.violations.items() if count}
     if report.core_failures:
         broken.add("core_failure")
@@ -31,7 +31,7 @@
 
 
 class Shrinker:
-    """Tries smaller runs until none of them fails alike, or the runs allowed are used up."""
+    """Tries smaller runs until none fails in the same way, or `runs_allowed` is used up."""
 
     def __init__(self, run: Runner, target: frozenset[str], runs_allowed: int) -> None:
         self._run = run
@@ -61,14 +61,14 @@
         return arguments
 
     def _drop_faults(self, arguments: SimulationArguments) -> SimulationArguments:
-        """Leave out ever smaller runs of faults as long as the rest still fails."""
+        """Remove chunks of faults, halving their size, as long as the rest still fails."""
         size = max(1, len(arguments.schedule or ()) // 2)
         while size >= 1 and self.runs_left > 0:
-            arguments = self._drop_runs_of(arguments, size)
+            arguments = self._drop_chunks(arguments, size)
             size //= 2
         return arguments
 
-    def _drop_runs_of(self, arguments: SimulationArguments, size: int) -> SimulationArguments:
+    def _drop_chunks(self, arguments: SimulationArguments, size: int) -> SimulationArguments:
         start = 0
         while start < len(arguments.schedule or ()):
             schedule: tuple[Fault, ...] = arguments.schedule or ()
--- a/src/stagewalk/simulation/simulation_run.py
+++ b/src/stagewalk/simulation/simulation_run.py
@@ -32,7 +32,7 @@
 
 
 class SimulationArguments(msgspec.Struct, frozen=True, kw_only=True):
-    """What determines a run to the byte.
+    """Arguments that determine a run to the byte.
 
     Attributes
     ----------
--- a/src/stagewalk/simulation/sweep.py
+++ b/src/stagewalk/simulation/sweep.py
@@ -1,4 +1,4 @@
-"""Many runs over several processes, and what came of them together.
+"""Many runs over several processes, and their combined results.
 
 Owns the worker processes; relies on `simulation_run` for each run.
 """
--- a/src/stagewalk/simulation/trainers.py
+++ b/src/stagewalk/simulation/trainers.py
@@ -40,15 +40,15 @@
 SAMPLES_PER_PULL = 64
 RETRY_SECONDS = 0.5
 RETRIES_BEFORE_FAILOVER = 2
-WANDER_FRACTION = 0.02
-"""Fraction of pulls that go to another node than the last for no reason."""
+SPONTANEOUS_NODE_CHANGE_FRACTION = 0.02
+"""Fraction of pulls that switch to another node without a failure."""
 
 FIRST_VERSION = WeightVersion(1)
 
 
 @dataclass(frozen=True, slots=True)
 class TrainerWorld:
-    """What trainers need of the world."""
+    """Parts of the simulated world that trainers use."""
 
     seed: int
     scheduler: Scheduler
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Checkpoint:
-    """What a trainer keeps in its own lasting storage, written at once with what it accepts."""
+    """A trainer's durable state, written atomically with each accepted sample."""
 
     step: int = 1
     version: WeightVersion = FIRST_VERSION
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class StepNeed:
-    """What a step needs at the least: for the offline bound on idle time."""
+    """Least work of a step, for the offline bound on idle time."""
 
     tokens: int
     longest_tokens: int
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """What a crash loses."""
+    """State that a crash loses."""
 
     node: NodeHost
     failures: int = 0
@@ -97,7 +97,7 @@
         self._home = home
         self._generator = generator
         self._checkpoint = Checkpoint()
-        self._life = 0
+        self._incarnation = 0
         self._running = False
         self._lots: dict[int, tuple[RolloutPrompt, ...]] = {}
 
@@ -111,33 +111,37 @@
         if self._running:
             return
         self._running = True
-        self._life += 1
-        self._world.scheduler.start(self._run(self._life))
+        self._incarnation += 1
+        self._world.scheduler.start(self._run(self._incarnation))
 
     def crash(self, restart_after_seconds: float) -> None:
         """Lose everything but the checkpoint."""
         self._running = False
-        self._life += 1
+        self._incarnation += 1
         self._world.scheduler.after(restart_after_seconds, self.start)
 
-    def _run(self, life: int) -> Steps:
+    def _run(self, incarnation: int) -> Steps:
         progress = _Progress(self._home)
-        while self._life == life:
+        while self._incarnation == incarnation:
             waiting_since = self._world.scheduler.now
             step = self._checkpoint.step
-            while self._life == life and not (yield from self._pull(life, progress)):
+            while self._incarnation == incarnation and not (
+                yield from self._pull(incarnation, progress)
+            ):
                 pass
-            if self._life != life:
+            if self._incarnation != incarnation:
                 return
             idle_seconds = self._world.scheduler.now - waiting_since
-            yield from self._train(life, progress, step, idle_seconds)
+            yield from self._train(incarnation, progress, step, idle_seconds)
 
-    def _train(self, life: int, progress: _Progress, step: int, idle_seconds: float) -> Steps:
+    def _train(
+        self, incarnation: int, progress: _Progress, step: int, idle_seconds: float
+    ) -> Steps:
         """Train on a whole step and publish the next version."""
         if self.load.steps_ahead:
-            yield from self._submit(life, progress, step + 1)
+            yield from self._submit(incarnation, progress, step + 1)
         yield self._world.scheduler.sleep(self.load.training_seconds)
-        if self._life != life:
+        if self._incarnation != incarnation:
             return
         self._world.witness.observe(
             StepCompleted(
@@ -154,13 +158,13 @@
         self._checkpoint = Checkpoint(step + 1, self._checkpoint.version)
         self._publish_next()
 
-    def _pull(self, life: int, progress: _Progress) -> Generator[simpy.Event, Any, bool]:
+    def _pull(self, incarnation: int, progress: _Progress) -> Generator[simpy.Event, Any, bool]:
         """Pull once; return whether the step is whole."""
         checkpoint = self._checkpoint
         if checkpoint.step not in progress.submitted:
-            yield from self._submit(life, progress, checkpoint.step)
+            yield from self._submit(incarnation, progress, checkpoint.step)
             return False
-        if self._generator.random() < WANDER_FRACTION:
+        if self._generator.random() < SPONTANEOUS_NODE_CHANGE_FRACTION:
             self._change_node(progress)
         answer = yield from call_once(
             self._world.scheduler,
@@ -171,7 +175,7 @@
             ),
             CALL_TIMEOUT_SECONDS,
         )
-        if self._life != life:
+        if self._incarnation != incarnation:
             return False
         match answer:
             case DeliverSamples(batch=batch):
@@ -199,10 +203,10 @@
         self._checkpoint.version = WeightVersion(self._checkpoint.version + 1)
         self._world.store.publish(self.load.model, self._checkpoint.version)
 
-    def _submit(self, life: int, progress: _Progress, step: int) -> Steps:
+    def _submit(self, incarnation: int, progress: _Progress, step: int) -> Steps:
         """Submit a step's lot until some node takes it."""
         self._record_started(step)
-        while self._life == life:
+        while self._incarnation == incarnation:
             answer = yield from call_once(
                 self._world.scheduler,
                 self._home.endpoint,
@@ -274,7 +278,7 @@
         )
 
     def _accept(self, sample: Sample) -> None:
-        """Accept a delivered sample, whatever it is: the checker judges."""
+        """Accept a delivered sample without validating it; the checker does that."""
         slot = sample.slot
         prompt = self._prompt(slot)
         spans = spans_from_text(sample.text)
--- a/src/stagewalk/simulation/virtual_time.py
+++ b/src/stagewalk/simulation/virtual_time.py
@@ -18,7 +18,7 @@
 
 
 class Scheduler:
-    """Runs actions at virtual times, those of the same time in the order they were asked for."""
+    """Runs actions at virtual times, those of the same time in the order they were scheduled."""
 
     def __init__(self) -> None:
         self._environment = simpy.Environment()
@@ -56,7 +56,7 @@
         return simpy.Timeout(self._environment, max(0.0, seconds))
 
     def signal(self) -> simpy.Event:
-        """Return an event that a process can wait for and anyone can bring about."""
+        """Return an event that a process can wait for and any code can trigger."""
         return simpy.Event(self._environment)
 
     def run_until(self, time: float) -> None:
@@ -69,5 +69,5 @@
 
 
 def derived_generator(seed: int, *purpose: str | int) -> random.Random:
-    """Return a generator of its own for a purpose, so that one's draws don't shift another's."""
+    """Return an independent generator for a purpose; its draws don't affect other generators."""
     return random.Random("/".join(str(part) for part in (seed, *purpose)))
--- a/src/stagewalk/simulation/witness.py
+++ b/src/stagewalk/simulation/witness.py
@@ -1,4 +1,4 @@
-"""Collects what the observers of a run saw, in order of time.
+"""Collects the observations of a run in order of time.
 
 Owns the history of a run and its digest; all models of the world write to it.
 """
--- a/src/stagewalk/simulation/world.py
+++ b/src/stagewalk/simulation/world.py
@@ -16,7 +16,7 @@
 from stagewalk.simulation.faults import Fault
 from stagewalk.simulation.layout import CallerLoad, Endpoint, Layout, NodeSite, TrainerLoad
 from stagewalk.simulation.log_service import LogService
-from stagewalk.simulation.machines import MachineKeeper, PlatformServices
+from stagewalk.simulation.machines import MachineManager, PlatformServices
 from stagewalk.simulation.network import Network
 from stagewalk.simulation.node_host import CoreFactory, CoreFailure, NodeClock, NodeHost
 from stagewalk.simulation.operators import Operator, OperatorWorld
@@ -35,7 +35,7 @@
 CLOCK_OFFSET_SECONDS = 1000.0
 CLOCK_DRIFT = 2e-5
 LOAD_STARTS_SECONDS = 5.0
-"""Clients begin once nodes have had time to find each other and their configuration."""
+"""Delay before clients start, for nodes to discover each other and read the configuration."""
 
 
 class World:
@@ -56,7 +56,7 @@
         self._factory = factory
         self.network = Network(self.scheduler, layout.latencies, self._generator("network"))
         self.services = self._make_services()
-        self.keeper = MachineKeeper(self.scheduler, layout, self.services, self.witness)
+        self.keeper = MachineManager(self.scheduler, layout, self.services, self.witness)
         for model in layout.models:
             self.services.store.publish(model, FIRST_VERSION)
         for site in layout.engines:
@@ -67,7 +67,7 @@
         self.callers = [caller for load in layout.callers for caller in self._make_callers(load)]
 
     def run(self, duration_seconds: float, schedule: tuple[Fault, ...]) -> None:
-        """Start everything and let time pass until the end."""
+        """Start everything and run the simulation to its end."""
         self.start(schedule)
         self.scheduler.run_until(duration_seconds)
 
@@ -145,7 +145,7 @@
             node.endpoint,
             self.network,
             services,
-            lambda event: node.take_if_same(incarnation, event),
+            lambda event: node.deliver_to_incarnation(incarnation, event),
         )
 
     def _node_failed(self, failure: CoreFailure) -> None:
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -1,4 +1,4 @@
-"""Fault schedules come from the seed alone; shrinking keeps what a failure needs."""
+"""Fault schedules come from the seed alone; shrinking keeps the faults that a failure needs."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self.assertNotEqual(first, draw_schedule(layout, FaultLevel.STORM, 8, 600.0))
         self.assertEqual((), draw_schedule(layout, FaultLevel.NONE, 7, 600.0))
 
-    def test_every_kind_comes_and_each_run_has_the_guaranteed(self) -> None:
+    def test_schedules_cover_all_kinds_and_include_the_guaranteed_ones(self) -> None:
         layout = LAYOUTS["both"]()
         seen: set[FaultKind] = set()
         for seed in range(20):
@@ -39,7 +39,7 @@
 
 
 class ShrinkerTest(testtools.TestCase):
-    def test_only_what_the_failure_needs_is_left(self) -> None:
+    def test_shrinking_keeps_only_the_faults_that_the_failure_needs(self) -> None:
         needed = {"n3", "n5"}
         schedule = tuple(
             Fault(at=float(index), kind=FaultKind.NODE_KILL, seconds=1.0, targets=(f"n{index}",))
--- a/tests/simulation/test_mutants.py
+++ b/tests/simulation/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each mechanism switched off is found by the checker within a few seeds."""
+"""The checker detects each mutant within a few seeds."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_network.py
+++ b/tests/simulation/test_network.py
@@ -53,7 +53,7 @@
         self.scheduler.run_until(2.0)
         self.assertEqual([2, 3], self.arrived)
 
-    def test_impairments_lose_double_and_reorder(self) -> None:
+    def test_impairments_lose_duplicate_and_reorder(self) -> None:
         worse = Impairment(loss_fraction=0.2, duplicate_fraction=0.2, reorder_fraction=0.3)
         self.network.begin_impairment(worse)
         for number in range(300):
@@ -83,7 +83,7 @@
         self.assertEqual([], self.arrived)
         self.assertEqual(["client True", "server True"], self.lost)
 
-    def test_what_a_dying_server_sent_before_still_arrives(self) -> None:
+    def test_messages_sent_before_a_server_crash_still_arrive(self) -> None:
         connection = self.connect()
         connection.send_to_client(lambda: self.arrived.append(1))
         connection.server_gone()
--- a/tests/simulation/test_platform_services.py
+++ b/tests/simulation/test_platform_services.py
@@ -46,14 +46,14 @@
         self.assertEqual(["failed, sent True"], self.outcomes)
         self.assertEqual(["a"], [record.record_id for record in self.log.records("s")])
 
-    def test_log_that_is_down_takes_nothing_and_says_so(self) -> None:
+    def test_log_that_is_down_refuses_appends(self) -> None:
         self.log.down = True
         self.append("a")
         self.scheduler.run_until(20.0)
         self.assertEqual(["failed, sent False"], self.outcomes)
         self.assertEqual((), self.log.records("s"))
 
-    def test_read_waits_for_news(self) -> None:
+    def test_read_at_the_head_waits_for_a_record(self) -> None:
         self.read(0)
         self.scheduler.run_until(1.0)
         self.assertEqual([], self.pages)
--- a/tests/simulation/test_replays.py
+++ b/tests/simulation/test_replays.py
@@ -1,4 +1,4 @@
-"""Shrunk runs that once broke a promise keep it now."""
+"""Regression test: shrunk runs that once broke a promise are clean."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_simulation_run.py
+++ b/tests/simulation/test_simulation_run.py
@@ -1,4 +1,4 @@
-"""The product keeps every promise in short storms, and a run repeats to the byte."""
+"""The product keeps every promise in short runs with many faults, and runs are reproducible."""
 
 from __future__ import annotations
 
