--- a/src/stagewalk_standins/caller.py
+++ b/src/stagewalk_standins/caller.py
@@ -1,7 +1,6 @@
-"""Stand-in of callers of completions: an open loop at a rate, through the nodes beside it.
+"""Open-loop load generator for the completions API.
 
-Owns requests, retries and their observations; relies on `node_pool` for where to send and on
-`history_file` for the record.
+Sends requests at a mean rate, retries failed ones through other nodes and records every outcome.
 """
 
 from __future__ import annotations
@@ -30,14 +29,14 @@
 from stagewalk_standins.http_client import open_client
 from stagewalk_standins.node_pool import NodeEndpoint, NodePool
 
-SEND_AGAIN_SECONDS = 0.5
+RETRY_DELAY_SECONDS = 0.5
 UNAVAILABLE_STATUS = 503
 DEADLINE_MARGIN_SECONDS = 10.0
 PREFIX_CHARACTERS = 800
-MOST_WAIT_SECONDS = 1.0
-"""Longest wait of a call whose connection the caller itself breaks."""
+MAX_ABORT_DELAY_SECONDS = 1.0
+"""Upper bound on the time before the caller aborts a request on purpose."""
 CONNECTION_CUT = "connection_cut"
-"""Kind of the fault observed when the caller breaks a connection itself."""
+"""Fault kind recorded when the caller aborts a request."""
 MAXIMUM_SEED = 2**31 - 1
 EVENT_PREFIX = "data: "
 DONE_DATA = "[DONE]"
@@ -45,28 +44,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerOptions:
-    """What a caller does.
+    """Settings of a caller.
 
     Attributes
     ----------
     rate
-        Mean requests a second, exponential gaps.
+        Mean requests per second; the gaps are exponentially distributed.
     streaming_fraction, non_repeatable_fraction
-        How the requests are mixed.
+        Fractions of requests that are streamed and that must not run twice.
     impatient_fraction
-        Fraction of calls whose connection the caller itself breaks before the answer.
+        Fraction of calls that the caller aborts after a random delay.
     sends
-        Most times one request id is sent: again only after its connection broke, or after a
-        refusal as not run for a passing reason.
+        Maximum number of attempts per request id. Retries follow connection errors and 503
+        responses that say the request was not run.
     prefixes
         Number of distinct shared prompt prefixes.
     seed
-        Its requests depend on its name, this, and their number alone.
+        Together with the caller's name and the request number, determines each request.
     resent
-        It runs again: an earlier run of it may have sent the same requests.
+        An earlier run of this caller may already have sent the same requests.
     request_class
-        If given, non-repeatable requests are marked by this class of their tenant instead of by
-        themselves.
+        If given, non-repeatable requests name this class of the tenant instead of setting
+        `repeatable` to false.
     """
 
     caller: str
@@ -129,28 +128,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The caller holds a whole answer."""
+    """A complete answer."""
 
     text: str
     spans: tuple[VersionSpan, ...]
 
 
-class Broken(Enum):
+class CallFailure(Enum):
     """Why a call ended without an answer or a final error."""
 
     UNREACHABLE = "unreachable"
-    """No connection was made, so nothing was sent."""
+    """Connecting failed, so nothing was sent."""
     CUT = "cut"
     """The connection broke, or the answer could not be read."""
-    GIVEN_UP = "given_up"
-    """The caller broke the connection itself."""
+    ABORTED = "given_up"
+    """The caller aborted the request on purpose."""
 
 
-Result = Answered | Problem | Broken
+Result = Answered | Problem | CallFailure
 
 
 class Caller:
-    """Sends requests until its time is over, then waits for what is in flight."""
+    """Sends requests for the configured duration, then waits for those in flight."""
 
     def __init__(
         self,
@@ -168,7 +167,7 @@
         self._counts: Counter[str] = Counter()
 
     async def run(self, stop: anyio.Event) -> None:
-        """Send at the given rate until the time is over or `stop` is set."""
+        """Send at the configured rate until the duration has passed or `stop` is set."""
         ends_at = anyio.current_time() + self._options.duration_seconds
         number = 0
         async with anyio.create_task_group() as group:
@@ -205,16 +204,16 @@
         )
 
     async def _request(self, body: CompletionBody) -> None:
-        """Send a request, and the same id again through another node if that may help."""
+        """Send a request, and retry it through the next node if its failure is retryable."""
         node = self._nodes.current
         for _ in range(self._options.sends):
             result = await self._send(node, body)
             self._observe_result(node, body, result)
-            if not _worth_sending_again(result):
+            if not _is_retryable(result):
                 return
-            if result in (Broken.CUT, Broken.GIVEN_UP):
+            if result in (CallFailure.CUT, CallFailure.ABORTED):
                 body = msgspec.structs.replace(body, resent=True)
-            await anyio.sleep(SEND_AGAIN_SECONDS)
+            await anyio.sleep(RETRY_DELAY_SECONDS)
             node = self._nodes.after(node)
 
     async def _send(self, node: NodeEndpoint, body: CompletionBody) -> Result:
@@ -233,8 +232,8 @@
         )
         if self._generator.random() >= self._options.impatient_fraction:
             return await self._exchange(node, body)
-        result: Result = Broken.GIVEN_UP
-        with anyio.move_on_after(self._generator.uniform(0.0, MOST_WAIT_SECONDS)):
+        result: Result = CallFailure.ABORTED
+        with anyio.move_on_after(self._generator.uniform(0.0, MAX_ABORT_DELAY_SECONDS)):
             result = await self._exchange(node, body)
         return result
 
@@ -252,13 +251,13 @@
                 return Answered(whole.choices[0].text, tuple(whole.versions or ()))
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
             log_event("node_unreachable", node=node.name, error=type(error).__name__)
-            return Broken.UNREACHABLE
+            return CallFailure.UNREACHABLE
         except httpx.HTTPError as error:
             log_event("call_failed", node=node.name, error=type(error).__name__)
-            return Broken.CUT
+            return CallFailure.CUT
         except msgspec.MsgspecError as error:
             log_event("answer_unreadable", node=node.name, error=str(error))
-            return Broken.CUT
+            return CallFailure.CUT
 
     def _observe_result(self, node: NodeEndpoint, body: CompletionBody, result: Result) -> None:
         match result:
@@ -268,7 +267,7 @@
             case Problem():
                 outcome = f"refused_{result.title}"
                 self._observe_refusal(node, body, result)
-            case Broken():
+            case CallFailure():
                 outcome = result.value
                 self._observe_break(node, body, result)
         self._counts[outcome] += 1
@@ -302,12 +301,12 @@
             )
         )
 
-    def _observe_break(self, node: NodeEndpoint, body: CompletionBody, broken: Broken) -> None:
-        """Observe a broken connection; one that was never made is none."""
-        if broken is Broken.UNREACHABLE:
+    def _observe_break(self, node: NodeEndpoint, body: CompletionBody, broken: CallFailure) -> None:
+        """Record a broken connection; a failed connect is not recorded."""
+        if broken is CallFailure.UNREACHABLE:
             return
         at = clock()
-        if broken is Broken.GIVEN_UP:
+        if broken is CallFailure.ABORTED:
             self._history.write(
                 FaultInjected(at=at, kind=CONNECTION_CUT, target=node.name, until=at)
             )
@@ -322,15 +321,15 @@
         )
 
 
-def _worth_sending_again(result: Result) -> bool:
-    """Return whether no answer came, or a refusal that names a passing trouble of its node."""
+def _is_retryable(result: Result) -> bool:
+    """Return whether the call failed, or was refused with a 503 before it ran."""
     if isinstance(result, Problem):
         return result.ran == ExecutionStatus.NO and result.status == UNAVAILABLE_STATUS
-    return isinstance(result, Broken)
+    return isinstance(result, CallFailure)
 
 
 async def _read_stream(answer: httpx.Response) -> Result:
-    """Read a streamed answer; only one that ends with `[DONE]` is whole."""
+    """Read a streamed answer; one without a final `[DONE]` counts as cut."""
     texts: list[str] = []
     spans: tuple[VersionSpan, ...] = ()
     async for line in answer.aiter_lines():
@@ -345,7 +344,7 @@
         texts.extend(choice.text for choice in event.choices)
         if event.versions is not None:
             spans = tuple(event.versions)
-    return Broken.CUT
+    return CallFailure.CUT
 
 
 async def run_caller(
@@ -355,7 +354,7 @@
     generator: random.Random,
     stop: anyio.Event,
 ) -> None:
-    """Run a caller to its end."""
+    """Run a caller until it has finished or `stop` is set."""
     timeout = httpx.Timeout(options.deadline_seconds + DEADLINE_MARGIN_SECONDS, connect=3.0)
     async with open_client(timeout) as client:
         await Caller(options, nodes, client, history, generator).run(stop)
--- a/src/stagewalk_standins/commands.py
+++ b/src/stagewalk_standins/commands.py
@@ -1,6 +1,6 @@
-"""Starting each stand-in from its flags; what a stand-in doesn't need is never imported.
+"""Entry points of the stand-ins, one per subcommand.
 
-Owns how flags become objects; relies on `flags` for the names and on `serving` for signals.
+Each imports its dependencies locally, so that a process loads only what it uses.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from stagewalk_standins.history_file import HistoryFile
 from stagewalk_standins.web import Application
 
-CLOSE_SECONDS = 0.2
-"""For open connections to be closed in order."""
+CONNECTION_CLOSE_SECONDS = 0.2
+"""Time for the server to close open connections after it was told to stop."""
 
 
 async def run_log(options: argparse.Namespace) -> None:
@@ -54,7 +54,7 @@
 
 
 async def run_forwarder(options: argparse.Namespace) -> None:
-    """Run the faulty network."""
+    """Run the fault-injecting network proxy."""
     from stagewalk_standins.forwarder import LinkForwarder, read_links
     from stagewalk_standins.serving import serve_until_signal
 
@@ -66,7 +66,7 @@
 
 
 async def run_engine(options: argparse.Namespace) -> None:
-    """Run an engine until it was asked to stop and has finished what ran."""
+    """Run an engine until a stop signal, then drain it."""
     from stagewalk.common.identities import EngineName, Incarnation, ModelName, WeightVersion
     from stagewalk.node.core.platform import MachineState
     from stagewalk.simulation.engine_model import SimulatedEngine
@@ -121,12 +121,12 @@
         group.start_soon(machine.register, MachineState.LEAVING)
         await server.leave()
         stop_serving.set()
-        await anyio.sleep(CLOSE_SECONDS)
+        await anyio.sleep(CONNECTION_CLOSE_SECONDS)
         group.cancel_scope.cancel()
 
 
 async def run_trainer(options: argparse.Namespace) -> None:
-    """Run a trainer to its last step, or until it is asked to stop."""
+    """Run a trainer until its last step or a stop signal."""
     from stagewalk_standins import trainer
     from stagewalk_standins.node_pool import NodePool, parse_nodes
     from stagewalk_standins.serving import set_on_stop_signal
@@ -163,7 +163,7 @@
 
 
 async def run_caller(options: argparse.Namespace) -> None:
-    """Run a caller until its time is over and nothing is in flight."""
+    """Run a caller for its duration, until no request is in flight."""
     from stagewalk_standins import caller
     from stagewalk_standins.node_pool import NodePool, parse_nodes
     from stagewalk_standins.serving import set_on_stop_signal
@@ -195,7 +195,7 @@
 
 
 async def _serve_service(application: Application, options: argparse.Namespace) -> None:
-    """Serve one of the platform's services, with switches for its faults."""
+    """Serve a platform service with its fault injection routes."""
     from stagewalk_standins.faults import FaultSwitch
     from stagewalk_standins.serving import serve_until_signal
 
--- a/src/stagewalk_standins/demo/__main__.py
+++ b/src/stagewalk_standins/demo/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m stagewalk_standins.demo`: run both deployments, break things, judge the outcome.
+"""`python -m stagewalk_standins.demo`: run both deployments, inject faults, check the history.
 
-Exits with 0 if every promise was checked and none broken and every process that was not killed
-ended cleanly; with 1 otherwise.
+Exits with 0 if every promise was checked and holds and every process that was not killed ended
+cleanly; with 1 otherwise.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class Demonstration:
-    """One run, from the first process to the verdict."""
+    """One run of the demonstration, from starting processes to checking their history."""
 
     def __init__(self, deployment: Deployment) -> None:
         if OUTPUT.exists():
@@ -94,7 +94,7 @@
             if not await self._operator.publish(path, _partner(path)):
                 self._failures.append(f"{path} was not accepted")
                 return False
-            if not await self._operator.wait_in_force(number):
+            if not await self._operator.wait_applied(number):
                 self._failures.append(f"{path} is not in force everywhere")
                 return False
         return True
@@ -110,10 +110,10 @@
             faults.start_soon(self._at, NODE_KILL_AT_SECONDS, self._kill, nodes[1])
             faults.start_soon(self._at, LOG_OUTAGE_AT_SECONDS, self._log_outage, "log")
             faults.start_soon(
-                self._at, ENGINE_STOP_AT_SECONDS, self._operator.restart_in_order, engines[-1]
+                self._at, ENGINE_STOP_AT_SECONDS, self._operator.restart_gracefully, engines[-1]
             )
             faults.start_soon(
-                self._at, NODE_STOP_AT_SECONDS, self._operator.restart_in_order, nodes[3]
+                self._at, NODE_STOP_AT_SECONDS, self._operator.restart_gracefully, nodes[3]
             )
             await self._show_progress(LOAD_SECONDS)
 
@@ -161,7 +161,7 @@
 
 
 def _partner(change_file: Path) -> str:
-    """Return who owns a tenant: the folder of its deployment names the partner."""
+    """Return the partner that owns a tenant, named by the folder of its deployment."""
     return change_file.resolve().parent.parent.name
 
 
--- a/src/stagewalk_standins/demo/operator.py
+++ b/src/stagewalk_standins/demo/operator.py
@@ -1,9 +1,6 @@
-"""The demonstration's operator: publishes configuration, probes nodes, brings faults about.
+"""Operator of the demonstration: publishes configuration, probes nodes and injects faults.
 
-What it sees and does goes into a history of its own, as evidence for the checker.
-
-Owns that history and the last status of each node; relies on `processes` to stop and kill and on
-the product's own command to publish.
+Records its actions and the status of nodes in its own history, which the checker reads.
 """
 
 from __future__ import annotations
@@ -41,7 +38,7 @@
 
 
 class ProbedStatus(msgspec.Struct, frozen=True):
-    """What the operator reads of a node's `GET /control/status`."""
+    """Fields of `GET /control/status` that the operator uses."""
 
     name: str
     incarnation: int
@@ -53,14 +50,14 @@
 
 
 class Operator:
-    """Acts for both partners' operators and for the platform's own tools.
+    """Performs the actions of the partners' operators and of the platform's tools.
 
     Parameters
     ----------
     directory
-        Where its history goes.
+        Directory of its history.
     announce
-        Told what it does, one line each.
+        Called with one line of text for each action.
     """
 
     def __init__(
@@ -78,15 +75,15 @@
         self.statuses: dict[str, ProbedStatus] = {}
 
     async def register_nodes(self) -> None:
-        """Enter the nodes into the platform's machine list."""
+        """Register the nodes with the platform's machine list."""
         machines = self._topology.services["machines"].url
         for node in self._topology.nodes:
-            body = _machine_row(node)
+            body = _machine_entry(node)
             answer = await self._client.put(f"{machines}/machines/{node.host.name}", json=body)
             answer.raise_for_status()
 
     async def probe_forever(self) -> None:
-        """Read every node's status again and again."""
+        """Poll every node's status until cancelled."""
         while True:
             async with anyio.create_task_group() as tasks:
                 for node in self._topology.nodes:
@@ -94,20 +91,20 @@
             await anyio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def wait_ready(self, names: list[str]) -> bool:
-        """Wait until nodes say that they are ready; return whether they all did."""
-        give_up_at = time.monotonic() + READY_TIMEOUT_SECONDS
-        while time.monotonic() < give_up_at:
+        """Wait until nodes report ready; return False on timeout."""
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             statuses = [self.statuses.get(name) for name in names]
             if all(status is not None and status.ready for status in statuses):
                 return True
             await anyio.sleep(PROBE_INTERVAL_SECONDS)
         return False
 
-    async def wait_in_force(self, offset: int) -> bool:
-        """Wait until every node has folded the configuration up to an offset."""
-        give_up_at = time.monotonic() + READY_TIMEOUT_SECONDS
+    async def wait_applied(self, offset: int) -> bool:
+        """Wait until all nodes have applied the configuration log up to an offset."""
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
         names = [node.host.name for node in self._topology.nodes]
-        while time.monotonic() < give_up_at:
+        while time.monotonic() < deadline:
             statuses = [self.statuses.get(name) for name in names]
             if all(s is not None and s.configuration_offset >= offset for s in statuses):
                 return True
@@ -115,7 +112,7 @@
         return False
 
     async def publish(self, change: Path, partner: str) -> bool:
-        """Publish a change file by the product's own command; return whether it was accepted."""
+        """Publish a change file with `stagewalk config publish`; return whether it was accepted."""
         command = [
             sys.executable,
             "-m",
@@ -150,25 +147,25 @@
         await anyio.sleep(down_seconds)
         self._group.start(specification)
 
-    async def restart_in_order(self, name: str) -> None:
-        """Stop a process in order, then start it again."""
+    async def restart_gracefully(self, name: str) -> None:
+        """Stop a process gracefully, then start it again."""
         self._announce(f"  SIGTERM {name}")
         specification = self._group.specification(name)
         await self.stop([name])
         self._group.start(specification)
 
     async def stop(self, names: list[str]) -> None:
-        """Stop processes in order."""
+        """Stop processes gracefully."""
         for name in names:
             self.observe(PlannedStopBegan(at=_now(), process=name))
         await anyio.to_thread.run_sync(self._group.stop, names)
 
     def observe(self, observation: AnyObservation) -> None:
-        """Write down something the operator saw or did."""
+        """Append an observation to the operator's history."""
         self._history.write(observation)
 
     def _observe_publish(self, operator: str, accepted: bool, answer: str) -> None:
-        """Record the command's answer; without a record's id it is no answer about a record."""
+        """Record the command's result, if its output names a record id."""
         record = RECORD_ID.search(answer)
         if record is None:
             return
@@ -205,7 +202,7 @@
         )
 
 
-def _machine_row(node: NodeProcess) -> dict[str, str | int]:
+def _machine_entry(node: NodeProcess) -> dict[str, str | int]:
     address, _, port = node.peer_address.rpartition(":")
     return {
         "kind": "node",
--- a/src/stagewalk_standins/demo/processes.py
+++ b/src/stagewalk_standins/demo/processes.py
@@ -1,7 +1,4 @@
-"""Starting, killing and stopping the processes of a demonstration, each by its own pid.
-
-Owns the processes it started, and ends no other.
-"""
+"""Starts, stops and kills the child processes of a demonstration."""
 
 from __future__ import annotations
 
@@ -37,7 +34,7 @@
         self.bad_exits: dict[str, int] = {}
 
     def start(self, specification: ProcessSpecification) -> None:
-        """Start a process; its earlier log, if it ran before, is appended to."""
+        """Start a process; its output is appended to its log file."""
         with (self._directory / f"{specification.name}.log").open("ab") as log:
             handle = subprocess.Popen(
                 specification.command, stdin=subprocess.DEVNULL, stdout=log, stderr=log
@@ -45,7 +42,7 @@
         self._running[specification.name] = _RunningProcess(specification, handle)
 
     def kill(self, name: str) -> ProcessSpecification:
-        """Kill a process at once (SIGKILL) and return how to start it again."""
+        """Kill a process at once (SIGKILL) and return its specification."""
         process = self._running.pop(name)
         process.handle.kill()
         process.handle.wait()
@@ -53,7 +50,7 @@
         return process.specification
 
     def specification(self, name: str) -> ProcessSpecification:
-        """Return how a running process is started."""
+        """Return the specification of a running process."""
         return self._running[name].specification
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
@@ -61,7 +58,7 @@
         self._running[name].handle.send_signal(number)
 
     def request_stop(self, name: str) -> None:
-        """Request an orderly stop of a process (SIGTERM)."""
+        """Request a graceful stop of a process (SIGTERM)."""
         self._running[name].handle.terminate()
 
     def wait(self, name: str, timeout_seconds: float = STOP_TIMEOUT_SECONDS) -> int:
@@ -77,7 +74,7 @@
         return exit_code
 
     def stop(self, names: list[str]) -> None:
-        """Stop processes in order, all at once."""
+        """Stop processes gracefully and concurrently."""
         present = [name for name in names if name in self._running]
         for name in present:
             self.request_stop(name)
@@ -89,7 +86,7 @@
         return list(self._running)
 
     def collect_unexpected_exits(self) -> list[str]:
-        """Return the names of processes that ended by themselves with an error."""
+        """Remove processes that have exited; return the names of those that failed."""
         ended = []
         for name, process in list(self._running.items()):
             exit_code = process.handle.poll()
@@ -102,7 +99,7 @@
         return ended
 
     def kill_all(self) -> None:
-        """Kill whatever still runs: the last resort of a failed demonstration."""
+        """Kill all running processes."""
         for process in self._running.values():
             process.handle.kill()
         for process in self._running.values():
--- a/src/stagewalk_standins/demo/tables.py
+++ b/src/stagewalk_standins/demo/tables.py
@@ -1,7 +1,4 @@
-"""What the demonstration prints: progress while it runs, and its final tables.
-
-Owns the text; relies on `history` for figures and verdict.
-"""
+"""Progress lines and final tables of the demonstration."""
 
 from __future__ import annotations
 
@@ -35,12 +32,12 @@
 
 
 def history_files(directory: Path) -> list[Path]:
-    """Return the histories that all observers have written so far."""
+    """Return the history files in a directory."""
     return sorted(directory.glob("*.history"))
 
 
 def progress_line(directory: Path, elapsed_seconds: float) -> str:
-    """Return one line on what has happened so far."""
+    """Return a line of event counts so far."""
     history = read_history(history_files(directory))
     counts = {
         "answered": _count(history, RequestAnswered),
@@ -54,14 +51,14 @@
 
 
 def tenant_table(history: Sequence[AnyObservation]) -> str:
-    """Return the measures of each tenant."""
+    """Return a table of the metrics of each tenant."""
     rows: list[tuple[str, ...]] = [TENANT_HEADINGS]
     rows += [_tenant_row(name, summary) for name, summary in summarize(history).items()]
     return _aligned(rows)
 
 
 def promise_table(verdict: Verdict) -> str:
-    """Return how often each promise was checked and violated."""
+    """Return a table of how often each promise was checked and violated."""
     rows: list[tuple[str, ...]] = [("promise", "checked", "violated")]
     for promise, checked in verdict.checked.items():
         rows.append((str(promise), str(checked), str(len(verdict.violations[promise]))))
--- a/src/stagewalk_standins/demo/topology.py
+++ b/src/stagewalk_standins/demo/topology.py
@@ -1,8 +1,4 @@
-"""Which processes a deployment consists of, each at a loopback address of its own.
-
-Owns addresses, flags and order of start; relies on `node.configuration.deployment` for the deploy
-file's form.
-"""
+"""Maps a deployment to processes, each with its own loopback address and flags."""
 
 from __future__ import annotations
 
@@ -40,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """A small machine: one loopback address, one process."""
+    """A simulated machine: one loopback address with one process."""
 
     name: str
     address: str
@@ -80,12 +76,12 @@
 
 
 class TopologyBuilder:
-    """Lays a deployment out on loopback addresses.
+    """Builds the topology of a deployment on loopback addresses.
 
     Parameters
     ----------
     directory
-        Where settings files, histories and checkpoints go.
+        Directory for settings files, histories and checkpoints.
     load_seconds
         How long callers send requests.
     """
@@ -103,7 +99,7 @@
         }
 
     def build(self) -> Topology:
-        """Return the layout; writes the nodes' settings files."""
+        """Write the nodes' settings files and return the topology."""
         engines = [
             self._engine(service, index)
             for service in self._deployment.engine_services
@@ -201,7 +197,7 @@
             name,
             "caller",
             f"--name={name}",
-            f"--nodes={preferring(nodes, index)}",
+            f"--nodes={nodes_flag(nodes, index)}",
             f"--tenant={service.tenant}",
             f"--model={service.model}",
             f"--rate={service.requests_per_second / service.count}",
@@ -227,7 +223,7 @@
             name,
             "trainer",
             f"--name={name}",
-            f"--nodes={preferring(order, 0)}",
+            f"--nodes={nodes_flag(order, 0)}",
             f"--tenant={service.tenant}",
             f"--model={service.model}",
             f"--weights={self._services['weights'].url}",
@@ -244,11 +240,11 @@
 
 
 def standin(name: str, kind: str, *flags: str) -> ProcessSpecification:
-    """Return how a stand-in is started."""
+    """Return the process specification of a stand-in."""
     return ProcessSpecification(name, (sys.executable, "-m", "stagewalk_standins", kind, *flags))
 
 
-def preferring(nodes: list[NodeProcess], index: int) -> str:
-    """Return the nodes as a flag, the one at `index` first, the others as spares."""
+def nodes_flag(nodes: list[NodeProcess], index: int) -> str:
+    """Return the value of `--nodes`, with the node at `index` first."""
     ordered = [*nodes[index:], *nodes[:index]]
     return ",".join(f"{node.host.name}={node.host.url}" for node in ordered)
--- a/src/stagewalk_standins/engine_history.py
+++ b/src/stagewalk_standins/engine_history.py
@@ -1,8 +1,4 @@
-"""What an engine stand-in observes of itself.
-
-Owns which observations an engine writes; relies on `history_file` for the disk and on `event_log`
-for the log lines.
-"""
+"""Records and logs the observations of an engine stand-in."""
 
 from __future__ import annotations
 
@@ -31,7 +27,7 @@
         self._stopping = False
 
     def work_received(self, request: EngineRequest) -> None:
-        """Observe that an attempt was accepted."""
+        """Record an accepted attempt."""
         self._file.write(
             WorkReceived(
                 at=clock(),
@@ -46,7 +42,7 @@
         log_event("work_received", attempt=request.attempt, request_id=request.request_id)
 
     def work_refused(self, request: EngineRequest) -> None:
-        """Observe that an attempt came while the engine takes none."""
+        """Record an attempt that was refused because the engine takes no new work."""
         self._file.write(
             WorkRefused(
                 at=clock(),
@@ -59,7 +55,7 @@
         )
 
     def work_ended(self, done: AttemptDone) -> None:
-        """Observe that an attempt ended."""
+        """Record the end of an attempt."""
         self._file.write(
             WorkEnded(
                 at=clock(),
@@ -78,7 +74,7 @@
         )
 
     def serving(self) -> None:
-        """Observe that the engine takes up new work."""
+        """Record that the engine accepts new work."""
         self._stopping = False
         self._file.write(
             EngineServing(at=clock(), engine=self._engine, incarnation=self._incarnation)
@@ -86,7 +82,7 @@
         log_event("engine_serving", engine=self._engine, incarnation=self._incarnation)
 
     def leaving(self) -> None:
-        """Observe that the engine takes no new work, once until it serves again."""
+        """Record that the engine stops accepting work, once until it serves again."""
         if self._stopping:
             return
         self._stopping = True
@@ -96,7 +92,7 @@
         log_event("engine_leaving", engine=self._engine, incarnation=self._incarnation)
 
     def obeyed(self, order: EngineOrder, active_version: WeightVersion) -> None:
-        """Observe an order that was accepted, and what it does to the engine's state."""
+        """Record an accepted order and the state change that follows from it."""
         self._file.write(
             OrderObeyed(
                 at=clock(),
--- a/src/stagewalk_standins/engine_server.py
+++ b/src/stagewalk_standins/engine_server.py
@@ -1,7 +1,6 @@
-"""Stand-in of a model engine: the engine model behind the platform's HTTP protocol.
+"""HTTP server for a simulated model engine.
 
-Owns routes, streams and the model's wake-ups; relies on `simulation.engine_model` for what the
-engine does.
+Exposes `simulation.engine_model` through the engine protocol and advances it in real time.
 """
 
 from __future__ import annotations
@@ -53,7 +52,7 @@
 DISCONNECT_GRACE_SECONDS = 10.0
 SWEEP_SECONDS = 1.0
 DRAIN_DELAY_SECONDS = 2.0
-"""Usual least time between `leaving` and the exit: long enough for clients to read it."""
+"""Default minimum time between `leaving` and exit, so that clients can read the state."""
 STOP_POLL_SECONDS = 0.05
 
 
@@ -104,7 +103,7 @@
 
 
 class EngineServer:
-    """Drives one engine model in real time and keeps the streams of its attempts."""
+    """Advances an engine model in real time and serves the token streams of its attempts."""
 
     def __init__(
         self,
@@ -125,7 +124,7 @@
         """Return the routes of the engine."""
         application = Application()
         application.route("POST", "/v1/completions", self._complete)
-        application.route("GET", "/v1/streams/{attempt}", self._stream_again)
+        application.route("GET", "/v1/streams/{attempt}", self._resume_stream)
         application.route("GET", "/control/report", self._report)
         application.route("GET", "/control/cache_events", self._cache_events)
         application.route("POST", "/control/orders", self._order)
@@ -140,21 +139,21 @@
             group.start_soon(self._sweep_streams)
             while True:
                 changed = self._changed
-                self._hand_on(self._model.advance(clock()))
+                self._dispatch_outputs(self._model.advance(clock()))
                 wakeup = self._model.next_wakeup()
                 delay = None if wakeup is None else max(0.0, wakeup - clock())
                 with anyio.move_on_after(delay):
                     await changed.wait()
 
     async def leave(self) -> None:
-        """Refuse new work, say so, finish what runs, and return when all is read."""
+        """Refuse new work, report `leaving`, and return once running attempts are done and read."""
         began = clock()
         self._model.leave(began)
         self._history.leaving()
-        while not self._all_read() or clock() < began + self._leave_seconds:
+        while not self._is_drained() or clock() < began + self._leave_seconds:
             await anyio.sleep(STOP_POLL_SECONDS)
 
-    def _all_read(self) -> bool:
+    def _is_drained(self) -> bool:
         unread = any(stream.readers for stream in self._streams.values())
         return self._model.idle and not unread
 
@@ -162,7 +161,7 @@
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _hand_on(self, outputs: list[EngineOutput]) -> None:
+    def _dispatch_outputs(self, outputs: list[EngineOutput]) -> None:
         for output in outputs:
             match output:
                 case ChunkProduced(attempt, chunk):
@@ -184,7 +183,7 @@
         self._wake()
 
     async def _sweep_streams(self) -> None:
-        """Cancel attempts whose client is gone for good, and forget ended streams."""
+        """Cancel attempts without a reader for the grace period, and delete ended streams."""
         while True:
             await anyio.sleep(SWEEP_SECONDS)
             now = clock()
@@ -229,7 +228,7 @@
         self._wake()
         return StreamingResponse(self._read(stream, 0), EVENT_STREAM)
 
-    async def _stream_again(self, request: Request) -> Answer:
+    async def _resume_stream(self, request: Request) -> Answer:
         stream = self._streams.get(AttemptId(request.path_values["attempt"]))
         if stream is None or stream.cut:
             return problem_response(404, "unknown_attempt", "no stream of it is left", "unknown")
--- a/src/stagewalk_standins/engine_stream.py
+++ b/src/stagewalk_standins/engine_stream.py
@@ -1,6 +1,6 @@
-"""The token stream of one attempt at the engine stand-in, readable again from any token.
+"""Server-sent event stream of an engine attempt.
 
-Owns the events sent so far; a client that lost its connection reads on from any token.
+Keeps all chunks, so that a client can reconnect and resume from any token offset.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """OpenAI's choice of a completion chunk."""
+    """A choice of a completion chunk, as in the OpenAI API."""
 
     index: int
     text: str
@@ -27,7 +27,7 @@
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """Where a chunk belongs in its answer, and which version made it."""
+    """Position of a chunk in its answer, and the weight version that generated it."""
 
     sequence: int
     offset: int
@@ -54,14 +54,14 @@
 
 
 class AttemptStream:
-    """Chunks of one attempt; any number of readers, each from its own token.
+    """Chunks of one attempt, for any number of readers with their own offsets.
 
     Attributes
     ----------
     readers
-        Clients reading now.
+        Number of clients reading the stream.
     unread_since
-        Time at which the last reader left, or the stream began; seconds.
+        Time in seconds when the last reader left, or when the stream began.
     """
 
     def __init__(self, request: EngineRequest, now: float) -> None:
@@ -89,7 +89,7 @@
         self._wake()
 
     def end(self, done: AttemptDone) -> None:
-        """End the stream; without `FINISHED` its readers find it truncated."""
+        """End the stream; readers see it truncated unless the outcome is `FINISHED`."""
         self._done = done
         self._wake()
 
--- a/src/stagewalk_standins/event_log.py
+++ b/src/stagewalk_standins/event_log.py
@@ -1,7 +1,4 @@
-"""One line of key=value pairs on standard error for each event, through eliot.
-
-Owns the form of the lines; stand-ins log nowhere else.
-"""
+"""Event logging to standard error through eliot, one line of key=value pairs per event."""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/faults.py
+++ b/src/stagewalk_standins/faults.py
@@ -1,7 +1,4 @@
-"""Switches for a service's faults, set over HTTP while it runs.
-
-Owns the faults in force of one service; relies on `web` for the route.
-"""
+"""Fault injection for HTTP services, controlled over HTTP at run time."""
 
 from __future__ import annotations
 
@@ -19,16 +16,16 @@
 
 
 class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Faults that a service shows.
+    """Faults injected into a service.
 
     Attributes
     ----------
     down
-        Every call fails at once, with nothing done.
+        Every call fails at once without taking effect.
     delay_seconds
-        Every call takes this much longer.
+        Delay added to every call.
     lose_every
-        Each n-th writing call takes effect but its answer is lost; 0 for none.
+        Every n-th write takes effect but returns an error; 0 disables this.
     """
 
     down: bool = False
@@ -37,14 +34,14 @@
 
 
 class FaultSwitch:
-    """Stands before every route of a service but its own."""
+    """Injects the configured faults into all routes but its own."""
 
     def __init__(self) -> None:
         self._faults = Faults()
         self._writes = 0
 
     def add_routes(self, application: Application) -> None:
-        """Add the routes by which the faults are set and read, and guard all others."""
+        """Add the routes that set and return the faults, and guard all others."""
         application.route("PUT", FAULTS_PATH, self._set, guarded=False)
         application.route("GET", FAULTS_PATH, self._get, guarded=False)
         application.guard = self.run
@@ -52,7 +49,7 @@
     async def run(
         self, request: Request, handler: Callable[[Request], Awaitable[Answer]]
     ) -> Answer:
-        """Run a call under the faults in force."""
+        """Run a call with the configured faults."""
         await anyio.sleep(self._faults.delay_seconds)
         if self._faults.down:
             return _unavailable()
--- a/src/stagewalk_standins/flags.py
+++ b/src/stagewalk_standins/flags.py
@@ -1,7 +1,6 @@
 """Command-line flags of each stand-in.
 
-Owns names and defaults of the flags; relies on nothing of the stand-ins, so that `--help` imports
-none.
+Imports no stand-in, so that `--help` stays fast.
 """
 
 from __future__ import annotations
--- a/src/stagewalk_standins/forwarder.py
+++ b/src/stagewalk_standins/forwarder.py
@@ -1,8 +1,4 @@
-"""Stand-in of a faulty network: forwards TCP and UDP, with faults for each link set over HTTP.
-
-Owns the links and their control routes; relies on `forwarder_streams` and `forwarder_datagrams` to
-carry bytes.
-"""
+"""Fault-injecting TCP and UDP proxy, with faults set per link over HTTP."""
 
 from __future__ import annotations
 
@@ -28,7 +24,7 @@
 
 
 class Peer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A node behind a front: TCP to it is the link `NAME`, UDP from A to B the link `A:B`."""
+    """A proxied node: TCP to it uses the link `NAME`, UDP from A to B the link `A:B`."""
 
     name: str
     listen: str
@@ -50,12 +46,12 @@
 
 
 class LinkForwarder:
-    """Carries all links of a file.
+    """Forwards the traffic of all configured links.
 
     Parameters
     ----------
     seed
-        Of the decisions on datagrams; each link draws its own.
+        Seed of the random datagram faults; each link has its own generator.
     """
 
     def __init__(self, links: ForwarderLinks, seed: int) -> None:
@@ -73,18 +69,18 @@
         self._pairs = {(a, b): self._states[f"{a}:{b}"] for a, b in pairs}
 
     def application(self) -> Application:
-        """Return the routes by which the faults are set and the counts read."""
+        """Return the routes that set the faults and return a link's counts."""
         application = Application()
         application.route("PUT", "/control/links/{name}", self._set)
         application.route("GET", "/control/links/{name}", self._get)
         return application
 
     def link(self, name: str) -> LinkState:
-        """Return a link, whose faults may be set in this process too; raises `KeyError`."""
+        """Return the state of a link; raises `KeyError` if there is none."""
         return self._states[name]
 
     async def run(self) -> None:
-        """Open all fronts and carry what comes until cancelled."""
+        """Listen on all links and forward traffic until cancelled."""
         async with anyio.create_task_group() as tasks:
             for link in self._streams:
                 host, port = split_address(link.listen)
@@ -110,7 +106,7 @@
 
 
 def read_links(path: Path) -> ForwarderLinks:
-    """Read the links' file; raises `msgspec.MsgspecError` if it is wrong."""
+    """Read the links file; raises `msgspec.MsgspecError` if it is invalid."""
     return msgspec.json.decode(path.read_bytes(), type=ForwarderLinks)
 
 
--- a/src/stagewalk_standins/forwarder_datagrams.py
+++ b/src/stagewalk_standins/forwarder_datagrams.py
@@ -1,7 +1,4 @@
-"""Datagrams between peers that each stand behind an address of the forwarder.
-
-Owns the sockets of all peers; relies on `forwarder_faults` for each ordered pair's faults.
-"""
+"""UDP forwarding between peers, with faults for each ordered pair of them."""
 
 from __future__ import annotations
 
@@ -16,15 +13,15 @@
 
 
 class DatagramMesh:
-    """Carries datagrams between peers, with faults for each ordered pair of them.
+    """Forwards datagrams between peers, each of which has a proxy socket.
 
-    A datagram that a peer sends to another one's front leaves the sender's own front, so the
-    receiver sees it come from the address at which it knows the sender.
+    A datagram is sent on from the sender's proxy socket, so that the receiver sees the address
+    under which it knows the sender.
 
     Parameters
     ----------
     targets
-        Where each peer truly listens, by name.
+        Each peer's own listening address, by name.
     pairs
         State of the link from the first peer to the second.
     """
@@ -39,7 +36,7 @@
         self._sending = {name: anyio.Lock() for name in targets}
 
     async def run(self, fronts: Mapping[str, HostPort]) -> None:
-        """Open every peer's front and carry datagrams until cancelled."""
+        """Open every peer's proxy socket and forward datagrams until cancelled."""
         for name, (host, port) in fronts.items():
             self._fronts[name] = await anyio.create_udp_socket(local_host=host, local_port=port)
         async with anyio.create_task_group() as tasks:
@@ -54,17 +51,19 @@
             state = self._pairs.get((sender, receiver)) if sender is not None else None
             if sender is None or state is None:
                 continue
-            for delay_seconds in _passes(state):
-                tasks.start_soon(self._pass, sender, receiver, payload, delay_seconds)
+            for delay_seconds in _delivery_delays(state):
+                tasks.start_soon(self._deliver, sender, receiver, payload, delay_seconds)
 
-    async def _pass(self, sender: str, receiver: str, payload: bytes, delay_seconds: float) -> None:
+    async def _deliver(
+        self, sender: str, receiver: str, payload: bytes, delay_seconds: float
+    ) -> None:
         await anyio.sleep(delay_seconds)
         async with self._sending[sender]:
             await self._fronts[sender].sendto(payload, *self._targets[receiver])
 
 
-def _passes(state: LinkState) -> list[float]:
-    """Return after how many seconds a datagram is passed on, each time that it is."""
+def _delivery_delays(state: LinkState) -> list[float]:
+    """Return the delay in seconds of each copy of a datagram; empty if it is lost."""
     faults, counts, generator = state.faults, state.counts, state.generator
     lost = Direction.TO_TARGET in faults.black_holes or faults.cut
     if lost or generator.random() < faults.loss_fraction:
--- a/src/stagewalk_standins/forwarder_faults.py
+++ b/src/stagewalk_standins/forwarder_faults.py
@@ -1,6 +1,6 @@
-"""Faults of one link of the forwarder, and what the link has seen.
+"""Fault settings and counters of a forwarder link.
 
-Owns the faults in force and the counts that tests read to see that a fault struck.
+Tests read the counters to verify that a fault took effect.
 """
 
 from __future__ import annotations
@@ -17,33 +17,33 @@
 
 
 class Direction(StrEnum):
-    """Way of bytes through a link."""
+    """Direction of traffic through a link."""
 
     TO_TARGET = "to_target"
     TO_CLIENT = "to_client"
 
 
 class LinkFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Faults that a link shows until they are set anew.
+    """Faults injected into a link.
 
     Attributes
     ----------
     delay_seconds
-        Every piece of a stream, and every datagram, is passed on this much later.
+        Delay of every stream chunk and datagram.
     cut
-        Open connections are reset at once, and new ones as soon as they are made.
+        Open connections are reset at once, new ones when they are accepted.
     half_closed
-        Directions that are ended in order, while the other one goes on.
+        Directions closed with an end of file while the other one stays open.
     black_holes
-        Directions in which nothing is passed on: bytes of streams wait until it is lifted, as
-        a TCP sender repeats them; datagrams are lost. One direction alone is a one-way fault.
+        Directions in which nothing is forwarded: stream bytes wait until the fault is removed, as
+        TCP retransmits them, and datagrams are lost.
     drop_answers
-        A connection is reset when its target answers: the request took effect, and the
-        client can't tell.
+        A connection is reset when its target answers, so that the client can't tell whether
+        the request took effect.
     loss_fraction, duplicate_fraction
-        Of datagrams.
+        Fractions of datagrams that are lost and duplicated.
     reorder_fraction
-        Of datagrams: they are passed on `reorder_seconds` later than their successors.
+        Fraction of datagrams delayed by a further `reorder_seconds`.
     """
 
     delay_seconds: Seconds = 0.0
@@ -61,16 +61,16 @@
 
 
 class LinkCounts(msgspec.Struct):
-    """What a link has seen since it was opened.
+    """Counters of a link since it was opened.
 
     Attributes
     ----------
     resets
         Connections that the link reset.
     answers_dropped
-        Of those, the ones reset when their target answered.
+        Resets caused by `drop_answers`.
     pieces_held
-        Pieces of streams that waited in a black hole.
+        Stream chunks delayed by a black hole.
     """
 
     resets: int = 0
@@ -83,12 +83,12 @@
 
 
 class LinkState:
-    """Faults in force on a link, read by what carries its bytes.
+    """Current faults and counters of a link.
 
     Parameters
     ----------
     generator
-        Decides which datagrams are lost, doubled or reordered.
+        Source of randomness for lost, duplicated and reordered datagrams.
     """
 
     def __init__(self, name: str, generator: random.Random) -> None:
@@ -99,7 +99,7 @@
         self._changed = anyio.Event()
 
     def set(self, faults: LinkFaults) -> None:
-        """Replace the faults in force at once."""
+        """Replace the faults, effective immediately."""
         self.faults = faults
         changed, self._changed = self._changed, anyio.Event()
         changed.set()
@@ -109,7 +109,7 @@
         await self._changed.wait()
 
     async def wait_passable(self, direction: Direction) -> None:
-        """Wait for the link's delay, and as long as the direction is a black hole."""
+        """Wait for the link's delay and until the direction is no black hole."""
         await anyio.sleep(self.faults.delay_seconds)
         if direction in self.faults.black_holes:
             self.counts.pieces_held += 1
--- a/src/stagewalk_standins/forwarder_streams.py
+++ b/src/stagewalk_standins/forwarder_streams.py
@@ -1,7 +1,4 @@
-"""One TCP link of the forwarder: a listening address in front of a target.
-
-Owns the connections of the link; relies on `forwarder_faults` for its faults.
-"""
+"""TCP forwarding with injected faults."""
 
 from __future__ import annotations
 
@@ -27,7 +24,7 @@
 async def serve_streams(
     state: LinkState, listener: anyio.abc.Listener[anyio.abc.SocketStream], target: tuple[str, int]
 ) -> None:
-    """Carry connections of a listener to a target until cancelled."""
+    """Forward connections of a listener to a target until cancelled."""
 
     async def carry(client: anyio.abc.SocketStream) -> None:
         await _carry(state, client, target)
@@ -73,7 +70,7 @@
         self._scope = anyio.CancelScope()
 
     async def carry(self) -> None:
-        """Carry bytes until both directions have ended or the connection is reset."""
+        """Forward bytes until both directions have ended or the connection is reset."""
         with self._scope:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch_faults)
@@ -108,7 +105,7 @@
             self._reset()
 
     async def _half_close(self, direction: Direction) -> None:
-        """End a direction; what comes from its source later is swallowed."""
+        """Close a direction; later data from its source is discarded."""
         if direction in self._half_closed:
             return
         self._half_closed.add(direction)
@@ -122,7 +119,7 @@
         return self._target, self._client
 
     def _reset(self) -> None:
-        """Break both streams; the target finds its client gone."""
+        """Reset the connections to the client and to the target."""
         if self._scope.cancel_called:
             return
         self._state.counts.resets += 1
--- a/src/stagewalk_standins/history_file.py
+++ b/src/stagewalk_standins/history_file.py
@@ -1,7 +1,4 @@
-"""A process's own observations, one JSON line each, on disk before the next step is taken.
-
-Owns the file and the clock of observations; relies on `history.observations` for a line's form.
-"""
+"""Append-only file of a process's observations, one JSON line each."""
 
 from __future__ import annotations
 
@@ -21,7 +18,7 @@
 class HistoryFile:
     """Appends observations to a file; without a path they are dropped.
 
-    A line torn by a killed predecessor is cut off first.
+    Opening truncates a partial last line, left by a process killed while writing.
     """
 
     def __init__(self, path: Path | None) -> None:
@@ -29,7 +26,7 @@
         self._descriptor: int | None = None
         if path is not None:
             self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o644)
-            self._cut_torn_line(path)
+            self._truncate_partial_line(path)
 
     def write(self, observation: AnyObservation) -> None:
         """Append one observation, unbuffered."""
@@ -49,7 +46,7 @@
             if line not in present:
                 self.write_line(line)
 
-    def _cut_torn_line(self, path: Path) -> None:
+    def _truncate_partial_line(self, path: Path) -> None:
         content = path.read_bytes()
         whole = content.rfind(b"\n") + 1
         if whole != len(content):
--- a/src/stagewalk_standins/http_client.py
+++ b/src/stagewalk_standins/http_client.py
@@ -1,7 +1,4 @@
-"""HTTP clients of the stand-ins.
-
-Owns pool limits and trust settings; relies on `httpx`.
-"""
+"""HTTP client settings shared by the stand-ins."""
 
 from __future__ import annotations
 
@@ -12,12 +9,12 @@
 
 
 def open_client(timeout: httpx.Timeout | float) -> httpx.AsyncClient:
-    """Return a client without a limit of open calls; the process's proxies are not used.
+    """Return a client without a connection limit that ignores proxy settings.
 
     Parameters
     ----------
     timeout
-        Of connecting and of each read, seconds.
+        Timeout in seconds for connecting and for each read.
     """
     limits = httpx.Limits(
         max_connections=None,
--- a/src/stagewalk_standins/log_server.py
+++ b/src/stagewalk_standins/log_server.py
@@ -1,8 +1,4 @@
-"""Stand-in of the append-only log service.
-
-Owns records, offsets and waiting reads; relies on `web` for routes and `history_file` for its
-observations.
-"""
+"""Stand-in for the append-only log service."""
 
 from __future__ import annotations
 
@@ -42,7 +38,7 @@
 
 
 class StoredRecord(msgspec.Struct, frozen=True):
-    """A record as it is read."""
+    """A record as returned to readers."""
 
     offset: int
     record_id: str
@@ -56,7 +52,7 @@
 
 
 class LogServer:
-    """Streams in memory; offsets count from 0 without gaps."""
+    """Keeps streams in memory, with consecutive offsets from 0."""
 
     def __init__(self, history: HistoryFile) -> None:
         self._history = history
--- a/src/stagewalk_standins/machine_registration.py
+++ b/src/stagewalk_standins/machine_registration.py
@@ -1,7 +1,4 @@
-"""An engine's own entry in the platform's machine list.
-
-Owns the engine's row from start to exit; relies on `http_client` for the calls.
-"""
+"""Registration of an engine with the platform's machine list."""
 
 from __future__ import annotations
 
@@ -20,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineMachine:
-    """Where an engine stands, and in whose list (`machines_url`; empty for none)."""
+    """Location of an engine, and the machine list it registers with, if any."""
 
     machines_url: str
     name: str
@@ -30,7 +27,7 @@
     service: str
 
     async def register(self, state: MachineState) -> None:
-        """Enter the engine in a state, trying until the list takes it."""
+        """Register the engine with a state, retrying until it succeeds."""
         if not self.machines_url:
             return
         host, _, port = self.listen.rpartition(":")
--- a/src/stagewalk_standins/machine_server.py
+++ b/src/stagewalk_standins/machine_server.py
@@ -1,7 +1,4 @@
-"""Stand-in of the platform's machine list, which shows the state of some seconds ago.
-
-Owns the rows and their past states; relies on `web` for routes.
-"""
+"""Stand-in for the platform's machine list, which returns stale data by a fixed lag."""
 
 from __future__ import annotations
 
@@ -40,7 +37,7 @@
 
 
 class MachineServer:
-    """Keeps past lists until they are too old to be shown; `now` is its clock, seconds."""
+    """Keeps the snapshots needed to serve reads with a lag; `now` returns seconds."""
 
     def __init__(self, lag_seconds: float, now: Callable[[], float] = clock) -> None:
         self._lag_seconds = lag_seconds
@@ -71,7 +68,7 @@
         name = request.path_values["name"]
         machine = msgspec.structs.replace(request.decode(MachineBody), name=name)
         self._machines[name] = machine
-        self._remember()
+        self._record_snapshot()
         log_event("machine_set", machine=name, kind=str(machine.kind), state=str(machine.state))
         return json_response(machine)
 
@@ -79,10 +76,10 @@
         name = request.path_values["name"]
         if self._machines.pop(name, None) is None:
             return problem_response(404, "unknown_machine", name)
-        self._remember()
+        self._record_snapshot()
         log_event("machine_removed", machine=name)
         return json_response({})
 
-    def _remember(self) -> None:
+    def _record_snapshot(self) -> None:
         machines = tuple(self._machines[name] for name in sorted(self._machines))
         self._past.append((self._now(), machines))
--- a/src/stagewalk_standins/node_pool.py
+++ b/src/stagewalk_standins/node_pool.py
@@ -1,7 +1,4 @@
-"""The nodes a client of the system may use, by name and URL.
-
-Owns which node is used next; relies on nothing else.
-"""
+"""Failover between the nodes a client may use."""
 
 from __future__ import annotations
 
@@ -10,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEndpoint:
-    """One node's HTTP edge."""
+    """Name and base URL of a node."""
 
     name: str
     url: str
@@ -36,7 +33,7 @@
         return self._endpoints[(index + 1) % len(self._endpoints)]
 
     def move_on(self, failed: NodeEndpoint) -> None:
-        """Use the next node, unless another call has moved on already."""
+        """Switch to the next node, unless another call already has."""
         if self.current == failed:
             self._current = (self._current + 1) % len(self._endpoints)
 
--- a/src/stagewalk_standins/scorer_server.py
+++ b/src/stagewalk_standins/scorer_server.py
@@ -1,7 +1,4 @@
-"""Stand-in of a service that scores samples; the same text always gets the same score.
-
-Owns the score of a text; relies on `web` for routes.
-"""
+"""Stand-in for the scoring service; a score is a hash of prompt and text."""
 
 from __future__ import annotations
 
@@ -27,7 +24,7 @@
 
 
 class ScorerServer:
-    """Scores after a while, or fails a fraction of calls."""
+    """Scores samples after a delay and fails a fraction of calls."""
 
     def __init__(self, seconds: float, failure_fraction: float, generator: random.Random) -> None:
         self._seconds = seconds
--- a/src/stagewalk_standins/serving.py
+++ b/src/stagewalk_standins/serving.py
@@ -1,7 +1,4 @@
-"""Running a stand-in: signals, hypercorn, orderly stop.
-
-Owns signal handling and the server's life; relies on `hypercorn`.
-"""
+"""HTTP serving with hypercorn and graceful shutdown on signals."""
 
 from __future__ import annotations
 
@@ -19,7 +16,7 @@
 
 
 async def set_on_stop_signal(stop: anyio.Event) -> None:
-    """Set the event when the process is asked to stop."""
+    """Set the event on the first stop signal."""
     with anyio.open_signal_receiver(*STOP_SIGNALS) as signals:
         async for _ in signals:
             stop.set()
@@ -27,7 +24,7 @@
 
 
 async def serve_until(application: Application, listen: str, stop: anyio.Event) -> None:
-    """Serve on `listen` (`IP:PORT`) until `stop` is set, then close what is open in order."""
+    """Serve on `listen` (`IP:PORT`) until `stop` is set, then shut down gracefully."""
     config = Config()
     config.bind = [listen]
     config.accesslog = None
@@ -39,7 +36,7 @@
 
 
 async def serve_until_signal(application: Application, listen: str) -> None:
-    """Serve until the process is asked to stop."""
+    """Serve until a stop signal."""
     stop = anyio.Event()
     async with anyio.create_task_group() as group:
         group.start_soon(set_on_stop_signal, stop)
--- a/src/stagewalk_standins/trainer.py
+++ b/src/stagewalk_standins/trainer.py
@@ -1,8 +1,4 @@
-"""Stand-in of a trainer: asks for lots of rollouts, trains, publishes new weights.
-
-Owns steps, pulls and publishing; relies on `trainer_checkpoint` for state that survives a kill and
-on `node_pool` for where to call.
-"""
+"""Stand-in for a trainer: submits rollout lots, pulls samples and publishes weight versions."""
 
 from __future__ import annotations
 
@@ -45,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TrainerOptions:
-    """What a trainer does.
+    """Settings of a trainer.
 
     Attributes
     ----------
     look_ahead
-        Submit the next step's lot before training, so that rollouts go on meanwhile.
+        Submit the next step's lot before training, so that rollouts run in the meantime.
     deadline_seconds
-        Hoped-for time of a step's lot.
+        Target completion time of a step's lot.
     weights_url
         Weight store to publish to.
     """
@@ -72,7 +68,7 @@
 
 
 class Trainer:
-    """Runs steps one after the other, through the first node that answers."""
+    """Runs steps in sequence, and fails over to another node when a call fails."""
 
     def __init__(
         self,
@@ -89,7 +85,7 @@
         self._published: list[PublishedVersionBody] = []
 
     async def run(self) -> None:
-        """Run all steps that are left."""
+        """Run the remaining steps."""
         await self._find_version()
         while self._state.step <= self._options.steps:
             if not self._state.complete:
@@ -196,7 +192,7 @@
         return f"{shared} Step {step}, case {prompt_id}."
 
     async def _submit(self, step: int) -> None:
-        """Submit a step's lot; harmless if it is known."""
+        """Submit a step's lot until a node accepts it; idempotent."""
         while True:
             node = self._nodes.current
             if await self._submit_to(node.url, step):
@@ -260,7 +256,7 @@
         return answer
 
     async def _publish(self) -> None:
-        """Publish the next version; an answer that was lost is settled by asking again."""
+        """Publish the next version, repeating the call if its outcome is unknown."""
         version = await self._choose_version()
         unsettled = False
         while True:
@@ -291,7 +287,7 @@
             return None
 
     async def _read_versions(self) -> None:
-        """Read the store's list until it answers."""
+        """Read the weight store's version list, retrying until it succeeds."""
         url = f"{self._options.weights_url}/models/{self._options.model}/versions"
         while True:
             try:
@@ -305,7 +301,7 @@
                 return
 
     async def _find_version(self) -> None:
-        """Start from the newest version; settle a publish that a kill cut short."""
+        """Find the starting version, and finish a publish interrupted by a restart."""
         await self._read_versions()
         state = self._state
         if not self._checkpoint.restored:
--- a/src/stagewalk_standins/trainer_checkpoint.py
+++ b/src/stagewalk_standins/trainer_checkpoint.py
@@ -1,10 +1,7 @@
-"""A trainer's checkpoint: what it needs to go on after it was killed.
+"""Trainer state that survives a restart.
 
-The checkpoint is written before the observations it implies. It carries the lines of its
-last change, so that a restarted trainer writes those that a kill kept from its history:
-each accepted sample is observed once, whenever the kill comes.
-
-Owns the checkpoint file; relies on `history_file` to find lines already written.
+The checkpoint is written before the observations of the same change and contains them. A restarted
+trainer appends the missing ones, so that each accepted sample is recorded exactly once.
 """
 
 from __future__ import annotations
@@ -19,24 +16,24 @@
 
 
 class Checkpoint(msgspec.Struct, kw_only=True):
-    """State of a trainer between two of its actions.
+    """Persistent state of a trainer.
 
     Attributes
     ----------
     step
-        Step in work.
+        Current step.
     waiting_since
-        When it began to wait for the step's samples; None before that.
+        Time at which it began to wait for the step's samples, or None.
     cursor
-        Of the last pull answer taken in for this step.
+        Cursor of the last processed pull answer of this step.
     complete
-        Whether every sample of the step is held, so that only training is left.
+        Whether all samples of the step have been received.
     version
-        Version it holds.
+        Current weight version.
     publishing
-        Version it is about to publish.
+        Version being published, or None.
     last_lines
-        Observations of the last change.
+        Encoded observations of the last change.
     """
 
     step: int = 1
@@ -51,7 +48,7 @@
 
 
 class CheckpointFile:
-    """Keeps a checkpoint on disk, replaced as a whole; without a path, in memory."""
+    """Stores a checkpoint atomically on disk, or in memory without a path."""
 
     def __init__(self, path: Path | None, history: HistoryFile) -> None:
         self._path = path
@@ -64,7 +61,7 @@
             history.write_missing(self.state.last_lines)
 
     def commit(self, *observations: AnyObservation) -> None:
-        """Make the state as it is now, and the observations that go with it, lasting."""
+        """Persist the current state, then append the observations that go with it."""
         self.state.last_lines = [encode_line(observation) for observation in observations]
         if self._path is not None:
             temporary = self._path.with_suffix(".new")
--- a/src/stagewalk_standins/trainer_protocol.py
+++ b/src/stagewalk_standins/trainer_protocol.py
@@ -1,7 +1,4 @@
-"""Bodies of the calls a trainer makes to nodes and to the weight store.
-
-Owns these types and no behaviour.
-"""
+"""Request and response bodies of a trainer's calls to nodes and the weight store."""
 
 from __future__ import annotations
 
--- a/src/stagewalk_standins/web.py
+++ b/src/stagewalk_standins/web.py
@@ -1,7 +1,4 @@
-"""A small ASGI application: typed requests and answers behind routes, served by hypercorn.
-
-Owns routing, decoding and error answers; relies on `msgspec` for bodies and `hypercorn` as server.
-"""
+"""Minimal ASGI framework: routing, typed JSON bodies and problem responses."""
 
 from __future__ import annotations
 
@@ -30,7 +27,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True, kw_only=True):
-    """An error answer (RFC 9457) with what it says about execution."""
+    """An RFC 9457 problem; `ran` says whether the request was executed."""
 
     type: str
     title: str
@@ -40,12 +37,12 @@
 
 
 class BadRequest(Exception):
-    """The request's body or parameters can't be read."""
+    """The request's body or parameters are invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One HTTP request; `path_values` are what the route's placeholders stood for."""
+    """One HTTP request; `path_values` holds the values of the route's placeholders."""
 
     method: str
     path_values: Mapping[str, str]
@@ -80,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamingResponse:
-    """An answer sent in pieces, until `pieces` ends or the client goes away."""
+    """A response streamed until `pieces` ends or the client disconnects."""
 
     pieces: AsyncGenerator[bytes, None]
     content_type: str
@@ -217,7 +214,7 @@
 
 
 async def _send_pieces(answer: StreamingResponse, receive: Receive, send: Send) -> None:
-    """Send a stream; stop reading its source as soon as the client is gone."""
+    """Send a stream; close its source as soon as the client disconnects."""
     await send(_start(200, answer.content_type, {"cache-control": "no-store"}))
     async with anyio.create_task_group() as group:
 
--- a/src/stagewalk_standins/weight_fetcher.py
+++ b/src/stagewalk_standins/weight_fetcher.py
@@ -1,7 +1,4 @@
-"""An engine's fetches from the weight store.
-
-Owns the fetch and its retries; relies on `http_client`.
-"""
+"""Download of weights from the weight store, with retries."""
 
 from __future__ import annotations
 
@@ -18,13 +15,13 @@
 
 
 class WeightFetcher:
-    """Fetches weights, waiting while the store is busy; the bytes themselves are dropped."""
+    """Fetches weights, retrying on failure, and discards the bytes."""
 
     def __init__(self, store_url: str) -> None:
         self._store_url = store_url
 
     async def fetch(self, model: ModelName, version: WeightVersion) -> bool:
-        """Return whether the version's weights have arrived."""
+        """Fetch a version's weights and return whether that succeeded."""
         if not self._store_url:
             return True
         url = f"{self._store_url}/models/{model}/versions/{version}/weights"
@@ -40,7 +37,7 @@
 
 
 async def _fetch_once(client: httpx.AsyncClient, url: str) -> int:
-    """Return the status of one try, 0 if the connection failed."""
+    """Return the HTTP status, or 0 if the request failed."""
     try:
         async with client.stream("GET", url) as answer:
             async for _ in answer.aiter_raw():
--- a/src/stagewalk_standins/weight_server.py
+++ b/src/stagewalk_standins/weight_server.py
@@ -1,7 +1,4 @@
-"""Stand-in of the weight store: versions of models, fetched at one shared rate.
-
-Owns versions and the shared rate; relies on `web` for routes.
-"""
+"""Stand-in for the weight store, with one bandwidth limit shared by all fetches."""
 
 from __future__ import annotations
 
@@ -42,7 +39,7 @@
 
 
 class WeightServer:
-    """Holds versions and hands out their bytes no faster than `bytes_per_second` in all."""
+    """Stores versions and serves their bytes at a total of at most `bytes_per_second`."""
 
     def __init__(self, bytes_per_second: float, fetch_limit: int) -> None:
         self._bytes_per_second = bytes_per_second
@@ -52,7 +49,7 @@
         self._next_piece_at = 0.0
 
     def publish(self, model: str, version: int, size_bytes: int) -> bool:
-        """Add a version; returns False if it was there before."""
+        """Add a version; returns False if it already exists."""
         versions = self._models.setdefault(model, {})
         if version in versions:
             return False
--- a/tests/process/layout.py
+++ b/tests/process/layout.py
@@ -1,4 +1,4 @@
-"""A small system on loopback addresses of its own, each process behind the forwarder."""
+"""Topology of a small test system whose links pass through the forwarder."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Host,
     NodeProcess,
     Topology,
-    preferring,
+    nodes_flag,
     standin,
 )
 from stagewalk_standins.forwarder import ForwarderLinks, Peer, StreamLink
@@ -31,20 +31,20 @@
 FIRST_LINK_PORT = 9001
 FIRST_PEER_PORT = 7946
 FIRST_NETWORK = 128
-"""Loopback networks 127.128 to 127.227 are these tests'; the process id chooses one."""
+"""Loopback networks 127.128 to 127.227 are reserved for these tests; the process id selects one."""
 
 _host_numbers = itertools.count(1)
 
 
 def new_address() -> str:
-    """Return an address that no other process of this run, and no other run, uses."""
+    """Return an unused loopback address, derived from the process id and a counter."""
     process = os.getpid()
     return f"127.{FIRST_NETWORK + (process >> 8) % 100}.{process & 255}.{next(_host_numbers)}"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """What a test runs."""
+    """Size, load and flags of a test system."""
 
     nodes: int = 3
     engines: int = 3
@@ -58,11 +58,11 @@
 
 @dataclass
 class Layout:
-    """Lays a plan out; links are named after what stands behind them.
+    """Builds the topology of a plan; links are named after their targets.
 
     `engine-1` carries all nodes' calls to that engine, `log-node-1` one node's calls to the
-    log, `edge-node-1` the trainer's calls to that node, `node-1` its peers' streams, and
-    `node-1:node-2` datagrams from the one to the other.
+    log, `edge-node-1` the trainer's calls to that node, `node-1` TCP from its peers, and
+    `node-1:node-2` datagrams from the first node to the second.
     """
 
     plan: Plan
@@ -85,7 +85,7 @@
         return Host(name, new_address(), REGION, ZONES[index % len(ZONES)])
 
     def _link(self, name: str, target: str) -> str:
-        """Put a front before a TCP address and return the front's address."""
+        """Add a proxied TCP link and return its listening address."""
         listen = f"{self.forwarder.address}:{FIRST_LINK_PORT + len(self.streams)}"
         self.streams.append(StreamLink(name, listen, target))
         return listen
@@ -160,7 +160,7 @@
             name,
             "caller",
             f"--name={name}",
-            f"--nodes={preferring(nodes, index)}",
+            f"--nodes={nodes_flag(nodes, index)}",
             "--tenant=advice",
             f"--model={MODEL}",
             f"--duration_seconds={self.plan.load_seconds}",
@@ -172,7 +172,7 @@
         )
 
     def _trainer(self, nodes: list[NodeProcess]) -> ProcessSpecification:
-        """Return a trainer that prefers the last node, whose callers are none."""
+        """Return a trainer that prefers the last node, which no caller prefers by default."""
         ordered = [*nodes[::-1]]
         edges = ",".join(
             f"{node.host.name}=http://"
--- a/tests/process/stage.py
+++ b/tests/process/stage.py
@@ -1,4 +1,4 @@
-"""Runs a small system of real processes through a scenario and has the checker judge it."""
+"""Runs a scenario against a system of real processes and checks the recorded history."""
 
 from __future__ import annotations
 
@@ -39,16 +39,16 @@
 START_SECONDS = 20.0
 POLL_SECONDS = 0.05
 WHOLE_TEST_SECONDS = 110.0
-"""Far above what a scenario takes: only a hanging one is cut off."""
+"""Limit for hanging scenarios, far above the usual duration."""
 EXPLANATIONS_PER_PROMISE = 3
 KEEP_RUNS = "STAGEWALK_KEEP_RUNS" in os.environ
-"""Set it to keep the histories and logs in `out/process` of tests that pass, too."""
+"""If set, passing tests also keep their histories and logs in `out/process`."""
 
 Scenario = Callable[["Stage"], Awaitable[None]]
 
 
 class Stage:
-    """The processes of one test, and what a scenario may do to them."""
+    """The processes of one test, and the actions available to a scenario."""
 
     def __init__(self, plan: Plan, directory: Path) -> None:
         self.plan = plan
@@ -58,7 +58,7 @@
         self._forwarder = layout.forwarder_process()
         self._control_url = f"{layout.forwarder.url}/control/links"
         self.group = ProcessGroup(directory)
-        self.operator = Operator(self.topology, self.group, directory, _say_nothing)
+        self.operator = Operator(self.topology, self.group, directory, _discard_announcement)
         self.node_names = [node.host.name for node in self.topology.nodes]
         self.engine_names = [engine.name for engine in self.topology.engines]
         self.caller_names = [
@@ -69,7 +69,7 @@
         self._began_at = 0.0
 
     async def start(self) -> None:
-        """Start all but the clients, and put the tenants in force."""
+        """Start all processes but the clients, and publish the tenants."""
         for specification in (*self.topology.service_processes, self._forwarder):
             self.group.start(specification)
         for name in self.topology.services:
@@ -87,7 +87,7 @@
         """Wait until every node serves both partners' tenants."""
         if not await self.operator.wait_ready(self.node_names):
             raise AssertionError("not every node became ready")
-        if not await self.operator.wait_in_force(2):
+        if not await self.operator.wait_applied(2):
             raise AssertionError("the tenants are not in force everywhere")
         self._incarnations = {
             name: status.incarnation for name, status in self.operator.statuses.items()
@@ -104,27 +104,27 @@
         await self._http.put(url, json={"size_bytes": WEIGHT_BYTES})
 
     def holder(self, duty: str) -> str:
-        """Return the node that says it holds a duty; the newest holder if several do."""
+        """Return the node that reports the newest lease for a duty, or an empty string."""
         statuses = self.operator.statuses.values()
         held = [(each.leases[duty], each.name) for each in statuses if duty in each.leases]
         return max(held)[1] if held else ""
 
     async def start_clients(self) -> None:
-        """Start the load; times of `at` count from here."""
+        """Start the clients; `at` counts from this time."""
         for specification in self.topology.clients:
             self.group.start(specification)
         self._began_at = time.monotonic()
 
     async def at(self, seconds: float) -> None:
-        """Wait until so long after the clients' start."""
+        """Wait until a number of seconds after the start of the clients."""
         await anyio.sleep(max(0.0, self._began_at + seconds - time.monotonic()))
 
     async def eventually(self, condition: Callable[[], bool], what: str, seconds: float) -> None:
-        """Wait for a condition, and fail if it doesn't come in time."""
-        give_up_at = time.monotonic() + seconds
+        """Poll a condition and fail on timeout."""
+        deadline = time.monotonic() + seconds
         while not condition():
-            if time.monotonic() > give_up_at:
-                raise AssertionError(f"never came: {what}")
+            if time.monotonic() > deadline:
+                raise AssertionError(f"timed out waiting for {what}")
             await anyio.sleep(POLL_SECONDS)
 
     async def set_link(self, name: str, faults: LinkFaults = LinkFaults()) -> None:  # noqa: B008
@@ -140,7 +140,7 @@
         return [f"{sender}:{other}" for sender in names for other in names if sender != other]
 
     async def link_counts(self, name: str) -> LinkCounts:
-        """Read what a link has seen."""
+        """Return the counters of a link."""
         answer = await self._http.get(f"{self._control_url}/{name}")
         return msgspec.json.decode(answer.raise_for_status().content, type=LinkView).counts
 
@@ -169,10 +169,10 @@
         self.group.start(specification)
 
     async def ready_again(self, name: str) -> None:
-        """Wait until a node that was started again says that it is ready."""
-        await self.eventually(lambda: self._ready_anew(name), f"{name} again", START_SECONDS)
+        """Wait until a restarted node reports ready."""
+        await self.eventually(lambda: self._is_ready_again(name), f"{name} again", START_SECONDS)
 
-    def _ready_anew(self, name: str) -> bool:
+    def _is_ready_again(self, name: str) -> bool:
         status = self.operator.statuses.get(name)
         if status is None or not status.ready or status.incarnation <= self._incarnations[name]:
             return False
@@ -181,7 +181,7 @@
 
     @asynccontextmanager
     async def paused(self, name: str) -> AsyncIterator[None]:
-        """Stop a process's time."""
+        """Suspend a process with SIGSTOP inside the context."""
         started_at = time.monotonic()
         self.group.send_signal(name, signal.SIGSTOP)
         try:
@@ -193,18 +193,18 @@
             )
 
     async def finish(self) -> None:
-        """Let the callers end, then stop the trainer, and the nodes and engines together."""
+        """Wait for the callers, then stop the trainer, then all nodes and engines."""
         await anyio.to_thread.run_sync(self._wait_callers)
         self.group.collect_unexpected_exits()
         await self.operator.stop(["trainer"])
         await self.operator.stop([*self.node_names, *self.engine_names])
 
     def history(self) -> list[AnyObservation]:
-        """Return what has been observed so far."""
+        """Return all observations so far."""
         return read_history(history_files(self.directory))
 
     def close(self) -> None:
-        """Kill what still runs."""
+        """Kill the remaining processes."""
         for name in self.group.running():
             self.group.send_signal(name, signal.SIGCONT)
         self.group.kill_all()
@@ -216,27 +216,27 @@
         )
 
     def _wait_callers(self) -> None:
-        patience = self.plan.load_seconds + 3 * self.plan.deadline_seconds
+        timeout_seconds = self.plan.load_seconds + 3 * self.plan.deadline_seconds
         for name in self.caller_names:
-            self.group.wait(name, patience)
+            self.group.wait(name, timeout_seconds)
 
     async def _wait_answering(self, url: str) -> None:
-        give_up_at = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + START_SECONDS
         while True:
             try:
                 await self._http.get(url)
                 return
             except httpx.TransportError:
-                if time.monotonic() > give_up_at:
+                if time.monotonic() > deadline:
                     raise
                 await anyio.sleep(POLL_SECONDS)
 
 
 class ProcessTest(testtools.TestCase):
-    """Base of tests that play a scenario on a stage."""
+    """Base of tests that run a scenario."""
 
     def play(self, scenario: Scenario, plan: Plan) -> Stage:
-        """Run a scenario under load to its end; its processes are gone when this returns."""
+        """Run a scenario under load and wait until its processes have ended."""
         directory = ROOT / "out" / "process" / self.id().rsplit(".", 1)[-1] / str(time.time_ns())
         directory.mkdir(parents=True)
         failed = []
@@ -249,7 +249,7 @@
         return stage
 
     def judge(self, stage: Stage, *promises: Promise) -> Verdict:
-        """Require that no promise was broken and that those named were checked."""
+        """Assert that no promise was violated and that the named ones were checked."""
         verdict = check_history(stage.history(), FoldOracle())
         self.addDetail("verdict", text_content(verdict.table()))
         self.assertEqual("", "\n".join(verdict.explanations(EXPLANATIONS_PER_PROMISE)))
@@ -269,5 +269,5 @@
             tasks.cancel_scope.cancel()
 
 
-def _say_nothing(text: str) -> None:
-    """Take the operator's announcements."""
+def _discard_announcement(text: str) -> None:
+    """Ignore an announcement of the operator."""
--- a/tests/process/test_engines.py
+++ b/tests/process/test_engines.py
@@ -1,6 +1,6 @@
-"""Engines that are cut off, go silent or are killed while they answer, over a bad network.
+"""Engines that are disconnected, unresponsive or killed while they stream answers.
 
-Between the nodes datagrams are lost, doubled and overtaken, and pass one way only on one link.
+Datagrams between nodes are lost, duplicated and reordered; one link forwards in one direction only.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from tests.process.stage import ProcessTest, Stage
 
 LOSSY_SECONDS = 30.0
-"""How long a busy machine may take to send a few dozen datagrams over one link."""
+"""Time allowed for a few dozen datagrams on one link under load."""
 
 LOSSY = LinkFaults(loss_fraction=0.1, duplicate_fraction=0.2, reorder_fraction=0.2)
 
@@ -60,9 +60,9 @@
         self.assertGreater(len(answers), 25)
 
     async def until_lossy(self, stage: Stage, link: str) -> None:
-        """Wait until a link has lost, doubled and reordered datagrams.
+        """Wait until a link has lost, duplicated and reordered datagrams.
 
-        By the fixed seed the 16th datagram is the first one lost; when it comes hangs on the load.
+        With the fixed seed, the 16th datagram is the first one lost.
         """
         with anyio.fail_after(LOSSY_SECONDS):
             while True:
--- a/tests/process/test_log.py
+++ b/tests/process/test_log.py
@@ -1,4 +1,4 @@
-"""The log down, slow and losing answers, while operators race and requests go on."""
+"""The log is down, slow or loses answers while operators publish concurrently under load."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
                 for change in ("advice", "policy", "advice-more", "policy-more"):
                     partner = "growers" if "advice" in change else "archive"
                     publishers.start_soon(stage.publish, change, partner)
-            self.assertTrue(await stage.operator.wait_in_force(6))
+            self.assertTrue(await stage.operator.wait_applied(6))
             self.assertGreater((await stage.link_counts("log-node-2")).pieces_held, 0)
 
         stage = self.play(scenario, Plan(load_seconds=14.0))
@@ -43,7 +43,7 @@
     def require_service_between(
         self, history: list[AnyObservation], begin: float, end: float
     ) -> None:
-        """Requests that may run only once must be answered, and samples delivered, meanwhile."""
+        """Check that non-repeatable requests are answered and samples arrive during the fault."""
         once = {e.request_id for e in history if isinstance(e, RequestSent) and not e.repeatable}
         during = [each for each in history if begin <= each.at <= end]
         answered = [e for e in during if isinstance(e, RequestAnswered) and e.request_id in once]
--- a/tests/process/test_nodes.py
+++ b/tests/process/test_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that are paused for longer than a lease, or killed, while they hold duties."""
+"""Nodes that hold leases are paused for longer than the lease, or killed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 ROLLOUT_DUTY = f"rollout/{MODEL}"
 AWAKE_SECONDS = 1.0
-"""For the holder that was paused to act on what it believes."""
+"""Time for the resumed former holder to act on its stale lease."""
 
 
 class LeaseRecord(msgspec.Struct):
--- a/tests/process/test_replacement.py
+++ b/tests/process/test_replacement.py
@@ -1,4 +1,4 @@
-"""All nodes replaced one by one, then everything started anew from the log alone."""
+"""Replaces all nodes one by one, then restarts the whole system from the log alone."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
             for name in stage.node_names:
                 await stage.ready_again(name)
 
-        # The callers' seeds are fixed: started anew, they send the very same requests again.
+        # Restarted callers send the same requests again, as their seeds are fixed.
         stage = self.play(scenario, Plan(load_seconds=11.0))
         self.judge(stage, Promise.AT_MOST_ONCE, Promise.CONFIG_IN_FORCE, Promise.EXACTLY_ONCE)
         digests = {status.configuration_digest for status in stage.operator.statuses.values()}
--- a/tests/process/test_stops.py
+++ b/tests/process/test_stops.py
@@ -1,6 +1,6 @@
 """Planned stops of every node and engine under load, while the machine list is down.
 
-So who leaves is known from the processes themselves alone, until they have started again.
+Nodes learn of the stops from the stopping processes only.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from tests.process.stage import ProcessTest, Stage
 
 LEAVE_SECONDS = 5.0
-"""Longer than the time after which an engine that is leaving may get no more work."""
+"""Longer than the time within which a leaving engine may still receive work."""
 
 
 class PlannedStopsTest(ProcessTest):
@@ -23,8 +23,8 @@
             for node, engine in zip(stage.node_names, stage.engine_names, strict=True):
                 await stage.set_service("machines", down=True)
                 async with anyio.create_task_group() as stops:
-                    stops.start_soon(stage.operator.restart_in_order, node)
-                    stops.start_soon(stage.operator.restart_in_order, engine)
+                    stops.start_soon(stage.operator.restart_gracefully, node)
+                    stops.start_soon(stage.operator.restart_gracefully, engine)
                 await stage.set_service("machines", down=False)
                 await stage.ready_again(node)
 
--- a/tests/process/test_trainer.py
+++ b/tests/process/test_trainer.py
@@ -29,7 +29,7 @@
         self.judge(stage, Promise.EXACTLY_ONCE, Promise.STALENESS_BOUND, Promise.VERSION_NAMED)
 
     async def drop_answers(self, stage: Stage) -> None:
-        """Drop whatever nodes answer the trainer until its node and a spare have handed over."""
+        """Drop the nodes' answers to the trainer, and check that every node lost some."""
         names = [f"edge-{name}" for name in (TRAINERS_NODE, *SPARE_NODES)]
         for name in names:
             await stage.set_link(name, LinkFaults(drop_answers=True))
--- a/tests/standins/engines.py
+++ b/tests/standins/engines.py
@@ -1,4 +1,4 @@
-"""Engines for tests."""
+"""Builders of simulated engines, requests and orders."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
     return EngineOrder(order_id, Epoch(epoch), kind, MODEL, WeightVersion(version))
 
 
-def run_to_idle(model: SimulatedEngine, most_wakeups: int = 20_000) -> list[EngineOutput]:
+def run_to_idle(model: SimulatedEngine, max_wakeups: int = 20_000) -> list[EngineOutput]:
     outputs: list[EngineOutput] = []
-    for _ in range(most_wakeups):
+    for _ in range(max_wakeups):
         wakeup = model.next_wakeup()
         if wakeup is None:
             return outputs
         outputs.extend(model.advance(wakeup))
-    raise AssertionError("the engine never came to rest")
+    raise AssertionError("the engine did not become idle")
--- a/tests/standins/fake_node.py
+++ b/tests/standins/fake_node.py
@@ -1,4 +1,4 @@
-"""A node's trainers' and callers' API, answered from memory."""
+"""In-memory fake of the node API for trainers and callers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FakeNode:
-    """Delivers a lot's samples a few at a time; the cursor is how many were delivered."""
+    """Delivers a lot's samples two per pull; the cursor is the number delivered."""
 
     def __init__(self) -> None:
         self.lots: dict[int, dict[str, Any]] = {}
@@ -115,8 +115,8 @@
         yield b"data: " + msgspec.json.encode(whole) + b"\n\ndata: [DONE]\n\n"
 
 
-class Hosts(httpx.AsyncBaseTransport):
-    """Routes calls by host name to applications; other hosts can't be reached."""
+class HostTransport(httpx.AsyncBaseTransport):
+    """Routes requests to applications by host name; other hosts refuse connections."""
 
     def __init__(self, **applications: Application) -> None:
         self._transports = {
--- a/tests/standins/test_caller.py
+++ b/tests/standins/test_caller.py
@@ -1,4 +1,4 @@
-"""A caller observes what became of each request, and nothing more."""
+"""Tests of the caller: retries, and the recorded outcome of each request."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from stagewalk_standins.history_file import HistoryFile
 from stagewalk_standins.node_pool import NodePool, parse_nodes
 from stagewalk_standins.web import problem_response
-from tests.standins.fake_node import FakeNode, Hosts
+from tests.standins.fake_node import FakeNode, HostTransport
 from tests.standins.temporary import temporary_directory
 
 OPTIONS = CallerOptions(
@@ -47,14 +47,14 @@
 class CallerTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        patch = mock.patch.object(caller_module, "SEND_AGAIN_SECONDS", 0.001)
+        patch = mock.patch.object(caller_module, "RETRY_DELAY_SECONDS", 0.001)
         patch.start()
         self.addCleanup(patch.stop)
         self.first, self.second = FakeNode(), FakeNode()
 
     def run_caller(self, nodes: str) -> list[AnyObservation]:
         file = temporary_directory(self) / "caller.history"
-        hosts = Hosts(first=self.first.application(), second=self.second.application())
+        hosts = HostTransport(first=self.first.application(), second=self.second.application())
 
         async def run() -> None:
             async with httpx.AsyncClient(transport=hosts) as client:
@@ -82,7 +82,7 @@
         modes = {(body["stream"], body["repeatable"]) for body in self.first.completion_bodies}
         self.assertEqual(4, len(modes))
 
-    def test_broken_stream_is_a_cut_and_sent_again_through_another_node(self) -> None:
+    def test_broken_stream_is_recorded_as_cut_and_retried_through_another_node(self) -> None:
         self.first.break_streams = 1
         history = self.run_caller("n1=http://first,n2=http://second")
         kinds = self.kinds(history)
@@ -92,7 +92,7 @@
         again = [each for each in history if getattr(each, "request_id", "") == cut.request_id]
         self.assertEqual(["n1", "n1", "n2", "n2"], [each.node for each in again])
 
-    def test_final_error_is_observed_as_it_was_told(self) -> None:
+    def test_final_error_is_recorded_as_received(self) -> None:
         self.first.refusal = problem_response(400, "invalid_request", "no", "no")
         history = self.run_caller("n1=http://first,n2=http://second")
         kinds = self.kinds(history)
@@ -101,7 +101,7 @@
         refusals = [each for each in history if isinstance(each, RequestRefused)]
         self.assertEqual({("no", "invalid_request")}, {(each.ran, each.kind) for each in refusals})
 
-    def test_refusal_for_a_passing_reason_is_sent_again_through_another_node(self) -> None:
+    def test_transient_refusal_is_retried_through_another_node(self) -> None:
         self.first.refusal = problem_response(503, "stopping", "come back", "no", 1.0)
         kinds = self.kinds(self.run_caller("n1=http://first,n2=http://second"))
         self.assertGreater(kinds[RequestAnswered], 0)
@@ -110,7 +110,7 @@
         kinds = self.kinds(self.run_caller("n1=http://first,n2=http://second"))
         self.assertEqual(0, kinds[RequestAnswered])
 
-    def test_unreachable_node_is_no_cut(self) -> None:
+    def test_unreachable_node_is_not_recorded_as_cut(self) -> None:
         history = self.run_caller("dead=http://dead,n2=http://second")
         kinds = self.kinds(history)
         self.assertEqual(0, kinds[RequestCut])
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -1,4 +1,4 @@
-"""The deployments at hand load, and their tenants are accepted by the fold."""
+"""The deployment files are valid and the state machine accepts their tenants."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def node_count(deployment: Deployment) -> int:
-    """Return the nodes: one beside each caller's worker and each trainer."""
+    """Return the number of nodes: one for each caller worker and trainer."""
     services = (*deployment.caller_services, *deployment.trainer_services)
     return sum(service.count for service in services)
 
@@ -42,7 +42,7 @@
                 record = create(desired.file.tenant, partner, 0, desired.parameters)
                 self.assertEqual(ChangeAccepted(1), publish(fold, record), path)
 
-    def test_counts_are_those_of_today_and_of_the_plan(self) -> None:
+    def test_counts_match_the_current_and_planned_deployments(self) -> None:
         counts = {name: engine_count(load(name)) for name in ("amman", "thornfield", "two_year")}
         self.assertEqual({"amman": 5, "thornfield": 6, "two_year": 600}, counts)
         plan = load("two_year")
@@ -51,7 +51,7 @@
         self.assertEqual([4096, 4096], steps)
         self.assertEqual(3200.0, sum(s.requests_per_second for s in plan.caller_services))
 
-    def test_faults_name_their_field(self) -> None:
+    def test_validation_errors_name_the_field(self) -> None:
         text = (ROOT / "amman" / "deployment.toml").read_text()
         faults = {
             "engine_services[0].count": text.replace("count = 5", "count = 0"),
--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -1,4 +1,4 @@
-"""The engine model batches, caches, swaps weights and tells the truth about all of it."""
+"""Tests of the engine model: batching, prefix cache, weight swaps and reports."""
 
 from __future__ import annotations
 
@@ -261,7 +261,7 @@
 
 
 class RandomDriver:
-    """Does to an engine what it is told and remembers what was accepted."""
+    """Applies generated actions to an engine and records the accepted attempts."""
 
     def __init__(self, model: SimulatedEngine) -> None:
         self.model = model
--- a/tests/standins/test_engine_server.py
+++ b/tests/standins/test_engine_server.py
@@ -1,4 +1,4 @@
-"""The engine stand-in speaks the engines' protocol and observes what it did."""
+"""Tests of the engine HTTP protocol and the recorded observations."""
 
 from __future__ import annotations
 
--- a/tests/standins/test_processes.py
+++ b/tests/standins/test_processes.py
@@ -1,4 +1,4 @@
-"""The stand-ins as real processes: they start, serve, stop in order and leave their history."""
+"""Runs stand-ins as processes: startup, serving, graceful stop and history files."""
 
 from __future__ import annotations
 
@@ -61,8 +61,8 @@
     def start_server(self, command: str, *flags: str) -> tuple[subprocess.Popen[bytes], str]:
         listen = f"{HOST}:{free_port()}"
         process = self.start(command, f"--listen={listen}", *flags)
-        give_up_at = time.monotonic() + START_SECONDS
-        while time.monotonic() < give_up_at:
+        deadline = time.monotonic() + START_SECONDS
+        while time.monotonic() < deadline:
             try:
                 httpx.get(f"http://{listen}/", trust_env=False)
             except httpx.HTTPError:
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -1,4 +1,4 @@
-"""The stand-ins of log, weight store, machine list and scorer keep docs/PLATFORM.md."""
+"""Tests of the log, weight store, machine list and scorer against docs/PLATFORM.md."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
         call(self.application, steps)
 
-    def test_torn_last_line_is_cut_off_on_restart(self) -> None:
+    def test_partial_last_line_is_truncated_on_restart(self) -> None:
         self.file.write_bytes(b'{"type":"Rec')
         HistoryFile(self.file)
         self.assertEqual(b"", self.file.read_bytes())
@@ -129,7 +129,7 @@
 
         call(WeightServer(1e9, 2).application(), steps)
 
-    def test_too_many_fetches_are_told_to_come_back(self) -> None:
+    def test_excess_fetches_are_refused_with_retry_after(self) -> None:
         async def steps(client: httpx.AsyncClient) -> None:
             await client.put("/models/m/versions/1", json={"size_bytes": 200_000})
             answers: list[httpx.Response] = []
@@ -148,7 +148,7 @@
 
 
 class MachinesTest(testtools.TestCase):
-    def test_list_tells_what_was_true_some_time_ago(self) -> None:
+    def test_list_returns_the_state_before_the_lag(self) -> None:
         now = [10.0]
 
         async def steps(client: httpx.AsyncClient) -> None:
--- a/tests/standins/test_trainer.py
+++ b/tests/standins/test_trainer.py
@@ -1,4 +1,4 @@
-"""A trainer goes through its steps whatever node it speaks to, and survives its own death."""
+"""Tests of trainer failover and of restarts from a checkpoint."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from stagewalk_standins.trainer import Trainer, TrainerOptions
 from stagewalk_standins.trainer_checkpoint import CheckpointFile
 from stagewalk_standins.weight_server import WeightServer
-from tests.standins.fake_node import FakeNode, Hosts
+from tests.standins.fake_node import FakeNode, HostTransport
 from tests.standins.temporary import temporary_directory
 
 OPTIONS = TrainerOptions(
@@ -47,11 +47,11 @@
 
 
 class Killed(Exception):
-    """The process died here."""
+    """Raised in place of a kill."""
 
 
 class MortalHistory(HistoryFile):
-    """Dies instead of writing its n-th line."""
+    """Raises `Killed` instead of writing its n-th line."""
 
     def __init__(self, path: Path, lines: int) -> None:
         super().__init__(path)
@@ -80,7 +80,7 @@
         self.weights.publish("m", 1, 1000)
 
     def run_trainer(self, nodes: str, lines: int = 10**9) -> None:
-        hosts = Hosts(
+        hosts = HostTransport(
             node=self.node.application(),
             other=self.other.application(),
             weights=self.weights.application(),
@@ -116,7 +116,7 @@
         for each in self.check_history():
             if isinstance(each, SampleAccepted):
                 self.assertEqual(each.step, each.trainer_version)
-                # A look-ahead lot was submitted, and here answered, at the version before.
+                # The look-ahead lot was submitted and answered at the previous version.
                 superseded = each.spans[0].version < each.trainer_version
                 self.assertEqual(superseded, each.age_seconds > 0.0)
 
