--- a/src/stagewalk_standins/caller.py
+++ b/src/stagewalk_standins/caller.py
@@ -33,7 +33,7 @@
 UNAVAILABLE_STATUS = 503
 DEADLINE_MARGIN_SECONDS = 10.0
 PREFIX_CHARACTERS = 800
-MAX_ABORT_DELAY_SECONDS = 1.0
+MAXIMUM_ABORT_DELAY_SECONDS = 1.0
 """Upper bound on the time before the caller aborts a request on purpose."""
 CONNECTION_CUT = "connection_cut"
 """Fault kind recorded when the caller aborts a request."""
@@ -233,7 +233,7 @@
         if self._generator.random() >= self._options.impatient_fraction:
             return await self._exchange(node, body)
         result: Result = CallFailure.ABORTED
-        with anyio.move_on_after(self._generator.uniform(0.0, MAX_ABORT_DELAY_SECONDS)):
+        with anyio.move_on_after(self._generator.uniform(0.0, MAXIMUM_ABORT_DELAY_SECONDS)):
             result = await self._exchange(node, body)
         return result
 
