--- a/src/stagewalk/gateway/usage/reporting.py
+++ b/src/stagewalk/gateway/usage/reporting.py
@@ -29,7 +29,7 @@
 RETRY_SECONDS = 0.4
 """Pause between two attempts to send a report."""
 
-MAXIMUM_RECORDS_BEHIND = 24
+MAXIMUM_WINDOWS_BEHIND = 24
 """Windows older than this number of windows are not reported any more."""
 
 
@@ -78,7 +78,7 @@
     def apply_written_report(self, window: int, counts: dict[str, int]) -> None:
         """Apply a stored report; later ones of the same window are ignored."""
         self._reports.setdefault(window, _Report(counts))
-        for old in sorted(self._reports)[:-MAXIMUM_RECORDS_BEHIND]:
+        for old in sorted(self._reports)[:-MAXIMUM_WINDOWS_BEHIND]:
             del self._reports[old]
 
     def decide(
@@ -122,7 +122,7 @@
                 self._start_window = current
             counted = account.first_window
             first = self._start_window if counted is None else min(counted, self._start_window)
-        return max(first, current - MAXIMUM_RECORDS_BEHIND)
+        return max(first, current - MAXIMUM_WINDOWS_BEHIND)
 
     def _may_sum(self, window: int, wall: float, complete_until: float) -> bool:
         end = (window + 1) * self.window_seconds
