--- a/src/stagewalk_standins/http_client.py
+++ b/src/stagewalk_standins/http_client.py
@@ -5,7 +5,7 @@
 import httpx
 
 MAXIMUM_IDLE_CONNECTIONS = 32
-SERVER_KEEP_ALIVE_SECONDS = 4.0
+KEEPALIVE_EXPIRY_SECONDS = 4.0
 
 
 def open_client(timeout: httpx.Timeout | float) -> httpx.AsyncClient:
@@ -19,6 +19,6 @@
     limits = httpx.Limits(
         max_connections=None,
         max_keepalive_connections=MAXIMUM_IDLE_CONNECTIONS,
-        keepalive_expiry=SERVER_KEEP_ALIVE_SECONDS,
+        keepalive_expiry=KEEPALIVE_EXPIRY_SECONDS,
     )
     return httpx.AsyncClient(timeout=timeout, limits=limits, trust_env=False, verify=False)
